--- a/src/main/java/pepperdock/aggregator/Decide.java
+++ b/src/main/java/pepperdock/aggregator/Decide.java
@@ -73,21 +73,9 @@
     private static final double TRIAL_MOST_AIMS = 2;
     /** Share of the cold allowance that is used; it is reckoned with one core, which leaves room besides. */
     private static final double COLD_SAFETY = 0.9;
-    /** First pause before asking for the list again, as a share of that time or AskWithinS; it doubles. */
-    private static final double ASK_AGAIN_SHARE = 1.0 / 12;
-
     /** Share of what the fall window allows that instances may save up together. */
     private static final double SAVED_SHARE = 0.5;
 
-    /**
-     * From one call to the next at most this share of the same, as the list may be back right after a call
-     * that failed: what is left is for a connection that comes up late and for an answer that waits its turn.
-     */
-    private static final double ASK_APART_SHARE = 0.5;
-    /** The random part of a pause makes it up to so many times as long. */
-    private static final double ASK_SPREAD_MOST = 1.5;
-    /** The first call comes within so many seconds for each instance there is, and within the first pause. */
-    private static final double FIRST_ASK_S = 0.005;
     /** An attempt out for this share of its class's aim counts as a time-out for the ceiling. */
     private static final double LATE_SHARE = 0.5;
     /** A try under this share of the usual one is taken for a client's last, when it would have to wait. */
@@ -113,7 +101,7 @@
     private Settings settings;
     private final Actions actions;
     private final SplittableRandom random;
-    private final SplittableRandom asking;
+    private final EndpointListPoller listPoller;
     private double shortestAim;
     private final Map<String, Searcher> searchers = new LinkedHashMap<>();
     private final List<List<Searcher>> cells = new ArrayList<>();
@@ -143,21 +131,15 @@
     private double fleetBad;
     private double shed;
     private final Map<Integer, Way> ways = new LinkedHashMap<>();
-    private boolean asked;
-    private boolean subscribed;
     private final IdleLimit idleLimit = new IdleLimit();
-    private double askAt = Double.NaN;
-    private double askedAt = Double.NEGATIVE_INFINITY;
-    private double askPause;
     private Shares planned = (shard, searcher) -> 1;
 
     Decide(Settings settings, long seed, Actions actions) {
         this.actions = actions;
         random = new SplittableRandom(seed);
-        asking = new SplittableRandom(~seed);
+        listPoller = new EndpointListPoller(settings.mustAsk(), new SplittableRandom(~seed));
         settings(settings);
         partTime = new ServiceTime(shortestAim * FIRST_PACE_SHARE);
-        subscribed = !settings.mustAsk();
         tenantShares = new TokenBucket[settings.tenantRates().size()];
         Arrays.setAll(tenantShares, i -> new TokenBucket());
         for (int i = 0; i < settings.layout().cells(); i++) {
@@ -282,7 +264,9 @@
 
     @Override
     public void endBatch() {
-        follow();
+        if (listPoller.callDue(now, settings.instances(), settings.rules().staleS())) {
+            actions.subscribe();
+        }
         for (Query q : arrived) {
             if (!q.ended) {
                 arrive(q);
@@ -298,7 +282,7 @@
             }
         }
         admit();
-        if (!sweepSet && (!queries.isEmpty() || !subscribed)) {
+        if (!sweepSet && (!queries.isEmpty() || !listPoller.isWatching())) {
             sweepSet = true;
             sweepAt = now + SWEEP_TICKS * settings.tickS();
             actions.setTimer(SWEEP_TICKS * settings.tickS(), "sweep");
@@ -760,7 +744,7 @@
                 if (!ownLateness) {
                     learnPace(a, spentS);
                 }
-                boolean longGone = !subscribed && now - s.lastOk > 2 * shortestAim;
+                boolean longGone = !listPoller.isWatching() && now - s.lastOk > 2 * shortestAim;
                 s.lastOk = now;
                 served.add(1, now, shortestAim);
                 if (s.dead && longGone && !cold(s)) {
@@ -1031,14 +1015,11 @@
     @Override
     public void targets(ListKind kind, List<Listed> entries) {
         if (kind != ListKind.HELD) {
-            asked = false;
-            subscribed = kind != ListKind.FAILED;
-            if (subscribed) {
-                askPause = 0;
-            } else {
-                askAgain();
+            if (kind == ListKind.FAILED) {
+                listPoller.onFailure(now, settings.rules().staleS());
                 return;
             }
+            listPoller.onList();
         }
         if (kind != ListKind.CHANGES) {
             searchers.values().forEach(s -> {
@@ -1070,30 +1051,4 @@
     int searchersKnown() {
         return searchers.size();
     }
-
-    /** A call has failed: the next comes after a pause that doubles, in time for news since this one. */
-    private void askAgain() {
-        double first = ASK_AGAIN_SHARE * settings.rules().staleS();
-        double left = askedAt + ASK_APART_SHARE * settings.rules().staleS() - now;
-        askPause = Math.max(first, Math.min(2 * askPause, left / ASK_SPREAD_MOST));
-        askAt = now + askPause * (ASK_SPREAD_MOST - 1 + asking.nextDouble());
-    }
-
-    /**
-     * Asks for the list where there is no watch, at moments of its own: the list is one service for all
-     * instances, and fails calls that wait; those that fail together and ask again together fail again.
-     */
-    private void follow() {
-        if (Double.isNaN(askAt)) {
-            double first = Math.min(
-                    settings.instances() * FIRST_ASK_S,
-                    ASK_AGAIN_SHARE * settings.rules().staleS());
-            askAt = now + asking.nextDouble() * first;
-        }
-        if (!subscribed && !asked && now >= askAt) {
-            asked = true;
-            askedAt = now;
-            actions.subscribe();
-        }
-    }
 }
