--- a/src/main/java/pepperdock/ClassArchiveTraining.java
+++ b/src/main/java/pepperdock/ClassArchiveTraining.java
@@ -12,15 +12,15 @@
 import java.net.Socket;
 import java.nio.charset.StandardCharsets;
 import java.util.Map;
+import pepperdock.codec.frame.Frames;
 import pepperdock.config.Config;
 import pepperdock.config.Keys;
 import pepperdock.events.Events;
-import pepperdock.frame.Frames;
-import pepperdock.net.Loop;
 import pepperdock.service.Service;
 import pepperdock.service.Startup;
 import pepperdock.simulator.SimulatorAdapter;
 import pepperdock.store.Store;
+import pepperdock.transport.Loop;
 
 /**
  * The training run of class data sharing: one short life of the program against stand-ins of its own, on loopback sockets. The
--- a/src/main/java/pepperdock/lab/scale/DecisionCost.java
+++ b/src/main/java/pepperdock/benchmark/DecisionCost.java
@@ -1,18 +1,18 @@
-package pepperdock.lab.scale;
+package pepperdock.benchmark;
 
 import java.lang.management.ManagementFactory;
 import java.nio.charset.StandardCharsets;
 import java.util.List;
 import java.util.SplittableRandom;
-import pepperdock.aggregator.Aggregator.ListKind;
-import pepperdock.aggregator.Aggregator.Outcome;
-import pepperdock.core.Ask;
 import pepperdock.core.Attempt;
-import pepperdock.core.Client;
 import pepperdock.core.Gatherer;
 import pepperdock.core.InertBackend;
 import pepperdock.core.ManualClock;
 import pepperdock.core.Query;
+import pepperdock.core.QueryListener;
+import pepperdock.core.QueryRequest;
+import pepperdock.scheduler.AttemptOutcome;
+import pepperdock.scheduler.EndpointListKind;
 
 /**
  * The cost of decisions alone: core and module on a clock moved by hand, between clients and workers that are a timer each.
@@ -61,7 +61,7 @@
         random = new SplittableRandom(seed);
         Workers workers = new Workers(behaviour);
         core = new Gatherer(deployment.site().module(), seed, clock, workers, () -> {});
-        core.listed(ListKind.COMPLETE, deployment.hosts(BLOCK));
+        core.onEndpointList(EndpointListKind.COMPLETE, deployment.hosts(BLOCK));
         clock.advance(1);
     }
 
@@ -103,20 +103,20 @@
 
     private void play(long queries, double everyS) {
         for (long i = 0; i < queries; i++) {
-            core.take(ask(), new Asking());
+            core.submit(ask(), new Asking());
             clock.advance(everyS);
         }
     }
 
-    private Ask ask() {
-        List<Ask.Piece> pieces = deployment.pieces(fanOut, random.nextInt(deployment.workers()));
-        return new Ask("q" + asked++, 0, "", deployment.deadlineS(), pieces, VALUE, null);
+    private QueryRequest ask() {
+        List<QueryRequest.RequestedPart> pieces = deployment.pieces(fanOut, random.nextInt(deployment.workers()));
+        return new QueryRequest("q" + asked++, 0, "", deployment.deadlineS(), pieces, VALUE, null);
     }
 
     /** Counts final answers. */
-    private final class Asking implements Client {
+    private final class Asking implements QueryListener {
         @Override
-        public void answered(Query query, boolean isWhole) {
+        public void onAnswer(Query query, boolean isWhole) {
             if (isWhole) {
                 whole++;
             } else {
@@ -125,12 +125,12 @@
         }
 
         @Override
-        public void refused(Query query, double pauseS) {
+        public void onRejected(Query query, double pauseS) {
             others++;
         }
 
         @Override
-        public void failed(Query query, boolean overdue) {
+        public void onFailed(Query query, boolean overdue) {
             others++;
         }
     }
@@ -144,13 +144,13 @@
         }
 
         @Override
-        public void send(String worker, List<Attempt> call) {
+        public void sendCall(String worker, List<Attempt> call) {
             int number = Integer.parseInt(worker.substring(1));
             for (Attempt a : call) {
                 attempts++;
                 double takes = behaviour.takesS(
-                        a.part().query().ask().id() + '.' + a.part().shard(), number);
-                clock.after(takes, () -> core.ended(a, Outcome.OK, null, VALUE));
+                        a.part().query().request().id() + '.' + a.part().shard(), number);
+                clock.after(takes, () -> core.onAttemptEnded(a, AttemptOutcome.OK, null, VALUE));
             }
         }
     }
--- a/src/main/java/pepperdock/lab/scale/Deployment.java
+++ b/src/main/java/pepperdock/benchmark/Deployment.java
@@ -1,4 +1,4 @@
-package pepperdock.lab.scale;
+package pepperdock.benchmark;
 
 import com.google.gson.JsonArray;
 import com.google.gson.JsonObject;
@@ -8,8 +8,8 @@
 import pepperdock.config.Config;
 import pepperdock.config.Keys;
 import pepperdock.config.Site;
-import pepperdock.core.Ask;
-import pepperdock.core.Host;
+import pepperdock.core.QueryRequest;
+import pepperdock.core.WorkerEndpoint;
 
 /**
  * What is measured: a shard for each worker, each shard held by so many of them, and one class of queries that repeats
@@ -117,7 +117,7 @@
     }
 
     /** The workers, as the list has them. */
-    List<Host> hosts(int block) {
+    List<WorkerEndpoint> hosts(int block) {
         return Config.read(Keys.of("", config(block)), java.util.Map.of())
                 .known()
                 .hosts();
@@ -144,14 +144,14 @@
     }
 
     /** The parts of a query: shards spread evenly over all, from a first one on. */
-    List<Ask.Piece> pieces(int fanOut, int first) {
+    List<QueryRequest.RequestedPart> pieces(int fanOut, int first) {
         if (fanOut > workers) {
             throw new IllegalArgumentException("fan-out " + fanOut + " over " + workers + " shards");
         }
-        List<Ask.Piece> pieces = new ArrayList<>(fanOut);
+        List<QueryRequest.RequestedPart> pieces = new ArrayList<>(fanOut);
         for (int i = 0; i < fanOut; i++) {
             int shard = (int) ((first + (long) i * workers / fanOut) % workers);
-            pieces.add(new Ask.Piece(shard, 1.0 / fanOut));
+            pieces.add(new QueryRequest.RequestedPart(shard, 1.0 / fanOut));
         }
         return pieces;
     }
--- a/src/main/java/pepperdock/lab/scale/EmulatedWorkers.java
+++ b/src/main/java/pepperdock/benchmark/EmulatedWorkers.java
@@ -1,4 +1,4 @@
-package pepperdock.lab.scale;
+package pepperdock.benchmark;
 
 import java.io.IOException;
 import java.net.BindException;
@@ -21,7 +21,7 @@
 import java.util.function.Consumer;
 import org.HdrHistogram.Histogram;
 import org.HdrHistogram.Recorder;
-import pepperdock.frame.Frames;
+import pepperdock.codec.frame.Frames;
 
 /**
  * Many workers of the platform's frames on one thread, each with an address of its own. They take parts, answer each after the
--- a/src/main/java/pepperdock/lab/scale/LoopModel.java
+++ b/src/main/java/pepperdock/benchmark/LoopModel.java
@@ -1,4 +1,4 @@
-package pepperdock.lab.scale;
+package pepperdock.benchmark;
 
 import java.util.PriorityQueue;
 import java.util.SplittableRandom;
--- a/src/main/java/pepperdock/lab/scale/NodeListCost.java
+++ b/src/main/java/pepperdock/benchmark/NodeListCost.java
@@ -1,4 +1,4 @@
-package pepperdock.lab.scale;
+package pepperdock.benchmark;
 
 import com.google.gson.JsonObject;
 import java.lang.management.ManagementFactory;
@@ -6,13 +6,13 @@
 import java.util.ArrayList;
 import java.util.List;
 import java.util.function.Consumer;
-import pepperdock.aggregator.Aggregator.ListKind;
 import pepperdock.config.HostList;
 import pepperdock.config.Site;
 import pepperdock.core.Gatherer;
-import pepperdock.core.Host;
 import pepperdock.core.InertBackend;
 import pepperdock.core.ManualClock;
+import pepperdock.core.WorkerEndpoint;
+import pepperdock.scheduler.EndpointListKind;
 
 /**
  * The cost of the node list to one gatherer, by its length: bytes of a whole list, and how long the loop stands while it is
@@ -55,13 +55,13 @@
     private NodeListCost(int workers) {
         Deployment deployment = Deployment.ofTarget(workers, 1, 0.001, false);
         site = deployment.site();
-        List<Host> hosts = deployment.hosts(BLOCK);
+        List<WorkerEndpoint> hosts = deployment.hosts(BLOCK);
         whole = HostList.write(hosts, site).getBytes(StandardCharsets.UTF_8);
         change = HostList.write(hosts.subList(0, ONE_CHANGE), site)
                 .replace("\"whole\":true", "\"whole\":false")
                 .getBytes(StandardCharsets.UTF_8);
         core = new Gatherer(site.module(), 1, clock, new InertBackend(), () -> {});
-        core.whenListed(listed -> known = listed.size());
+        core.addEndpointListListener(listed -> known = listed.size());
     }
 
     /** Measures at each length, each list so many times after as many to warm up; tells each result as it is had. */
@@ -130,7 +130,7 @@
     }
 
     private void take(HostList list) {
-        core.listed(list.whole() ? ListKind.COMPLETE : ListKind.CHANGES, list.hosts());
+        core.onEndpointList(list.whole() ? EndpointListKind.COMPLETE : EndpointListKind.CHANGES, list.hosts());
         clock.advance(site.module().tickS());
     }
 }
--- a/src/main/java/pepperdock/lab/scale/Results.java
+++ b/src/main/java/pepperdock/benchmark/Results.java
@@ -1,4 +1,4 @@
-package pepperdock.lab.scale;
+package pepperdock.benchmark;
 
 import com.google.gson.JsonArray;
 import com.google.gson.JsonObject;
@@ -13,7 +13,7 @@
 public final class Results {
 
     private static final String PLOTS = "/META-INF/resources/webjars/echarts/5.3.1/dist/echarts.min.js";
-    private static final String PAGE = "/pepperdock/lab/scale/report.html";
+    private static final String PAGE = "/pepperdock/benchmark/report.html";
 
     private final JsonArray rows = new JsonArray();
     private final JsonArray fits = new JsonArray();
--- a/src/main/java/pepperdock/lab/scale/SocketBench.java
+++ b/src/main/java/pepperdock/benchmark/SocketBench.java
@@ -1,4 +1,4 @@
-package pepperdock.lab.scale;
+package pepperdock.benchmark;
 
 import com.google.gson.JsonObject;
 import java.io.IOException;
--- a/src/main/java/pepperdock/cli/ScaleListCommand.java
+++ b/src/main/java/pepperdock/cli/ScaleListCommand.java
@@ -3,7 +3,7 @@
 import java.io.PrintWriter;
 import java.util.List;
 import java.util.concurrent.Callable;
-import pepperdock.lab.scale.NodeListCost;
+import pepperdock.benchmark.NodeListCost;
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Model.CommandSpec;
 import picocli.CommandLine.Option;
--- a/src/main/java/pepperdock/frame/Frame.java
+++ b/src/main/java/pepperdock/codec/frame/Frame.java
@@ -1,4 +1,4 @@
-package pepperdock.frame;
+package pepperdock.codec.frame;
 
 /** One frame: its letter, and the rest. */
 public record Frame(char letter, byte[] rest) {}
--- a/src/main/java/pepperdock/frame/FrameException.java
+++ b/src/main/java/pepperdock/codec/frame/FrameException.java
@@ -1,4 +1,4 @@
-package pepperdock.frame;
+package pepperdock.codec.frame;
 
 /** Bytes that are no frame, or a frame that says nothing usable; its connection can't go on. */
 public final class FrameException extends Exception {
--- a/src/main/java/pepperdock/frame/Frames.java
+++ b/src/main/java/pepperdock/codec/frame/Frames.java
@@ -1,4 +1,4 @@
-package pepperdock.frame;
+package pepperdock.codec.frame;
 
 import java.io.ByteArrayOutputStream;
 import java.nio.charset.StandardCharsets;
--- a/src/main/java/pepperdock/http/HttpException.java
+++ b/src/main/java/pepperdock/codec/http/HttpException.java
@@ -1,4 +1,4 @@
-package pepperdock.http;
+package pepperdock.codec.http;
 
 /** A message that can't be taken, with the status that fits it. */
 public final class HttpException extends Exception {
--- a/src/main/java/pepperdock/http/HttpMessage.java
+++ b/src/main/java/pepperdock/codec/http/HttpMessage.java
@@ -1,4 +1,4 @@
-package pepperdock.http;
+package pepperdock.codec.http;
 
 import java.util.Locale;
 import java.util.Map;
--- a/src/main/java/pepperdock/http/HttpParser.java
+++ b/src/main/java/pepperdock/codec/http/HttpParser.java
@@ -1,4 +1,4 @@
-package pepperdock.http;
+package pepperdock.codec.http;
 
 import java.io.ByteArrayOutputStream;
 import java.nio.charset.StandardCharsets;
--- a/src/main/java/pepperdock/http/HttpWriter.java
+++ b/src/main/java/pepperdock/codec/http/HttpWriter.java
@@ -1,4 +1,4 @@
-package pepperdock.http;
+package pepperdock.codec.http;
 
 import java.nio.charset.StandardCharsets;
 import java.util.Map;
--- a/src/main/java/pepperdock/config/HostList.java
+++ b/src/main/java/pepperdock/config/HostList.java
@@ -8,14 +8,19 @@
 import java.util.Collection;
 import java.util.List;
 import java.util.Map;
-import pepperdock.aggregator.Aggregator.Readiness;
-import pepperdock.core.Host;
+import pepperdock.core.WorkerEndpoint;
+import pepperdock.scheduler.EndpointState;
 
 /** A node list in discovery's form: its version, whether it is the whole list, and its entries. */
-public record HostList(long seq, boolean whole, List<Host> hosts) {
+public record HostList(long seq, boolean whole, List<WorkerEndpoint> hosts) {
 
-    private static final Map<String, Readiness> HEALTH =
-            Map.of("in_service", Readiness.HEALTHY, "terminating", Readiness.DRAINING, "terminated", Readiness.REMOVED);
+    private static final Map<String, EndpointState> HEALTH = Map.of(
+            "in_service",
+            EndpointState.HEALTHY,
+            "terminating",
+            EndpointState.DRAINING,
+            "terminated",
+            EndpointState.REMOVED);
 
     /** Decodes the body of an answer; throws {@link ConfigException} for whatever it is not. */
     public static HostList parse(String json, Site site) {
@@ -27,13 +32,13 @@
     }
 
     public static HostList read(Keys list, Site site) {
-        List<Host> hosts = new ArrayList<>();
+        List<WorkerEndpoint> hosts = new ArrayList<>();
         for (Keys h : list.objects("hosts")) {
-            Readiness readiness = HEALTH.get(h.text("health"));
+            EndpointState readiness = HEALTH.get(h.text("health"));
             if (readiness == null) {
                 throw new ConfigException(h.key("health"), "unknown state " + h.text("health"));
             }
-            hosts.add(new Host(
+            hosts.add(new WorkerEndpoint(
                     h.text("host"),
                     h.text("dial", ""),
                     index(site.zones(), h.text("site", "")),
@@ -52,24 +57,24 @@
     }
 
     /** The same form written, for the store; {@link #parse} reads it. */
-    public static String write(Collection<Host> hosts, Site site) {
+    public static String write(Collection<WorkerEndpoint> hosts, Site site) {
         JsonArray list = new JsonArray();
-        for (Host h : hosts) {
+        for (WorkerEndpoint h : hosts) {
             JsonObject o = new JsonObject();
             o.addProperty("host", h.id());
-            o.addProperty("dial", h.dial());
+            o.addProperty("dial", h.address());
             o.addProperty("site", h.zone() < site.zones().size() ? site.zones().get(h.zone()) : "");
             o.addProperty("class", h.kind() < site.kinds().size() ? site.kinds().get(h.kind()) : "");
             o.addProperty("block", h.cell());
             o.addProperty(
                     "health",
                     HEALTH.entrySet().stream()
-                            .filter(e -> e.getValue() == h.readiness())
+                            .filter(e -> e.getValue() == h.state())
                             .findFirst()
                             .orElseThrow()
                             .getKey());
             o.addProperty("share", h.weight());
-            o.addProperty("born_ms", Math.round(h.bornAt() * 1e3));
+            o.addProperty("born_ms", Math.round(h.startedAtS() * 1e3));
             list.add(o);
         }
         JsonObject all = new JsonObject();
--- a/src/main/java/pepperdock/config/Site.java
+++ b/src/main/java/pepperdock/config/Site.java
@@ -5,7 +5,12 @@
 import java.util.List;
 import java.util.Map;
 import java.util.Set;
-import pepperdock.aggregator.Aggregator;
+import pepperdock.scheduler.ProtocolRules;
+import pepperdock.scheduler.QueryClass;
+import pepperdock.scheduler.ReplicaLayout;
+import pepperdock.scheduler.RetrySafety;
+import pepperdock.scheduler.SchedulerLimits;
+import pepperdock.scheduler.SchedulerSettings;
 
 /**
  * A site's settings: those of the module, and those that the sockets go by. The names are of the list in their order;
@@ -13,7 +18,7 @@
  * {@code assumed} names each key that is absent and what was taken in its place, for the log.
  */
 public record Site(
-        Aggregator.Settings module,
+        SchedulerSettings module,
         List<String> classes,
         List<String> zones,
         List<String> kinds,
@@ -22,13 +27,13 @@
         int multiplex,
         List<String> assumed) {
 
-    private static final Map<String, Aggregator.Effect> EFFECTS = Map.of(
+    private static final Map<String, RetrySafety> EFFECTS = Map.of(
             "read_like",
-            Aggregator.Effect.SAFE,
+            RetrySafety.IDEMPOTENT,
             "idempotency_key",
-            Aggregator.Effect.KEYED,
+            RetrySafety.IDEMPOTENCY_KEY,
             "non_idempotent",
-            Aggregator.Effect.UNSAFE);
+            RetrySafety.NOT_IDEMPOTENT);
 
     /** Reads and checks the settings, under the names that the platform gives them. */
     public static Site read(Keys settings) {
@@ -59,31 +64,31 @@
      * have run must not be sent again.
      */
     public Site withoutRepeats() {
-        Aggregator.Settings m = module;
-        List<Aggregator.QueryClass> strict = m.classes().stream()
-                .map(c -> c.effect() != Aggregator.Effect.KEYED
+        SchedulerSettings m = module;
+        List<QueryClass> strict = m.classes().stream()
+                .map(c -> c.retrySafety() != RetrySafety.IDEMPOTENCY_KEY
                         ? c
-                        : new Aggregator.QueryClass(
-                                c.aimS(),
+                        : new QueryClass(
+                                c.latencyObjectiveS(),
                                 c.deadlineS(),
-                                c.worth(),
-                                c.lateWorth(),
-                                Aggregator.Effect.UNSAFE,
-                                c.windowS(),
-                                c.floor(),
-                                c.need(),
-                                c.partialWorth(),
-                                c.secondStep()))
+                                c.priorityWeight(),
+                                c.lateAnswerWeight(),
+                                RetrySafety.NOT_IDEMPOTENT,
+                                c.idempotencyWindowS(),
+                                c.minimumCoverage(),
+                                c.completeCoverage(),
+                                c.partialAnswerWeight(),
+                                c.secondStageParts()))
                 .toList();
         return new Site(
-                new Aggregator.Settings(
+                new SchedulerSettings(
                         m.instances(),
                         m.zone(),
                         m.tickS(),
-                        m.mustAsk(),
+                        m.pollsEndpointList(),
                         strict,
                         m.tenantRates(),
-                        m.overShareWorth(),
+                        m.overQuotaWeight(),
                         m.reportNames(),
                         m.layout(),
                         m.limits(),
@@ -102,32 +107,32 @@
      * runs; layout, instances, the lists' way and the sockets' figures stay.
      */
     public Site changed(Site to) {
-        Aggregator.Settings m = module;
-        Aggregator.Settings now = to.module;
-        Aggregator.Rules r = now.rules();
+        SchedulerSettings m = module;
+        SchedulerSettings now = to.module;
+        ProtocolRules r = now.rules();
         return new Site(
-                new Aggregator.Settings(
+                new SchedulerSettings(
                         m.instances(),
                         m.zone(),
                         m.tickS(),
-                        m.mustAsk(),
+                        m.pollsEndpointList(),
                         now.classes(),
                         m.tenantRates(),
-                        m.overShareWorth(),
+                        m.overQuotaWeight(),
                         m.reportNames(),
                         m.layout(),
                         now.limits(),
-                        new Aggregator.Rules(
+                        new ProtocolRules(
                                 r.answerSlackS(),
                                 r.drainGraceS(),
-                                r.coldFrom(),
+                                r.warmUpInitialShare(),
                                 r.warmUpS(),
-                                r.fallMultiple(),
-                                r.fallS(),
-                                r.budgetFree(),
-                                r.budgetShare(),
-                                r.budgetSpanS(),
-                                m.rules().askWithinS())),
+                                r.warmUpOverloadMultiple(),
+                                r.warmUpOverloadWindowS(),
+                                r.retryBudgetFree(),
+                                r.retryBudgetShare(),
+                                r.retryBudgetWindowS(),
+                                m.rules().listPollIntervalS())),
                 to.classes,
                 zones,
                 kinds,
@@ -179,8 +184,8 @@
     }
 
     /** One class; checked here by the platform's names, as the module's own checks know other ones. */
-    private static Aggregator.QueryClass queryClass(Keys c, Keys family, int i) {
-        Aggregator.Effect effect = EFFECTS.get(c.text("Effect"));
+    private static QueryClass queryClass(Keys c, Keys family, int i) {
+        RetrySafety effect = EFFECTS.get(c.text("Effect"));
         check(c, "Effect", effect != null, "unknown effect " + c.text("Effect"));
         double aimS = c.number("GoalTimeS");
         double deadlineS = c.number("DeadlineS");
@@ -188,7 +193,7 @@
         check(c, "GoalTimeS", aimS > 0 && aimS <= deadlineS, "not above 0, or past DeadlineS");
         // Where repeats are recognised by a key, for how long is what decides whether one may be sent: nothing stands
         // in.
-        double windowS = effect == Aggregator.Effect.KEYED ? c.number("WindowS") : 0;
+        double windowS = effect == RetrySafety.IDEMPOTENCY_KEY ? c.number("WindowS") : 0;
         check(c, "WindowS", windowS >= 0, "below 0");
         double worth = c.number("Worth", 1);
         double lateWorth = c.number("LateWorth", 0);
@@ -206,15 +211,15 @@
                 "SecondStep[" + i + ']',
                 secondStep >= 0 && secondStep == Math.rint(secondStep),
                 "not a whole number from 0");
-        return new Aggregator.QueryClass(
+        return new QueryClass(
                 aimS, deadlineS, worth, lateWorth, effect, windowS, floor, need, partialWorth, (int) secondStep);
     }
 
-    private static Aggregator.Settings module(Keys env) {
+    private static SchedulerSettings module(Keys env) {
         Keys family = env.needed("FamilyInfo");
         Keys limits = env.needed("Limits");
         Keys rules = env.needed("Rules");
-        List<Aggregator.QueryClass> classes = new ArrayList<>();
+        List<QueryClass> classes = new ArrayList<>();
         for (Keys c : env.objects("RequestClasses")) {
             classes.add(queryClass(c, family, classes.size()));
         }
@@ -243,7 +248,7 @@
         List<String> reports = env.within("Report").texts("Names");
         boolean asks = env.text("Discovery", "").equals("subscribe");
         try {
-            return new Aggregator.Settings(
+            return new SchedulerSettings(
                     env.whole("Instances", 1, 1 << 20, 1),
                     env.whole("Zone", 0, 1 << 20, 0),
                     env.number("TickS"),
@@ -252,19 +257,19 @@
                     tenants,
                     env.number("OverShareWorth", 1),
                     reports,
-                    new Aggregator.Layout(
+                    new ReplicaLayout(
                             family.whole("Slices", 1, 1 << 24),
                             cells,
                             family.whole("Span", 1, cells),
                             family.whole("Batch", 1, 1 << 16, 1)),
-                    new Aggregator.Limits(
+                    new SchedulerLimits(
                             limits.flag("Cancel", false),
                             limits.flag("MayDuplicate", false),
                             limits.flag("MayProbe", false),
                             limits.whole("MaxAttempts", 1, 1 << 16),
                             limits.whole("MostHeld", 1, Integer.MAX_VALUE, Integer.MAX_VALUE),
                             limits.flag("RetryAfter", false) ? limits.number("MaxRetryAfterS", 0) : 0),
-                    new Aggregator.Rules(
+                    new ProtocolRules(
                             rules.number("AnswerSlackS", 0),
                             rules.number("StopSendingWithinS", 0),
                             rules.number("ColdFrom", 1),
--- a/src/main/java/pepperdock/core/Attempt.java
+++ b/src/main/java/pepperdock/core/Attempt.java
@@ -1,6 +1,6 @@
 package pepperdock.core;
 
-import pepperdock.aggregator.Aggregator.Outcome;
+import pepperdock.scheduler.AttemptOutcome;
 
 /** One attempt at a part; its outcome is set once and stays. */
 public final class Attempt {
@@ -13,9 +13,9 @@
     /** Its last byte was given to the system. */
     boolean written;
 
-    Outcome outcome;
+    AttemptOutcome outcome;
     private final Part part;
-    private final double until;
+    private final double deadline;
     private final double startBy;
 
     Attempt(Part part, int no, String worker, double sentAt, double until, double startBy) {
@@ -23,7 +23,7 @@
         this.no = no;
         this.worker = worker;
         this.sentAt = sentAt;
-        this.until = until;
+        this.deadline = until;
         this.startBy = startBy;
     }
 
@@ -36,8 +36,8 @@
     }
 
     /** When it is given up, on the {@link Clock}'s time. */
-    public double until() {
-        return until;
+    public double deadline() {
+        return deadline;
     }
 
     /**
@@ -50,11 +50,11 @@
     }
 
     /** Whether it is proven that it has not run and won't. */
-    boolean neverRan() {
-        return outcome != null && outcome.neverRan();
+    boolean neverExecuted() {
+        return outcome != null && outcome.neverExecuted();
     }
 
-    public boolean over() {
+    public boolean hasEnded() {
         return outcome != null;
     }
 }
--- /dev/null
+++ b/src/main/java/pepperdock/core/EndpointDiscovery.java
@@ -0,0 +1,8 @@
+package pepperdock.core;
+
+/** Where node lists come from; each call to {@link #watch} is answered by {@link Gatherer#listedEndpointCount}. */
+public interface EndpointDiscovery {
+
+    /** Asks for the list's changes from now on. */
+    void watch();
+}
--- a/src/main/java/pepperdock/core/InertBackend.java
+++ b/src/main/java/pepperdock/core/InertBackend.java
@@ -7,17 +7,17 @@
 public class InertBackend implements Backend {
 
     @Override
-    public void send(String worker, List<Attempt> call) {}
+    public void sendCall(String worker, List<Attempt> call) {}
 
     @Override
     public void cancel(Attempt attempt) {}
 
     @Override
-    public void probe(String worker) {}
+    public void checkHealth(String worker) {}
 
     @Override
-    public void dropConnections(String worker) {}
+    public void closeIdleConnections(String worker) {}
 
     @Override
-    public void listed(Map<String, Host> hosts) {}
+    public void updateEndpoints(Map<String, WorkerEndpoint> hosts) {}
 }
--- a/src/main/java/pepperdock/core/LogBudget.java
+++ b/src/main/java/pepperdock/core/LogRateLimiter.java
@@ -7,7 +7,7 @@
  * Guards against a hundred workers that fail in the same second, or a client that asks at full speed: their lines would fill
  * the log, and their writing would cost the loop more than the trouble itself.
  */
-public final class LogBudget {
+public final class LogRateLimiter {
 
     /** Enough to see which workers or clients it is about. */
     public static final int MOST = 20;
@@ -22,7 +22,7 @@
     private int rest;
 
     /** {@code kind} ends the line that tells of the rest: "and 80 more " and it. */
-    public LogBudget(System.Logger log, Clock clock, String kind) {
+    public LogRateLimiter(System.Logger log, Clock clock, String kind) {
         this.log = log;
         this.clock = clock;
         this.kind = kind;
--- a/src/main/java/pepperdock/core/Part.java
+++ b/src/main/java/pepperdock/core/Part.java
@@ -2,7 +2,7 @@
 
 import java.util.ArrayList;
 import java.util.List;
-import pepperdock.aggregator.Aggregator.Outcome;
+import pepperdock.scheduler.AttemptOutcome;
 
 /** A part of a query; its value stands here once a worker's answer is in. */
 public final class Part {
@@ -44,12 +44,12 @@
         return servedBy;
     }
 
-    public boolean sent() {
+    public boolean isSent() {
         return !attempts.isEmpty();
     }
 
     /** How its last attempt ended: null when never sent, or still out. */
-    public Outcome lastOutcome() {
+    public AttemptOutcome lastOutcome() {
         return attempts.isEmpty() ? null : attempts.get(attempts.size() - 1).outcome;
     }
 }
--- a/src/main/java/pepperdock/core/PooledBackend.java
+++ b/src/main/java/pepperdock/core/PooledBackend.java
@@ -3,37 +3,37 @@
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
-import pepperdock.aggregator.Aggregator.Outcome;
-import pepperdock.aggregator.Aggregator.Readiness;
+import pepperdock.scheduler.AttemptOutcome;
+import pepperdock.scheduler.EndpointState;
 
 /** A backend that keeps one object for each listed worker, whatever the protocol it speaks. */
-public abstract class PooledBackend<W extends PooledBackend.Remote> implements Backend {
+public abstract class PooledBackend<W extends PooledBackend.PooledWorker> implements Backend {
 
     /** One worker. */
-    public interface Remote {
-        String dial();
+    public interface PooledWorker {
+        String address();
 
         void send(List<Attempt> call);
 
         void cancel(Attempt attempt);
 
-        void probe();
+        void checkHealth();
 
-        void dropIdle();
+        void closeIdleConnections();
 
         /** Whether it takes anything new; when not, what waits for a connection to it ends without having run. */
-        void open(boolean now);
+        void setAcceptingCalls(boolean now);
 
         /** It is not at its address any more. */
         void retire();
 
-        boolean unused();
+        boolean isUnused();
     }
 
     private final Map<String, W> workers = new HashMap<>();
     private Gatherer core;
 
-    protected abstract W make(Host host, Gatherer core);
+    protected abstract W createWorker(WorkerEndpoint host, Gatherer core);
 
     /** The worker of that id; null where none is known. */
     protected final W worker(String id) {
@@ -45,10 +45,10 @@
     }
 
     @Override
-    public final void send(String worker, List<Attempt> call) {
+    public final void sendCall(String worker, List<Attempt> call) {
         W w = workers.get(worker);
         if (w == null) {
-            call.forEach(a -> core.ended(a, Outcome.MOOT, null, null));
+            call.forEach(a -> core.onAttemptEnded(a, AttemptOutcome.NOT_SENT, null, null));
         } else {
             w.send(call);
         }
@@ -63,43 +63,43 @@
     }
 
     @Override
-    public final void probe(String worker) {
+    public final void checkHealth(String worker) {
         W w = workers.get(worker);
         if (w == null) {
-            core.probed(worker, Outcome.CONNECT_FAILED, 0, null);
+            core.onHealthCheckEnded(worker, AttemptOutcome.CONNECT_FAILED, 0, null);
         } else {
-            w.probe();
+            w.checkHealth();
         }
     }
 
     @Override
-    public final void dropConnections(String worker) {
+    public final void closeIdleConnections(String worker) {
         W w = workers.get(worker);
         if (w != null) {
-            w.dropIdle();
+            w.closeIdleConnections();
         }
     }
 
     @Override
-    public final void listed(Map<String, Host> hosts) {
+    public final void updateEndpoints(Map<String, WorkerEndpoint> hosts) {
         hosts.forEach((id, h) -> {
             W w = workers.get(id);
-            if (w != null && !w.dial().equals(h.dial())) {
+            if (w != null && !w.address().equals(h.address())) {
                 w.retire();
                 w = null;
             }
             if (w == null) {
-                w = make(h, core);
+                w = createWorker(h, core);
                 workers.put(id, w);
             }
-            w.open(h.readiness() == Readiness.HEALTHY);
+            w.setAcceptingCalls(h.state() == EndpointState.HEALTHY);
         });
         workers.forEach((id, w) -> {
             if (!hosts.containsKey(id)) {
-                w.open(false);
+                w.setAcceptingCalls(false);
             }
         });
         workers.entrySet()
-                .removeIf(e -> !hosts.containsKey(e.getKey()) && e.getValue().unused());
+                .removeIf(e -> !hosts.containsKey(e.getKey()) && e.getValue().isUnused());
     }
 }
--- a/src/main/java/pepperdock/core/Query.java
+++ b/src/main/java/pepperdock/core/Query.java
@@ -2,57 +2,57 @@
 
 import java.util.ArrayList;
 import java.util.List;
-import pepperdock.aggregator.Aggregator;
+import pepperdock.scheduler.QueryClass;
 
 /** A query in hand, from the moment it was taken to its one final answer. */
 public final class Query {
 
     final long id;
-    final Client client;
+    final QueryListener client;
     final double endAt;
     /** The rules that it was taken under, whatever the settings have become. */
-    final Aggregator.QueryClass kind;
+    final QueryClass queryClass;
 
     final String className;
     final int maxAttempts;
     final List<Part> parts = new ArrayList<>();
     boolean ended;
     Clock.Timer guard;
-    private final Ask ask;
+    private final QueryRequest request;
 
     Query(
             long id,
-            Ask ask,
-            Client client,
+            QueryRequest ask,
+            QueryListener client,
             double endAt,
-            Aggregator.QueryClass kind,
+            QueryClass kind,
             String className,
             int maxAttempts) {
-        this.kind = kind;
+        this.queryClass = kind;
         this.className = className;
         this.maxAttempts = maxAttempts;
         this.id = id;
-        this.ask = ask;
+        this.request = ask;
         this.client = client;
         this.endAt = endAt;
     }
 
     /** One for each query taken, never used again; the client's own id may be. */
-    public long no() {
+    public long sequenceNumber() {
         return id;
     }
 
     /** The class whose rules it goes by, as the settings were when it came. */
-    public Aggregator.QueryClass kind() {
-        return kind;
+    public QueryClass queryClass() {
+        return queryClass;
     }
 
     public String className() {
         return className;
     }
 
-    public Ask ask() {
-        return ask;
+    public QueryRequest request() {
+        return request;
     }
 
     public List<Part> parts() {
--- a/src/main/java/pepperdock/core/FixedList.java
+++ b/src/main/java/pepperdock/core/StaticEndpointList.java
@@ -1,16 +1,16 @@
 package pepperdock.core;
 
 import java.util.List;
-import pepperdock.aggregator.Aggregator.ListKind;
+import pepperdock.scheduler.EndpointListKind;
 
 /** The node list of the configuration, where nobody can be asked; it changes only with that. */
-public final class FixedList implements Discovery {
+public final class StaticEndpointList implements EndpointDiscovery {
 
     private final Clock clock;
-    private List<Host> hosts;
+    private List<WorkerEndpoint> hosts;
     private Gatherer core;
 
-    public FixedList(Clock clock, List<Host> hosts) {
+    public StaticEndpointList(Clock clock, List<WorkerEndpoint> hosts) {
         this.clock = clock;
         this.hosts = List.copyOf(hosts);
     }
@@ -20,13 +20,13 @@
     }
 
     /** The configuration has been read anew: told at once, as nobody will ask. */
-    public void replace(List<Host> now) {
+    public void replace(List<WorkerEndpoint> now) {
         hosts = List.copyOf(now);
-        subscribe();
+        watch();
     }
 
     @Override
-    public void subscribe() {
-        clock.after(0, () -> core.listed(ListKind.COMPLETE, hosts));
+    public void watch() {
+        clock.after(0, () -> core.onEndpointList(EndpointListKind.COMPLETE, hosts));
     }
 }
--- a/src/main/java/pepperdock/core/Host.java
+++ b/src/main/java/pepperdock/core/WorkerEndpoint.java
@@ -1,14 +1,14 @@
 package pepperdock.core;
 
-import pepperdock.aggregator.Aggregator;
+import pepperdock.scheduler.EndpointState;
 
 /** One entry of the node list; {@code bornAt} is on the {@link Clock}'s time, 0 for long ago. */
-public record Host(
+public record WorkerEndpoint(
         String id,
-        String dial,
+        String address,
         int zone,
         int kind,
         int cell,
-        Aggregator.Readiness readiness,
+        EndpointState state,
         double weight,
-        double bornAt) {}
+        double startedAtS) {}
--- a/src/main/java/pepperdock/distribution/wire/MessageReader.java
+++ b/src/main/java/pepperdock/distribution/wire/MessageReader.java
@@ -3,7 +3,7 @@
 import java.nio.ByteBuffer;
 import java.util.function.Predicate;
 import pepperdock.distribution.Message;
-import pepperdock.net.Connection;
+import pepperdock.transport.Connection;
 
 /** Takes whole frames out of what a connection has received. */
 final class MessageReader {
--- a/src/main/java/pepperdock/distribution/wire/PublisherServer.java
+++ b/src/main/java/pepperdock/distribution/wire/PublisherServer.java
@@ -11,8 +11,8 @@
 import pepperdock.distribution.PublisherSettings;
 import pepperdock.distribution.SubscriberState;
 import pepperdock.distribution.VersionSource;
-import pepperdock.net.Connection;
-import pepperdock.net.Loop;
+import pepperdock.transport.Connection;
+import pepperdock.transport.Loop;
 
 /** A publisher behind a listening address. All of it belongs to the loop's thread. */
 public final class PublisherServer implements PublisherOutput, AutoCloseable {
--- a/src/main/java/pepperdock/distribution/wire/SubscriberClient.java
+++ b/src/main/java/pepperdock/distribution/wire/SubscriberClient.java
@@ -13,8 +13,8 @@
 import pepperdock.distribution.SubscriberSettings;
 import pepperdock.distribution.Validator;
 import pepperdock.distribution.VersionStore;
-import pepperdock.net.Connection;
-import pepperdock.net.Loop;
+import pepperdock.transport.Connection;
+import pepperdock.transport.Loop;
 
 /** A subscriber that dials its control machines. All of it belongs to the loop's thread, also its construction. */
 public final class SubscriberClient implements SubscriberOutput, AutoCloseable {
--- a/src/main/java/pepperdock/dnssd/DnsSd.java
+++ b/src/main/java/pepperdock/dnssd/DnsSd.java
@@ -30,22 +30,22 @@
 import org.xbill.DNS.TXTRecord;
 import org.xbill.DNS.TextParseException;
 import org.xbill.DNS.Type;
-import pepperdock.aggregator.Aggregator.ListKind;
-import pepperdock.aggregator.Aggregator.Readiness;
 import pepperdock.config.ConfigException;
 import pepperdock.config.DnsSdConfig;
 import pepperdock.config.Site;
 import pepperdock.core.Clock;
-import pepperdock.core.Discovery;
+import pepperdock.core.EndpointDiscovery;
 import pepperdock.core.Gatherer;
-import pepperdock.core.Host;
+import pepperdock.core.WorkerEndpoint;
+import pepperdock.scheduler.EndpointListKind;
+import pepperdock.scheduler.EndpointState;
 
 /**
  * The node list from DNS-SD records (RFC 6763): instances are browsed by PTR and resolved by SRV, TXT and address, over
  * unicast DNS. Records are kept for their TTL and asked for again when it is over, and no sooner than the configured
  * least pace. All state is owned by the clock's thread; the library's own threads only carry datagrams.
  */
-public final class DnsSd implements Discovery {
+public final class DnsSd implements EndpointDiscovery {
 
     private static final System.Logger LOG = System.getLogger("pepperdock.dnssd");
 
@@ -83,7 +83,7 @@
     }
 
     @Override
-    public void subscribe() {
+    public void watch() {
         if (!running) {
             running = true;
             round();
@@ -94,7 +94,7 @@
     private void round() {
         CompletableFuture<?> unused = lookup(service, Type.PTR)
                 .thenCompose(instances -> {
-                    List<CompletableFuture<Host>> hosts = new ArrayList<>();
+                    List<CompletableFuture<WorkerEndpoint>> hosts = new ArrayList<>();
                     for (Record r : instances) {
                         if (r instanceof PTRRecord ptr) {
                             hosts.add(resolve(ptr.getTarget()));
@@ -104,27 +104,27 @@
                             .thenApply(done -> hosts.stream()
                                     .map(CompletableFuture::join)
                                     .filter(Objects::nonNull)
-                                    .sorted(Comparator.comparing(Host::id))
+                                    .sorted(Comparator.comparing(WorkerEndpoint::id))
                                     .toList());
                 })
                 .whenCompleteAsync(this::told, thread);
     }
 
-    private void told(List<Host> hosts, Throwable failure) {
+    private void told(List<WorkerEndpoint> hosts, Throwable failure) {
         if (failure != null) {
             // The list last told stays; the module decides when to ask again.
             running = false;
             LOG.log(System.Logger.Level.WARNING, "browsing {0} failed: {1}", service, failure.getMessage());
-            core.listed(ListKind.FAILED, List.of());
+            core.onEndpointList(EndpointListKind.FAILED, List.of());
             return;
         }
-        core.listed(ListKind.COMPLETE, hosts);
+        core.onEndpointList(EndpointListKind.COMPLETE, hosts);
         double next = kept.values().stream().mapToDouble(Kept::until).min().orElse(clock.now()) - clock.now();
         clock.after(Math.max(config.leastS(), next), this::round);
     }
 
     /** One instance: null where its records are gone, or do not say enough to send it anything. */
-    private CompletableFuture<Host> resolve(Name instance) {
+    private CompletableFuture<WorkerEndpoint> resolve(Name instance) {
         return lookup(instance, Type.SRV).thenCompose(srvs -> {
             SRVRecord srv = srvs.stream()
                     .filter(SRVRecord.class::isInstance)
@@ -148,7 +148,7 @@
                         : CompletableFuture.completedFuture(((ARecord) a.get(0)).getAddress()));
     }
 
-    private Host host(Name instance, SRVRecord srv, List<Record> txt, InetAddress address) {
+    private WorkerEndpoint host(Name instance, SRVRecord srv, List<Record> txt, InetAddress address) {
         Map<String, String> says = new LinkedHashMap<>();
         if (!txt.isEmpty()) {
             for (byte[] raw : ((TXTRecord) txt.get(0)).getStringsAsByteArrays()) {
@@ -171,15 +171,15 @@
             if (!says.containsKey("block")) {
                 throw new IllegalArgumentException("TXT has no block");
             }
-            return new Host(
+            return new WorkerEndpoint(
                     id,
                     dial,
                     Math.max(0, site.zones().indexOf(says.get("site"))),
                     Math.max(0, site.kinds().indexOf(says.get("class"))),
                     Integer.parseInt(says.get("block")),
                     switch (says.getOrDefault("health", "in_service")) {
-                        case "in_service" -> Readiness.HEALTHY;
-                        case "terminating" -> Readiness.DRAINING;
+                        case "in_service" -> EndpointState.HEALTHY;
+                        case "terminating" -> EndpointState.DRAINING;
                         default -> throw new IllegalArgumentException("health unknown");
                     },
                     Double.parseDouble(says.getOrDefault("share", "1")),
--- a/src/main/java/pepperdock/lab/fleet/ActReader.java
+++ b/src/main/java/pepperdock/faultinjection/ActReader.java
@@ -1,4 +1,4 @@
-package pepperdock.lab.fleet;
+package pepperdock.faultinjection;
 
 import java.util.ArrayList;
 import java.util.List;
@@ -6,18 +6,18 @@
 import java.util.Set;
 import pepperdock.config.ConfigException;
 import pepperdock.config.Keys;
-import pepperdock.lab.fleet.Script.Act;
-import pepperdock.lab.fleet.Script.Await;
-import pepperdock.lab.fleet.Script.Draw;
-import pepperdock.lab.fleet.Script.Heal;
-import pepperdock.lab.fleet.Script.OnClocks;
-import pepperdock.lab.fleet.Script.OnDisks;
-import pepperdock.lab.fleet.Script.OnLinks;
-import pepperdock.lab.fleet.Script.OnProcesses;
-import pepperdock.lab.fleet.Script.Partition;
-import pepperdock.lab.fleet.Script.Reset;
-import pepperdock.lab.fleet.Script.What;
-import pepperdock.lab.fleet.Script.Whom;
+import pepperdock.faultinjection.Script.Act;
+import pepperdock.faultinjection.Script.Await;
+import pepperdock.faultinjection.Script.Draw;
+import pepperdock.faultinjection.Script.Heal;
+import pepperdock.faultinjection.Script.OnClocks;
+import pepperdock.faultinjection.Script.OnDisks;
+import pepperdock.faultinjection.Script.OnLinks;
+import pepperdock.faultinjection.Script.OnProcesses;
+import pepperdock.faultinjection.Script.Partition;
+import pepperdock.faultinjection.Script.Reset;
+import pepperdock.faultinjection.Script.What;
+import pepperdock.faultinjection.Script.Whom;
 
 /** Reads one act of a script. */
 final class ActReader {
--- a/src/main/java/pepperdock/lab/fleet/Checker.java
+++ b/src/main/java/pepperdock/faultinjection/Checker.java
@@ -1,4 +1,4 @@
-package pepperdock.lab.fleet;
+package pepperdock.faultinjection;
 
 import java.util.List;
 import java.util.Set;
--- a/src/main/java/pepperdock/lab/fleet/Event.java
+++ b/src/main/java/pepperdock/faultinjection/Event.java
@@ -1,4 +1,4 @@
-package pepperdock.lab.fleet;
+package pepperdock.faultinjection;
 
 import com.google.gson.JsonObject;
 import com.google.gson.JsonParseException;
--- a/src/main/java/pepperdock/lab/fleet/FaultyDisk.java
+++ b/src/main/java/pepperdock/faultinjection/FaultyDisk.java
@@ -1,4 +1,4 @@
-package pepperdock.lab.fleet;
+package pepperdock.faultinjection;
 
 import java.io.IOException;
 import java.lang.reflect.InvocationHandler;
--- a/src/main/java/pepperdock/lab/fleet/Heartbeat.java
+++ b/src/main/java/pepperdock/faultinjection/Heartbeat.java
@@ -1,4 +1,4 @@
-package pepperdock.lab.fleet;
+package pepperdock.faultinjection;
 
 /**
  * Says when the machine, not the program, was late: a thread that wants to run every so often, and notes by how much it came
--- a/src/main/java/pepperdock/lab/fleet/MembersChecker.java
+++ b/src/main/java/pepperdock/faultinjection/MembersChecker.java
@@ -1,4 +1,4 @@
-package pepperdock.lab.fleet;
+package pepperdock.faultinjection;
 
 import com.dynatrace.hash4j.hashing.Hasher64;
 import com.dynatrace.hash4j.hashing.Hashing;
--- a/src/main/java/pepperdock/lab/fleet/Relay.java
+++ b/src/main/java/pepperdock/faultinjection/Relay.java
@@ -1,4 +1,4 @@
-package pepperdock.lab.fleet;
+package pepperdock.faultinjection;
 
 import java.io.IOException;
 import java.net.InetSocketAddress;
@@ -21,7 +21,7 @@
 import java.util.Random;
 import java.util.Set;
 import java.util.concurrent.ConcurrentLinkedQueue;
-import pepperdock.lab.fleet.LinkFaults.Pair;
+import pepperdock.faultinjection.LinkFaults.Pair;
 
 /**
  * The sockets between members: for each ordered pair an address of its own, where what comes is handed on to the receiver's
--- a/src/main/java/pepperdock/lab/fleet/RelayStream.java
+++ b/src/main/java/pepperdock/faultinjection/RelayStream.java
@@ -1,4 +1,4 @@
-package pepperdock.lab.fleet;
+package pepperdock.faultinjection;
 
 import java.io.IOException;
 import java.net.InetSocketAddress;
@@ -8,8 +8,8 @@
 import java.nio.channels.SocketChannel;
 import java.util.ArrayDeque;
 import java.util.Set;
-import pepperdock.lab.fleet.LinkFaults.Effect;
-import pepperdock.lab.fleet.LinkFaults.Pair;
+import pepperdock.faultinjection.LinkFaults.Effect;
+import pepperdock.faultinjection.LinkFaults.Pair;
 
 /** One stream through a {@link Relay}: two halves, each with the links of its way. On the relay's thread. */
 final class RelayStream {
--- a/src/main/java/pepperdock/lab/fleet/Report.java
+++ b/src/main/java/pepperdock/faultinjection/Report.java
@@ -1,4 +1,4 @@
-package pepperdock.lab.fleet;
+package pepperdock.faultinjection;
 
 import com.google.gson.JsonArray;
 import com.google.gson.JsonObject;
@@ -104,7 +104,7 @@
         outcome.findings().forEach(words::add);
         outcome.metrics().forEach(words::add);
         data.add("words", words);
-        return resource("/pepperdock/lab/fleet/report.html")
+        return resource("/pepperdock/faultinjection/report.html")
                 .replace("/*PLOTS*/", resource('/' + PLOTS))
                 .replace("/*DATA*/null", data.toString().replace("</", "<\\/"));
     }
--- a/src/main/java/pepperdock/lab/fleet/Script.java
+++ b/src/main/java/pepperdock/faultinjection/Script.java
@@ -1,4 +1,4 @@
-package pepperdock.lab.fleet;
+package pepperdock.faultinjection;
 
 import com.google.gson.JsonElement;
 import com.google.gson.JsonObject;
--- a/src/main/java/pepperdock/lab/fleet/ScriptReader.java
+++ b/src/main/java/pepperdock/faultinjection/ScriptReader.java
@@ -1,4 +1,4 @@
-package pepperdock.lab.fleet;
+package pepperdock.faultinjection;
 
 import com.google.gson.JsonObject;
 import com.google.gson.JsonPrimitive;
@@ -11,8 +11,8 @@
 import pepperdock.config.Config;
 import pepperdock.config.ConfigException;
 import pepperdock.config.Keys;
-import pepperdock.lab.fleet.Script.Act;
-import pepperdock.lab.fleet.Script.Port;
+import pepperdock.faultinjection.Script.Act;
+import pepperdock.faultinjection.Script.Port;
 
 /** Reads a rig's file, and checks it; a complaint names the faulty key. */
 final class ScriptReader {
--- a/src/main/java/pepperdock/lab/fleet/Sim.java
+++ b/src/main/java/pepperdock/faultinjection/Sim.java
@@ -1,4 +1,4 @@
-package pepperdock.lab.fleet;
+package pepperdock.faultinjection;
 
 import com.google.gson.JsonObject;
 import java.util.ArrayDeque;
@@ -15,14 +15,14 @@
 import java.util.function.Consumer;
 import java.util.stream.Collectors;
 import pepperdock.events.Events;
-import pepperdock.lab.fleet.LinkFaults.Pair;
-import pepperdock.members.MemberEvents;
+import pepperdock.faultinjection.LinkFaults.Pair;
 import pepperdock.membership.Card;
 import pepperdock.membership.Membership;
 import pepperdock.membership.Message;
 import pepperdock.membership.Output;
 import pepperdock.membership.Settings;
 import pepperdock.membership.Status;
+import pepperdock.membership.transport.MemberEvents;
 
 /**
  * A script played in simulated time: the real machines of membership, the rig's own links between them, one queue of events.
--- a/src/main/java/pepperdock/lab/fleet/Timetable.java
+++ b/src/main/java/pepperdock/faultinjection/Timetable.java
@@ -1,4 +1,4 @@
-package pepperdock.lab.fleet;
+package pepperdock.faultinjection;
 
 import java.util.ArrayList;
 import java.util.Collections;
@@ -7,11 +7,11 @@
 import java.util.List;
 import java.util.Random;
 import java.util.Set;
-import pepperdock.lab.fleet.LinkFaults.Kind;
-import pepperdock.lab.fleet.LinkFaults.Pair;
-import pepperdock.lab.fleet.Script.Act;
-import pepperdock.lab.fleet.Script.What;
-import pepperdock.lab.fleet.Script.Whom;
+import pepperdock.faultinjection.LinkFaults.Kind;
+import pepperdock.faultinjection.LinkFaults.Pair;
+import pepperdock.faultinjection.Script.Act;
+import pepperdock.faultinjection.Script.What;
+import pepperdock.faultinjection.Script.Whom;
 
 /**
  * A script with everything drawn and spread out in time: phases, each some timed steps and what is awaited at its end. Pure;
--- a/src/main/java/pepperdock/members/Asked.java
+++ b/src/main/java/pepperdock/membership/transport/Asked.java
@@ -1,15 +1,15 @@
-package pepperdock.members;
+package pepperdock.membership.transport;
 
 import com.google.gson.JsonArray;
 import com.google.gson.JsonObject;
 import java.nio.charset.StandardCharsets;
 import java.util.Map;
 import java.util.TreeMap;
-import pepperdock.http.HttpException;
-import pepperdock.http.HttpMessage;
+import pepperdock.codec.http.HttpException;
+import pepperdock.codec.http.HttpMessage;
 import pepperdock.membership.View;
 import pepperdock.membership.Word;
-import pepperdock.net.HttpServer;
+import pepperdock.transport.HttpServer;
 
 /** {@code GET /members} on a loopback address: the view, with its reasons, as JSON. */
 final class Asked implements HttpServer.Service {
--- a/src/main/java/pepperdock/members/Codec.java
+++ b/src/main/java/pepperdock/membership/transport/Codec.java
@@ -1,4 +1,4 @@
-package pepperdock.members;
+package pepperdock.membership.transport;
 
 import com.fasterxml.jackson.core.JsonToken;
 import com.fasterxml.jackson.core.StreamReadConstraints;
--- a/src/main/java/pepperdock/members/MemberEvents.java
+++ b/src/main/java/pepperdock/membership/transport/MemberEvents.java
@@ -1,4 +1,4 @@
-package pepperdock.members;
+package pepperdock.membership.transport;
 
 import java.util.List;
 import pepperdock.events.Events;
--- a/src/main/java/pepperdock/members/Members.java
+++ b/src/main/java/pepperdock/membership/transport/Members.java
@@ -1,4 +1,4 @@
-package pepperdock.members;
+package pepperdock.membership.transport;
 
 import java.io.IOException;
 import java.net.InetSocketAddress;
@@ -7,16 +7,16 @@
 import java.util.List;
 import java.util.Locale;
 import java.util.function.Consumer;
+import pepperdock.codec.frame.Frame;
+import pepperdock.codec.frame.FrameException;
+import pepperdock.codec.frame.FrameParser;
+import pepperdock.codec.frame.Frames;
 import pepperdock.config.Config;
 import pepperdock.config.Keys;
 import pepperdock.config.MembersConfig;
 import pepperdock.core.Clock;
-import pepperdock.core.LogBudget;
+import pepperdock.core.LogRateLimiter;
 import pepperdock.events.Events;
-import pepperdock.frame.Frame;
-import pepperdock.frame.FrameException;
-import pepperdock.frame.FrameParser;
-import pepperdock.frame.Frames;
 import pepperdock.membership.Card;
 import pepperdock.membership.Membership;
 import pepperdock.membership.Message;
@@ -24,10 +24,10 @@
 import pepperdock.membership.Standing;
 import pepperdock.membership.Status;
 import pepperdock.membership.View;
-import pepperdock.net.Connection;
-import pepperdock.net.Datagrams;
-import pepperdock.net.HttpServer;
-import pepperdock.net.Loop;
+import pepperdock.transport.Connection;
+import pepperdock.transport.Datagrams;
+import pepperdock.transport.HttpServer;
+import pepperdock.transport.Loop;
 
 /**
  * Membership in service: its sockets on the loop, its clock, its log, its events, and where it may be asked. All decisions are
@@ -35,7 +35,7 @@
  */
 public final class Members {
 
-    private static final System.Logger LOG = System.getLogger("pepperdock.members");
+    private static final System.Logger LOG = System.getLogger("pepperdock.membership");
     private static final int FRAME_MOST = 8 << 20;
     private static final char LETTER = 'x';
     private static final int STREAMS_MOST = 16;
@@ -50,7 +50,7 @@
     private final Events events;
     private final Membership machine;
     private final Datagrams datagrams;
-    private final LogBudget notes;
+    private final LogRateLimiter notes;
     private final List<Consumer<View.Change>> watchers = new ArrayList<>();
     private int streams;
     private long garbage;
@@ -73,7 +73,7 @@
                 new Card(config.name(), random.nextLong(), 0, Status.HERE, address, config.zone(), config.machine());
         machine =
                 new Membership(config.settings(), config.fleet(), self, config.seeds(), random.nextLong(), loop.now());
-        notes = new LogBudget(LOG, loop, "messages of members not taken");
+        notes = new LogRateLimiter(LOG, loop, "messages of members not taken");
         datagrams = loop.datagrams(config.address(), this::datagram);
         loop.listen(config.address(), () -> begun && streams < STREAMS_MOST, Exchange::new);
         if (config.ask() != null) {
--- a/src/main/java/pepperdock/opensearch/Replies.java
+++ b/src/main/java/pepperdock/opensearch/Replies.java
@@ -5,7 +5,7 @@
 import com.google.gson.JsonObject;
 import java.nio.charset.StandardCharsets;
 import java.util.List;
-import pepperdock.net.HttpServer;
+import pepperdock.transport.HttpServer;
 
 /** The API's JSON shapes for answers and errors. */
 final class Replies {
--- a/src/main/java/pepperdock/opensearch/RequestReader.java
+++ b/src/main/java/pepperdock/opensearch/RequestReader.java
@@ -19,12 +19,12 @@
 import java.util.UUID;
 import java.util.regex.Matcher;
 import java.util.regex.Pattern;
-import pepperdock.aggregator.Aggregator.Effect;
-import pepperdock.aggregator.Aggregator.QueryClass;
+import pepperdock.codec.http.HttpMessage;
 import pepperdock.config.OpenSearchConfig;
 import pepperdock.config.Site;
-import pepperdock.core.Ask;
-import pepperdock.http.HttpMessage;
+import pepperdock.core.QueryRequest;
+import pepperdock.scheduler.QueryClass;
+import pepperdock.scheduler.RetrySafety;
 
 /** Reads searches and updates into what the core is asked. */
 final class RequestReader {
@@ -45,10 +45,10 @@
         this.config = config;
     }
 
-    Ask search(HttpMessage m) throws ApiException {
+    QueryRequest search(HttpMessage m) throws ApiException {
         String index = m.path().substring(1, m.path().length() - "/_search".length());
         int queryClass = queryClass(index);
-        if (kind(queryClass).effect() != Effect.SAFE) {
+        if (kind(queryClass).retrySafety() != RetrySafety.IDEMPOTENT) {
             throw ApiException.illegal("index [" + index + "] takes updates only");
         }
         JsonObject body = body(m);
@@ -64,7 +64,7 @@
         }
     }
 
-    private Ask search(HttpMessage m, String index, int queryClass, JsonObject body) throws ApiException {
+    private QueryRequest search(HttpMessage m, String index, int queryClass, JsonObject body) throws ApiException {
         int size = whole(m, body, "size", 10);
         int from = whole(m, body, "from", 0);
         double scrollS = m.parameter("scroll") == null ? 0 : keep(m.parameter("scroll"));
@@ -79,23 +79,23 @@
                 ? m.parameter("timeout")
                 : timeout == null ? null : timeout.getAsString();
         double most = kind(queryClass).deadlineS();
-        List<Ask.Piece> pieces = pieces(m, body);
+        List<QueryRequest.RequestedPart> pieces = pieces(m, body);
         body.remove("ext");
         body.remove("from");
         body.addProperty("size", from + size);
         byte[] text = body.toString().getBytes(StandardCharsets.UTF_8);
         SearchRequest request = new SearchRequest(index, null, body, from, size, scrollS, Hit.order(body.get("sort")));
-        return new Ask(
+        return new QueryRequest(
                 id(m), queryClass, "", time == null ? most : Math.min(most, seconds(time)), pieces, text, request);
     }
 
-    Ask update(HttpMessage m) throws ApiException {
+    QueryRequest update(HttpMessage m) throws ApiException {
         Matcher path = UPDATE.matcher(m.path());
         if (!path.matches()) {
             throw ApiException.illegal("not /INDEX/_update/ID");
         }
         int queryClass = queryClass(path.group(1));
-        if (kind(queryClass).effect() == Effect.SAFE) {
+        if (kind(queryClass).retrySafety() == RetrySafety.IDEMPOTENT) {
             throw ApiException.illegal("index [" + path.group(1) + "] takes searches only");
         }
         JsonObject body = body(m);
@@ -116,12 +116,12 @@
             throw ApiException.illegal("Idempotency-Key is not a plain word");
         }
         byte[] text = body.toString().getBytes(StandardCharsets.UTF_8);
-        return new Ask(
+        return new QueryRequest(
                 id(m),
                 queryClass,
                 key,
                 time == null ? most : Math.min(most, seconds(time)),
-                List.of(new Ask.Piece(shard, 1)),
+                List.of(new QueryRequest.RequestedPart(shard, 1)),
                 text,
                 new SearchRequest(path.group(1), docId, body, 0, 1, 0, Hit.order(null)));
     }
@@ -206,8 +206,8 @@
     }
 
     /** The shards asked for: by {@code ext.pepperdock.ranges} with portions, by preference, or all alike. */
-    private List<Ask.Piece> pieces(HttpMessage m, JsonObject body) throws ApiException {
-        List<Ask.Piece> pieces = new ArrayList<>();
+    private List<QueryRequest.RequestedPart> pieces(HttpMessage m, JsonObject body) throws ApiException {
+        List<QueryRequest.RequestedPart> pieces = new ArrayList<>();
         JsonObject ext = body.has("ext") ? body.getAsJsonObject("ext").getAsJsonObject("pepperdock") : null;
         String preference = m.parameter("preference");
         if (ext != null) {
@@ -218,24 +218,29 @@
                 if (!(weight >= 0 && weight <= 1)) {
                     throw ApiException.illegal("[portion] must lie between 0 and 1");
                 }
-                pieces.add(new Ask.Piece(shard(o.get("range").getAsString()), weight));
+                pieces.add(new QueryRequest.RequestedPart(shard(o.get("range").getAsString()), weight));
             }
         } else if (preference != null && preference.startsWith("_shards:")) {
             String[] shards =
                     preference.substring("_shards:".length()).split("\\|")[0].split(",");
             for (String s : shards) {
-                pieces.add(new Ask.Piece(shard(s), 1.0 / shards.length));
+                pieces.add(new QueryRequest.RequestedPart(shard(s), 1.0 / shards.length));
             }
         } else {
             int all = site.module().layout().shards();
             for (int s = 0; s < all; s++) {
-                pieces.add(new Ask.Piece(s, 1.0 / all));
+                pieces.add(new QueryRequest.RequestedPart(s, 1.0 / all));
             }
         }
-        if (pieces.isEmpty() || pieces.stream().map(Ask.Piece::shard).distinct().count() < pieces.size()) {
+        if (pieces.isEmpty()
+                || pieces.stream()
+                                .map(QueryRequest.RequestedPart::shard)
+                                .distinct()
+                                .count()
+                        < pieces.size()) {
             throw ApiException.illegal("no shards, or one given twice");
         }
-        if (!Ask.addUp(pieces)) {
+        if (!QueryRequest.weightsSumToOne(pieces)) {
             throw ApiException.illegal("[portion]s do not add up to 1");
         }
         return pieces;
--- a/src/main/java/pepperdock/opensearch/Scrolls.java
+++ b/src/main/java/pepperdock/opensearch/Scrolls.java
@@ -6,9 +6,9 @@
 import java.util.List;
 import java.util.Map;
 import java.util.UUID;
-import pepperdock.aggregator.Aggregator.QueryClass;
 import pepperdock.core.Clock;
 import pepperdock.opensearch.Replies.Missing;
+import pepperdock.scheduler.QueryClass;
 
 /**
  * The scrolls that are open: capped, and each let go, here and at the workers that hold its contexts, once it was not
--- a/src/main/java/pepperdock/opensearch/SearchBackend.java
+++ b/src/main/java/pepperdock/opensearch/SearchBackend.java
@@ -6,10 +6,10 @@
 import pepperdock.config.Site;
 import pepperdock.core.Attempt;
 import pepperdock.core.Gatherer;
-import pepperdock.core.Host;
-import pepperdock.core.LogBudget;
+import pepperdock.core.LogRateLimiter;
 import pepperdock.core.PooledBackend;
-import pepperdock.net.Loop;
+import pepperdock.core.WorkerEndpoint;
+import pepperdock.transport.Loop;
 
 /** Workers that speak the OpenSearch-style API; a {@link SearchWorker} each. */
 public final class SearchBackend extends PooledBackend<SearchWorker> {
@@ -18,24 +18,25 @@
     private final Site site;
     private final OpenSearchConfig config;
     /** One for all workers: a hundred of them may fail in the same second. */
-    private final LogBudget notes;
+    private final LogRateLimiter notes;
 
     public SearchBackend(Loop loop, Site site, OpenSearchConfig config) {
         this.loop = loop;
         this.site = site;
         this.config = config;
-        notes = new LogBudget(System.getLogger("pepperdock.opensearch"), loop, "answers of workers that can't be used");
+        notes = new LogRateLimiter(
+                System.getLogger("pepperdock.opensearch"), loop, "answers of workers that can't be used");
     }
 
     @Override
-    protected SearchWorker make(Host host, Gatherer core) {
-        return new SearchWorker(host.id(), host.dial(), loop, site, config, core, notes);
+    protected SearchWorker createWorker(WorkerEndpoint host, Gatherer core) {
+        return new SearchWorker(host.id(), host.address(), loop, site, config, core, notes);
     }
 
     /** Nobody will page on from this copy: its context must not wait for its time-out. */
     @Override
-    public void unused(Attempt attempt, byte[] value) {
-        if (attempt.part().query().ask().context() instanceof SearchRequest r && r.scroll()) {
+    public void releaseUnusedAnswer(Attempt attempt, byte[] value) {
+        if (attempt.part().query().request().frontContext() instanceof SearchRequest r && r.scroll()) {
             String scrollId = ShardAnswer.lenient(attempt.part().shard(), r.index(), value)
                     .scrollId();
             if (scrollId != null) {
--- a/src/main/java/pepperdock/opensearch/SearchFront.java
+++ b/src/main/java/pepperdock/opensearch/SearchFront.java
@@ -5,20 +5,20 @@
 import java.util.ArrayList;
 import java.util.List;
 import java.util.function.BooleanSupplier;
-import pepperdock.aggregator.Aggregator.Outcome;
-import pepperdock.aggregator.Aggregator.QueryClass;
+import pepperdock.codec.http.HttpException;
+import pepperdock.codec.http.HttpMessage;
 import pepperdock.config.OpenSearchConfig;
 import pepperdock.config.Site;
-import pepperdock.core.Ask;
-import pepperdock.core.Client;
 import pepperdock.core.Clock;
 import pepperdock.core.Gatherer;
 import pepperdock.core.Part;
 import pepperdock.core.Query;
-import pepperdock.http.HttpException;
-import pepperdock.http.HttpMessage;
-import pepperdock.net.HttpServer;
+import pepperdock.core.QueryListener;
+import pepperdock.core.QueryRequest;
 import pepperdock.opensearch.Replies.Missing;
+import pepperdock.scheduler.AttemptOutcome;
+import pepperdock.scheduler.QueryClass;
+import pepperdock.transport.HttpServer;
 
 /** The OpenSearch-style front: searches, scrolls and updates, on the same core as the platform's front. */
 public final class SearchFront implements HttpServer.Service {
@@ -76,8 +76,8 @@
                 return search(m, reply);
             } else if (path.matches("/[^/_][^/]*/_update/.+")) {
                 allow(m, "POST");
-                Query q = core.take(reader.update(m), new UpdateClient(reply));
-                return () -> core.gone(q);
+                Query q = core.submit(reader.update(m), new UpdateClient(reply));
+                return () -> core.onClientGone(q);
             } else {
                 throw new ApiException(404, "resource_not_found_exception", "no handler for [" + path + "]");
             }
@@ -96,8 +96,8 @@
     // ---- Searches ------------------------------------------------------------
 
     private Runnable search(HttpMessage m, HttpServer.Reply reply) throws ApiException {
-        Ask ask = reader.search(m);
-        SearchRequest request = (SearchRequest) ask.context();
+        QueryRequest ask = reader.search(m);
+        SearchRequest request = (SearchRequest) ask.frontContext();
         if (request.scroll()) {
             if (backend == null) {
                 throw ApiException.illegal("there are no scrolls on this deployment");
@@ -110,9 +110,9 @@
         }
         boolean partial = !"false".equals(m.parameter("allow_partial_search_results"));
         SearchClient client = new SearchClient(reply, request, clock.now(), partial);
-        Query q = core.take(ask, client);
+        Query q = core.submit(ask, client);
         return () -> {
-            core.gone(q);
+            core.onClientGone(q);
             client.closed(q);
         };
     }
@@ -133,7 +133,7 @@
     }
 
     /** Words the core's one final answer to a search. */
-    private final class SearchClient implements Client {
+    private final class SearchClient implements QueryListener {
         private final HttpServer.Reply reply;
         private final SearchRequest request;
         private final double since;
@@ -162,7 +162,7 @@
         }
 
         @Override
-        public void answered(Query q, boolean whole) {
+        public void onAnswer(Query q, boolean whole) {
             List<Missing> missing = new ArrayList<>();
             List<Scrolls.Shard> shards = new ArrayList<>();
             boolean timedOut = false;
@@ -193,7 +193,7 @@
             Scrolls.Scroll s;
             if (request.scroll()) {
                 end();
-                s = scrolls.open(request, q.kind(), shards, missing, total);
+                s = scrolls.open(request, q.queryClass(), shards, missing, total);
                 List<Hit> page = s.page();
                 Replies.ok(
                         reply,
@@ -221,34 +221,43 @@
         }
 
         @Override
-        public void refused(Query q, double pauseS) {
+        public void onRejected(Query q, double pauseS) {
             closed(q);
             SearchFront.refused(reply, pauseS);
         }
 
         @Override
-        public void failed(Query q, boolean overdue) {
+        public void onFailed(Query q, boolean overdue) {
             closed(q);
             SearchFront.failed(reply, overdue);
         }
 
         @Override
-        public void poll() {
+        public void pollForDisconnect() {
             reply.poll();
         }
     }
 
     private static boolean overdue(Part p) {
-        Outcome last = p.lastOutcome();
-        return p.sent() && (last == null || last == Outcome.TIMEOUT || last == Outcome.CANCELLED);
+        AttemptOutcome last = p.lastOutcome();
+        return p.isSent() && (last == null || last == AttemptOutcome.TIMEOUT || last == AttemptOutcome.CANCELLED);
     }
 
     private static Missing missing(Part p) {
-        return !p.sent()
+        return !p.isSent()
                 ? new Missing(p.shard(), "rejected_execution_exception", "left out under load")
                 : overdue(p)
                         ? new Missing(p.shard(), "timeout_exception", "no answer in time")
-                        : new Missing(p.shard(), "shard_failed_exception", "ended as " + p.lastOutcome());
+                        : new Missing(p.shard(), "shard_failed_exception", "ended as " + outcomeName(p.lastOutcome()));
+    }
+
+    /** The name of an outcome in the API's failure reasons, which is part of the interface. */
+    private static String outcomeName(AttemptOutcome outcome) {
+        return switch (outcome) {
+            case OVERLOADED -> "FULL";
+            case NOT_SENT -> "MOOT";
+            default -> outcome.name();
+        };
     }
 
     private long tookMs(double since) {
@@ -272,17 +281,17 @@
     // ---- Updates ------------------------------------------------------------
 
     /** Words the core's one final answer to an update: the worker's own answer, unchanged. */
-    private record UpdateClient(HttpServer.Reply reply) implements Client {
+    private record UpdateClient(HttpServer.Reply reply) implements QueryListener {
 
         @Override
-        public void answered(Query q, boolean whole) {
+        public void onAnswer(Query q, boolean whole) {
             byte[] value = q.parts().get(0).value();
             String text = new String(value, java.nio.charset.StandardCharsets.UTF_8);
             if (text.startsWith("{")) {
                 Replies.raw(reply, value);
                 return;
             }
-            SearchRequest request = (SearchRequest) q.ask().context();
+            SearchRequest request = (SearchRequest) q.request().frontContext();
             JsonObject body = new JsonObject();
             body.addProperty("_index", request.index());
             body.addProperty("_id", request.docId());
@@ -292,17 +301,17 @@
         }
 
         @Override
-        public void refused(Query q, double pauseS) {
+        public void onRejected(Query q, double pauseS) {
             SearchFront.refused(reply, pauseS);
         }
 
         @Override
-        public void failed(Query q, boolean overdue) {
+        public void onFailed(Query q, boolean overdue) {
             SearchFront.failed(reply, overdue);
         }
 
         @Override
-        public void poll() {
+        public void pollForDisconnect() {
             reply.poll();
         }
     }
@@ -369,9 +378,9 @@
             return scrolls.get(s.id) == s;
         };
         for (Scrolls.Shard shard : wanting) {
-            backend.nextPage(shard.worker, shard.no, shard.context, s.keepS, kind.aimS(), wanted, page -> {
+            backend.nextPage(shard.worker, shard.no, shard.context, s.keepS, kind.latencyObjectiveS(), wanted, page -> {
                 if (page == null) {
-                    shard.timedOut = clock.now() - since >= kind.aimS();
+                    shard.timedOut = clock.now() - since >= kind.latencyObjectiveS();
                     shard.failed = new Missing(
                             shard.no,
                             shard.timedOut ? "timeout_exception" : "search_context_missing_exception",
@@ -413,7 +422,7 @@
                 in += shard.weight;
             }
         }
-        if (in < kind.floor() - EPS) {
+        if (in < kind.minimumCoverage() - EPS) {
             scrolls.close(s);
             failed(reply, timedOut);
             return;
--- a/src/main/java/pepperdock/opensearch/SearchWorker.java
+++ b/src/main/java/pepperdock/opensearch/SearchWorker.java
@@ -9,22 +9,22 @@
 import java.util.List;
 import java.util.function.BooleanSupplier;
 import java.util.function.Consumer;
-import pepperdock.aggregator.Aggregator.Outcome;
+import pepperdock.codec.http.HttpMessage;
+import pepperdock.codec.http.HttpWriter;
 import pepperdock.config.Config;
 import pepperdock.config.ConfigException;
 import pepperdock.config.OpenSearchConfig;
 import pepperdock.config.Site;
 import pepperdock.core.Attempt;
 import pepperdock.core.Gatherer;
-import pepperdock.core.LogBudget;
+import pepperdock.core.LogRateLimiter;
 import pepperdock.core.PooledBackend;
-import pepperdock.http.HttpMessage;
-import pepperdock.http.HttpWriter;
-import pepperdock.net.HttpClient;
-import pepperdock.net.Loop;
+import pepperdock.scheduler.AttemptOutcome;
+import pepperdock.transport.HttpClient;
+import pepperdock.transport.Loop;
 
 /** One worker of the OpenSearch-style API: asked for one shard a request, over a few kept connections. */
-final class SearchWorker implements PooledBackend.Remote {
+final class SearchWorker implements PooledBackend.PooledWorker {
 
     private static final int ANSWER_MOST = 4 << 20;
     private static final double IDLE_SHARE = 0.8;
@@ -59,13 +59,19 @@
     private final Site site;
     private final OpenSearchConfig config;
     private final Gatherer core;
-    private final LogBudget notes;
+    private final LogRateLimiter notes;
     private final List<Line> lines = new ArrayList<>();
     private final ArrayDeque<Waiting> waiting = new ArrayDeque<>();
     private boolean open = true;
 
     SearchWorker(
-            String id, String dial, Loop loop, Site site, OpenSearchConfig config, Gatherer core, LogBudget notes) {
+            String id,
+            String dial,
+            Loop loop,
+            Site site,
+            OpenSearchConfig config,
+            Gatherer core,
+            LogRateLimiter notes) {
         this.id = id;
         this.dial = dial;
         this.loop = loop;
@@ -76,18 +82,18 @@
     }
 
     @Override
-    public String dial() {
+    public String address() {
         return dial;
     }
 
     @Override
-    public boolean unused() {
+    public boolean isUnused() {
         return waiting.isEmpty() && lines.stream().noneMatch(l -> l.http.busy());
     }
 
     /** Told of its state; what waits for a connection to a worker that wants nothing new never ran. */
     @Override
-    public void open(boolean now) {
+    public void setAcceptingCalls(boolean now) {
         open = now;
         if (!open) {
             List<Waiting> left = waiting.stream().filter(Waiting::needsOpen).toList();
@@ -100,12 +106,12 @@
                         l.http.close();
                         l.refused.run();
                     });
-            dropIdle();
+            closeIdleConnections();
         }
     }
 
     @Override
-    public void dropIdle() {
+    public void closeIdleConnections() {
         lines.removeIf(l -> {
             if (!l.http.busy()) {
                 l.http.close();
@@ -116,7 +122,7 @@
 
     @Override
     public void retire() {
-        open(false);
+        setAcceptingCalls(false);
     }
 
     @Override
@@ -126,36 +132,36 @@
 
     private void send(Attempt a) {
         byte[] request = request(a);
-        ask(request, a.until(), true, () -> !core.startable(List.of(a)).isEmpty(), a, new HttpClient.Then() {
+        ask(request, a.deadline(), true, () -> !core.retainStartable(List.of(a)).isEmpty(), a, new HttpClient.Then() {
             @Override
             public void response(HttpMessage m) {
-                core.written(a);
+                core.onAttemptWritten(a);
                 answered(a, m);
             }
 
             @Override
             public void failed(HttpClient.Failure why) {
                 // A null reason: the worker wants nothing new, and this was never sent.
-                Outcome outcome = why == null
-                        ? Outcome.MOOT
+                AttemptOutcome outcome = why == null
+                        ? AttemptOutcome.NOT_SENT
                         : switch (why) {
-                            case UNSENT -> Outcome.CONNECT_FAILED;
-                            case BROKEN -> Outcome.RESET;
-                            case TIMED_OUT -> Outcome.TIMEOUT;
+                            case UNSENT -> AttemptOutcome.CONNECT_FAILED;
+                            case BROKEN -> AttemptOutcome.RESET;
+                            case TIMED_OUT -> AttemptOutcome.TIMEOUT;
                         };
                 if (why == HttpClient.Failure.BROKEN || why == HttpClient.Failure.TIMED_OUT) {
-                    core.written(a);
+                    core.onAttemptWritten(a);
                 }
-                core.ended(a, outcome, null, null);
+                core.onAttemptEnded(a, outcome, null, null);
             }
         });
     }
 
     private void answered(Attempt a, HttpMessage m) {
-        SearchRequest wanted = a.part().query().ask().context() instanceof SearchRequest r ? r : null;
+        SearchRequest wanted = a.part().query().request().frontContext() instanceof SearchRequest r ? r : null;
         boolean update = wanted != null && wanted.update();
         byte[] value = null;
-        Outcome outcome = m.status() == 429 ? Outcome.FULL : Outcome.ERROR;
+        AttemptOutcome outcome = m.status() == 429 ? AttemptOutcome.OVERLOADED : AttemptOutcome.ERROR;
         if (m.status() == 200 || update && m.status() == 201) {
             try {
                 if (update) {
@@ -164,14 +170,14 @@
                     ShardAnswer.strict(a.part().shard(), m.body());
                 }
                 value = m.body();
-                outcome = Outcome.OK;
+                outcome = AttemptOutcome.OK;
             } catch (RuntimeException e) {
                 notes.note(
                         System.Logger.Level.INFO,
                         () -> "worker " + id + ", shard " + a.part().shard() + ": " + e.getMessage());
             }
         }
-        core.ended(a, outcome, null, value);
+        core.onAttemptEnded(a, outcome, null, value);
     }
 
     /** An update that its primary did not take is an error, whatever the status says. */
@@ -187,13 +193,13 @@
     }
 
     private byte[] request(Attempt a) {
-        var ask = a.part().query().ask();
+        var ask = a.part().query().request();
         int shard = a.part().shard();
-        long ms = Math.max(1, (long) ((a.until() - loop.now()) * 1e3));
+        long ms = Math.max(1, (long) ((a.deadline() - loop.now()) * 1e3));
         String mark = "X-Opaque-Id: " + ask.id() + '.' + shard + "\r\n" + JSON;
-        if (!(ask.context() instanceof SearchRequest r)) {
+        if (!(ask.frontContext() instanceof SearchRequest r)) {
             JsonObject words = new JsonObject();
-            words.addProperty("query", new String(ask.text(), StandardCharsets.UTF_8));
+            words.addProperty("query", new String(ask.body(), StandardCharsets.UTF_8));
             JsonObject query = new JsonObject();
             query.add("query_string", words);
             JsonObject body = new JsonObject();
@@ -207,7 +213,7 @@
         if (r.update()) {
             return post(
                     "/" + r.index() + "/_update/" + encode(r.docId()) + "?routing=" + shard + "&timeout=" + ms + "ms",
-                    mark + (ask.key().isEmpty() ? "" : "Idempotency-Key: " + ask.key() + "\r\n"),
+                    mark + (ask.idempotencyKey().isEmpty() ? "" : "Idempotency-Key: " + ask.idempotencyKey() + "\r\n"),
                     r.body());
         }
         return post(
@@ -231,8 +237,8 @@
      */
     @Override
     public void cancel(Attempt a) {
-        waiting.removeIf(w -> w.then() instanceof Bound b && b.attempt().over());
-        boolean scroll = a.part().query().ask().context() instanceof SearchRequest r && r.scroll();
+        waiting.removeIf(w -> w.then() instanceof Bound b && b.attempt().hasEnded());
+        boolean scroll = a.part().query().request().frontContext() instanceof SearchRequest r && r.scroll();
         for (Line l : lines) {
             if (l.attempt == a && !scroll) {
                 l.attempt = null;
@@ -292,7 +298,7 @@
     }
 
     @Override
-    public void probe() {
+    public void checkHealth() {
         double at = loop.now();
         ask(
                 HttpWriter.request("GET", "/", dial, "", new byte[0]),
@@ -303,12 +309,16 @@
                 new HttpClient.Then() {
                     @Override
                     public void response(HttpMessage m) {
-                        core.probed(id, m.status() == 200 ? Outcome.OK : Outcome.ERROR, loop.now() - at, null);
+                        core.onHealthCheckEnded(
+                                id,
+                                m.status() == 200 ? AttemptOutcome.OK : AttemptOutcome.ERROR,
+                                loop.now() - at,
+                                null);
                     }
 
                     @Override
                     public void failed(HttpClient.Failure why) {
-                        core.probed(id, Outcome.TIMEOUT, loop.now() - at, null);
+                        core.onHealthCheckEnded(id, AttemptOutcome.TIMEOUT, loop.now() - at, null);
                     }
                 });
     }
@@ -374,8 +384,9 @@
             done(line);
             w.then().failed(null);
         };
-        boolean scroll =
-                attempt != null && attempt.part().query().ask().context() instanceof SearchRequest r && r.scroll();
+        boolean scroll = attempt != null
+                && attempt.part().query().request().frontContext() instanceof SearchRequest r
+                && r.scroll();
         double most = Math.max(0.001, w.until() - loop.now()) + (scroll ? FREE_S : 0);
         line.http.ask(w.request(), most, w.wanted(), new HttpClient.Then() {
             @Override
--- a/src/main/java/pepperdock/operator/MetricsText.java
+++ b/src/main/java/pepperdock/operator/MetricsText.java
@@ -1,8 +1,8 @@
 package pepperdock.operator;
 
-import pepperdock.core.Figures;
-import pepperdock.core.Figures.End;
 import pepperdock.core.Gatherer;
+import pepperdock.core.Metrics;
+import pepperdock.core.Metrics.QueryOutcome;
 
 /** The one place that knows how metrics are written: a line {@code svc.NAME=VALUE} each, those of a class {@code svc.NAME.CLASS}. */
 final class MetricsText {
@@ -10,17 +10,17 @@
     private MetricsText() {}
 
     static String of(Gatherer core, long loads, long loadErrors) {
-        Figures f = core.figures();
+        Metrics f = core.metrics();
         StringBuilder text = new StringBuilder();
         for (String queryClass : f.classes()) {
-            line(text, "passed." + word(queryClass), f.ended(queryClass, End.SERVED));
-            line(text, "dropped." + word(queryClass), f.ended(queryClass, End.REFUSED));
-            line(text, "bad_gateway." + word(queryClass), f.ended(queryClass, End.FAILED));
+            line(text, "passed." + word(queryClass), f.ended(queryClass, QueryOutcome.SERVED));
+            line(text, "dropped." + word(queryClass), f.ended(queryClass, QueryOutcome.REJECTED));
+            line(text, "bad_gateway." + word(queryClass), f.ended(queryClass, QueryOutcome.FAILED));
         }
         line(text, "upstream_tries", f.attempts());
-        line(text, "in_progress", core.inHand());
-        line(text, "known_workers", core.listed());
-        line(text, "skipped_workers", core.avoided());
+        line(text, "in_progress", core.inFlightQueries());
+        line(text, "known_workers", core.listedEndpointCount());
+        line(text, "skipped_workers", core.avoidedEndpointCount());
         line(text, "loads", loads);
         line(text, "load_errors", loadErrors);
         return text.toString();
--- a/src/main/java/pepperdock/operator/Operator.java
+++ b/src/main/java/pepperdock/operator/Operator.java
@@ -12,8 +12,8 @@
 import java.util.function.BooleanSupplier;
 import java.util.function.Consumer;
 import pepperdock.core.Gatherer;
-import pepperdock.net.HttpServer;
-import pepperdock.net.Loop;
+import pepperdock.transport.HttpServer;
+import pepperdock.transport.Loop;
 
 /**
  * What operators have to do with a running gatherer: their address, the bans, and the other process of an upgrade. State is
@@ -95,7 +95,7 @@
 
     /** Opens the address and begins to look for another process; on the loop's thread, before the first list is told. */
     public void start(InetSocketAddress at) throws IOException {
-        core.ban(bans.inForce());
+        core.setBannedEndpoints(bans.inForce());
         if (otherProcess) {
             otherProcessListeners.forEach(then -> then.accept(true));
         }
@@ -166,7 +166,7 @@
     @Override
     public void handOver() {
         handedOver = true;
-        core.handOver();
+        core.yieldToUpgradePeer();
         onDiskThread(locks::releaseServing, () -> {});
     }
 
@@ -201,7 +201,7 @@
 
     private void otherStateChanged(boolean another, boolean otherProcessServes, Set<String> state) {
         bans.read(state);
-        core.ban(bans.inForce());
+        core.setBannedEndpoints(bans.inForce());
         if (otherProcess != another) {
             otherProcess = another;
             LOG.log(
@@ -233,7 +233,7 @@
 
     @Override
     public boolean knows(String worker) {
-        return core.everListed(worker);
+        return core.isKnownEndpoint(worker);
     }
 
     /** In force at once; told once it is also written down, as an upgrade a moment later must find it. */
@@ -246,7 +246,7 @@
             return;
         }
         long changeNumber = bans.ask(worker, out);
-        core.ban(bans.inForce());
+        core.setBannedEndpoints(bans.inForce());
         LOG.log(System.Logger.Level.INFO, "worker {0} {1} by hand", worker, out ? "disabled" : "enabled");
         if (diskThread == null) {
             bans.written(changeNumber, null);
@@ -267,7 +267,7 @@
             String why = failed;
             loop.execute(() -> {
                 bans.written(changeNumber, now);
-                core.ban(bans.inForce());
+                core.setBannedEndpoints(bans.inForce());
                 then.accept(why);
             });
         });
--- a/src/main/java/pepperdock/operator/OperatorEndpoint.java
+++ b/src/main/java/pepperdock/operator/OperatorEndpoint.java
@@ -4,9 +4,9 @@
 import java.net.URLDecoder;
 import java.nio.charset.StandardCharsets;
 import java.util.function.Consumer;
-import pepperdock.http.HttpException;
-import pepperdock.http.HttpMessage;
-import pepperdock.net.HttpServer;
+import pepperdock.codec.http.HttpException;
+import pepperdock.codec.http.HttpMessage;
+import pepperdock.transport.HttpServer;
 
 /** The operators' calls, one a connection: what each path takes, and what is said of what it does not. */
 final class OperatorEndpoint implements HttpServer.Service {
--- a/src/main/java/pepperdock/planner/PlannerThread.java
+++ b/src/main/java/pepperdock/plan/background/PlannerThread.java
@@ -1,20 +1,20 @@
-package pepperdock.planner;
+package pepperdock.plan.background;
 
 import java.util.List;
 import java.util.concurrent.ExecutorService;
 import java.util.concurrent.Executors;
 import java.util.function.Consumer;
 import java.util.stream.Collectors;
-import pepperdock.aggregator.Aggregator.Layout;
-import pepperdock.aggregator.Aggregator.Readiness;
 import pepperdock.config.PlanConfig;
 import pepperdock.core.Clock;
 import pepperdock.core.Gatherer;
-import pepperdock.core.Host;
+import pepperdock.core.WorkerEndpoint;
 import pepperdock.plan.Plan;
 import pepperdock.plan.Planner;
 import pepperdock.plan.Problem;
 import pepperdock.plan.Upkeep;
+import pepperdock.scheduler.EndpointState;
+import pepperdock.scheduler.ReplicaLayout;
 
 /**
  * Plans beside the loop: {@link Upkeep} says on the loop when and from what, a thread of its own solves, and what comes back
@@ -38,7 +38,7 @@
     /** {@code solver} runs a task apart from the loop, {@code back} one on it; the same thread serves for simulated time. */
     public PlannerThread(
             PlanConfig config,
-            Layout layout,
+            ReplicaLayout layout,
             Clock loop,
             Gatherer core,
             Consumer<Runnable> solver,
@@ -48,7 +48,7 @@
         this.solver = solver;
         this.back = back;
         upkeep = new Upkeep(
-                new Upkeep.Ring(layout.shards(), layout.cells(), layout.span()),
+                new Upkeep.Ring(layout.shards(), layout.cells(), layout.replicasPerShard()),
                 config.everyS(),
                 config.leastChange(),
                 config.shareLeast());
@@ -66,17 +66,17 @@
 
     /** On the loop, before the first list comes. */
     public void start() {
-        core.whenListed(hosts -> {
+        core.addEndpointListListener(hosts -> {
             upkeep.listed(hosts.stream().map(PlannerThread::member).toList());
             look();
         });
-        core.whenServed((attempt, spentS) ->
+        core.setServedAttemptListener((attempt, spentS) ->
                 upkeep.served(attempt.worker(), attempt.part().shard(), spentS));
         again();
     }
 
-    private static Upkeep.Member member(Host h) {
-        return new Upkeep.Member(h.id(), h.cell(), h.readiness() == Readiness.HEALTHY);
+    private static Upkeep.Member member(WorkerEndpoint h) {
+        return new Upkeep.Member(h.id(), h.cell(), h.state() == EndpointState.HEALTHY);
     }
 
     private void again() {
@@ -113,7 +113,7 @@
         } else {
             boolean solved = plan != null && plan.solved();
             LOG.log(solved ? System.Logger.Level.INFO : System.Logger.Level.WARNING, outcome(job.problem(), plan));
-            core.share(shares::of);
+            core.updatePlannedShares(shares::of);
         }
     }
 
--- a/src/main/java/pepperdock/platform/Front.java
+++ b/src/main/java/pepperdock/platform/Front.java
@@ -6,16 +6,16 @@
 import java.util.Locale;
 import java.util.function.BooleanSupplier;
 import java.util.regex.Pattern;
-import pepperdock.aggregator.Aggregator.Effect;
+import pepperdock.codec.http.HttpException;
+import pepperdock.codec.http.HttpMessage;
 import pepperdock.config.Site;
-import pepperdock.core.Ask;
-import pepperdock.core.Client;
 import pepperdock.core.Gatherer;
 import pepperdock.core.Part;
 import pepperdock.core.Query;
-import pepperdock.http.HttpException;
-import pepperdock.http.HttpMessage;
-import pepperdock.net.HttpServer;
+import pepperdock.core.QueryListener;
+import pepperdock.core.QueryRequest;
+import pepperdock.scheduler.RetrySafety;
+import pepperdock.transport.HttpServer;
 
 /** The platform's thin front: its queries and answers to and from the core's. */
 public final class Front implements HttpServer.Service {
@@ -47,8 +47,8 @@
         switch (m.path()) {
             case "/api" -> {
                 allow(m, "POST");
-                Query q = core.take(ask(m), new Answerer(reply));
-                return () -> core.gone(q);
+                Query q = core.submit(ask(m), new Answerer(reply));
+                return () -> core.onClientGone(q);
             }
             case "/-/ready" -> {
                 allow(m, "GET");
@@ -80,7 +80,7 @@
         }
     }
 
-    private Ask ask(HttpMessage m) throws HttpException {
+    private QueryRequest ask(HttpMessage m) throws HttpException {
         String id = need(m, "Request-Id");
         int queryClass = site.classes().indexOf(need(m, "Request-Class"));
         if (queryClass < 0) {
@@ -91,17 +91,17 @@
             throw new HttpException(400, "Request-Timeout-Ms: not a whole number in range");
         }
         long timeoutMs = Long.parseLong(wait);
-        boolean keyed = site.module().classes().get(queryClass).effect() == Effect.KEYED;
+        boolean keyed = site.module().classes().get(queryClass).retrySafety() == RetrySafety.IDEMPOTENCY_KEY;
         String key = keyed ? need(m, "Idempotency-Key") : "";
         if (!ID.matcher(id).matches() || !KEY.matcher(key).matches()) {
             throw new HttpException(400, "Request-Id or Idempotency-Key: not a plain word");
         }
-        if (core.holds(id)) {
+        if (core.isQueryIdInUse(id)) {
             // On a worker's connection the two would bear one id, and one's answers would be taken for the other's.
             throw new HttpException(409, "Request-Id: of a request that is still open");
         }
         QueryBody body = QueryBody.read(m.body(), site.module().layout().shards());
-        return new Ask(id, queryClass, key, timeoutMs / 1e3, body.pieces(), body.text(), null);
+        return new QueryRequest(id, queryClass, key, timeoutMs / 1e3, body.pieces(), body.text(), null);
     }
 
     private static String need(HttpMessage m, String name) throws HttpException {
@@ -113,10 +113,10 @@
     }
 
     /** Words the core's one final answer for the platform's clients. */
-    private record Answerer(HttpServer.Reply reply) implements Client {
+    private record Answerer(HttpServer.Reply reply) implements QueryListener {
 
         @Override
-        public void answered(Query q, boolean whole) {
+        public void onAnswer(Query q, boolean whole) {
             JsonArray answers = new JsonArray();
             for (Part p : q.parts()) {
                 if (p.value() != null) {
@@ -133,18 +133,18 @@
         }
 
         @Override
-        public void refused(Query q, double pauseS) {
+        public void onRejected(Query q, double pauseS) {
             String extra = pauseS > 0 ? String.format(Locale.ROOT, "Retry-After: %.3f\r\n", pauseS) : "";
             reply.send(503, JSON, extra, "{\"error\":\"refused\"}".getBytes(StandardCharsets.UTF_8));
         }
 
         @Override
-        public void failed(Query q, boolean overdue) {
+        public void onFailed(Query q, boolean overdue) {
             reply.send(overdue ? 504 : 500, JSON, "", "{\"error\":\"failed\"}".getBytes(StandardCharsets.UTF_8));
         }
 
         @Override
-        public void poll() {
+        public void pollForDisconnect() {
             reply.poll();
         }
     }
--- a/src/main/java/pepperdock/platform/QueryBody.java
+++ b/src/main/java/pepperdock/platform/QueryBody.java
@@ -12,14 +12,14 @@
 import java.util.HashSet;
 import java.util.List;
 import java.util.Set;
-import pepperdock.core.Ask;
-import pepperdock.http.HttpException;
+import pepperdock.codec.http.HttpException;
+import pepperdock.core.QueryRequest;
 
 /**
  * The body of a platform query: its parts, and the text that each of them carries. Read strictly, as what is repaired on
  * the way in would be served as though its client had asked for it.
  */
-record QueryBody(List<Ask.Piece> pieces, byte[] text) {
+record QueryBody(List<QueryRequest.RequestedPart> pieces, byte[] text) {
 
     static QueryBody read(byte[] body, int shards) throws HttpException {
         try (JsonReader in = new JsonReader(new StringReader(StandardCharsets.UTF_8
@@ -38,7 +38,7 @@
     }
 
     private static QueryBody query(JsonReader in, int shards) throws IOException, HttpException {
-        List<Ask.Piece> pieces = null;
+        List<QueryRequest.RequestedPart> pieces = null;
         String text = null;
         Set<String> seen = new HashSet<>();
         in.beginObject();
@@ -59,23 +59,24 @@
         return new QueryBody(pieces, text.getBytes(StandardCharsets.UTF_8));
     }
 
-    private static List<Ask.Piece> pieces(JsonReader in, int shards) throws IOException, HttpException {
-        List<Ask.Piece> pieces = new ArrayList<>();
+    private static List<QueryRequest.RequestedPart> pieces(JsonReader in, int shards)
+            throws IOException, HttpException {
+        List<QueryRequest.RequestedPart> pieces = new ArrayList<>();
         Set<Integer> given = new HashSet<>();
         in.beginArray();
         while (in.hasNext()) {
-            Ask.Piece piece = piece(in);
+            QueryRequest.RequestedPart piece = piece(in);
             check(piece.shard() >= 0 && piece.shard() < shards, "ranges: no such range");
             check(given.add(piece.shard()), "ranges: one given twice");
             check(piece.weight() >= 0 && piece.weight() <= 1, "ranges: portion out of range");
             pieces.add(piece);
         }
         in.endArray();
-        check(pieces.isEmpty() || Ask.addUp(pieces), "ranges: portions do not add up to 1");
+        check(pieces.isEmpty() || QueryRequest.weightsSumToOne(pieces), "ranges: portions do not add up to 1");
         return pieces;
     }
 
-    private static Ask.Piece piece(JsonReader in) throws IOException, HttpException {
+    private static QueryRequest.RequestedPart piece(JsonReader in) throws IOException, HttpException {
         int shard = -1;
         double weight = Double.NaN;
         Set<String> seen = new HashSet<>();
@@ -93,7 +94,7 @@
             }
         }
         in.endObject();
-        return new Ask.Piece(shard, weight);
+        return new QueryRequest.RequestedPart(shard, weight);
     }
 
     /** Of two values under one name, one reader takes the first and another the last. */
--- a/src/main/java/pepperdock/platform/Warmup.java
+++ b/src/main/java/pepperdock/platform/Warmup.java
@@ -5,22 +5,22 @@
 import java.util.List;
 import java.util.Map;
 import java.util.function.BooleanSupplier;
-import pepperdock.aggregator.Aggregator.ListKind;
-import pepperdock.aggregator.Aggregator.Outcome;
-import pepperdock.aggregator.Aggregator.Readiness;
+import pepperdock.codec.frame.FrameException;
+import pepperdock.codec.frame.FrameParser;
+import pepperdock.codec.frame.Frames;
+import pepperdock.codec.http.HttpException;
+import pepperdock.codec.http.HttpParser;
 import pepperdock.config.Site;
 import pepperdock.core.Attempt;
 import pepperdock.core.Backend;
 import pepperdock.core.Clock;
 import pepperdock.core.Gatherer;
-import pepperdock.core.Host;
 import pepperdock.core.ManualClock;
-import pepperdock.frame.FrameException;
-import pepperdock.frame.FrameParser;
-import pepperdock.frame.Frames;
-import pepperdock.http.HttpException;
-import pepperdock.http.HttpParser;
-import pepperdock.net.HttpServer;
+import pepperdock.core.WorkerEndpoint;
+import pepperdock.scheduler.AttemptOutcome;
+import pepperdock.scheduler.EndpointListKind;
+import pepperdock.scheduler.EndpointState;
+import pepperdock.transport.HttpServer;
 
 /**
  * Plays queries through front, core, module and frames on a clock of its own, so that a client does not wait for classes to
@@ -52,12 +52,12 @@
     public Warmup(Site site) {
         this.site = site;
         core[0] = new Gatherer(site.module(), 1, clock, new Echo(clock, core), () -> {});
-        List<Host> hosts = new ArrayList<>();
+        List<WorkerEndpoint> hosts = new ArrayList<>();
         for (int cell = 0; cell < site.module().layout().cells(); cell++) {
-            hosts.add(new Host("warm-" + cell, "", 0, 0, cell, Readiness.HEALTHY, 1, 0));
+            hosts.add(new WorkerEndpoint("warm-" + cell, "", 0, 0, cell, EndpointState.HEALTHY, 1, 0));
         }
-        core[0].listed(ListKind.HELD, hosts);
-        core[0].listed(ListKind.CHANGES, hosts);
+        core[0].onEndpointList(EndpointListKind.CACHED, hosts);
+        core[0].onEndpointList(EndpointListKind.CHANGES, hosts);
         front = new Front(site, core[0], () -> true);
     }
 
@@ -114,14 +114,14 @@
     private record Echo(ManualClock clock, Gatherer[] core) implements Backend {
 
         @Override
-        public void send(String worker, List<Attempt> call) {
+        public void sendCall(String worker, List<Attempt> call) {
             List<Frames.PartCall> parts = call.stream()
                     .map(a -> new Frames.PartCall(
                             WorkerConnection.wireId(a),
                             a.part().shard(),
                             100,
                             "",
-                            a.part().query().ask().text()))
+                            a.part().query().request().body()))
                     .toList();
             int length = Frames.call(parts).length;
             FrameParser parser = new FrameParser(1 << 16, Frames.FROM_WORKERS);
@@ -134,7 +134,8 @@
                 } catch (FrameException e) {
                     throw new IllegalStateException("warm-up", e);
                 }
-                call.forEach(a -> core[0].ended(a, Outcome.OK, null, "value".getBytes(StandardCharsets.UTF_8)));
+                call.forEach(a ->
+                        core[0].onAttemptEnded(a, AttemptOutcome.OK, null, "value".getBytes(StandardCharsets.UTF_8)));
             });
         }
 
@@ -142,12 +143,12 @@
         public void cancel(Attempt attempt) {}
 
         @Override
-        public void probe(String worker) {}
+        public void checkHealth(String worker) {}
 
         @Override
-        public void dropConnections(String worker) {}
+        public void closeIdleConnections(String worker) {}
 
         @Override
-        public void listed(Map<String, Host> hosts) {}
+        public void updateEndpoints(Map<String, WorkerEndpoint> hosts) {}
     }
 }
--- a/src/main/java/pepperdock/platform/Watch.java
+++ b/src/main/java/pepperdock/platform/Watch.java
@@ -4,17 +4,17 @@
 import java.nio.charset.StandardCharsets;
 import java.util.List;
 import java.util.SplittableRandom;
-import pepperdock.aggregator.Aggregator.ListKind;
+import pepperdock.codec.http.HttpMessage;
+import pepperdock.codec.http.HttpWriter;
 import pepperdock.config.ConfigException;
 import pepperdock.config.HostList;
 import pepperdock.config.Site;
 import pepperdock.core.Clock;
-import pepperdock.core.Discovery;
+import pepperdock.core.EndpointDiscovery;
 import pepperdock.core.Gatherer;
-import pepperdock.http.HttpMessage;
-import pepperdock.http.HttpWriter;
-import pepperdock.net.HttpClient;
-import pepperdock.net.Loop;
+import pepperdock.scheduler.EndpointListKind;
+import pepperdock.transport.HttpClient;
+import pepperdock.transport.Loop;
 
 /**
  * Watches the platform's node list: one call after another, each armed as soon as the last is answered. A call that falls
@@ -22,7 +22,7 @@
  * failed is the module's to say, as the list is one service for all. Where the settings say that lists come unasked, an
  * agent has them, and the watch keeps itself open.
  */
-public final class Watch implements Discovery {
+public final class Watch implements EndpointDiscovery {
 
     private static final System.Logger LOG = System.getLogger("pepperdock.platform");
     /**
@@ -108,13 +108,13 @@
 
     public void start(Gatherer core) {
         this.core = core;
-        if (!site.module().mustAsk()) {
-            loop.execute(this::subscribe);
+        if (!site.module().pollsEndpointList()) {
+            loop.execute(this::watch);
         }
     }
 
     @Override
-    public void subscribe() {
+    public void watch() {
         if (!http.busy()) {
             call(first ? FIRST_WAIT_MS : WAIT_MS);
         }
@@ -204,7 +204,7 @@
             moved = false;
             agentPause = AGENT_LEAST_S;
             call(WAIT_MS);
-            core.listed(list.whole() ? ListKind.COMPLETE : ListKind.CHANGES, list.hosts());
+            core.onEndpointList(list.whole() ? EndpointListKind.COMPLETE : EndpointListKind.CHANGES, list.hosts());
         } catch (ConfigException e) {
             if (by == overdue) {
                 overdue.close();
@@ -221,10 +221,10 @@
         first = true;
         closeAll();
         dialAt(at, DIAL_S);
-        if (site.module().mustAsk()) {
-            core.listed(ListKind.FAILED, List.of());
+        if (site.module().pollsEndpointList()) {
+            core.onEndpointList(EndpointListKind.FAILED, List.of());
         } else {
-            loop.after(agentPause * (0.5 + random.nextDouble()), this::subscribe);
+            loop.after(agentPause * (0.5 + random.nextDouble()), this::watch);
             agentPause = Math.min(AGENT_MOST_S, 2 * agentPause);
         }
     }
--- a/src/main/java/pepperdock/platform/Worker.java
+++ b/src/main/java/pepperdock/platform/Worker.java
@@ -2,19 +2,19 @@
 
 import java.util.ArrayList;
 import java.util.List;
-import pepperdock.aggregator.Aggregator.Outcome;
 import pepperdock.config.Config;
 import pepperdock.config.ConfigException;
 import pepperdock.config.Site;
 import pepperdock.core.Attempt;
 import pepperdock.core.Gatherer;
-import pepperdock.core.LogBudget;
+import pepperdock.core.LogRateLimiter;
 import pepperdock.core.PooledBackend;
-import pepperdock.net.Connection;
-import pepperdock.net.Loop;
+import pepperdock.scheduler.AttemptOutcome;
+import pepperdock.transport.Connection;
+import pepperdock.transport.Loop;
 
 /** One worker: its connections, and the calls that wait for one to come up. */
-final class Worker implements PooledBackend.Remote {
+final class Worker implements PooledBackend.PooledWorker {
 
     /** A silent connection is left for a new one only while there are fewer: the worker itself may stand still. */
     private static final int CONNECTIONS_MOST = 3;
@@ -23,14 +23,14 @@
     final Loop loop;
     final Site site;
     final Gatherer core;
-    final LogBudget notes;
+    final LogRateLimiter notes;
     private final String dial;
     private final List<WorkerConnection> connections = new ArrayList<>();
     private final List<List<Attempt>> queued = new ArrayList<>();
     private boolean open = true;
     private boolean dialling;
 
-    Worker(String id, String dial, Loop loop, Site site, Gatherer core, LogBudget notes) {
+    Worker(String id, String dial, Loop loop, Site site, Gatherer core, LogRateLimiter notes) {
         this.id = id;
         this.dial = dial;
         this.loop = loop;
@@ -40,23 +40,23 @@
     }
 
     @Override
-    public String dial() {
+    public String address() {
         return dial;
     }
 
     @Override
-    public boolean unused() {
+    public boolean isUnused() {
         return connections.isEmpty() && queued.isEmpty() && !dialling;
     }
 
     /** Told of its state; when it wants nothing new, what waits for a connection has not run and won't. */
     @Override
-    public void open(boolean now) {
+    public void setAcceptingCalls(boolean now) {
         open = now;
         if (!open) {
-            endQueued(Outcome.MOOT);
+            endQueued(AttemptOutcome.NOT_SENT);
             List.copyOf(connections).forEach(c -> {
-                c.endWaiting(Outcome.MOOT);
+                c.endWaiting(AttemptOutcome.NOT_SENT);
                 c.closeIfIdle();
             });
         }
@@ -66,7 +66,7 @@
     @Override
     public void retire() {
         open = false;
-        endQueued(Outcome.MOOT);
+        endQueued(AttemptOutcome.NOT_SENT);
         List.copyOf(connections).forEach(WorkerConnection::abandon);
     }
 
@@ -84,7 +84,7 @@
 
     private void sendWithin(List<Attempt> call) {
         if (!open) {
-            call.forEach(a -> core.ended(a, Outcome.MOOT, null, null));
+            call.forEach(a -> core.onAttemptEnded(a, AttemptOutcome.NOT_SENT, null, null));
             return;
         }
         WorkerConnection last = null;
@@ -105,7 +105,7 @@
                 last.send(call);
             } else {
                 // Ids that all of them may still bring an answer for: whose it is could not be told.
-                call.forEach(a -> core.ended(a, Outcome.MOOT, null, null));
+                call.forEach(a -> core.onAttemptEnded(a, AttemptOutcome.NOT_SENT, null, null));
             }
             return;
         }
@@ -134,12 +134,12 @@
                 @Override
                 public void failed() {
                     dialling = false;
-                    endQueued(Outcome.CONNECT_FAILED);
+                    endQueued(AttemptOutcome.CONNECT_FAILED);
                 }
             });
         } catch (ConfigException e) {
             dialling = false;
-            endQueued(Outcome.CONNECT_FAILED);
+            endQueued(AttemptOutcome.CONNECT_FAILED);
         }
     }
 
@@ -157,16 +157,16 @@
     /** Those of a call that may still begin; the others end without having run. */
     List<Attempt> startable(List<Attempt> call) {
         if (!open) {
-            call.forEach(a -> core.ended(a, Outcome.MOOT, null, null));
+            call.forEach(a -> core.onAttemptEnded(a, AttemptOutcome.NOT_SENT, null, null));
             return List.of();
         }
-        return core.startable(call);
+        return core.retainStartable(call);
     }
 
-    private void endQueued(Outcome outcome) {
+    private void endQueued(AttemptOutcome outcome) {
         List<List<Attempt>> calls = List.copyOf(queued);
         queued.clear();
-        calls.forEach(call -> call.forEach(a -> core.ended(a, outcome, null, null)));
+        calls.forEach(call -> call.forEach(a -> core.onAttemptEnded(a, outcome, null, null)));
     }
 
     /**
@@ -183,7 +183,7 @@
     }
 
     @Override
-    public void dropIdle() {
+    public void closeIdleConnections() {
         List.copyOf(connections).forEach(WorkerConnection::closeIfIdle);
     }
 
@@ -193,9 +193,9 @@
 
     /** A probe goes on a connection that stands; there is no use in opening one to ask. */
     @Override
-    public void probe() {
+    public void checkHealth() {
         if (connections.isEmpty()) {
-            core.probed(id, Outcome.CONNECT_FAILED, 0, null);
+            core.onHealthCheckEnded(id, AttemptOutcome.CONNECT_FAILED, 0, null);
         } else {
             connections.get(0).probe();
         }
--- a/src/main/java/pepperdock/platform/WorkerConnection.java
+++ b/src/main/java/pepperdock/platform/WorkerConnection.java
@@ -9,14 +9,14 @@
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
-import pepperdock.aggregator.Aggregator.Outcome;
+import pepperdock.codec.frame.Frame;
+import pepperdock.codec.frame.FrameException;
+import pepperdock.codec.frame.FrameParser;
+import pepperdock.codec.frame.Frames;
 import pepperdock.core.Attempt;
 import pepperdock.core.Clock;
-import pepperdock.frame.Frame;
-import pepperdock.frame.FrameException;
-import pepperdock.frame.FrameParser;
-import pepperdock.frame.Frames;
-import pepperdock.net.Connection;
+import pepperdock.scheduler.AttemptOutcome;
+import pepperdock.transport.Connection;
 
 /** One connection to a worker and the attempts that are out on it, by the id they bear on the wire. */
 final class WorkerConnection implements Connection.Handler {
@@ -95,9 +95,9 @@
             String id = wireId(a);
             Out o = out.get(id);
             long query = o != null
-                    ? o.attempt().part().query().no()
-                    : past.getOrDefault(id, a.part().query().no());
-            if (query != a.part().query().no()) {
+                    ? o.attempt().part().query().sequenceNumber()
+                    : past.getOrDefault(id, a.part().query().sequenceNumber());
+            if (query != a.part().query().sequenceNumber()) {
                 return true;
             }
         }
@@ -128,22 +128,22 @@
     }
 
     /** What waits for room on it never ran, and won't. */
-    void endWaiting(Outcome outcome) {
+    void endWaiting(AttemptOutcome outcome) {
         List<List<Attempt>> calls = List.copyOf(waiting);
         waiting.clear();
-        calls.forEach(call -> call.forEach(a -> worker.core.ended(a, outcome, null, null)));
+        calls.forEach(call -> call.forEach(a -> worker.core.onAttemptEnded(a, outcome, null, null)));
     }
 
     private void write(List<Attempt> call) {
         List<Frames.PartCall> parts = new ArrayList<>();
         for (Attempt a : call) {
-            long wait = Math.max(1, (long) Math.floor((a.until() - worker.loop.now()) * 1e3));
+            long wait = Math.max(1, (long) Math.floor((a.deadline() - worker.loop.now()) * 1e3));
             parts.add(new Frames.PartCall(
                     wireId(a),
                     a.part().shard(),
                     wait,
-                    a.part().query().ask().key(),
-                    a.part().query().ask().text()));
+                    a.part().query().request().idempotencyKey(),
+                    a.part().query().request().body()));
         }
         if (out.isEmpty()) {
             awaitedSince = worker.loop.now();
@@ -162,12 +162,12 @@
 
     private void tellWritten() {
         while (!unwritten.isEmpty() && unwritten.peekFirst().frameEnd() <= connection.written()) {
-            worker.core.written(unwritten.removeFirst().attempt());
+            worker.core.onAttemptWritten(unwritten.removeFirst().attempt());
         }
     }
 
     static String wireId(Attempt a) {
-        return a.part().query().ask().id() + '.' + a.part().shard();
+        return a.part().query().request().id() + '.' + a.part().shard();
     }
 
     /** Gives an attempt up if it is out here; the worker's answer to it, should one come, finds nothing here. */
@@ -180,7 +180,7 @@
             return waited;
         }
         out.remove(id);
-        past.put(id, a.part().query().no());
+        past.put(id, a.part().query().sequenceNumber());
         used();
         connection.write(Frames.giveUp(id));
         closeIfUnwanted();
@@ -193,7 +193,7 @@
             if (!probes.isEmpty()) {
                 probes.removeFirst();
                 lateProbes++;
-                worker.core.probed(worker.id, Outcome.TIMEOUT, PROBE_S, null);
+                worker.core.onHealthCheckEnded(worker.id, AttemptOutcome.TIMEOUT, PROBE_S, null);
             }
         })));
         used();
@@ -310,8 +310,11 @@
                 if (p != null) {
                     p.limit().cancel();
                     boolean good = new String(f.rest(), StandardCharsets.UTF_8).equals("good");
-                    worker.core.probed(
-                            worker.id, good ? Outcome.OK : Outcome.ERROR, worker.loop.now() - p.sentAt(), null);
+                    worker.core.onHealthCheckEnded(
+                            worker.id,
+                            good ? AttemptOutcome.OK : AttemptOutcome.ERROR,
+                            worker.loop.now() - p.sentAt(),
+                            null);
                 } else if (--lateProbes < 0) {
                     throw new FrameException("answer to no probe");
                 }
@@ -328,21 +331,21 @@
     }
 
     private void result(Frames.Result r) throws FrameException {
-        Outcome outcome = switch (r.end()) {
-            case "good" -> Outcome.OK;
-            case "bad" -> Outcome.ERROR;
-            case "later" -> Outcome.FULL;
+        AttemptOutcome outcome = switch (r.end()) {
+            case "good" -> AttemptOutcome.OK;
+            case "bad" -> AttemptOutcome.ERROR;
+            case "later" -> AttemptOutcome.OVERLOADED;
             default -> throw new FrameException("unknown end " + r.end());
         };
         known(r.id());
-        if (outcome == Outcome.OK && !text(r.value())) {
+        if (outcome == AttemptOutcome.OK && !text(r.value())) {
             throw new FrameException("value that is no text");
         }
         Out o = out.remove(r.id());
         if (o != null) {
-            past.put(r.id(), o.attempt().part().query().no());
+            past.put(r.id(), o.attempt().part().query().sequenceNumber());
             double[] report = Reports.row(r.report(), worker.site.module().reportNames());
-            worker.core.ended(o.attempt(), outcome, report, r.value());
+            worker.core.onAttemptEnded(o.attempt(), outcome, report, r.value());
             closeIfUnwanted();
         }
     }
@@ -366,13 +369,14 @@
         out.clear();
         probes.forEach(p -> {
             p.limit().cancel();
-            worker.core.probed(worker.id, Outcome.RESET, worker.loop.now() - p.sentAt(), null);
+            worker.core.onHealthCheckEnded(worker.id, AttemptOutcome.RESET, worker.loop.now() - p.sentAt(), null);
         });
         probes.clear();
-        endWaiting(Outcome.CONNECT_FAILED);
+        endWaiting(AttemptOutcome.CONNECT_FAILED);
         for (Out o : broken) {
             boolean whole = c.written() >= o.frameEnd();
-            worker.core.ended(o.attempt(), whole ? Outcome.RESET : Outcome.CONNECT_FAILED, null, null);
+            worker.core.onAttemptEnded(
+                    o.attempt(), whole ? AttemptOutcome.RESET : AttemptOutcome.CONNECT_FAILED, null, null);
         }
     }
 }
--- a/src/main/java/pepperdock/aggregator/EndpointListPoller.java
+++ b/src/main/java/pepperdock/scheduler/EndpointListPoller.java
@@ -1,4 +1,4 @@
-package pepperdock.aggregator;
+package pepperdock.scheduler;
 
 import java.util.SplittableRandom;
 
--- /dev/null
+++ b/src/main/java/pepperdock/scheduler/EndpointState.java
@@ -0,0 +1,8 @@
+package pepperdock.scheduler;
+
+/** State of a listed searcher. */
+public enum EndpointState {
+    HEALTHY,
+    DRAINING,
+    REMOVED
+}
--- /dev/null
+++ b/src/main/java/pepperdock/scheduler/SchedulerSettings.java
@@ -0,0 +1,69 @@
+package pepperdock.scheduler;
+
+import java.util.List;
+
+/** The settings of one instance; {@code tenantRates} are the queries a second within share, fleet-wide. */
+public record SchedulerSettings(
+        int instances,
+        int zone,
+        double tickS,
+        boolean pollsEndpointList,
+        List<QueryClass> classes,
+        List<Double> tenantRates,
+        double overQuotaWeight,
+        List<String> reportNames,
+        ReplicaLayout layout,
+        SchedulerLimits limits,
+        ProtocolRules rules) {
+
+    /** Rejects settings that make no sense, naming the first one found. */
+    public SchedulerSettings {
+        check(instances >= 1, "instances");
+        check(tickS > 0, "tickS");
+        check(!classes.isEmpty(), "classes");
+        for (QueryClass c : classes) {
+            check(c.latencyObjectiveS() > 0 && c.latencyObjectiveS() <= c.deadlineS(), "aimS");
+            check(
+                    c.minimumCoverage() > 0 && c.minimumCoverage() <= c.completeCoverage() && c.completeCoverage() <= 1,
+                    "floor and need");
+            check(c.secondStageParts() >= 0, "secondStep");
+            check(c.priorityWeight() >= 0 && c.lateAnswerWeight() >= 0 && c.partialAnswerWeight() >= 0, "worth");
+        }
+        check(layout.shards() >= 1 && layout.cells() >= 1 && layout.maxPartsPerCall() >= 1, "layout");
+        check(layout.replicasPerShard() >= 1 && layout.replicasPerShard() <= layout.cells(), "span");
+        check(limits.maxAttempts() >= 1, "maxAttempts");
+        check(rules.warmUpInitialShare() > 0 && rules.warmUpInitialShare() <= 1, "coldFrom");
+        check(
+                rules.warmUpS() >= 0 && rules.warmUpOverloadWindowS() >= 0 && rules.warmUpOverloadMultiple() > 0,
+                "warm-up and fall figures");
+        check(
+                rules.retryBudgetWindowS() >= 0 && rules.retryBudgetFree() >= 0 && rules.retryBudgetShare() >= 0,
+                "budget figures");
+        check(rules.drainGraceS() >= 0 && rules.answerSlackS() >= 0 && rules.listPollIntervalS() >= 0, "rule periods");
+        classes = List.copyOf(classes);
+        tenantRates = List.copyOf(tenantRates);
+        reportNames = List.copyOf(reportNames);
+    }
+
+    /** The same with another number of instances. */
+    public SchedulerSettings withInstances(int instances) {
+        return new SchedulerSettings(
+                instances,
+                zone,
+                tickS,
+                pollsEndpointList,
+                classes,
+                tenantRates,
+                overQuotaWeight,
+                reportNames,
+                layout,
+                limits,
+                rules);
+    }
+
+    private static void check(boolean ok, String what) {
+        if (!ok) {
+            throw new IllegalArgumentException("settings: " + what + " out of range");
+        }
+    }
+}
--- a/src/main/java/pepperdock/aggregator/State.java
+++ b/src/main/java/pepperdock/scheduler/SchedulerState.java
@@ -1,20 +1,20 @@
-package pepperdock.aggregator;
+package pepperdock.scheduler;
 
 import java.util.ArrayList;
 import java.util.List;
 import pepperdock.estimate.WarmUpAllowance;
 
 /** Plain data the module keeps: queries, parts, attempts at them, calls, searchers, and the ways to their centres. */
-final class State {
+final class SchedulerState {
 
-    private State() {}
+    private SchedulerState() {}
 
     /** A query in hand. */
     static final class Query {
         final long id;
         final long no;
         final int classNo;
-        final Aggregator.QueryClass kind;
+        final QueryClass kind;
         final int maxAttempts;
         double aimAt;
         double halfAt;
@@ -28,7 +28,7 @@
         boolean firstWhole;
         List<Part> parts = new ArrayList<>();
 
-        Query(long id, long no, int classNo, Aggregator.QueryClass kind, int maxAttempts) {
+        Query(long id, long no, int classNo, QueryClass kind, int maxAttempts) {
             this.id = id;
             this.no = no;
             this.classNo = classNo;
@@ -60,16 +60,16 @@
     static final class Attempt {
         final Part part;
         final int no;
-        final Searcher searcher;
+        final EndpointRecord searcher;
         final Call call;
         final double sentAt;
         boolean overdue;
         boolean lost;
         boolean calledOff;
         boolean trial;
-        Aggregator.Outcome outcome;
+        AttemptOutcome outcome;
 
-        Attempt(Part part, int no, Searcher searcher, Call call) {
+        Attempt(Part part, int no, EndpointRecord searcher, Call call) {
             this.part = part;
             this.no = no;
             this.searcher = searcher;
@@ -92,7 +92,7 @@
     }
 
     /** A searcher as this instance knows it: what the list says, and what its own attempts saw. */
-    static final class Searcher {
+    static final class EndpointRecord {
         final String id;
         int zone;
         int cell;
@@ -114,7 +114,7 @@
         boolean mute;
         final List<Attempt> open = new ArrayList<>();
 
-        Searcher(String id) {
+        EndpointRecord(String id) {
             this.id = id;
         }
 
@@ -124,7 +124,7 @@
     }
 
     /** The way to a centre: the record of attempts at its searchers together, and since when it is bad. */
-    static final class Way {
+    static final class ZoneRecord {
         double bad;
         double badSince = Double.NEGATIVE_INFINITY;
         double trialAt = Double.NEGATIVE_INFINITY;
--- a/src/main/java/pepperdock/service/ClientServers.java
+++ b/src/main/java/pepperdock/service/ClientServers.java
@@ -8,11 +8,11 @@
 import pepperdock.config.Config;
 import pepperdock.config.Site;
 import pepperdock.core.Gatherer;
-import pepperdock.net.HttpServer;
-import pepperdock.net.Loop;
 import pepperdock.opensearch.SearchBackend;
 import pepperdock.opensearch.SearchFront;
 import pepperdock.platform.Front;
+import pepperdock.transport.HttpServer;
+import pepperdock.transport.Loop;
 
 /** The fronts that the configuration names, and the servers on which clients reach them. */
 final class ClientServers {
--- a/src/main/java/pepperdock/service/Drain.java
+++ b/src/main/java/pepperdock/service/Drain.java
@@ -2,9 +2,9 @@
 
 import java.util.List;
 import pepperdock.core.Gatherer;
-import pepperdock.net.HttpServer;
-import pepperdock.net.Loop;
 import pepperdock.operator.UpgradePeer;
+import pepperdock.transport.HttpServer;
+import pepperdock.transport.Loop;
 
 /**
  * The planned end, on SIGTERM: what was taken is finished, what still arrives is answered, and the program is gone before
@@ -73,10 +73,10 @@
                                 .mapToDouble(c -> c.deadlineS())
                                 .max()
                                 .orElse(DEADLINE_MOST_S));
-        LOG.log(System.Logger.Level.INFO, "draining, {0} in hand", core.inHand());
+        LOG.log(System.Logger.Level.INFO, "draining, {0} in hand", core.inFlightQueries());
         loop.after(killS - SEND_AWAY_S, () -> servers.forEach(HttpServer::drain));
         loop.after(killS - CLOSE_S, () -> servers.forEach(HttpServer::stopListening));
-        loop.after(killS - FAIL_S, core::endAll);
+        loop.after(killS - FAIL_S, core::endAllQueries);
         loop.after(killS - END_S, () -> {
             servers.forEach(HttpServer::poll);
             // A turn of the loop later: what was read just now has been refused and written.
@@ -108,7 +108,7 @@
         boolean written = servers.stream().mapToInt(HttpServer::busy).sum() == 0;
         boolean left = loop.now() > closedAt
                 || servers.stream().mapToInt(HttpServer::connections).sum() == 0;
-        if (core.inHand() > 0 || !written || !left) {
+        if (core.inFlightQueries() > 0 || !written || !left) {
             quietSince = Double.NaN;
         } else if (Double.isNaN(quietSince)) {
             quietSince = loop.now();
@@ -127,14 +127,15 @@
     /** What has come in this very moment is read before the end, and answered. */
     private void endUnlessAsked() {
         servers.forEach(HttpServer::poll);
-        if (core.inHand() == 0 && servers.stream().mapToInt(HttpServer::busy).sum() == 0) {
+        if (core.inFlightQueries() == 0
+                && servers.stream().mapToInt(HttpServer::busy).sum() == 0) {
             end("with nothing in hand");
         }
         quietSince = Double.NaN;
     }
 
     private void end(String how) {
-        LOG.log(System.Logger.Level.INFO, "drained, " + how, core.inHand());
+        LOG.log(System.Logger.Level.INFO, "drained, " + how, core.inFlightQueries());
         System.exit(0);
     }
 }
--- a/src/main/java/pepperdock/service/FirstList.java
+++ b/src/main/java/pepperdock/service/FirstList.java
@@ -13,7 +13,7 @@
     /** Listens from now on; a list that comes before anything waits for it counts. */
     FirstList(Gatherer core, Clock clock) {
         this.clock = clock;
-        core.whenListed(hosts -> come());
+        core.addEndpointListListener(hosts -> come());
     }
 
     /** Runs the task once the list has come; else after {@code mostS} seconds, as what is known serves too. */
--- a/src/main/java/pepperdock/service/NodeSource.java
+++ b/src/main/java/pepperdock/service/NodeSource.java
@@ -4,13 +4,13 @@
 import java.util.List;
 import java.util.function.Consumer;
 import pepperdock.config.Config;
-import pepperdock.core.Discovery;
-import pepperdock.core.FixedList;
+import pepperdock.core.EndpointDiscovery;
 import pepperdock.core.Gatherer;
-import pepperdock.core.Host;
+import pepperdock.core.StaticEndpointList;
+import pepperdock.core.WorkerEndpoint;
 import pepperdock.dnssd.DnsSd;
-import pepperdock.net.Loop;
 import pepperdock.platform.Watch;
+import pepperdock.transport.Loop;
 
 /**
  * Where the node list comes from: DNS records, the platform's discovery, or the configuration; and what of it can change live.
@@ -21,11 +21,11 @@
  * @param replace the configuration's list; null where that is not in use
  */
 record NodeSource(
-        Discovery discovery,
+        EndpointDiscovery discovery,
         boolean unasked,
         Consumer<Gatherer> start,
         Consumer<InetSocketAddress> move,
-        Consumer<List<Host>> replace) {
+        Consumer<List<WorkerEndpoint>> replace) {
 
     static NodeSource open(Config config, Loop loop) {
         if (config.dnsSd() != null) {
@@ -35,9 +35,9 @@
         if (config.discovery() != null) {
             Watch watch = new Watch(
                     loop, config.discovery(), config.site(), config.known().seq());
-            return new NodeSource(watch, !config.site().module().mustAsk(), watch::start, watch::move, null);
+            return new NodeSource(watch, !config.site().module().pollsEndpointList(), watch::start, watch::move, null);
         }
-        FixedList fixed = new FixedList(loop, config.known().hosts());
+        StaticEndpointList fixed = new StaticEndpointList(loop, config.known().hosts());
         return new NodeSource(fixed, false, fixed::start, null, fixed::replace);
     }
 }
--- a/src/main/java/pepperdock/service/Reload.java
+++ b/src/main/java/pepperdock/service/Reload.java
@@ -12,7 +12,7 @@
 import pepperdock.config.ConfigException;
 import pepperdock.config.Keys;
 import pepperdock.config.Site;
-import pepperdock.core.Host;
+import pepperdock.core.WorkerEndpoint;
 
 /**
  * Reads the configuration file anew on SIGHUP. Guards against the JVM's own handling of that signal, which is to end.
@@ -31,7 +31,7 @@
     /** What can change live; an absent one is null. */
     record Live(
             Consumer<InetSocketAddress> discovery,
-            Consumer<List<Host>> known,
+            Consumer<List<WorkerEndpoint>> known,
             Consumer<Integer> sockets,
             Consumer<Config> settings) {}
 
