--- a/src/main/java/pepperdock/service/Service.java
+++ b/src/main/java/pepperdock/service/Service.java
@@ -7,23 +7,23 @@
 import java.util.List;
 import java.util.Map;
 import java.util.function.Consumer;
-import pepperdock.aggregator.Aggregator.ListKind;
 import pepperdock.config.Config;
 import pepperdock.config.HostList;
 import pepperdock.config.Keys;
 import pepperdock.config.Site;
 import pepperdock.core.Gatherer;
-import pepperdock.core.Host;
 import pepperdock.core.PooledBackend;
-import pepperdock.net.HttpServer;
-import pepperdock.net.Loop;
+import pepperdock.core.WorkerEndpoint;
 import pepperdock.opensearch.SearchBackend;
 import pepperdock.operator.Operator;
 import pepperdock.operator.UpgradePeer;
-import pepperdock.planner.PlannerThread;
+import pepperdock.plan.background.PlannerThread;
 import pepperdock.platform.Warmup;
 import pepperdock.platform.WorkerPool;
+import pepperdock.scheduler.EndpointListKind;
 import pepperdock.store.Store;
+import pepperdock.transport.HttpServer;
+import pepperdock.transport.Loop;
 
 /** One gatherer in service: each part that the configuration names, opened and tied to the others. */
 public final class Service {
@@ -71,7 +71,7 @@
         PooledBackend<?> backend = search == null ? new WorkerPool(loop, site) : search;
         nodes = NodeSource.open(config, loop);
         core = new Gatherer(site.module(), config.seed(), loop, backend, nodes.discovery());
-        core.name(site.classes());
+        core.setClassNames(site.classes());
         backend.start(core);
         firstList = new FirstList(core, loop);
         keepNodes();
@@ -115,14 +115,14 @@
     /** The leader keeps the last node list in the store: what a gatherer that starts anew knows before it has asked. */
     private void keepNodes() {
         if (base.store().leads()) {
-            core.whenListed(this::storeNodes);
+            core.addEndpointListListener(this::storeNodes);
         }
     }
 
-    private void storeNodes(Collection<Host> hosts) {
+    private void storeNodes(Collection<WorkerEndpoint> hosts) {
         Store store = base.store();
         String list = HostList.write(
-                hosts.stream().sorted(Comparator.comparing(Host::id)).toList(), config.site());
+                hosts.stream().sorted(Comparator.comparing(WorkerEndpoint::id)).toList(), config.site());
         if (!list.equals(store.get("nodes"))) {
             store.put("nodes", list, held -> {});
         }
@@ -130,7 +130,7 @@
 
     /** The file's list first: where lists come unasked the next may come at once, and must not be replaced by it. */
     private void followNodes() {
-        core.listed(ListKind.HELD, config.known().hosts());
+        core.onEndpointList(EndpointListKind.CACHED, config.known().hosts());
         nodes.start().accept(core);
     }
 
@@ -155,7 +155,7 @@
     /** Changed settings, for queries from now on. */
     private void use(Config changed) {
         site = site.changed(changed.site());
-        core.settings(site.module(), site.classes());
+        core.updateSettings(site.module(), site.classes());
         clients.use(site, changed);
     }
 
@@ -174,7 +174,7 @@
 
     /** What two processes of one gatherer share between them, and the operators' address. */
     private void startOperator() {
-        operator.whenOtherServingChanges(core::beside);
+        operator.whenOtherServingChanges(core::setUpgradePeerActive);
         operator.whenOtherProcessChanges(
                 another -> loop.shareSockets(another, (loop.wholeCap() - Startup.OTHER_DESCRIPTORS) / 2));
         try {
@@ -197,6 +197,6 @@
         base.events().tell("ready");
         clients.servers()
                 .forEach(s -> LOG.log(System.Logger.Level.INFO, "{0} serves on {1}", config.name(), s.address()));
-        warmup.spread(loop, () -> core.inHand() == 0);
+        warmup.spread(loop, () -> core.inFlightQueries() == 0);
     }
 }
--- a/src/main/java/pepperdock/service/Startup.java
+++ b/src/main/java/pepperdock/service/Startup.java
@@ -7,9 +7,9 @@
 import pepperdock.config.Keys;
 import pepperdock.config.StoreConfig;
 import pepperdock.events.Events;
-import pepperdock.members.Members;
-import pepperdock.net.Loop;
+import pepperdock.membership.transport.Members;
 import pepperdock.store.Store;
+import pepperdock.transport.Loop;
 
 /**
  * Opens what a gatherer stands on, the loop, the store, events and membership, and starts the {@link Service} once there are
--- a/src/main/java/pepperdock/lab/Node.java
+++ b/src/main/java/pepperdock/simulation/Node.java
@@ -1,10 +1,10 @@
-package pepperdock.lab;
+package pepperdock.simulation;
 
 import java.util.ArrayDeque;
 import java.util.HashMap;
 import java.util.Map;
-import pepperdock.aggregator.Aggregator.Outcome;
 import pepperdock.core.ManualClock;
+import pepperdock.scheduler.AttemptOutcome;
 
 /**
  * One emulated ledger node: cores that take calls in turn, a waiting room, a cost for each call and each new connection, a
@@ -25,7 +25,7 @@
             double warmS) {}
 
     /** A call under way; {@code done} hears of its one end. */
-    private record Call(double workS, java.util.function.Consumer<Outcome> done) {}
+    private record Call(double workS, java.util.function.Consumer<AttemptOutcome> done) {}
 
     final String id;
     final Kind kind;
@@ -69,7 +69,7 @@
     }
 
     /** A call of a gatherer with so much work in its parts. */
-    void call(int gatherer, double partsS, java.util.function.Consumer<Outcome> done) {
+    void call(int gatherer, double partsS, java.util.function.Consumer<AttemptOutcome> done) {
         double work = partsS + kind.callS();
         double last = usedAt.getOrDefault(gatherer, Double.NEGATIVE_INFINITY);
         if (clock.now() - last > kind.idleS()) {
@@ -77,14 +77,14 @@
                     .filter(t -> clock.now() - t <= kind.idleS())
                     .count();
             if (open >= kind.connections()) {
-                done.accept(Outcome.CONNECT_FAILED);
+                done.accept(AttemptOutcome.CONNECT_FAILED);
                 return;
             }
             work += kind.connectS();
         }
         usedAt.put(gatherer, clock.now());
         if (waiting.size() >= kind.room()) {
-            done.accept(Outcome.FULL);
+            done.accept(AttemptOutcome.OVERLOADED);
             return;
         }
         waiting.addLast(new Call(work, done));
@@ -99,7 +99,7 @@
             worked += took;
             clock.after(took, () -> {
                 busy--;
-                call.done().accept(Outcome.OK);
+                call.done().accept(AttemptOutcome.OK);
                 next();
             });
         }
--- a/src/main/java/pepperdock/lab/distribution/ByteMeter.java
+++ b/src/main/java/pepperdock/simulation/distribution/ByteMeter.java
@@ -1,4 +1,4 @@
-package pepperdock.lab.distribution;
+package pepperdock.simulation.distribution;
 
 /** Bytes over time: how many in each whole second, and the most in any second that begins at a tenth of one. */
 final class ByteMeter {
--- a/src/main/java/pepperdock/lab/distribution/Checks.java
+++ b/src/main/java/pepperdock/simulation/distribution/Checks.java
@@ -1,4 +1,4 @@
-package pepperdock.lab.distribution;
+package pepperdock.simulation.distribution;
 
 import java.util.ArrayList;
 import java.util.HashMap;
@@ -11,7 +11,7 @@
 import pepperdock.distribution.Durability;
 import pepperdock.distribution.Subscriber;
 import pepperdock.distribution.Version;
-import pepperdock.lab.distribution.Finding.Promise;
+import pepperdock.simulation.distribution.Finding.Promise;
 
 /** Judges a course by its history and by what is there at its end. */
 final class Checks {
--- a/src/main/java/pepperdock/lab/distribution/Command.java
+++ b/src/main/java/pepperdock/simulation/distribution/Command.java
@@ -1,4 +1,4 @@
-package pepperdock.lab.distribution;
+package pepperdock.simulation.distribution;
 
 import java.nio.ByteBuffer;
 import java.nio.charset.StandardCharsets;
--- a/src/main/java/pepperdock/lab/distribution/Finding.java
+++ b/src/main/java/pepperdock/simulation/distribution/Finding.java
@@ -1,4 +1,4 @@
-package pepperdock.lab.distribution;
+package pepperdock.simulation.distribution;
 
 /** A promise that did not hold. */
 public record Finding(Promise promise, long at, String what) {
--- a/src/main/java/pepperdock/lab/distribution/HardCase.java
+++ b/src/main/java/pepperdock/simulation/distribution/HardCase.java
@@ -1,4 +1,4 @@
-package pepperdock.lab.distribution;
+package pepperdock.simulation.distribution;
 
 /** What goes wrong in a course. */
 public enum HardCase {
--- a/src/main/java/pepperdock/lab/distribution/Place.java
+++ b/src/main/java/pepperdock/simulation/distribution/Place.java
@@ -1,4 +1,4 @@
-package pepperdock.lab.distribution;
+package pepperdock.simulation.distribution;
 
 /** Where a machine stands. */
 public record Place(String name, String region, String zone) {}
--- a/src/main/java/pepperdock/lab/distribution/Samples.java
+++ b/src/main/java/pepperdock/simulation/distribution/Samples.java
@@ -1,4 +1,4 @@
-package pepperdock.lab.distribution;
+package pepperdock.simulation.distribution;
 
 import java.util.Arrays;
 
--- a/src/main/java/pepperdock/lab/distribution/StreamFigures.java
+++ b/src/main/java/pepperdock/simulation/distribution/StreamFigures.java
@@ -1,4 +1,4 @@
-package pepperdock.lab.distribution;
+package pepperdock.simulation.distribution;
 
 /**
  * What streams over loopback cost, as measured. Processor time is that of the loops' threads, without the collector's.
--- a/src/main/java/pepperdock/lab/distribution/Streams.java
+++ b/src/main/java/pepperdock/simulation/distribution/Streams.java
@@ -1,4 +1,4 @@
-package pepperdock.lab.distribution;
+package pepperdock.simulation.distribution;
 
 import java.io.IOException;
 import java.lang.management.ManagementFactory;
@@ -27,7 +27,7 @@
 import pepperdock.distribution.VersionSource;
 import pepperdock.distribution.wire.PublisherServer;
 import pepperdock.distribution.wire.SubscriberClient;
-import pepperdock.net.Loop;
+import pepperdock.transport.Loop;
 
 /** Four control machines, a loop each, and hollow subscribers on one further loop, all in this process over loopback. */
 public final class Streams implements AutoCloseable {
--- a/src/main/java/pepperdock/lab/distribution/package-info.java
+++ b/src/main/java/pepperdock/simulation/distribution/package-info.java
@@ -3,4 +3,4 @@
  * gatherers that only subscribe, the links between them, faults by name, and the checks of what must hold. One seed, one
  * course. Not in service.
  */
-package pepperdock.lab.distribution;
+package pepperdock.simulation.distribution;
--- a/src/main/java/pepperdock/lab/package-info.java
+++ b/src/main/java/pepperdock/simulation/package-info.java
@@ -3,4 +3,4 @@
  * nothing, the same result for the same seed. A measuring ground for what is claimed of routing and limits; it says nothing
  * of sockets. Randomness comes in a stream for each concern, so that a change in one does not shift another.
  */
-package pepperdock.lab;
+package pepperdock.simulation;
--- a/src/main/java/pepperdock/lab/raft/Disk.java
+++ b/src/main/java/pepperdock/simulation/raft/Disk.java
@@ -1,4 +1,4 @@
-package pepperdock.lab.raft;
+package pepperdock.simulation.raft;
 
 import java.util.ArrayDeque;
 import java.util.ArrayList;
--- a/src/main/java/pepperdock/lab/raft/Explorer.java
+++ b/src/main/java/pepperdock/simulation/raft/Explorer.java
@@ -1,4 +1,4 @@
-package pepperdock.lab.raft;
+package pepperdock.simulation.raft;
 
 import java.util.ArrayList;
 import java.util.EnumMap;
--- a/src/main/java/pepperdock/lab/raft/Step.java
+++ b/src/main/java/pepperdock/simulation/raft/Step.java
@@ -1,4 +1,4 @@
-package pepperdock.lab.raft;
+package pepperdock.simulation.raft;
 
 /**
  * One thing that happens. The numbers are taken modulo whatever there is when it happens, so that any part of a script is a
--- a/src/main/java/pepperdock/lab/raft/World.java
+++ b/src/main/java/pepperdock/simulation/raft/World.java
@@ -1,4 +1,4 @@
-package pepperdock.lab.raft;
+package pepperdock.simulation.raft;
 
 import java.nio.ByteBuffer;
 import java.util.ArrayList;
--- a/src/main/java/pepperdock/store/Store.java
+++ b/src/main/java/pepperdock/store/Store.java
@@ -11,13 +11,13 @@
 import java.util.Map;
 import java.util.function.BiConsumer;
 import java.util.function.Consumer;
+import pepperdock.codec.frame.Frame;
+import pepperdock.codec.frame.FrameException;
+import pepperdock.codec.frame.FrameParser;
+import pepperdock.codec.frame.Frames;
 import pepperdock.config.StoreConfig;
-import pepperdock.frame.Frame;
-import pepperdock.frame.FrameException;
-import pepperdock.frame.FrameParser;
-import pepperdock.frame.Frames;
-import pepperdock.net.Connection;
-import pepperdock.net.Loop;
+import pepperdock.transport.Connection;
+import pepperdock.transport.Loop;
 
 /**
  * The replicated store. One configured member leads and takes writes; a write is acknowledged once a majority of members
--- a/src/main/java/pepperdock/net/Buffer.java
+++ b/src/main/java/pepperdock/transport/Buffer.java
@@ -1,4 +1,4 @@
-package pepperdock.net;
+package pepperdock.transport;
 
 import java.nio.ByteBuffer;
 import java.util.Arrays;
--- a/src/main/java/pepperdock/net/Connection.java
+++ b/src/main/java/pepperdock/transport/Connection.java
@@ -1,4 +1,4 @@
-package pepperdock.net;
+package pepperdock.transport;
 
 import java.io.IOException;
 import java.net.InetSocketAddress;
@@ -11,7 +11,7 @@
 /** One TCP connection with its one buffer; its handler is called on the loop's thread only. */
 public final class Connection {
 
-    private static final System.Logger LOG = System.getLogger("pepperdock.net");
+    private static final System.Logger LOG = System.getLogger("pepperdock.transport");
 
     /** What a connection tells its owner. */
     public interface Handler {
--- a/src/main/java/pepperdock/net/DirectServer.java
+++ b/src/main/java/pepperdock/transport/DirectServer.java
@@ -1,4 +1,4 @@
-package pepperdock.net;
+package pepperdock.transport;
 
 import java.io.IOException;
 import java.lang.reflect.Constructor;
--- a/src/main/java/pepperdock/net/HttpClient.java
+++ b/src/main/java/pepperdock/transport/HttpClient.java
@@ -1,11 +1,11 @@
-package pepperdock.net;
+package pepperdock.transport;
 
 import java.net.InetSocketAddress;
 import java.util.function.BooleanSupplier;
+import pepperdock.codec.http.HttpException;
+import pepperdock.codec.http.HttpMessage;
+import pepperdock.codec.http.HttpParser;
 import pepperdock.core.Clock;
-import pepperdock.http.HttpException;
-import pepperdock.http.HttpMessage;
-import pepperdock.http.HttpParser;
 
 /** Asks one server, one request at a time, on a connection kept between requests and opened as needed. */
 public final class HttpClient implements Connection.Handler {
--- a/src/main/java/pepperdock/net/HttpServer.java
+++ b/src/main/java/pepperdock/transport/HttpServer.java
@@ -1,4 +1,4 @@
-package pepperdock.net;
+package pepperdock.transport;
 
 import java.io.IOException;
 import java.net.InetSocketAddress;
@@ -8,11 +8,11 @@
 import java.util.Set;
 import java.util.function.IntSupplier;
 import java.util.function.Predicate;
-import pepperdock.core.LogBudget;
-import pepperdock.http.HttpException;
-import pepperdock.http.HttpMessage;
-import pepperdock.http.HttpParser;
-import pepperdock.http.HttpWriter;
+import pepperdock.codec.http.HttpException;
+import pepperdock.codec.http.HttpMessage;
+import pepperdock.codec.http.HttpParser;
+import pepperdock.codec.http.HttpWriter;
+import pepperdock.core.LogRateLimiter;
 
 /**
  * Serves HTTP/1.1 on one address: one request at a time on a connection, whatever the front behind it. Each state of a
@@ -20,7 +20,7 @@
  */
 public final class HttpServer {
 
-    private static final System.Logger LOG = System.getLogger("pepperdock.net");
+    private static final System.Logger LOG = System.getLogger("pepperdock.transport");
     /** From connecting, or from the first byte of a later request, to its last byte. */
     public static final double REQUEST_S = 2.5;
     /** For a client to read what it was sent, and to close after an error. */
@@ -68,7 +68,7 @@
 
     private boolean draining;
     private boolean stopped;
-    private final LogBudget notes;
+    private final LogRateLimiter notes;
 
     /** {@code most} is how many connections clients may hold here, {@code bodyMost} what a request may bring. */
     public HttpServer(Loop loop, InetSocketAddress at, int bodyMost, IntSupplier most, Service service)
@@ -90,7 +90,7 @@
         this.kind = kind;
         this.requestS = requestS;
         draining = kind == Loop.Kind.APART;
-        notes = new LogBudget(LOG, loop, "malformed or not taken");
+        notes = new LogRateLimiter(LOG, loop, "malformed or not taken");
         this.service = service;
         this.bodyMost = bodyMost;
         this.most = most;
--- a/src/main/java/pepperdock/net/Loop.java
+++ b/src/main/java/pepperdock/transport/Loop.java
@@ -1,4 +1,4 @@
-package pepperdock.net;
+package pepperdock.transport;
 
 import java.io.IOException;
 import java.net.InetSocketAddress;
@@ -21,12 +21,12 @@
 import org.xnio.XnioWorker;
 import org.xnio.channels.AcceptingChannel;
 import pepperdock.core.Clock;
-import pepperdock.core.LogBudget;
+import pepperdock.core.LogRateLimiter;
 
 /** The one I/O thread, which owns all state: sockets, timers and whatever is handed to {@link #execute}. */
 public final class Loop implements Clock, AutoCloseable {
 
-    private static final System.Logger LOG = System.getLogger("pepperdock.net");
+    private static final System.Logger LOG = System.getLogger("pepperdock.transport");
     private static final OptionMap SOCKET = OptionMap.create(Options.TCP_NODELAY, true);
     private static final int BACKLOG = 512;
 
@@ -42,7 +42,7 @@
     private final double startedAt = System.currentTimeMillis() / 1e3;
     private final long startedNanos = System.nanoTime();
     private final ByteBuffer scratch = ByteBuffer.allocateDirect(1 << 16);
-    private final LogBudget away = new LogBudget(LOG, this, "clients turned away");
+    private final LogRateLimiter away = new LogRateLimiter(LOG, this, "clients turned away");
     private int dialling;
 
     /** {@code socketCap} bounds connections of all kinds together; {@code bufferCap} the buffer of each. */
--- a/src/main/java/pepperdock/net/NoManagement.java
+++ b/src/main/java/pepperdock/transport/NoManagement.java
@@ -1,4 +1,4 @@
-package pepperdock.net;
+package pepperdock.transport;
 
 import javax.management.MBeanServer;
 import javax.management.MBeanServerBuilder;
--- a/src/test/java/pepperdock/lab/scale/NodeListCostTest.java
+++ b/src/test/java/pepperdock/benchmark/NodeListCostTest.java
@@ -1,4 +1,4 @@
-package pepperdock.lab.scale;
+package pepperdock.benchmark;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
--- a/src/test/java/pepperdock/frame/FrameParserTest.java
+++ b/src/test/java/pepperdock/codec/frame/FrameParserTest.java
@@ -1,4 +1,4 @@
-package pepperdock.frame;
+package pepperdock.codec.frame;
 
 import static org.junit.jupiter.api.Assertions.assertArrayEquals;
 import static org.junit.jupiter.api.Assertions.assertEquals;
--- a/src/test/java/pepperdock/frame/RandomCuts.java
+++ b/src/test/java/pepperdock/codec/frame/RandomCuts.java
@@ -1,4 +1,4 @@
-package pepperdock.frame;
+package pepperdock.codec.frame;
 
 import java.util.ArrayList;
 import java.util.List;
--- a/src/test/java/pepperdock/http/HttpParserTest.java
+++ b/src/test/java/pepperdock/codec/http/HttpParserTest.java
@@ -1,4 +1,4 @@
-package pepperdock.http;
+package pepperdock.codec.http;
 
 import static org.junit.jupiter.api.Assertions.assertArrayEquals;
 import static org.junit.jupiter.api.Assertions.assertEquals;
@@ -12,7 +12,7 @@
 import net.jqwik.api.Property;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
-import pepperdock.frame.RandomCuts;
+import pepperdock.codec.frame.RandomCuts;
 
 class HttpParserTest {
 
--- a/src/test/java/pepperdock/distribution/wire/WireTest.java
+++ b/src/test/java/pepperdock/distribution/wire/WireTest.java
@@ -32,7 +32,7 @@
 import pepperdock.distribution.Version;
 import pepperdock.distribution.VersionSource;
 import pepperdock.distribution.VersionStore;
-import pepperdock.net.Loop;
+import pepperdock.transport.Loop;
 
 /** A subscriber and control machines over loopback; what crosses is forced by bytes that are held and ends that come. */
 class WireTest {
--- a/src/test/java/pepperdock/lab/fleet/MembersCheckerTest.java
+++ b/src/test/java/pepperdock/faultinjection/MembersCheckerTest.java
@@ -1,4 +1,4 @@
-package pepperdock.lab.fleet;
+package pepperdock.faultinjection;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
--- a/src/test/java/pepperdock/lab/fleet/RelayTest.java
+++ b/src/test/java/pepperdock/faultinjection/RelayTest.java
@@ -1,4 +1,4 @@
-package pepperdock.lab.fleet;
+package pepperdock.faultinjection;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertThrows;
@@ -21,9 +21,9 @@
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
-import pepperdock.lab.fleet.LinkFaults.Fault;
-import pepperdock.lab.fleet.LinkFaults.Kind;
-import pepperdock.lab.fleet.LinkFaults.Pair;
+import pepperdock.faultinjection.LinkFaults.Fault;
+import pepperdock.faultinjection.LinkFaults.Kind;
+import pepperdock.faultinjection.LinkFaults.Pair;
 
 /** Real sockets through the relay. */
 class RelayTest {
--- a/src/test/java/pepperdock/lab/fleet/TimetableTest.java
+++ b/src/test/java/pepperdock/faultinjection/TimetableTest.java
@@ -1,4 +1,4 @@
-package pepperdock.lab.fleet;
+package pepperdock.faultinjection;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertThrows;
@@ -14,9 +14,9 @@
 import pepperdock.config.Config;
 import pepperdock.config.ConfigException;
 import pepperdock.config.Keys;
-import pepperdock.lab.fleet.LinkFaults.Fault;
-import pepperdock.lab.fleet.LinkFaults.Kind;
-import pepperdock.lab.fleet.LinkFaults.Pair;
+import pepperdock.faultinjection.LinkFaults.Fault;
+import pepperdock.faultinjection.LinkFaults.Kind;
+import pepperdock.faultinjection.LinkFaults.Pair;
 
 /** The rig's pure half: what a script means, and what becomes of a datagram. */
 class TimetableTest {
--- a/src/test/java/pepperdock/members/CodecTest.java
+++ b/src/test/java/pepperdock/membership/transport/CodecTest.java
@@ -1,4 +1,4 @@
-package pepperdock.members;
+package pepperdock.membership.transport;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertThrows;
--- a/src/test/java/pepperdock/members/MembersTest.java
+++ b/src/test/java/pepperdock/membership/transport/MembersTest.java
@@ -1,4 +1,4 @@
-package pepperdock.members;
+package pepperdock.membership.transport;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -20,7 +20,7 @@
 import pepperdock.config.Keys;
 import pepperdock.events.Events;
 import pepperdock.membership.View;
-import pepperdock.net.Loop;
+import pepperdock.transport.Loop;
 
 /** Members on real sockets in this process, and asked as an operator would. */
 @Timeout(120)
--- a/src/test/java/pepperdock/operator/OperatorEndpointTest.java
+++ b/src/test/java/pepperdock/operator/OperatorEndpointTest.java
@@ -16,8 +16,8 @@
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
-import pepperdock.net.HttpServer;
-import pepperdock.net.Loop;
+import pepperdock.transport.HttpServer;
+import pepperdock.transport.Loop;
 
 /** The operators' calls on their own address, with no room left for anyone else. */
 @Timeout(60)
--- a/src/test/java/pepperdock/planner/PlannerThreadTest.java
+++ b/src/test/java/pepperdock/plan/background/PlannerThreadTest.java
@@ -1,4 +1,4 @@
-package pepperdock.planner;
+package pepperdock.plan.background;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 
--- a/src/test/java/pepperdock/platform/StandInWorker.java
+++ b/src/test/java/pepperdock/platform/StandInWorker.java
@@ -9,7 +9,7 @@
 import java.nio.charset.StandardCharsets;
 import java.util.List;
 import java.util.concurrent.CopyOnWriteArrayList;
-import pepperdock.frame.Frames;
+import pepperdock.codec.frame.Frames;
 
 /** A worker of the platform's frames, written from the protocol's page with blocking sockets of its own. */
 public final class StandInWorker implements java.io.Closeable {
