--- a/src/test/java/pepperdock/service/ReadyTest.java
+++ b/src/test/java/pepperdock/service/ReadyTest.java
@@ -26,8 +26,8 @@
 import pepperdock.config.Keys;
 import pepperdock.config.Sites;
 import pepperdock.events.Events;
-import pepperdock.net.Loop;
 import pepperdock.store.Store;
+import pepperdock.transport.Loop;
 
 /** When a gatherer says that it is ready, against what discovery does meanwhile. */
 @Timeout(120)
--- a/src/test/java/pepperdock/lab/ColdDay.java
+++ b/src/test/java/pepperdock/simulation/ColdDay.java
@@ -1,4 +1,4 @@
-package pepperdock.lab;
+package pepperdock.simulation;
 
 /**
  * What a day is drawn from. Times are in seconds.
--- a/src/test/java/pepperdock/lab/ColdFleetMeasure.java
+++ b/src/test/java/pepperdock/simulation/ColdFleetMeasure.java
@@ -1,4 +1,4 @@
-package pepperdock.lab;
+package pepperdock.simulation;
 
 import java.util.Arrays;
 import java.util.LinkedHashMap;
--- a/src/test/java/pepperdock/lab/ColdWorkersTest.java
+++ b/src/test/java/pepperdock/simulation/ColdWorkersTest.java
@@ -1,4 +1,4 @@
-package pepperdock.lab;
+package pepperdock.simulation;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
--- a/src/test/java/pepperdock/lab/distribution/SimulationTest.java
+++ b/src/test/java/pepperdock/simulation/distribution/SimulationTest.java
@@ -1,4 +1,4 @@
-package pepperdock.lab.distribution;
+package pepperdock.simulation.distribution;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
@@ -28,7 +28,7 @@
 import pepperdock.distribution.Version;
 import pepperdock.distribution.VersionSource;
 import pepperdock.distribution.VersionStore;
-import pepperdock.lab.distribution.Finding.Promise;
+import pepperdock.simulation.distribution.Finding.Promise;
 
 /** The short form: all hard cases at 50 gatherers, and each check with a planted fault that it has to find. */
 class SimulationTest {
--- a/src/test/java/pepperdock/lab/raft/ExplorerTest.java
+++ b/src/test/java/pepperdock/simulation/raft/ExplorerTest.java
@@ -1,4 +1,4 @@
-package pepperdock.lab.raft;
+package pepperdock.simulation.raft;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
--- a/src/test/java/pepperdock/store/StoreTest.java
+++ b/src/test/java/pepperdock/store/StoreTest.java
@@ -23,9 +23,9 @@
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
+import pepperdock.codec.frame.RandomCuts;
 import pepperdock.config.StoreConfig;
-import pepperdock.frame.RandomCuts;
-import pepperdock.net.Loop;
+import pepperdock.transport.Loop;
 
 class StoreTest {
 
--- a/src/test/java/pepperdock/net/BufferTest.java
+++ b/src/test/java/pepperdock/transport/BufferTest.java
@@ -1,4 +1,4 @@
-package pepperdock.net;
+package pepperdock.transport;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertNotNull;
--- a/src/test/java/pepperdock/net/ClientGoneTest.java
+++ b/src/test/java/pepperdock/transport/ClientGoneTest.java
@@ -1,4 +1,4 @@
-package pepperdock.net;
+package pepperdock.transport;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -17,7 +17,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.EnumSource;
 import org.junit.jupiter.params.provider.ValueSource;
-import pepperdock.http.HttpMessage;
+import pepperdock.codec.http.HttpMessage;
 
 /** Clients that go while their request is in hand, by each way of going, also with more behind it than is kept unread. */
 @Timeout(60)
--- a/src/test/java/pepperdock/net/HttpServerTest.java
+++ b/src/test/java/pepperdock/transport/HttpServerTest.java
@@ -1,4 +1,4 @@
-package pepperdock.net;
+package pepperdock.transport;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -15,7 +15,7 @@
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
-import pepperdock.http.HttpMessage;
+import pepperdock.codec.http.HttpMessage;
 
 /**
  * The end of serving, against clients that ask at that very moment. The loop is held up by a task of the test's while the
--- a/tools/ListCalls.java
+++ b/tools/ListCalls.java
@@ -7,14 +7,14 @@
 import java.util.List;
 import java.util.Locale;
 import java.util.Map;
-import pepperdock.aggregator.Aggregator.ListKind;
+import pepperdock.scheduler.EndpointListKind;
 import pepperdock.config.Config;
 import pepperdock.config.Keys;
 import pepperdock.config.Site;
 import pepperdock.core.Attempt;
 import pepperdock.core.Backend;
 import pepperdock.core.Gatherer;
-import pepperdock.core.Host;
+import pepperdock.core.WorkerEndpoint;
 import pepperdock.core.ManualClock;
 
 /**
@@ -105,7 +105,7 @@
         Watch(Service service, Site site, int seed) {
             this.service = service;
             core = new Gatherer(site.module(), seed, service.clock, this, this::subscribe);
-            core.listed(ListKind.HELD, List.of());
+            core.onEndpointList(EndpointListKind.CACHED, List.of());
         }
 
         private void subscribe() {
@@ -132,7 +132,7 @@
                 if (!standing) {
                     standing = true;
                     since = Double.isNaN(since) ? service.clock.now() : since;
-                    core.listed(ListKind.CHANGES, List.of());
+                    core.onEndpointList(EndpointListKind.CHANGES, List.of());
                     ask();
                 } else {
                     service.clock.after(WAIT_S, () -> {
@@ -149,24 +149,24 @@
                 call++;
                 busy = false;
                 standing = false;
-                core.listed(ListKind.FAILED, List.of());
+                core.onEndpointList(EndpointListKind.FAILED, List.of());
             }
         }
 
         @Override
-        public void send(String worker, List<Attempt> attempts) { }
+        public void sendCall(String worker, List<Attempt> attempts) { }
 
         @Override
         public void cancel(Attempt attempt) { }
 
         @Override
-        public void probe(String worker) { }
+        public void checkHealth(String worker) { }
 
         @Override
-        public void dropConnections(String worker) { }
+        public void closeIdleConnections(String worker) { }
 
         @Override
-        public void listed(Map<String, Host> hosts) { }
+        public void updateEndpoints(Map<String, WorkerEndpoint> hosts) { }
     }
 
     private record Round(double perS, double most1, double most01, double after1, double after10, double worst, int failures) { }
--- a/tools/PlanArms.java
+++ b/tools/PlanArms.java
@@ -3,9 +3,9 @@
 import java.util.logging.Logger;
 import java.util.stream.IntStream;
 import pepperdock.config.PlanConfig;
-import pepperdock.lab.SimulatedFleet;
-import pepperdock.lab.SimulatedFleet.Day;
-import pepperdock.lab.SimulatedFleet.Result;
+import pepperdock.simulation.SimulatedFleet;
+import pepperdock.simulation.SimulatedFleet.Day;
+import pepperdock.simulation.SimulatedFleet.Result;
 
 /**
  * Planned shares against equal ones, in the laboratory, paired by seed: mean service of each, the mean difference with its
