--- a/src/main/java/pepperdock/benchmark/DecisionCost.java
+++ b/src/main/java/pepperdock/benchmark/DecisionCost.java
@@ -13,6 +13,7 @@
 import pepperdock.core.QueryRequest;
 import pepperdock.scheduler.AttemptOutcome;
 import pepperdock.scheduler.EndpointListKind;
+import pepperdock.scheduler.LoadReport;
 
 /**
  * The cost of decisions alone: core and module on a clock moved by hand, between clients and workers that are a timer each.
@@ -150,7 +151,7 @@
                 attempts++;
                 double takes = behaviour.takesS(
                         a.part().query().request().id() + '.' + a.part().shard(), number);
-                clock.after(takes, () -> core.onAttemptEnded(a, AttemptOutcome.OK, null, VALUE));
+                clock.after(takes, () -> core.onAttemptEnded(a, AttemptOutcome.OK, LoadReport.NONE, VALUE));
             }
         }
     }
--- a/src/main/java/pepperdock/core/Gatherer.java
+++ b/src/main/java/pepperdock/core/Gatherer.java
@@ -15,10 +15,15 @@
 import java.util.function.Consumer;
 import java.util.function.ObjDoubleConsumer;
 import pepperdock.scheduler.AttemptOutcome;
+import pepperdock.scheduler.AttemptResult;
 import pepperdock.scheduler.Endpoint;
 import pepperdock.scheduler.EndpointListKind;
 import pepperdock.scheduler.EndpointState;
+import pepperdock.scheduler.HealthCheckResult;
+import pepperdock.scheduler.LoadReport;
+import pepperdock.scheduler.PartArrival;
 import pepperdock.scheduler.PlannedShares;
+import pepperdock.scheduler.QueryArrival;
 import pepperdock.scheduler.RetrySafety;
 import pepperdock.scheduler.Scheduler;
 import pepperdock.scheduler.SchedulerActions;
@@ -192,9 +197,10 @@
         long no = nextNo++;
         tell(() -> {
             if (!q.ended) {
-                module.onQuery(q.id, ask.queryClass(), 0, ask.idempotencyKey(), q.endAt - batchAt, no, q.parts.size());
+                module.onQuery(new QueryArrival(
+                        q.id, ask.queryClass(), 0, ask.idempotencyKey(), q.endAt - batchAt, no, q.parts.size()));
                 for (Part p : q.parts) {
-                    module.onPart(p.id, no, p.shard(), p.weight());
+                    module.onPart(new PartArrival(p.id, no, p.shard(), p.weight()));
                 }
             }
         });
@@ -251,7 +257,7 @@
     // ---- From the workers ------------------------------------------------------------
 
     /** An attempt's one outcome; whatever comes later for it is ignored. */
-    public void onAttemptEnded(Attempt a, AttemptOutcome outcome, double[] report, byte[] value) {
+    public void onAttemptEnded(Attempt a, AttemptOutcome outcome, LoadReport report, byte[] value) {
         if (a.hasEnded()) {
             if (outcome == AttemptOutcome.OK) {
                 backend.releaseUnusedAnswer(a, value);
@@ -274,12 +280,12 @@
             } else if (outcome == AttemptOutcome.OK) {
                 backend.releaseUnusedAnswer(a, value);
             }
-            module.onAttemptResult(p.id, a.no, a.worker, outcome, spent, report);
+            module.onAttemptResult(new AttemptResult(p.id, a.no, a.worker, outcome, spent, report));
         });
     }
 
-    public void onHealthCheckEnded(String worker, AttemptOutcome outcome, double spentS, double[] report) {
-        tell(() -> module.onHealthCheckResult(worker, outcome, spentS, report));
+    public void onHealthCheckEnded(String worker, AttemptOutcome outcome, double spentS, LoadReport report) {
+        tell(() -> module.onHealthCheckResult(new HealthCheckResult(worker, outcome, spentS, report)));
     }
 
     // ---- From discovery ------------------------------------------------------------
@@ -469,7 +475,7 @@
         List<Attempt> live = waiting.stream().filter(a -> a.mayStart(now)).toList();
         waiting.stream()
                 .filter(a -> !a.mayStart(now))
-                .forEach(a -> onAttemptEnded(a, AttemptOutcome.NOT_SENT, null, null));
+                .forEach(a -> onAttemptEnded(a, AttemptOutcome.NOT_SENT, LoadReport.NONE, null));
         return live;
     }
 
@@ -489,7 +495,7 @@
         WorkerEndpoint host = hosts.get(worker);
         boolean open = host != null && host.state() == EndpointState.HEALTHY && !bannedEndpoints.contains(worker);
         if (q.ended || end <= now || !open || !a.mayStart(now) || p.attempts.size() > q.maxAttempts) {
-            onAttemptEnded(a, AttemptOutcome.NOT_SENT, null, null);
+            onAttemptEnded(a, AttemptOutcome.NOT_SENT, LoadReport.NONE, null);
             return;
         }
         a.timeout = clock.after(end - now, () -> giveUp(a, AttemptOutcome.TIMEOUT));
@@ -514,7 +520,7 @@
 
     private void giveUp(Attempt a, AttemptOutcome outcome) {
         if (!a.hasEnded()) {
-            onAttemptEnded(a, outcome, null, null);
+            onAttemptEnded(a, outcome, LoadReport.NONE, null);
             if (a.passedOn) {
                 backend.cancel(a);
             }
--- a/src/main/java/pepperdock/core/PooledBackend.java
+++ b/src/main/java/pepperdock/core/PooledBackend.java
@@ -5,6 +5,7 @@
 import java.util.Map;
 import pepperdock.scheduler.AttemptOutcome;
 import pepperdock.scheduler.EndpointState;
+import pepperdock.scheduler.LoadReport;
 
 /** A backend that keeps one object for each listed worker, whatever the protocol it speaks. */
 public abstract class PooledBackend<W extends PooledBackend.PooledWorker> implements Backend {
@@ -48,7 +49,7 @@
     public final void sendCall(String worker, List<Attempt> call) {
         W w = workers.get(worker);
         if (w == null) {
-            call.forEach(a -> core.onAttemptEnded(a, AttemptOutcome.NOT_SENT, null, null));
+            call.forEach(a -> core.onAttemptEnded(a, AttemptOutcome.NOT_SENT, LoadReport.NONE, null));
         } else {
             w.send(call);
         }
@@ -66,7 +67,7 @@
     public final void checkHealth(String worker) {
         W w = workers.get(worker);
         if (w == null) {
-            core.onHealthCheckEnded(worker, AttemptOutcome.CONNECT_FAILED, 0, null);
+            core.onHealthCheckEnded(worker, AttemptOutcome.CONNECT_FAILED, 0, LoadReport.NONE);
         } else {
             w.checkHealth();
         }
--- a/src/main/java/pepperdock/opensearch/SearchWorker.java
+++ b/src/main/java/pepperdock/opensearch/SearchWorker.java
@@ -20,6 +20,7 @@
 import pepperdock.core.LogRateLimiter;
 import pepperdock.core.PooledBackend;
 import pepperdock.scheduler.AttemptOutcome;
+import pepperdock.scheduler.LoadReport;
 import pepperdock.transport.HttpClient;
 import pepperdock.transport.Loop;
 
@@ -152,7 +153,7 @@
                 if (why == HttpClient.Failure.BROKEN || why == HttpClient.Failure.TIMED_OUT) {
                     core.onAttemptWritten(a);
                 }
-                core.onAttemptEnded(a, outcome, null, null);
+                core.onAttemptEnded(a, outcome, LoadReport.NONE, null);
             }
         });
     }
@@ -177,7 +178,7 @@
                         () -> "worker " + id + ", shard " + a.part().shard() + ": " + e.getMessage());
             }
         }
-        core.onAttemptEnded(a, outcome, null, value);
+        core.onAttemptEnded(a, outcome, LoadReport.NONE, value);
     }
 
     /** An update that its primary did not take is an error, whatever the status says. */
@@ -313,12 +314,12 @@
                                 id,
                                 m.status() == 200 ? AttemptOutcome.OK : AttemptOutcome.ERROR,
                                 loop.now() - at,
-                                null);
+                                LoadReport.NONE);
                     }
 
                     @Override
                     public void failed(HttpClient.Failure why) {
-                        core.onHealthCheckEnded(id, AttemptOutcome.TIMEOUT, loop.now() - at, null);
+                        core.onHealthCheckEnded(id, AttemptOutcome.TIMEOUT, loop.now() - at, LoadReport.NONE);
                     }
                 });
     }
--- a/src/main/java/pepperdock/platform/Warmup.java
+++ b/src/main/java/pepperdock/platform/Warmup.java
@@ -20,6 +20,7 @@
 import pepperdock.scheduler.AttemptOutcome;
 import pepperdock.scheduler.EndpointListKind;
 import pepperdock.scheduler.EndpointState;
+import pepperdock.scheduler.LoadReport;
 import pepperdock.transport.HttpServer;
 
 /**
@@ -134,8 +135,8 @@
                 } catch (FrameException e) {
                     throw new IllegalStateException("warm-up", e);
                 }
-                call.forEach(a ->
-                        core[0].onAttemptEnded(a, AttemptOutcome.OK, null, "value".getBytes(StandardCharsets.UTF_8)));
+                call.forEach(a -> core[0].onAttemptEnded(
+                        a, AttemptOutcome.OK, LoadReport.NONE, "value".getBytes(StandardCharsets.UTF_8)));
             });
         }
 
--- a/src/main/java/pepperdock/platform/Worker.java
+++ b/src/main/java/pepperdock/platform/Worker.java
@@ -10,6 +10,7 @@
 import pepperdock.core.LogRateLimiter;
 import pepperdock.core.PooledBackend;
 import pepperdock.scheduler.AttemptOutcome;
+import pepperdock.scheduler.LoadReport;
 import pepperdock.transport.Connection;
 import pepperdock.transport.Loop;
 
@@ -84,7 +85,7 @@
 
     private void sendWithin(List<Attempt> call) {
         if (!open) {
-            call.forEach(a -> core.onAttemptEnded(a, AttemptOutcome.NOT_SENT, null, null));
+            call.forEach(a -> core.onAttemptEnded(a, AttemptOutcome.NOT_SENT, LoadReport.NONE, null));
             return;
         }
         WorkerConnection last = null;
@@ -105,7 +106,7 @@
                 last.send(call);
             } else {
                 // Ids that all of them may still bring an answer for: whose it is could not be told.
-                call.forEach(a -> core.onAttemptEnded(a, AttemptOutcome.NOT_SENT, null, null));
+                call.forEach(a -> core.onAttemptEnded(a, AttemptOutcome.NOT_SENT, LoadReport.NONE, null));
             }
             return;
         }
@@ -157,7 +158,7 @@
     /** Those of a call that may still begin; the others end without having run. */
     List<Attempt> startable(List<Attempt> call) {
         if (!open) {
-            call.forEach(a -> core.onAttemptEnded(a, AttemptOutcome.NOT_SENT, null, null));
+            call.forEach(a -> core.onAttemptEnded(a, AttemptOutcome.NOT_SENT, LoadReport.NONE, null));
             return List.of();
         }
         return core.retainStartable(call);
@@ -166,7 +167,7 @@
     private void endQueued(AttemptOutcome outcome) {
         List<List<Attempt>> calls = List.copyOf(queued);
         queued.clear();
-        calls.forEach(call -> call.forEach(a -> core.onAttemptEnded(a, outcome, null, null)));
+        calls.forEach(call -> call.forEach(a -> core.onAttemptEnded(a, outcome, LoadReport.NONE, null)));
     }
 
     /**
@@ -195,7 +196,7 @@
     @Override
     public void checkHealth() {
         if (connections.isEmpty()) {
-            core.onHealthCheckEnded(id, AttemptOutcome.CONNECT_FAILED, 0, null);
+            core.onHealthCheckEnded(id, AttemptOutcome.CONNECT_FAILED, 0, LoadReport.NONE);
         } else {
             connections.get(0).probe();
         }
--- a/src/main/java/pepperdock/platform/WorkerConnection.java
+++ b/src/main/java/pepperdock/platform/WorkerConnection.java
@@ -16,6 +16,7 @@
 import pepperdock.core.Attempt;
 import pepperdock.core.Clock;
 import pepperdock.scheduler.AttemptOutcome;
+import pepperdock.scheduler.LoadReport;
 import pepperdock.transport.Connection;
 
 /** One connection to a worker and the attempts that are out on it, by the id they bear on the wire. */
@@ -131,7 +132,7 @@
     void endWaiting(AttemptOutcome outcome) {
         List<List<Attempt>> calls = List.copyOf(waiting);
         waiting.clear();
-        calls.forEach(call -> call.forEach(a -> worker.core.onAttemptEnded(a, outcome, null, null)));
+        calls.forEach(call -> call.forEach(a -> worker.core.onAttemptEnded(a, outcome, LoadReport.NONE, null)));
     }
 
     private void write(List<Attempt> call) {
@@ -193,7 +194,7 @@
             if (!probes.isEmpty()) {
                 probes.removeFirst();
                 lateProbes++;
-                worker.core.onHealthCheckEnded(worker.id, AttemptOutcome.TIMEOUT, PROBE_S, null);
+                worker.core.onHealthCheckEnded(worker.id, AttemptOutcome.TIMEOUT, PROBE_S, LoadReport.NONE);
             }
         })));
         used();
@@ -314,7 +315,7 @@
                             worker.id,
                             good ? AttemptOutcome.OK : AttemptOutcome.ERROR,
                             worker.loop.now() - p.sentAt(),
-                            null);
+                            LoadReport.NONE);
                 } else if (--lateProbes < 0) {
                     throw new FrameException("answer to no probe");
                 }
@@ -344,7 +345,8 @@
         Out o = out.remove(r.id());
         if (o != null) {
             past.put(r.id(), o.attempt().part().query().sequenceNumber());
-            double[] report = Reports.row(r.report(), worker.site.module().reportNames());
+            LoadReport report =
+                    LoadReport.of(Reports.row(r.report(), worker.site.module().reportNames()));
             worker.core.onAttemptEnded(o.attempt(), outcome, report, r.value());
             closeIfUnwanted();
         }
@@ -369,14 +371,15 @@
         out.clear();
         probes.forEach(p -> {
             p.limit().cancel();
-            worker.core.onHealthCheckEnded(worker.id, AttemptOutcome.RESET, worker.loop.now() - p.sentAt(), null);
+            worker.core.onHealthCheckEnded(
+                    worker.id, AttemptOutcome.RESET, worker.loop.now() - p.sentAt(), LoadReport.NONE);
         });
         probes.clear();
         endWaiting(AttemptOutcome.CONNECT_FAILED);
         for (Out o : broken) {
             boolean whole = c.written() >= o.frameEnd();
             worker.core.onAttemptEnded(
-                    o.attempt(), whole ? AttemptOutcome.RESET : AttemptOutcome.CONNECT_FAILED, null, null);
+                    o.attempt(), whole ? AttemptOutcome.RESET : AttemptOutcome.CONNECT_FAILED, LoadReport.NONE, null);
         }
     }
 }
--- a/src/main/java/pepperdock/scheduler/AdaptiveScheduler.java
+++ b/src/main/java/pepperdock/scheduler/AdaptiveScheduler.java
@@ -156,9 +156,16 @@
     }
 
     @Override
-    public void onQuery(long id, int classNo, int tenant, String key, double remainingS, long no, int count) {
+    public void onQuery(QueryArrival arrival) {
+        int classNo = arrival.queryClass();
+        double remainingS = arrival.remainingS();
         QueryClass c = settings.classes().get(classNo);
-        Query q = new Query(id, no, classNo, c, settings.limits().maxAttempts());
+        Query q = new Query(
+                arrival.id(),
+                arrival.sequenceNumber(),
+                classNo,
+                c,
+                settings.limits().maxAttempts());
         q.endAt = now + remainingS;
         q.aimAt = now + Math.min(c.latencyObjectiveS(), remainingS);
         q.halfAt = now + remainingS / 2;
@@ -168,31 +175,32 @@
         double spent = remainingS < SHORT_TRY * usual ? c.deadlineS() - remainingS : 0;
         q.freshUntil = Math.min(q.aimAt, now + c.latencyObjectiveS() - spent);
         retryBudget.take(now);
-        q.overShare = beyondShare(tenant);
-        queries.put(id, q);
-        byNo.put(no, q);
+        q.overShare = beyondShare(arrival.tenant());
+        queries.put(q.id, q);
+        byNo.put(q.no, q);
         arrived.add(q);
     }
 
     @Override
-    public void onPart(long id, long queryNo, int shard, double weight) {
+    public void onPart(PartArrival arrival) {
         retryBudget.take(now);
-        Query q = byNo.get(queryNo);
+        Query q = byNo.get(arrival.querySequenceNumber());
         if (q == null || q.ended) {
             return;
         }
-        Part p = new Part(id, q, shard, weight);
+        Part p = new Part(arrival.id(), q, arrival.shard(), arrival.weight());
         q.parts.add(p);
-        parts.put(id, p);
+        parts.put(p.id, p);
         if (q.step == 2) {
             p.wanted = true;
         }
     }
 
     @Override
-    public void onAttemptResult(
-            long id, int no, String worker, AttemptOutcome outcome, double spentS, double[] report) {
-        Part p = parts.get(id);
+    public void onAttemptResult(AttemptResult result) {
+        AttemptOutcome outcome = result.outcome();
+        int no = result.attempt();
+        Part p = parts.get(result.partId());
         if (p == null || no >= p.attempts.size() || p.attempts.get(no).outcome != null) {
             return;
         }
@@ -202,7 +210,7 @@
         a.searcher.usedAt = now;
         p.out--;
         out--;
-        judge(a, spentS);
+        judge(a, result.elapsedS());
         if (outcome == AttemptOutcome.OK && p.wanted && !p.in && !p.query.ended) {
             p.in = true;
             p.query.in += p.weight;
@@ -211,7 +219,7 @@
             }
         }
         if (!p.wanted && p.out == 0) {
-            parts.remove(id);
+            parts.remove(p.id);
         }
     }
 
@@ -263,7 +271,7 @@
     }
 
     @Override
-    public void onHealthCheckResult(String searcher, AttemptOutcome outcome, double spentS, double[] report) {}
+    public void onHealthCheckResult(HealthCheckResult result) {}
 
     @Override
     public void endBatch() {
--- a/src/main/java/pepperdock/scheduler/Scheduler.java
+++ b/src/main/java/pepperdock/scheduler/Scheduler.java
@@ -2,47 +2,55 @@
 
 import java.util.List;
 
-/** What happens, told in order. Ids of ended queries and parts, and unknown ids, are harmless. */
+/**
+ * Decides which endpoint each part of a query is sent to, and when a query is answered, rejected or failed.
+ *
+ * <p>The caller creates one instance per gatherer with {@link #create}, reports events in the order in which they happen,
+ * and carries out the {@link SchedulerActions} called back. An instance does no I/O, starts no thread and reads no clock:
+ * {@link #beginBatch} states the time. All methods are called on the one thread that owns the gatherer's state. All times
+ * are seconds with fractions, on a clock that only advances. Lists and arrays passed in are kept and must not change.
+ * Ids of queries and parts that have ended, and unknown ids, are ignored.
+ */
 public interface Scheduler {
 
-    /** Makes an instance; {@code seed} is its only source of randomness, {@code actions} is called on its behalf. */
+    /** Creates an instance; {@code seed} is its only source of randomness, {@code actions} receives its decisions. */
     static Scheduler create(SchedulerSettings settings, long seed, SchedulerActions actions) {
         return new AdaptiveScheduler(settings, seed, actions);
     }
 
-    /** Opens a batch: all that follows up to {@link #endBatch} happens at {@code now}. */
+    /** Opens a batch: every event up to {@link #endBatch} happens at {@code now}. */
     void beginBatch(double now);
 
-    /** A list, its changes, or word that a call for one failed (then {@code entries} is empty). */
+    /** An endpoint list, changes of it, or the failure of a call for one; then {@code entries} is empty. */
     void onEndpointList(EndpointListKind kind, List<Endpoint> entries);
 
-    /** A query; its parts follow in the same batch. {@code remainingS}: until the client gives up this try. */
-    void onQuery(long id, int queryClass, int tenant, String key, double remainingS, long queryNo, int parts);
+    /** A query has arrived; its parts follow in the same batch. */
+    void onQuery(QueryArrival query);
 
-    /** A part of query {@code queryNo}; a later batch may bring those of a second step. */
-    void onPart(long id, long queryNo, int shard, double weight);
+    /** A part of a query has arrived. */
+    void onPart(PartArrival part);
 
-    /** An attempt ended; {@code attempt} counts from 0 in order of sending; the report may be null. */
-    void onAttemptResult(long id, int attempt, String searcher, AttemptOutcome outcome, double spentS, double[] report);
+    /** An attempt has ended. */
+    void onAttemptResult(AttemptResult result);
 
-    /** The client of query {@code id} has left. */
+    /** The client of query {@code id} has disconnected. */
     void onQueryCancelled(long id);
 
-    /** Shares reckoned ahead, in use from now on; without them all holders of a shard are alike. */
+    /** Replaces the planned shares of work; without any, all replicas of a shard count alike. */
     void updatePlannedShares(PlannedShares planned);
 
-    /** Other classes and limits, in use for queries from now on; the layout and the rules stay. */
-    void updateSettings(SchedulerSettings now);
+    /** Replaces classes and limits for queries that arrive from now on; the replica layout and the rules stay. */
+    void updateSettings(SchedulerSettings settings);
 
-    /** Whether a searcher is taken for bad, and has not even been tried for as long as trials may be apart. */
-    boolean isAvoided(String searcher);
+    /** Whether an endpoint is ejected and has received no attempt for the longest pause between two trials. */
+    boolean isAvoided(String endpointId);
 
-    /** A timer set by this instance fell due. */
+    /** A timer set by this instance has expired. */
     void onTimer(String token);
 
-    /** A probe ended; the report may be null. */
-    void onHealthCheckResult(String searcher, AttemptOutcome outcome, double spentS, double[] report);
+    /** A health check has ended. */
+    void onHealthCheckResult(HealthCheckResult result);
 
-    /** Closes the batch; decisions that want the whole batch are taken here. */
+    /** Closes the batch; decisions that need the whole batch are taken here. */
     void endBatch();
 }
--- a/src/main/java/pepperdock/simulation/SimulatedFleet.java
+++ b/src/main/java/pepperdock/simulation/SimulatedFleet.java
@@ -19,6 +19,7 @@
 import pepperdock.scheduler.AttemptOutcome;
 import pepperdock.scheduler.EndpointListKind;
 import pepperdock.scheduler.EndpointState;
+import pepperdock.scheduler.LoadReport;
 import pepperdock.scheduler.ProtocolRules;
 import pepperdock.scheduler.QueryClass;
 import pepperdock.scheduler.ReplicaLayout;
@@ -257,7 +258,7 @@
                                             () -> call.forEach(a -> core.onAttemptEnded(
                                                     a,
                                                     outcome,
-                                                    null,
+                                                    LoadReport.NONE,
                                                     outcome == AttemptOutcome.OK ? new byte[1] : null)))));
         }
 
--- a/src/main/java/pepperdock/simulator/SimulatorAdapter.java
+++ b/src/main/java/pepperdock/simulator/SimulatorAdapter.java
@@ -22,9 +22,14 @@
 import pepperdock.config.Keys;
 import pepperdock.config.Site;
 import pepperdock.scheduler.AttemptOutcome;
+import pepperdock.scheduler.AttemptResult;
 import pepperdock.scheduler.Endpoint;
 import pepperdock.scheduler.EndpointListKind;
 import pepperdock.scheduler.EndpointState;
+import pepperdock.scheduler.HealthCheckResult;
+import pepperdock.scheduler.LoadReport;
+import pepperdock.scheduler.PartArrival;
+import pepperdock.scheduler.QueryArrival;
 import pepperdock.scheduler.Scheduler;
 import pepperdock.scheduler.SchedulerSettings;
 
@@ -130,7 +135,8 @@
                 String searcher = line.text("Searcher");
                 AttemptOutcome outcome = outcome();
                 double spent = line.number("SpentS");
-                to.tell(m -> m.onHealthCheckResult(searcher, outcome, spent, line.row("Report")));
+                to.tell(m -> m.onHealthCheckResult(
+                        new HealthCheckResult(searcher, outcome, spent, LoadReport.of(line.row("Report")))));
             }
             case "Aborted" -> {
                 Instance to = instance();
@@ -190,14 +196,14 @@
         int shard = (int) line.integer("Shard");
         double share = line.number("ShareOrCount");
         if (shard >= 0) {
-            to.tell(m -> m.onPart(id, no, shard, share));
+            to.tell(m -> m.onPart(new PartArrival(id, no, shard, share)));
             return;
         }
         int queryClass = (int) line.integer("Profile");
         double remaining = line.number("RemainingS");
         int tenant = line.has("UserGroup") ? (int) line.integer("UserGroup") : 0;
         String key = line.has("Key") ? line.text("Key") : "";
-        to.tell(m -> m.onQuery(id, queryClass, tenant, key, remaining, no, (int) share));
+        to.tell(m -> m.onQuery(new QueryArrival(id, queryClass, tenant, key, remaining, no, (int) share)));
     }
 
     private void attemptEnd(Instance to) {
@@ -206,7 +212,8 @@
         String searcher = line.text("Searcher");
         AttemptOutcome outcome = outcome();
         double spent = line.number("SpentS");
-        to.tell(m -> m.onAttemptResult(id, attempt, searcher, outcome, spent, line.row("Report")));
+        to.tell(m -> m.onAttemptResult(
+                new AttemptResult(id, attempt, searcher, outcome, spent, LoadReport.of(line.row("Report")))));
     }
 
     private AttemptOutcome outcome() {
--- a/src/test/java/pepperdock/benchmark/DataPathTest.java
+++ b/src/test/java/pepperdock/benchmark/DataPathTest.java
@@ -28,6 +28,7 @@
 import pepperdock.platform.WorkerPool;
 import pepperdock.scheduler.AttemptOutcome;
 import pepperdock.scheduler.EndpointListKind;
+import pepperdock.scheduler.LoadReport;
 import pepperdock.transport.HttpServer;
 import pepperdock.transport.Loop;
 
@@ -134,7 +135,7 @@
                                 List<Attempt> rest = done ? call : call.subList(1, call.size());
                                 if (!done) {
                                     done = true;
-                                    core[0].onAttemptEnded(call.get(0), AttemptOutcome.OK, null, VALUE);
+                                    core[0].onAttemptEnded(call.get(0), AttemptOutcome.OK, LoadReport.NONE, VALUE);
                                 }
                                 if (!rest.isEmpty()) {
                                     pool.sendCall(worker, rest);
--- a/src/test/java/pepperdock/core/Bench.java
+++ b/src/test/java/pepperdock/core/Bench.java
@@ -8,6 +8,7 @@
 import pepperdock.scheduler.AttemptOutcome;
 import pepperdock.scheduler.EndpointListKind;
 import pepperdock.scheduler.EndpointState;
+import pepperdock.scheduler.LoadReport;
 
 /** A core between a backend, a discovery and clients that write down what they are told, on a clock moved by hand. */
 final class Bench implements Backend, QueryListener {
@@ -55,7 +56,7 @@
     }
 
     void end(Attempt a, AttemptOutcome outcome) {
-        core.onAttemptEnded(a, outcome, null, outcome == AttemptOutcome.OK ? new byte[] {'v'} : null);
+        core.onAttemptEnded(a, outcome, LoadReport.NONE, outcome == AttemptOutcome.OK ? new byte[] {'v'} : null);
     }
 
     @Override
--- a/src/test/java/pepperdock/platform/EndOnABusyLoopTest.java
+++ b/src/test/java/pepperdock/platform/EndOnABusyLoopTest.java
@@ -31,6 +31,7 @@
 import pepperdock.scheduler.AttemptOutcome;
 import pepperdock.scheduler.EndpointListKind;
 import pepperdock.scheduler.EndpointState;
+import pepperdock.scheduler.LoadReport;
 import pepperdock.transport.Connection;
 import pepperdock.transport.HttpServer;
 import pepperdock.transport.Loop;
@@ -143,7 +144,7 @@
                 while (loop.now() < due) {
                     Thread.onSpinWait();
                 }
-                core.onAttemptEnded(first, AttemptOutcome.CONNECT_FAILED, null, null);
+                core.onAttemptEnded(first, AttemptOutcome.CONNECT_FAILED, LoadReport.NONE, null);
                 loop.execute(() -> inHand.add(core.inFlightQueries()));
             });
             Integer left = inHand.poll(30, TimeUnit.SECONDS);
--- a/src/test/java/pepperdock/scheduler/AdaptiveSchedulerTest.java
+++ b/src/test/java/pepperdock/scheduler/AdaptiveSchedulerTest.java
@@ -106,7 +106,7 @@
         scene.did.clear();
         scene.at(scene.now + 0.1);
         // The part served raises the ceiling over 16: one waits behind, two are out: ceil(16.1 / (1 + 1 + 1.5)) = 5.
-        scene.module.onAttemptResult(101, 0, "a", AttemptOutcome.OK, 0.1, null);
+        scene.module.onAttemptResult(new AttemptResult(101, 0, "a", AttemptOutcome.OK, 0.1, LoadReport.NONE));
         scene.module.endBatch();
         assertEquals(List.of(301L, 302L, 303L, 304L, 305L), scene.did.sentParts());
     }
@@ -119,7 +119,7 @@
         scene.module.endBatch();
         scene.did.clear();
         scene.at(scene.now + 0.1);
-        scene.module.onAttemptResult(101, 0, "a", AttemptOutcome.OK, 0.1, null);
+        scene.module.onAttemptResult(new AttemptResult(101, 0, "a", AttemptOutcome.OK, 0.1, LoadReport.NONE));
         scene.module.endBatch();
         assertEquals(7, scene.did.sends.size());
     }
@@ -132,7 +132,7 @@
         scene.module.endBatch();
         scene.did.clear();
         scene.at(scene.now + 0.1);
-        scene.module.onAttemptResult(101, 0, "a", AttemptOutcome.OK, 0.1, null);
+        scene.module.onAttemptResult(new AttemptResult(101, 0, "a", AttemptOutcome.OK, 0.1, LoadReport.NONE));
         scene.module.endBatch();
         assertEquals(SchedulerFixture.parts(3, 8), scene.did.sentParts());
     }
@@ -167,8 +167,8 @@
         scene.module.onQueryCancelled(1);
         scene.module.onQueryCancelled(77);
         scene.end(100, 0, AttemptOutcome.OK, 0.1);
-        scene.module.onAttemptResult(4242, 3, "z", AttemptOutcome.OK, 0.1, null);
-        scene.module.onPart(4243, 999, 0, 1);
+        scene.module.onAttemptResult(new AttemptResult(4242, 3, "z", AttemptOutcome.OK, 0.1, LoadReport.NONE));
+        scene.module.onPart(new PartArrival(4243, 999, 0, 1));
         scene.query(5, 6);
         scene.module.endBatch();
         scene.sweep(107);
@@ -583,8 +583,8 @@
             assertEquals(List.of("answer 1 " + firstWhole), scene.did.endings(1));
             scene.did.clear();
             scene.at(scene.now + 0.005);
-            scene.module.onPart(150, scene.lastNo, 0, 0.5);
-            scene.module.onPart(151, scene.lastNo, 1, 0.5);
+            scene.module.onPart(new PartArrival(150, scene.lastNo, 0, 0.5));
+            scene.module.onPart(new PartArrival(151, scene.lastNo, 1, 0.5));
             scene.module.endBatch();
             assertEquals(List.of(150L, 151L), scene.did.sentParts());
             scene.at(scene.now + 0.01);
@@ -721,7 +721,8 @@
             List<RecordingActions.Sent> sent = List.copyOf(scene.did.sends.subList(before, scene.did.sends.size()));
             scene.at(scene.now + 0.1);
             for (RecordingActions.Sent s : sent) {
-                scene.module.onAttemptResult(s.part(), 0, s.searcher(), AttemptOutcome.RESET, 0.1, null);
+                scene.module.onAttemptResult(
+                        new AttemptResult(s.part(), 0, s.searcher(), AttemptOutcome.RESET, 0.1, LoadReport.NONE));
             }
             scene.module.onQueryCancelled(id);
             scene.module.endBatch();
@@ -900,13 +901,14 @@
         scene.at(scene.now + 0.15);
         sent.stream()
                 .filter(s -> !silent.contains(s.searcher()))
-                .forEach(s -> scene.module.onAttemptResult(s.part(), 0, s.searcher(), AttemptOutcome.OK, 0.15, null));
+                .forEach(s -> scene.module.onAttemptResult(
+                        new AttemptResult(s.part(), 0, s.searcher(), AttemptOutcome.OK, 0.15, LoadReport.NONE)));
         scene.module.endBatch();
         scene.sweep(scene.now + 1.9);
         sent.stream()
                 .filter(s -> silent.contains(s.searcher()))
-                .forEach(s ->
-                        scene.module.onAttemptResult(s.part(), 0, s.searcher(), AttemptOutcome.CANCELLED, 2, null));
+                .forEach(s -> scene.module.onAttemptResult(
+                        new AttemptResult(s.part(), 0, s.searcher(), AttemptOutcome.CANCELLED, 2, LoadReport.NONE)));
         scene.module.endBatch();
         scene.sweep(scene.now + 4);
     }
@@ -946,11 +948,12 @@
         SchedulerFixture scene = askedOften(8);
         List<RecordingActions.Sent> sent = List.copyOf(scene.did.sends);
         scene.at(scene.now + 0.25);
-        scene.module.onAttemptResult(
-                sent.get(0).part(), 0, sent.get(0).searcher(), AttemptOutcome.CONNECT_FAILED, 0.25, null);
+        scene.module.onAttemptResult(new AttemptResult(
+                sent.get(0).part(), 0, sent.get(0).searcher(), AttemptOutcome.CONNECT_FAILED, 0.25, LoadReport.NONE));
         sent.stream()
                 .skip(1)
-                .forEach(s -> scene.module.onAttemptResult(s.part(), 0, s.searcher(), AttemptOutcome.OK, 0.25, null));
+                .forEach(s -> scene.module.onAttemptResult(
+                        new AttemptResult(s.part(), 0, s.searcher(), AttemptOutcome.OK, 0.25, LoadReport.NONE)));
         scene.module.onQueryCancelled(7);
         scene.module.endBatch();
         scene.sweep(scene.now + 5);
--- a/src/test/java/pepperdock/scheduler/LargeFleetTest.java
+++ b/src/test/java/pepperdock/scheduler/LargeFleetTest.java
@@ -22,7 +22,8 @@
         scene.at(start + 0.15);
         for (RecordingActions.Sent s : sent) {
             if (!List.of(late).contains(s.searcher())) {
-                scene.module.onAttemptResult(s.part(), 0, s.searcher(), AttemptOutcome.OK, 0.15, null);
+                scene.module.onAttemptResult(
+                        new AttemptResult(s.part(), 0, s.searcher(), AttemptOutcome.OK, 0.15, LoadReport.NONE));
             }
         }
         scene.module.endBatch();
@@ -30,7 +31,8 @@
         scene.at(start + lateS + 0.005);
         for (RecordingActions.Sent s : sent) {
             if (List.of(late).contains(s.searcher())) {
-                scene.module.onAttemptResult(s.part(), 0, s.searcher(), AttemptOutcome.OK, lateS, null);
+                scene.module.onAttemptResult(
+                        new AttemptResult(s.part(), 0, s.searcher(), AttemptOutcome.OK, lateS, LoadReport.NONE));
             }
         }
         scene.module.onQueryCancelled(id);
@@ -101,7 +103,8 @@
             scene.at(scene.now + 0.1);
             for (RecordingActions.Sent s : List.copyOf(scene.did.sends.subList(n, scene.did.sends.size()))) {
                 if (!s.searcher().equals(before)) {
-                    scene.module.onAttemptResult(s.part(), 0, s.searcher(), AttemptOutcome.OK, 0.1, null);
+                    scene.module.onAttemptResult(
+                            new AttemptResult(s.part(), 0, s.searcher(), AttemptOutcome.OK, 0.1, LoadReport.NONE));
                 }
             }
             scene.module.onQueryCancelled(10 + i);
@@ -125,8 +128,13 @@
         scene.at(100.1);
         for (RecordingActions.Sent s : sent) {
             boolean sound = Integer.parseInt(s.searcher().substring(1)) >= 10;
-            scene.module.onAttemptResult(
-                    s.part(), 0, s.searcher(), sound ? AttemptOutcome.OK : AttemptOutcome.CONNECT_FAILED, 0.1, null);
+            scene.module.onAttemptResult(new AttemptResult(
+                    s.part(),
+                    0,
+                    s.searcher(),
+                    sound ? AttemptOutcome.OK : AttemptOutcome.CONNECT_FAILED,
+                    0.1,
+                    LoadReport.NONE));
         }
         scene.module.onQueryCancelled(1);
         scene.module.endBatch();
--- a/src/test/java/pepperdock/scheduler/SchedulerFixture.java
+++ b/src/test/java/pepperdock/scheduler/SchedulerFixture.java
@@ -85,9 +85,9 @@
     /** A query with parts {@code id * 100 + i} at shard i, of the given weights; the batch stays open. */
     void query(long id, double remainingS, double... weights) {
         long no = nextNo++;
-        module.onQuery(id, 0, tenant, "", remainingS, no, weights.length);
+        module.onQuery(new QueryArrival(id, 0, tenant, "", remainingS, no, weights.length));
         for (int i = 0; i < weights.length; i++) {
-            module.onPart(id * 100 + i, no, i % shards, weights[i]);
+            module.onPart(new PartArrival(id * 100 + i, no, i % shards, weights[i]));
         }
         lastNo = no;
     }
@@ -101,7 +101,7 @@
                 .findFirst()
                 .map(RecordingActions.Sent::searcher)
                 .orElse("none");
-        module.onAttemptResult(part, attempt, searcher, outcome, spentS, null);
+        module.onAttemptResult(new AttemptResult(part, attempt, searcher, outcome, spentS, LoadReport.NONE));
     }
 
     /** Lets time pass in sweeps until {@code until}. */
--- a/src/test/java/pepperdock/simulation/ColdFleet.java
+++ b/src/test/java/pepperdock/simulation/ColdFleet.java
@@ -10,10 +10,14 @@
 import java.util.TreeSet;
 import pepperdock.core.ManualClock;
 import pepperdock.scheduler.AttemptOutcome;
+import pepperdock.scheduler.AttemptResult;
 import pepperdock.scheduler.Endpoint;
 import pepperdock.scheduler.EndpointListKind;
 import pepperdock.scheduler.EndpointState;
+import pepperdock.scheduler.LoadReport;
+import pepperdock.scheduler.PartArrival;
 import pepperdock.scheduler.ProtocolRules;
+import pepperdock.scheduler.QueryArrival;
 import pepperdock.scheduler.QueryClass;
 import pepperdock.scheduler.ReplicaLayout;
 import pepperdock.scheduler.RetrySafety;
@@ -327,10 +331,11 @@
             int count = day.parts()[queryClass];
             turn(() -> {
                 double deadlineS = settings().classes().get(queryClass).deadlineS();
-                module.onQuery(id, queryClass, -1, "", deadlineS, id, count);
+                module.onQuery(new QueryArrival(id, queryClass, -1, "", deadlineS, id, count));
                 for (int p = 0; p < count; p++) {
                     pieces.put(id + p, new Piece(queryClass));
-                    module.onPart(id + p, id, (first + p) % (SHARDS_A_CELL * day.workers()), 1.0 / count);
+                    module.onPart(
+                            new PartArrival(id + p, id, (first + p) % (SHARDS_A_CELL * day.workers()), 1.0 / count));
                 }
             });
         }
@@ -363,8 +368,13 @@
                     arrival,
                     outcome -> clock.after(
                             DELAY_S,
-                            () -> turn(() -> module.onAttemptResult(
-                                    sent.part, sent.no, sent.worker, outcome, clock.now() - sent.at, null))));
+                            () -> turn(() -> module.onAttemptResult(new AttemptResult(
+                                    sent.part,
+                                    sent.no,
+                                    sent.worker,
+                                    outcome,
+                                    clock.now() - sent.at,
+                                    LoadReport.NONE)))));
         }
 
         @Override
