--- a/src/main/java/pepperdock/faultinjection/package-info.java
+++ b/src/main/java/pepperdock/faultinjection/package-info.java
@@ -8,6 +8,6 @@
  * {@code Children} the processes, {@code Rig} runs them. Everything is on 127.0.0.0/8, bounded in number and in time.
  *
  * <p>To add a fault: a name in {@code ActReader} and, on links, an effect in {@code LinkFaults}. To add an event: one call
- * of {@link pepperdock.events.Scheduler} in the program. To add a checker: a class, and its name in {@code Checkers}.
+ * of {@link pepperdock.events.Events} in the program. To add a checker: a class, and its name in {@code Checkers}.
  */
 package pepperdock.faultinjection;
--- a/src/main/java/pepperdock/membership/Membership.java
+++ b/src/main/java/pepperdock/membership/Membership.java
@@ -24,7 +24,7 @@
  * sockets, no threads, and chance only from the seed: the same inputs give the same outputs.
  *
  * <p>The caller hands every datagram to {@link #received}, what comes on streams to {@link #exchanged}, the time to
- * {@link #tick} every {@link SchedulerSettings#tickS} or as soon after as it can, and carries out what {@link #taken} returns after
+ * {@link #tick} every {@link Settings#tickS} or as soon after as it can, and carries out what {@link #taken} returns after
  * each of these. Times are seconds of any clock that never goes back. All calls come from one thread.
  *
  * <p>Promised: changes are told once each and in the order of their numbers; a member's incarnation never goes back; a member
--- a/src/main/java/pepperdock/membership/Message.java
+++ b/src/main/java/pepperdock/membership/Message.java
@@ -4,7 +4,7 @@
 import java.util.Map;
 
 /**
- * What members say to each other. Datagrams: {@link Ping}, {@link Ack}, {@link Other}, {@link QueryRequest}, {@link Told},
+ * What members say to each other. Datagrams: {@link Ping}, {@link Ack}, {@link Other}, {@link Ask}, {@link Told},
  * {@link Join}, {@link Welcome}. On streams: {@link Summary} and {@link Slices} where the table is large, {@link Digest},
  * {@link Reply}, {@link Rest}, one after the other, and the end. Any of them may come late, twice, out of order, or never.
  */
