--- a/src/test/java/pepperdock/platform/WorkerPoolTest.java
+++ b/src/test/java/pepperdock/platform/WorkerPoolTest.java
@@ -23,6 +23,7 @@
 import pepperdock.core.Query;
 import pepperdock.core.QueryListener;
 import pepperdock.core.QueryRequest;
+import pepperdock.core.QueryRequest.RequestedPart;
 import pepperdock.core.WorkerEndpoint;
 import pepperdock.scheduler.AttemptOutcome;
 import pepperdock.scheduler.EndpointListKind;
@@ -65,13 +66,7 @@
             core.onEndpointList(EndpointListKind.COMPLETE, List.of(host(EndpointState.HEALTHY)));
             core.submit(
                     new QueryRequest(
-                            "q",
-                            queryClass,
-                            "k",
-                            30,
-                            List.of(new QueryRequest.RequestedPart(0, 1)),
-                            new byte[] {'t'},
-                            null),
+                            "q", queryClass, "k", 30, List.of(new RequestedPart(0, 1)), new byte[] {'t'}, null),
                     new QueryListener() {
                         @Override
                         public void onAnswer(Query q, boolean whole) {
@@ -214,8 +209,7 @@
             workers.start(gatherer);
             own.execute(() -> gatherer.onEndpointList(EndpointListKind.COMPLETE, List.of(host(EndpointState.HEALTHY))));
             java.util.function.Consumer<String> take = id -> own.execute(() -> gatherer.submit(
-                    new QueryRequest(
-                            id, 2, "k", 30, List.of(new QueryRequest.RequestedPart(0, 1)), new byte[] {'t'}, null),
+                    new QueryRequest(id, 2, "k", 30, List.of(new RequestedPart(0, 1)), new byte[] {'t'}, null),
                     NOBODY));
             take.accept("first");
             try (Socket silent = server.accept()) {
@@ -276,8 +270,8 @@
             WorkerPool workers = new WorkerPool(own, site);
             Gatherer gatherer = new Gatherer(site.module(), 3, own, workers, () -> {});
             workers.start(gatherer);
-            java.util.function.BiFunction<String, byte[], QueryRequest> ask = (id, text) ->
-                    new QueryRequest(id, 2, "k", 30, List.of(new QueryRequest.RequestedPart(0, 1)), text, null);
+            java.util.function.BiFunction<String, byte[], QueryRequest> ask =
+                    (id, text) -> new QueryRequest(id, 2, "k", 30, List.of(new RequestedPart(0, 1)), text, null);
             own.execute(() -> {
                 gatherer.onEndpointList(EndpointListKind.COMPLETE, List.of(host(EndpointState.HEALTHY)));
                 gatherer.submit(ask.apply("big", new byte[BIG]), NOBODY);
@@ -320,8 +314,8 @@
     void anIdThatIsUsedAgainGoesOnAConnectionThatOwesItNothing() throws Exception {
         server.setSoTimeout(30_000);
         BlockingQueue<Query> taken = new LinkedBlockingQueue<>();
-        java.util.function.Consumer<byte[]> take = text -> loop.execute(() -> taken.add(core.submit(
-                new QueryRequest("q", 0, "", 30, List.of(new QueryRequest.RequestedPart(0, 1)), text, null), NOBODY)));
+        java.util.function.Consumer<byte[]> take = text -> loop.execute(() -> taken.add(
+                core.submit(new QueryRequest("q", 0, "", 30, List.of(new RequestedPart(0, 1)), text, null), NOBODY)));
         loop.execute(() -> core.onEndpointList(EndpointListKind.COMPLETE, List.of(host(EndpointState.HEALTHY))));
         take.accept(new byte[] {'a'});
         try (Socket old = server.accept()) {
@@ -359,8 +353,7 @@
             workers.start(gatherer);
             BlockingQueue<Query> taken = new LinkedBlockingQueue<>();
             java.util.function.Consumer<byte[]> take = text -> own.execute(() -> taken.add(gatherer.submit(
-                    new QueryRequest(
-                            "q" + text.length, 2, "k", 30, List.of(new QueryRequest.RequestedPart(0, 1)), text, null),
+                    new QueryRequest("q" + text.length, 2, "k", 30, List.of(new RequestedPart(0, 1)), text, null),
                     NOBODY)));
             own.execute(() -> gatherer.onEndpointList(EndpointListKind.COMPLETE, List.of(host(EndpointState.HEALTHY))));
             take.accept(new byte[BIG]);
@@ -409,8 +402,7 @@
             workers.start(gatherer);
             BlockingQueue<Query> taken = new LinkedBlockingQueue<>();
             java.util.function.Consumer<String> take = id -> own.execute(() -> taken.add(gatherer.submit(
-                    new QueryRequest(
-                            id, 0, "", 600, List.of(new QueryRequest.RequestedPart(0, 1)), new byte[] {'t'}, null),
+                    new QueryRequest(id, 0, "", 600, List.of(new RequestedPart(0, 1)), new byte[] {'t'}, null),
                     NOBODY)));
             own.execute(() -> gatherer.onEndpointList(EndpointListKind.COMPLETE, List.of(host(EndpointState.HEALTHY))));
             take.accept("left");
@@ -455,8 +447,7 @@
             own.execute(() -> {
                 gatherer.onEndpointList(EndpointListKind.COMPLETE, List.of(host(EndpointState.HEALTHY)));
                 gatherer.submit(
-                        new QueryRequest(
-                                "q", 0, "", 600, List.of(new QueryRequest.RequestedPart(0, 1)), new byte[] {'t'}, null),
+                        new QueryRequest("q", 0, "", 600, List.of(new RequestedPart(0, 1)), new byte[] {'t'}, null),
                         NOBODY);
             });
             try (Socket s = server.accept()) {
@@ -483,8 +474,7 @@
         loop.execute(() -> {
             core.onEndpointList(EndpointListKind.COMPLETE, List.of(host(EndpointState.HEALTHY)));
             taken.complete(core.submit(
-                    new QueryRequest(
-                            "q", 0, "", 30, List.of(new QueryRequest.RequestedPart(0, 1)), new byte[] {'t'}, null),
+                    new QueryRequest("q", 0, "", 30, List.of(new RequestedPart(0, 1)), new byte[] {'t'}, null),
                     NOBODY));
         });
         server.setSoTimeout(30_000);
