--- a/src/main/java/pepperdock/cli/Cli.java
+++ b/src/main/java/pepperdock/cli/Cli.java
@@ -33,14 +33,11 @@
         exitCodeListHeading = "Exit status:%n",
         exitCodeList = {"0:done", "1:failed", "2:faulty input or usage", "3:no solution"},
         synopsisSubcommandLabel = "COMMAND")
-public final class Cli implements Runnable {
+public final class Cli extends CommandGroup {
 
     static final int FAULTY = 2;
     static final int NO_SOLUTION = 3;
 
-    @Spec
-    private CommandSpec spec;
-
     /** What {@code Main} starts itself, without arguments, before any class of this package is loaded; here for the help. */
     private static final String[][] PROGRAMS = {
         {"serve", "Be one gatherer, by the file that EDGE_CONFIG names."},
@@ -77,11 +74,6 @@
                 .execute(args);
     }
 
-    @Override
-    public void run() {
-        throw new CommandLine.ParameterException(spec.commandLine(), "a command is missing");
-    }
-
     /** The version that the build wrote into the jar. */
     static final class Version implements CommandLine.IVersionProvider {
         @Override
@@ -98,15 +90,7 @@
             versionProvider = Version.class,
             description = "Look at configuration files.",
             subcommands = ConfigCommand.Check.class)
-    static final class ConfigCommand implements Runnable {
-
-        @Spec
-        private CommandSpec spec;
-
-        @Override
-        public void run() {
-            throw new CommandLine.ParameterException(spec.commandLine(), "a command is missing");
-        }
+    static final class ConfigCommand extends CommandGroup {
 
         /** Reads a file as {@code serve} would. */
         @Command(
--- a/src/main/java/pepperdock/cli/LabCommand.java
+++ b/src/main/java/pepperdock/cli/LabCommand.java
@@ -17,7 +17,6 @@
 import pepperdock.faultinjection.Report;
 import pepperdock.faultinjection.Rig;
 import pepperdock.faultinjection.Seeds;
-import picocli.CommandLine;
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Model.CommandSpec;
 import picocli.CommandLine.Option;
@@ -37,7 +36,7 @@
             ExploreCommand.class,
             ScaleCommand.class
         })
-final class LabCommand implements Runnable {
+final class LabCommand extends CommandGroup {
 
     /** What a run's exit status says where it does not count: the machine was late, not the program. */
     static final int NOT_COUNTED = 4;
@@ -45,14 +44,6 @@
     private static final List<String> MEMBER =
             List.of("-Xmx56m", "-Xss512k", "-XX:+UseSerialGC", "-XX:TieredStopAtLevel=1");
 
-    @Spec
-    private CommandSpec spec;
-
-    @Override
-    public void run() {
-        throw new CommandLine.ParameterException(spec.commandLine(), "a command is missing");
-    }
-
     private static int tell(PrintWriter out, Outcome outcome, Path history) throws IOException {
         Report.text(history, outcome).forEach(out::println);
         out.println(outcome.verdict());
--- a/src/main/java/pepperdock/cli/ScaleCommand.java
+++ b/src/main/java/pepperdock/cli/ScaleCommand.java
@@ -11,6 +11,7 @@
 import pepperdock.benchmark.Results;
 import picocli.CommandLine;
 import picocli.CommandLine.Command;
+import picocli.CommandLine.Mixin;
 import picocli.CommandLine.Model.CommandSpec;
 import picocli.CommandLine.Option;
 import picocli.CommandLine.Parameters;
@@ -28,16 +29,7 @@
             ScaleConfigCommand.class,
             ScaleStreamsCommand.class
         })
-final class ScaleCommand implements Runnable {
-
-    @Spec
-    private CommandSpec spec;
-
-    @Override
-    public void run() {
-        throw new CommandLine.ParameterException(spec.commandLine(), "a command is missing");
-    }
-
+final class ScaleCommand extends CommandGroup {
     /** Of the gatherer's data path. */
     @Command(
             name = "data",
@@ -50,13 +42,8 @@
         @Parameters(paramLabel = "WHAT", description = "One of ${COMPLETION-CANDIDATES}.")
         private DataPath.What what;
 
-        @Option(
-                names = "--workers",
-                split = ",",
-                paramLabel = "N",
-                defaultValue = "100,300,1000,3700",
-                description = "Default: ${DEFAULT-VALUE}")
-        private List<Integer> workers;
+        @Mixin
+        private WorkerCountsOption workerCounts;
 
         @Option(
                 names = "--fan-outs",
@@ -158,7 +145,7 @@
             Files.createDirectories(folder);
             DataPath.Plan plan = new DataPath.Plan(
                     what,
-                    workers,
+                    workerCounts.workers(),
                     fanOuts,
                     partsPerSecond,
                     holders,
--- a/src/main/java/pepperdock/cli/ScaleConfigCommand.java
+++ b/src/main/java/pepperdock/cli/ScaleConfigCommand.java
@@ -15,6 +15,7 @@
 import pepperdock.simulation.distribution.Simulation;
 import picocli.CommandLine;
 import picocli.CommandLine.Command;
+import picocli.CommandLine.Mixin;
 import picocli.CommandLine.Model.CommandSpec;
 import picocli.CommandLine.Option;
 import picocli.CommandLine.Spec;
@@ -66,12 +67,8 @@
             description = "For how long a region is cut off. Default: ${DEFAULT-VALUE}")
     private long cutSeconds;
 
-    @Option(
-            names = "--bytes",
-            paramLabel = "N",
-            defaultValue = "40000",
-            description = "Of the configuration, about. Default: ${DEFAULT-VALUE}")
-    private int bytes;
+    @Mixin
+    private ConfigurationSizeOption configurationSize;
 
     @Option(names = "--json", description = "A line of JSON for each row.")
     private boolean json;
@@ -109,7 +106,7 @@
     private void check() {
         boolean some = seeds >= 1
                 && cutSeconds >= 1
-                && bytes >= 1
+                && configurationSize.bytes() >= 1
                 && gatherers.stream().allMatch(n -> n >= 1);
         if (!some) {
             throw new CommandLine.ParameterException(
@@ -124,7 +121,7 @@
         for (long seed = from; seed < from + seeds; seed++) {
             Setup setup = Setup.of(hardCase, count, seed)
                     .withLongCut(cutSeconds * SECOND_MILLIS)
-                    .withConfigurationBytes(bytes);
+                    .withConfigurationBytes(configurationSize.bytes());
             Result result = new Simulation(setup).run();
             figures.add(result.figures());
             found += result.findings().size();
--- a/src/main/java/pepperdock/cli/ScaleListCommand.java
+++ b/src/main/java/pepperdock/cli/ScaleListCommand.java
@@ -1,10 +1,10 @@
 package pepperdock.cli;
 
 import java.io.PrintWriter;
-import java.util.List;
 import java.util.concurrent.Callable;
 import pepperdock.benchmark.NodeListCost;
 import picocli.CommandLine.Command;
+import picocli.CommandLine.Mixin;
 import picocli.CommandLine.Model.CommandSpec;
 import picocli.CommandLine.Option;
 import picocli.CommandLine.Spec;
@@ -19,13 +19,8 @@
                         + " line of JSON each.")
 final class ScaleListCommand implements Callable<Integer> {
 
-    @Option(
-            names = "--workers",
-            split = ",",
-            paramLabel = "N",
-            defaultValue = "100,300,1000,3700",
-            description = "Default: ${DEFAULT-VALUE}")
-    private List<Integer> workers;
+    @Mixin
+    private WorkerCountsOption workerCounts;
 
     @Option(names = "--rounds", paramLabel = "N", defaultValue = "200", description = "Default: ${DEFAULT-VALUE}")
     private int rounds;
@@ -36,7 +31,7 @@
     @Override
     public Integer call() {
         PrintWriter out = spec.commandLine().getOut();
-        NodeListCost.run(workers, rounds, out::println);
+        NodeListCost.run(workerCounts.workers(), rounds, out::println);
         return 0;
     }
 }
--- a/src/main/java/pepperdock/cli/ScaleStreamsCommand.java
+++ b/src/main/java/pepperdock/cli/ScaleStreamsCommand.java
@@ -9,6 +9,7 @@
 import pepperdock.simulation.distribution.Streams;
 import picocli.CommandLine;
 import picocli.CommandLine.Command;
+import picocli.CommandLine.Mixin;
 import picocli.CommandLine.Model.CommandSpec;
 import picocli.CommandLine.Option;
 import picocli.CommandLine.Spec;
@@ -38,19 +39,15 @@
             description = "Idle, and as many with a change each second. Default: ${DEFAULT-VALUE}")
     private int seconds;
 
-    @Option(
-            names = "--bytes",
-            paramLabel = "N",
-            defaultValue = "40000",
-            description = "Of the configuration, about. Default: ${DEFAULT-VALUE}")
-    private int bytes;
+    @Mixin
+    private ConfigurationSizeOption configurationSize;
 
     @Spec
     private CommandSpec spec;
 
     @Override
     public Integer call() throws IOException, InterruptedException {
-        if (seconds < 1 || bytes < 1 || subscribers.stream().anyMatch(n -> n < 1)) {
+        if (seconds < 1 || configurationSize.bytes() < 1 || subscribers.stream().anyMatch(n -> n < 1)) {
             throw new CommandLine.ParameterException(
                     spec.commandLine(), "--subscribers, --seconds and --bytes are to be 1 or more");
         }
@@ -59,7 +56,7 @@
                 + " changing | busiest control machine: idle, changing | bytes a second of a subscriber: idle, changing"
                 + " | a change at all, ms: median, worst");
         for (int count : subscribers) {
-            StreamFigures f = Streams.measure(count, bytes, seconds);
+            StreamFigures f = Streams.measure(count, configurationSize.bytes(), seconds);
             out.println(String.format(
                     Locale.ROOT,
                     "%d | %d | %d | %.4f %.4f | %.3f %.3f | %d %d | %d %d",
--- /dev/null
+++ b/src/main/java/pepperdock/opensearch/PartFailures.java
@@ -0,0 +1,37 @@
+package pepperdock.opensearch;
+
+import pepperdock.core.Part;
+import pepperdock.opensearch.Replies.Missing;
+import pepperdock.scheduler.AttemptOutcome;
+
+/** Maps parts without an answer to the shard failures of the API's {@code _shards} object. */
+final class PartFailures {
+
+    private PartFailures() {}
+
+    /** Whether a part was sent and got no answer in time. */
+    static boolean timedOut(Part part) {
+        AttemptOutcome last = part.lastOutcome();
+        return part.isSent() && (last == null || last == AttemptOutcome.TIMEOUT || last == AttemptOutcome.CANCELLED);
+    }
+
+    /** The shard failure that stands for a part without an answer. */
+    static Missing of(Part part) {
+        if (!part.isSent()) {
+            return new Missing(part.shard(), "rejected_execution_exception", "left out under load");
+        }
+        if (timedOut(part)) {
+            return new Missing(part.shard(), "timeout_exception", "no answer in time");
+        }
+        return new Missing(part.shard(), "shard_failed_exception", "ended as " + outcomeName(part.lastOutcome()));
+    }
+
+    /** The name of an outcome in the API's failure reasons, which is part of the interface. */
+    private static String outcomeName(AttemptOutcome outcome) {
+        return switch (outcome) {
+            case OVERLOADED -> "FULL";
+            case NOT_SENT -> "MOOT";
+            default -> outcome.name();
+        };
+    }
+}
--- a/src/main/java/pepperdock/opensearch/SearchWorker.java
+++ b/src/main/java/pepperdock/opensearch/SearchWorker.java
@@ -2,7 +2,6 @@
 
 import com.google.gson.JsonObject;
 import com.google.gson.JsonParser;
-import java.net.URLEncoder;
 import java.nio.charset.StandardCharsets;
 import java.util.ArrayDeque;
 import java.util.ArrayList;
@@ -10,7 +9,6 @@
 import java.util.function.BooleanSupplier;
 import java.util.function.Consumer;
 import pepperdock.codec.http.HttpMessage;
-import pepperdock.codec.http.HttpWriter;
 import pepperdock.config.Config;
 import pepperdock.config.ConfigException;
 import pepperdock.config.OpenSearchConfig;
@@ -33,7 +31,6 @@
     private static final double FREE_S = 5;
 
     private static final double PROBE_S = 0.25;
-    private static final String JSON = "Content-Type: application/json\r\n";
 
     /** A request that waits for a connection; {@code wanted} is asked again just before it is sent. */
     private record Waiting(
@@ -56,6 +53,7 @@
 
     private final String id;
     private final String dial;
+    private final WorkerRequests requests;
     private final Loop loop;
     private final Site site;
     private final OpenSearchConfig config;
@@ -75,6 +73,7 @@
             LogRateLimiter notes) {
         this.id = id;
         this.dial = dial;
+        requests = new WorkerRequests(dial);
         this.loop = loop;
         this.site = site;
         this.config = config;
@@ -132,7 +131,7 @@
     }
 
     private void send(Attempt a) {
-        byte[] request = request(a);
+        byte[] request = requests.search(a, loop.now());
         ask(request, a.deadline(), true, () -> !core.retainStartable(List.of(a)).isEmpty(), a, new HttpClient.Then() {
             @Override
             public void response(HttpMessage m) {
@@ -193,45 +192,6 @@
         }
     }
 
-    private byte[] request(Attempt a) {
-        var ask = a.part().query().request();
-        int shard = a.part().shard();
-        long ms = Math.max(1, (long) ((a.deadline() - loop.now()) * 1e3));
-        String mark = "X-Opaque-Id: " + ask.id() + '.' + shard + "\r\n" + JSON;
-        if (!(ask.frontContext() instanceof SearchRequest r)) {
-            JsonObject words = new JsonObject();
-            words.addProperty("query", new String(ask.body(), StandardCharsets.UTF_8));
-            JsonObject query = new JsonObject();
-            query.add("query_string", words);
-            JsonObject body = new JsonObject();
-            body.add("query", query);
-            return post(
-                    "/" + encode(a.part().query().className()) + "/_search?preference=_shards:" + shard + "&timeout="
-                            + ms + "ms",
-                    mark,
-                    body);
-        }
-        if (r.update()) {
-            return post(
-                    "/" + r.index() + "/_update/" + encode(r.docId()) + "?routing=" + shard + "&timeout=" + ms + "ms",
-                    mark + (ask.idempotencyKey().isEmpty() ? "" : "Idempotency-Key: " + ask.idempotencyKey() + "\r\n"),
-                    r.body());
-        }
-        return post(
-                "/" + r.index() + "/_search?preference=_shards:" + shard + "&timeout=" + ms + "ms"
-                        + (r.scroll() ? "&scroll=" + (long) Math.ceil(r.scrollS()) + "s" : ""),
-                mark,
-                r.body());
-    }
-
-    private byte[] post(String target, String extra, JsonObject body) {
-        return HttpWriter.request("POST", target, dial, extra, body.toString().getBytes(StandardCharsets.UTF_8));
-    }
-
-    private static String encode(String text) {
-        return URLEncoder.encode(text, StandardCharsets.UTF_8).replace("+", "%20");
-    }
-
     /**
      * Ceases to wait. Closing the connection is how this API cancels a search; one that opens a scroll is let finish
      * instead, as only its answer names the context that has to be freed.
@@ -258,10 +218,7 @@
             double timeoutS,
             BooleanSupplier wanted,
             Consumer<ShardAnswer> then) {
-        JsonObject body = new JsonObject();
-        body.addProperty("scroll", (long) Math.ceil(keepS) + "s");
-        body.addProperty("scroll_id", scrollId);
-        ask(post("/_search/scroll", JSON, body), loop.now() + timeoutS, true, wanted, null, new HttpClient.Then() {
+        ask(requests.nextPage(scrollId, keepS), loop.now() + timeoutS, true, wanted, null, new HttpClient.Then() {
             @Override
             public void response(HttpMessage m) {
                 ShardAnswer page = null;
@@ -281,11 +238,7 @@
     }
 
     void free(String scrollId) {
-        JsonObject body = new JsonObject();
-        body.addProperty("scroll_id", scrollId);
-        byte[] request = HttpWriter.request(
-                "DELETE", "/_search/scroll", dial, JSON, body.toString().getBytes(StandardCharsets.UTF_8));
-        ask(request, loop.now() + FREE_S, false, () -> true, null, new HttpClient.Then() {
+        ask(requests.freeScroll(scrollId), loop.now() + FREE_S, false, () -> true, null, new HttpClient.Then() {
             @Override
             public void response(HttpMessage m) {}
 
@@ -301,27 +254,21 @@
     @Override
     public void checkHealth() {
         double at = loop.now();
-        ask(
-                HttpWriter.request("GET", "/", dial, "", new byte[0]),
-                at + PROBE_S,
-                true,
-                () -> true,
-                null,
-                new HttpClient.Then() {
-                    @Override
-                    public void response(HttpMessage m) {
-                        core.onHealthCheckEnded(
-                                id,
-                                m.status() == 200 ? AttemptOutcome.OK : AttemptOutcome.ERROR,
-                                loop.now() - at,
-                                LoadReport.NONE);
-                    }
-
-                    @Override
-                    public void failed(HttpClient.Failure why) {
-                        core.onHealthCheckEnded(id, AttemptOutcome.TIMEOUT, loop.now() - at, LoadReport.NONE);
-                    }
-                });
+        ask(requests.healthCheck(), at + PROBE_S, true, () -> true, null, new HttpClient.Then() {
+            @Override
+            public void response(HttpMessage m) {
+                core.onHealthCheckEnded(
+                        id,
+                        m.status() == 200 ? AttemptOutcome.OK : AttemptOutcome.ERROR,
+                        loop.now() - at,
+                        LoadReport.NONE);
+            }
+
+            @Override
+            public void failed(HttpClient.Failure why) {
+                core.onHealthCheckEnded(id, AttemptOutcome.TIMEOUT, loop.now() - at, LoadReport.NONE);
+            }
+        });
     }
 
     private void ask(
--- /dev/null
+++ b/src/main/java/pepperdock/opensearch/UpdateListener.java
@@ -0,0 +1,43 @@
+package pepperdock.opensearch;
+
+import com.google.gson.JsonObject;
+import java.nio.charset.StandardCharsets;
+import pepperdock.core.Query;
+import pepperdock.core.QueryListener;
+import pepperdock.transport.HttpServer;
+
+/** Sends the one final answer to an update: the worker's own JSON unchanged, or its text in the API's shape. */
+record UpdateListener(HttpServer.Reply reply) implements QueryListener {
+
+    @Override
+    public void onAnswer(Query query, boolean complete) {
+        byte[] value = query.parts().get(0).value();
+        String text = new String(value, StandardCharsets.UTF_8);
+        if (text.startsWith("{")) {
+            Replies.raw(reply, value);
+            return;
+        }
+        SearchRequest request = (SearchRequest) query.request().frontContext();
+        JsonObject body = new JsonObject();
+        body.addProperty("_index", request.index());
+        body.addProperty("_id", request.docId());
+        body.addProperty("result", "updated");
+        body.addProperty("blob", text);
+        Replies.ok(reply, body);
+    }
+
+    @Override
+    public void onRejected(Query query, double retryAfterS) {
+        QueryErrors.rejected(reply, retryAfterS);
+    }
+
+    @Override
+    public void onFailed(Query query, boolean overdue) {
+        QueryErrors.failed(reply, overdue);
+    }
+
+    @Override
+    public void pollForDisconnect() {
+        reply.poll();
+    }
+}
--- /dev/null
+++ b/src/main/java/pepperdock/opensearch/WorkerRequests.java
@@ -0,0 +1,79 @@
+package pepperdock.opensearch;
+
+import com.google.gson.JsonObject;
+import java.net.URLEncoder;
+import java.nio.charset.StandardCharsets;
+import pepperdock.codec.http.HttpWriter;
+import pepperdock.core.Attempt;
+import pepperdock.core.QueryRequest;
+
+/** Encodes the HTTP requests that one worker is sent. Free of I/O. */
+record WorkerRequests(String host) {
+
+    private static final String JSON = "Content-Type: application/json\r\n";
+
+    /** The next page of a scroll, which keeps its context for another {@code keepS} seconds. */
+    byte[] nextPage(String scrollId, double keepS) {
+        JsonObject body = new JsonObject();
+        body.addProperty("scroll", (long) Math.ceil(keepS) + "s");
+        body.addProperty("scroll_id", scrollId);
+        return post("/_search/scroll", JSON, body);
+    }
+
+    /** Frees the search context of a scroll. */
+    byte[] freeScroll(String scrollId) {
+        JsonObject body = new JsonObject();
+        body.addProperty("scroll_id", scrollId);
+        return HttpWriter.request(
+                "DELETE", "/_search/scroll", host, JSON, body.toString().getBytes(StandardCharsets.UTF_8));
+    }
+
+    /** A health check. */
+    byte[] healthCheck() {
+        return HttpWriter.request("GET", "/", host, "", new byte[0]);
+    }
+
+    /** One attempt at a part: a search of its shard, or the update of a document there; {@code now} in seconds. */
+    byte[] search(Attempt attempt, double now) {
+        QueryRequest request = attempt.part().query().request();
+        int shard = attempt.part().shard();
+        long timeoutMs = Math.max(1, (long) ((attempt.deadline() - now) * 1e3));
+        String headers = "X-Opaque-Id: " + request.id() + '.' + shard + "\r\n" + JSON;
+        if (!(request.frontContext() instanceof SearchRequest search)) {
+            JsonObject queryString = new JsonObject();
+            queryString.addProperty("query", new String(request.body(), StandardCharsets.UTF_8));
+            JsonObject query = new JsonObject();
+            query.add("query_string", queryString);
+            JsonObject body = new JsonObject();
+            body.add("query", query);
+            return post(
+                    "/" + encode(attempt.part().query().className()) + "/_search?preference=_shards:" + shard
+                            + "&timeout=" + timeoutMs + "ms",
+                    headers,
+                    body);
+        }
+        if (search.update()) {
+            return post(
+                    "/" + search.index() + "/_update/" + encode(search.docId()) + "?routing=" + shard + "&timeout="
+                            + timeoutMs + "ms",
+                    headers
+                            + (request.idempotencyKey().isEmpty()
+                                    ? ""
+                                    : "Idempotency-Key: " + request.idempotencyKey() + "\r\n"),
+                    search.body());
+        }
+        return post(
+                "/" + search.index() + "/_search?preference=_shards:" + shard + "&timeout=" + timeoutMs + "ms"
+                        + (search.scroll() ? "&scroll=" + (long) Math.ceil(search.scrollS()) + "s" : ""),
+                headers,
+                search.body());
+    }
+
+    private byte[] post(String target, String extra, JsonObject body) {
+        return HttpWriter.request("POST", target, host, extra, body.toString().getBytes(StandardCharsets.UTF_8));
+    }
+
+    private static String encode(String text) {
+        return URLEncoder.encode(text, StandardCharsets.UTF_8).replace("+", "%20");
+    }
+}
