--- a/src/main/java/pepperdock/scheduler/PlannedShares.java
+++ b/src/main/java/pepperdock/scheduler/PlannedShares.java
@@ -1,7 +1,9 @@
 package pepperdock.scheduler;
 
-/** What part of a shard's work is meant for a searcher, above 0; only ratios between a shard's holders count. */
+/** The planned distribution of work over the replicas of a shard. */
 @FunctionalInterface
 public interface PlannedShares {
-    double shareOf(int shard, String searcher);
+
+    /** Share of the shard's work planned for the endpoint, above 0; only ratios between replicas of a shard count. */
+    double shareOf(int shard, String endpointId);
 }
--- a/src/main/java/pepperdock/scheduler/ProtocolRules.java
+++ b/src/main/java/pepperdock/scheduler/ProtocolRules.java
@@ -1,8 +1,18 @@
 package pepperdock.scheduler;
 
 /**
- * Figures of the rules. {@code budgetSpanS} is 0 where further attempts have no budget; {@code askWithinS} is 0
- * where lists come unasked.
+ * Figures of the protocol that all instances obey.
+ *
+ * @param answerSlackS seconds after its deadline in which an answer still counts as in time
+ * @param drainGraceS seconds after the notice in which a draining endpoint may still receive attempts
+ * @param warmUpInitialShare share of its capacity that a started endpoint has at first, above 0 and up to 1
+ * @param warmUpS seconds until a started endpoint has all of its capacity
+ * @param warmUpOverloadMultiple work that an endpoint warming up takes within the overload window, as a multiple of its capacity
+ * @param warmUpOverloadWindowS length of the overload window in seconds, 0 where endpoints need no slow start
+ * @param retryBudgetFree retries within the budget's window that are always allowed
+ * @param retryBudgetShare further retries, as a share of the queries and parts that arrived within the window
+ * @param retryBudgetWindowS length of the budget's window in seconds, 0 where retries have no budget
+ * @param listPollIntervalS longest age of an endpoint list without a watch, in seconds; 0 where lists are pushed
  */
 public record ProtocolRules(
         double answerSlackS,
@@ -16,7 +26,7 @@
         double retryBudgetWindowS,
         double listPollIntervalS) {
 
-    /** The protocol's: whatever a call missed counts as told so long after the list could be reached. */
+    /** By the protocol, a change counts as notified so many seconds after the list could be reached. */
     private static final double NOTIFICATION_DEADLINE_S = 6;
 
     /** How long an instance without a watch may hold an old list, in seconds: by the protocol, or less by the settings. */
--- a/src/main/java/pepperdock/scheduler/QueryClass.java
+++ b/src/main/java/pepperdock/scheduler/QueryClass.java
@@ -1,16 +1,20 @@
 package pepperdock.scheduler;
 
 /**
- * One class of query.
+ * One class of queries. Weights are relative values of an answer, by which classes are compared; coverage is the sum of the
+ * weights of a query's parts, 1 for all of them.
  *
- * @param aimS an answer within this time of the client's first try earns its full worth
- * @param deadlineS how long the client waits in all, over all its tries
- * @param lateWorth share of the worth that an answer after the aim earns
- * @param floor least share of parts' weight an answer may be given from
- * @param need share of the weight that makes a whole answer
- * @param partialWorth what an answer that is not whole earns, times its share
- * @param secondStep parts that follow the first answer; 0 when the class has one step
- * @param windowS for keyed parts: how long repeats are recognised, from the first attempt
+ * @param latencyObjectiveS seconds from the client's first request within which an answer has its full value
+ * @param deadlineS seconds that the client waits in all, over all its requests
+ * @param priorityWeight value of a complete answer within the objective
+ * @param lateAnswerWeight share of the value that an answer after the objective keeps, 0 where it has none
+ * @param retrySafety whether a part may be repeated
+ * @param idempotencyWindowS for parts with an idempotency key: seconds from the first attempt in which endpoints recognise a
+ *     repeat
+ * @param minimumCoverage least coverage from which an answer may be given, above 0
+ * @param completeCoverage coverage from which an answer is complete, up to 1
+ * @param partialAnswerWeight value of an incomplete answer, times its coverage
+ * @param secondStageParts parts that follow the first answer, 0 where the class has one stage
  */
 public record QueryClass(
         double latencyObjectiveS,
--- a/src/main/java/pepperdock/scheduler/RetrySafety.java
+++ b/src/main/java/pepperdock/scheduler/RetrySafety.java
@@ -1,8 +1,11 @@
 package pepperdock.scheduler;
 
-/** May a part be repeated: always, only within a time as its key is recognised, or not at all. */
+/** Whether a part may be repeated. */
 public enum RetrySafety {
+    /** A repeat has no further effect. */
     IDEMPOTENT,
+    /** A repeat is recognised by its key, within {@link QueryClass#idempotencyWindowS}. */
     IDEMPOTENCY_KEY,
+    /** A repeat may have a second effect. */
     NOT_IDEMPOTENT
 }
--- a/src/main/java/pepperdock/scheduler/SchedulerActions.java
+++ b/src/main/java/pepperdock/scheduler/SchedulerActions.java
@@ -1,35 +1,49 @@
 package pepperdock.scheduler;
 
-/** What the module asks of its mixer, to be carried out in the order called, without calling back. */
+/**
+ * What the scheduler asks of its caller, which carries it out in the order of the calls and must not call back into the
+ * scheduler meanwhile. All times are seconds.
+ */
 public interface SchedulerActions {
 
-    /** Starts an attempt of a part, abandoned at clock time {@code until}. */
-    void sendAttempt(long part, String searcher, double until);
+    /**
+     * Sends an attempt at a part. Its number is the count of earlier attempts at the part.
+     *
+     * @param part {@link PartArrival#id}
+     * @param endpointId endpoint to send it to
+     * @param until time on the batch clock at which the attempt is abandoned
+     */
+    void sendAttempt(long part, String endpointId, double until);
 
-    /** Ceases to await an attempt; its end is still told. */
+    /** Cancels an attempt, by the part's id and the attempt's number; its result is still reported. */
     void cancelAttempt(long part, int attempt);
 
-    /** Answers from the parts that are in; the final answer, unless a second step follows. */
-    void answerQuery(long query, boolean whole);
+    /**
+     * Answers a query from the parts that have come: the final answer, unless a second stage follows.
+     *
+     * @param query {@link QueryArrival#id}
+     * @param complete whether the class's complete coverage was reached, in both stages where there are two
+     */
+    void answerQuery(long query, boolean complete);
 
-    /** Final: refused, a repeat is harmless; the client is told to pause so long (0: no advice). */
-    void rejectQuery(long query, double pauseS);
+    /** Final: rejects a query, whose repeat does no harm; {@code retryAfterS} is the Retry-After in seconds, 0 for none. */
+    void rejectQuery(long query, double retryAfterS);
 
-    /** Final: failed, with no promise about effects. */
+    /** Final: fails a query, of which it is not known whether it had an effect. */
     void failQuery(long query);
 
-    /** Asks a searcher how it does. */
-    void checkHealth(String searcher);
+    /** Sends a health check to an endpoint. */
+    void checkHealth(String endpointId);
 
-    /** Closes the idle connections to a searcher, so that the next call opens a new one. */
-    void closeIdleConnections(String searcher);
+    /** Closes the idle connections to an endpoint, so that the next call opens a new one. */
+    void closeIdleConnections(String endpointId);
 
-    /** Asks for {@link Scheduler#onTimer} after {@code afterS}. */
+    /** Asks for {@link Scheduler#onTimer} with {@code token} after so many seconds. */
     void setTimer(double afterS, String token);
 
-    /** Asks for changes of the list from now on. */
+    /** Requests the endpoint list, and its changes from then on. */
     void watchEndpointList();
 
-    /** A line for the operator's log. */
+    /** Writes a line to the operator's log. */
     void log(String text);
 }
--- a/src/main/java/pepperdock/scheduler/SchedulerLimits.java
+++ b/src/main/java/pepperdock/scheduler/SchedulerLimits.java
@@ -1,6 +1,15 @@
 package pepperdock.scheduler;
 
-/** What the site allows; {@code maxPauseS} is the longest pause a client observes, 0 where none is told. */
+/**
+ * What the operator allows.
+ *
+ * @param cancellation whether attempts may be cancelled
+ * @param hedging whether attempts at one part may run beside each other
+ * @param healthChecks whether health checks may be sent
+ * @param maxAttempts most attempts at one part, at least 1
+ * @param maxInFlight most attempts outstanding at one endpoint
+ * @param maxRetryAfterS longest Retry-After that clients observe, in seconds; 0 where none is given
+ */
 public record SchedulerLimits(
         boolean cancellation,
         boolean hedging,
--- a/src/main/java/pepperdock/scheduler/SchedulerSettings.java
+++ b/src/main/java/pepperdock/scheduler/SchedulerSettings.java
@@ -2,7 +2,21 @@
 
 import java.util.List;
 
-/** The settings of one instance; {@code tenantRates} are the queries a second within share, fleet-wide. */
+/**
+ * The settings of one instance. Immutable.
+ *
+ * @param instances gatherers that share the fleet, at least 1
+ * @param zone zone that this instance runs in
+ * @param tickS length of a tick in seconds: the grain of the caller's clock
+ * @param pollsEndpointList whether endpoint lists have to be requested; otherwise they are pushed from the start
+ * @param classes query classes; {@link QueryArrival#queryClass} is an index into them
+ * @param tenantRates quota of each tenant in queries a second, for the whole fleet
+ * @param overQuotaWeight share of its value that a query beyond its tenant's quota keeps; from 1 on quotas have no effect
+ * @param reportNames names of the figures of a {@link LoadReport}
+ * @param layout which endpoints hold a shard
+ * @param limits what the operator allows
+ * @param rules figures of the protocol
+ */
 public record SchedulerSettings(
         int instances,
         int zone,
