--- /dev/null
+++ b/src/main/java/pepperdock/scheduler/AdmissionController.java
@@ -0,0 +1,90 @@
+package pepperdock.scheduler;
+
+import java.util.ArrayDeque;
+
+/**
+ * Decides whether a query is dispatched, queued or rejected when it arrives, and when a queued one is dispatched.
+ *
+ * <p>Rule: {@link LoadShedder} may reject the query. Otherwise it is dispatched if none waits and the {@link ConcurrencyLimit}
+ * has room, queued if it would still be answered within its objective, and rejected if not. Queued queries leave first in,
+ * first out; one whose objective can't be met any more is rejected. The expected wait is the time in which the parts ahead,
+ * Pmin of each query, are answered at the present rate. Inputs: times in seconds, counts of parts. Guards against a queue of
+ * queries whose answers come too late, and leaves the client time to turn elsewhere. Harms where the rate of answers has
+ * just risen: the expected wait is too long then.
+ */
+final class AdmissionController {
+
+    /**
+     * Requests that are probably stale are dispatched while less than this share of the limit is in use: idle endpoints cost
+     * nothing, and the guess may be wrong.
+     */
+    private static final double STALE_REQUEST_LIMIT_SHARE = 0.3;
+
+    private final SchedulerContext context;
+    private final FleetEstimates estimates;
+    private final AnswerDeadlines deadlines;
+    private final ConcurrencyLimit limit;
+    private final FanOutPolicy fanOut;
+    private final CompletionPolicy completion;
+    private final QueryDispatcher dispatcher;
+    private final QueryFinisher finisher;
+    private final ArrayDeque<QueryState> queue = new ArrayDeque<>();
+
+    AdmissionController(
+            SchedulerContext context,
+            FleetEstimates estimates,
+            AnswerDeadlines deadlines,
+            ConcurrencyLimit limit,
+            FanOutPolicy fanOut,
+            CompletionPolicy completion,
+            QueryDispatcher dispatcher,
+            QueryFinisher finisher) {
+        this.context = context;
+        this.estimates = estimates;
+        this.deadlines = deadlines;
+        this.limit = limit;
+        this.fanOut = fanOut;
+        this.completion = completion;
+        this.dispatcher = dispatcher;
+        this.finisher = finisher;
+    }
+
+    /** Dispatches, queues or rejects a query that has arrived with its parts. */
+    void onArrival(QueryState query) {
+        boolean stale = context.nowS() + estimates.partTime().meanS() > query.freshUntilS;
+        if (queue.isEmpty() && limit.hasRoom(stale ? STALE_REQUEST_LIMIT_SHARE : 1)) {
+            dispatcher.dispatch(query, fanOut.countAtOnce(query));
+        } else if (context.nowS() + expectedWaitS(query) + estimates.cautiousPartTimeS()
+                > query.freshUntilS - deadlines.marginS()) {
+            finisher.rejectOrFail(query);
+        } else {
+            queue.addLast(query);
+        }
+    }
+
+    /** Rejects queued queries that would be too late, and dispatches others from the head while the limit has room. */
+    void dispatchQueued(QueryTable queries) {
+        for (QueryState query : queue) {
+            if (!query.ended && (isTooLate(query) || completion.isUnreached(query))) {
+                finisher.rejectOrFail(query);
+            }
+        }
+        queue.removeIf(query -> query.ended);
+        while (!queue.isEmpty() && limit.hasRoom(1)) {
+            QueryState head = queue.removeFirst();
+            long running = queries.dispatchedCount();
+            dispatcher.dispatch(head, fanOut.countAfterWaiting(head, limit.limit(), queue.size(), running));
+        }
+    }
+
+    private boolean isTooLate(QueryState query) {
+        return context.nowS() + estimates.cautiousPartTimeS() > query.objectiveAtS - deadlines.marginS();
+    }
+
+    /** Seconds until the parts of the queued queries and of this one are answered, Pmin of each. */
+    private double expectedWaitS(QueryState query) {
+        int parts = fanOut.minimumCount(query)
+                + queue.stream().mapToInt(fanOut::minimumCount).sum();
+        return context.shortestObjectiveS() * parts / Math.max(1, estimates.answeredParts());
+    }
+}
--- /dev/null
+++ b/src/main/java/pepperdock/scheduler/AnswerDeadlines.java
@@ -0,0 +1,29 @@
+package pepperdock.scheduler;
+
+/** The last moments at which an answer is worth sending. All times are seconds on the batch clock. */
+final class AnswerDeadlines {
+
+    /** Ticks beside a sweep that an answer needs to leave this process in time. */
+    private static final int RESPONSE_TICKS = 3;
+
+    private final SchedulerContext context;
+
+    AnswerDeadlines(SchedulerContext context) {
+        this.context = context;
+    }
+
+    /** Time kept before a deadline, in seconds: the next sweep may come one period later, and the response takes time. */
+    double marginS() {
+        return (SweepTimer.PERIOD_TICKS + RESPONSE_TICKS) * context.settings().tickS();
+    }
+
+    /**
+     * Until when an answer to the query has any value: the client's deadline where a late answer counts, otherwise the
+     * latency objective; less the margin.
+     */
+    double answerUntilS(QueryState query) {
+        double lastS =
+                query.queryClass.lateAnswerWeight() > 0 ? query.endAtS : Math.min(query.objectiveAtS, query.endAtS);
+        return lastS - marginS();
+    }
+}
--- /dev/null
+++ b/src/main/java/pepperdock/scheduler/AttemptResultHandler.java
@@ -0,0 +1,101 @@
+package pepperdock.scheduler;
+
+/**
+ * Passes the result of an attempt on to the policies that learn from it. A timely answer is no failure up to
+ * {@link #SLOW_QUARTILES} times the lower quartile of part times, part of one above, and a whole one from twice that on.
+ * Answers that were late because this process stood still teach nothing.
+ */
+final class AttemptResultHandler {
+
+    /** An answer counts as part of a failure from so many lower quartiles on: few healthy answers take as long. */
+    private static final double SLOW_QUARTILES = 3;
+
+    /** Without a watch, an unreachable endpoint silent for so many shortest objectives may have been restarted unseen. */
+    private static final double RESTART_OBJECTIVES = 2;
+
+    private final SchedulerContext context;
+    private final FleetEstimates estimates;
+    private final EndpointListPoller listPoller;
+    private final OutlierDetector outliers;
+    private final IdleConnectionPolicy idleConnections;
+    private final LoadShedder shedder;
+    private final ConcurrencyLimit limit;
+    private final SlowStart slowStart;
+
+    AttemptResultHandler(
+            SchedulerContext context,
+            FleetEstimates estimates,
+            EndpointListPoller listPoller,
+            OutlierDetector outliers,
+            IdleConnectionPolicy idleConnections,
+            LoadShedder shedder,
+            ConcurrencyLimit limit,
+            SlowStart slowStart) {
+        this.context = context;
+        this.estimates = estimates;
+        this.listPoller = listPoller;
+        this.outliers = outliers;
+        this.idleConnections = idleConnections;
+        this.shedder = shedder;
+        this.limit = limit;
+        this.slowStart = slowStart;
+    }
+
+    /** Takes in the result of an attempt whose outcome is set. */
+    void onResult(AttemptState attempt, double elapsedS) {
+        EndpointRecord endpoint = attempt.endpoint;
+        AttemptOutcome outcome = attempt.outcome;
+        if (outcome != AttemptOutcome.OK && attempt.overdue && endpoint.lastOkAtS < attempt.sentAtS) {
+            endpoint.lastCallUnanswered = true;
+            if (idleConnections.isConnectionDropped(attempt)) {
+                outliers.acquit(endpoint);
+            }
+        }
+        endpoint.respondsWithErrors =
+                outcome == AttemptOutcome.ERROR || endpoint.respondsWithErrors && outcome == AttemptOutcome.CANCELLED;
+        switch (outcome) {
+            case OK -> onAnswer(attempt, elapsedS);
+            case OVERLOADED -> {
+                shedder.onOverload(endpoint);
+                outliers.onOverloaded(endpoint);
+                limit.onOverloaded();
+            }
+            case ERROR, RESET -> outliers.onFailure(endpoint);
+            case CONNECT_FAILED -> {
+                idleConnections.onConnectFailed();
+                outliers.onUnreachable(endpoint);
+            }
+            case TIMEOUT, CANCELLED, NOT_SENT -> {}
+        }
+    }
+
+    private void onAnswer(AttemptState attempt, double elapsedS) {
+        EndpointRecord endpoint = attempt.endpoint;
+        endpoint.lastCallUnanswered = false;
+        idleConnections.observe(attempt, false);
+        boolean ownLateness =
+                context.stalled() && elapsedS > estimates.partTime().lowerQuartileS();
+        if (!ownLateness) {
+            estimates.addPartTime(attempt, elapsedS);
+            limit.onAnswer();
+            shedder.onAnswer(endpoint, elapsedS);
+        }
+        boolean mayHaveRestarted = !listPoller.isWatching()
+                && context.nowS() - endpoint.lastOkAtS > RESTART_OBJECTIVES * context.shortestObjectiveS();
+        endpoint.lastOkAtS = context.nowS();
+        estimates.addAnsweredPart();
+        if (endpoint.unreachable && mayHaveRestarted && !slowStart.isWarmingUp(endpoint)) {
+            slowStart.onStarted(endpoint, context.nowS() - elapsedS);
+        }
+        endpoint.unreachable = false;
+        if (!attempt.overdue && !ownLateness) {
+            outliers.onTimelyAnswer(attempt, slowness(elapsedS));
+        }
+    }
+
+    /** 0 for a quick answer, up to 1 for one that is as bad as a failure. */
+    private double slowness(double elapsedS) {
+        double quartiles = elapsedS / estimates.partTime().lowerQuartileS();
+        return Math.max(0, Math.min(1, quartiles / SLOW_QUARTILES - 1));
+    }
+}
--- /dev/null
+++ b/src/main/java/pepperdock/scheduler/CompletionPolicy.java
@@ -0,0 +1,127 @@
+package pepperdock.scheduler;
+
+/**
+ * When a dispatched query is answered, rejected or failed.
+ *
+ * <p>Rule: it is answered once it is complete; at its latency objective, or when nothing more can come, from the class's
+ * minimum coverage, then marked incomplete; and it ends without an answer when its time is up, when the minimum is out of
+ * reach, or when half of its time is gone and no endpoint was reached. Inputs: coverage as shares of weight, deadlines in
+ * seconds. Guards against answers that come too late for the client, and against answers called complete that are not. Harms
+ * where a part would have come just after the objective.
+ */
+final class CompletionPolicy {
+
+    /** Mean deviations above the mean that are kept for a second stage, before the objective. */
+    private static final double SECOND_STAGE_DEVIATIONS = 2;
+
+    private final SchedulerContext context;
+    private final EndpointRegistry registry;
+    private final FleetEstimates estimates;
+    private final AnswerDeadlines deadlines;
+    private final RetryPolicy retries;
+    private final QueryFinisher finisher;
+
+    CompletionPolicy(
+            SchedulerContext context,
+            EndpointRegistry registry,
+            FleetEstimates estimates,
+            AnswerDeadlines deadlines,
+            RetryPolicy retries,
+            QueryFinisher finisher) {
+        this.context = context;
+        this.registry = registry;
+        this.estimates = estimates;
+        this.deadlines = deadlines;
+        this.retries = retries;
+        this.finisher = finisher;
+    }
+
+    /** Ends the query, or its stage, if that is due. */
+    void finishIfDue(QueryState query) {
+        if (awaitsSecondStageParts(query)) {
+            return;
+        }
+        if (isComplete(query)) {
+            finisher.answer(query, query.stage == QueryState.FIRST_STAGE || query.firstStageComplete);
+            return;
+        }
+        double minimum = minimumCoverage(query) - QueryState.COVERAGE_TOLERANCE;
+        boolean enough = query.coverage >= minimum;
+        boolean answersNow = enough && (context.nowS() >= lastAnswerAtS(query) || !hasPendingParts(query));
+        if (answersNow) {
+            finisher.answer(query, false);
+        } else if (context.nowS() >= deadlines.answerUntilS(query)
+                || reachableCoverage(query) < minimum
+                || isUnreached(query)) {
+            if (enough) {
+                finisher.answer(query, false);
+            } else {
+                finisher.rejectOrFail(query);
+            }
+        }
+    }
+
+    /** Weight of the parts that are answered or may still come, 0 to 1. */
+    double reachableCoverage(QueryState query) {
+        return query.parts.stream()
+                .filter(this::isReachable)
+                .mapToDouble(part -> part.weight)
+                .sum();
+    }
+
+    /** Half of the query's time is gone and no endpoint was reached: its client may still turn to another instance. */
+    boolean isUnreached(QueryState query) {
+        return context.nowS() >= query.halfTimeAtS - deadlines.marginS()
+                && query.parts.stream()
+                        .flatMap(part -> part.attempts.stream())
+                        .allMatch(attempt -> attempt.outcome == AttemptOutcome.CONNECT_FAILED
+                                || attempt.outcome == AttemptOutcome.NOT_SENT);
+    }
+
+    private boolean awaitsSecondStageParts(QueryState query) {
+        return query.stage == QueryState.SECOND_STAGE
+                && query.parts.isEmpty()
+                && context.nowS() < deadlines.answerUntilS(query);
+    }
+
+    private static boolean isComplete(QueryState query) {
+        if (query.stage == QueryState.FIRST_STAGE) {
+            return query.coverage >= query.queryClass.completeCoverage() - QueryState.COVERAGE_TOLERANCE;
+        }
+        return !query.parts.isEmpty() && query.parts.stream().allMatch(part -> part.answered);
+    }
+
+    /** Least coverage to answer from; a class that takes no partial answers needs a whole second stage. */
+    private static double minimumCoverage(QueryState query) {
+        QueryClass queryClass = query.queryClass;
+        if (queryClass.minimumCoverage() < queryClass.completeCoverage()) {
+            return queryClass.minimumCoverage();
+        }
+        return query.stage == QueryState.FIRST_STAGE ? queryClass.completeCoverage() : 1;
+    }
+
+    /** When an incomplete answer is due: at the objective, earlier where a second stage must follow. */
+    private double lastAnswerAtS(QueryState query) {
+        boolean secondStageFollows = query.stage == QueryState.FIRST_STAGE && query.queryClass.secondStageParts() > 0;
+        double secondStageS = secondStageFollows
+                ? estimates.partTime().meanS()
+                        + SECOND_STAGE_DEVIATIONS * estimates.partTime().deviationS()
+                : 0;
+        return Math.min(query.objectiveAtS, query.endAtS) - deadlines.marginS() - secondStageS;
+    }
+
+    private static boolean hasPendingParts(QueryState query) {
+        return query.parts.stream()
+                .anyMatch(part -> part.wanted && !part.answered && (part.outstanding > 0 || part.hasAttemptsLeft()));
+    }
+
+    private boolean isReachable(PartState part) {
+        return part.answered || part.wanted && (part.outstanding > 0 || mayBeRetried(part));
+    }
+
+    private boolean mayBeRetried(PartState part) {
+        return part.hasAttemptsLeft()
+                && retries.isRepeatable(part)
+                && !registry.replicas(part.shard).isEmpty();
+    }
+}
--- /dev/null
+++ b/src/main/java/pepperdock/scheduler/QueryDispatcher.java
@@ -0,0 +1,83 @@
+package pepperdock.scheduler;
+
+/**
+ * Sends the first attempts of a query.
+ *
+ * <p>Rule: so many parts as {@link FanOutPolicy} says, heaviest first. Parts without an available replica are left out as far
+ * as the class's minimum coverage allows. A query that can't spare them is rejected at once while most endpoints are healthy.
+ * Where hedging is allowed, ejected replicas are tried with a second request beside the first. Inputs: weights as shares of
+ * the answer, health of the replicas. Guards against crowding the one healthy replica of a shard, against overload that
+ * outlasts its cause because its endpoints get more work, and against waiting out an outage of all replicas. Harms, until a
+ * trial, where an ejection is out of date.
+ */
+final class QueryDispatcher {
+
+    private final EndpointRegistry registry;
+    private final OutlierDetector outliers;
+    private final HedgingPolicy hedging;
+    private final AttemptSender sender;
+    private final ReplicaSelector selector;
+    private final QueryReviewer reviewer;
+    private final QueryFinisher finisher;
+
+    QueryDispatcher(
+            EndpointRegistry registry,
+            OutlierDetector outliers,
+            HedgingPolicy hedging,
+            AttemptSender sender,
+            ReplicaSelector selector,
+            QueryReviewer reviewer,
+            QueryFinisher finisher) {
+        this.registry = registry;
+        this.outliers = outliers;
+        this.hedging = hedging;
+        this.sender = sender;
+        this.selector = selector;
+        this.reviewer = reviewer;
+        this.finisher = finisher;
+    }
+
+    /** Sends {@code count} parts of the query, or rejects it. */
+    void dispatch(QueryState query, int count) {
+        double spareableWeight = 1 - query.queryClass.minimumCoverage();
+        if (unservableWeight(query) > spareableWeight + QueryState.COVERAGE_TOLERANCE
+                && outliers.isMostOfFleetHealthy()) {
+            finisher.rejectOrFail(query);
+            return;
+        }
+        query.dispatched = true;
+        sendParts(query, count, spareableWeight);
+        reviewer.review(query);
+    }
+
+    private void sendParts(QueryState query, int count, double spareableWeight) {
+        int left = count;
+        double spareable = spareableWeight;
+        for (PartState part : FanOutPolicy.heaviestFirst(query)) {
+            part.wanted = left > 0;
+            if (part.weight <= spareable && !hasAvailableReplica(part)) {
+                spareable -= part.weight;
+                part.wanted = false;
+            } else if (left-- > 0 && selector.sendToBest(part) && hedging.mayHedge(part)) {
+                selector.sendHedgedTrial(part);
+            }
+        }
+    }
+
+    /** Weight of the parts of which no replica is likely to answer. */
+    private double unservableWeight(QueryState query) {
+        return query.parts.stream()
+                .filter(part -> registry.replicas(part.shard).stream().noneMatch(this::mayAnswer))
+                .mapToDouble(part -> part.weight)
+                .sum();
+    }
+
+    private boolean mayAnswer(EndpointRecord endpoint) {
+        return outliers.isAvailable(endpoint) || outliers.hasAnsweredRecently(endpoint) || endpoint.respondsWithErrors;
+    }
+
+    private boolean hasAvailableReplica(PartState part) {
+        return registry.replicas(part.shard).stream()
+                .anyMatch(endpoint -> sender.isAllowed(part, endpoint) && outliers.isAvailable(endpoint));
+    }
+}
--- /dev/null
+++ b/src/main/java/pepperdock/scheduler/ReplicaSelector.java
@@ -0,0 +1,108 @@
+package pepperdock.scheduler;
+
+import java.util.List;
+import java.util.SplittableRandom;
+
+/**
+ * Selects the replica for an attempt at a part.
+ *
+ * <p>Rule, from the design, "Load-sized fan-out after RMAP": the replica with fewest own parts outstanding, counted by call
+ * where parts share calls and divided by its planned share; ties are broken by the seed. Only replicas count whose health is
+ * not clearly worse than that of the best one; the difference allowed grows with the best one's failure rate, which is less
+ * certain the higher it is. A first attempt that can't be hedged goes to an ejected replica whose trial is due. Inputs: this
+ * instance's outstanding calls, planned shares, failure rates. Where all replicas are alike none is passed over, so a
+ * shared fault does not crowd a few. Harms where the best replica is good by chance only.
+ */
+final class ReplicaSelector {
+
+    /** What an earlier attempt at the part adds to a replica's failure rate: more than one failure, less than two. */
+    private static final double ATTEMPTED_PENALTY = 0.5;
+
+    /** What an unreachable replica has added, so that it comes after every reachable one. */
+    private static final double UNREACHABLE_PENALTY = 1;
+
+    private final EndpointRegistry registry;
+    private final OutlierDetector outliers;
+    private final HedgingPolicy hedging;
+    private final AttemptSender sender;
+    private final SplittableRandom random;
+    private PlannedShares plannedShares = (shard, endpoint) -> 1;
+
+    ReplicaSelector(
+            EndpointRegistry registry,
+            OutlierDetector outliers,
+            HedgingPolicy hedging,
+            AttemptSender sender,
+            SplittableRandom random) {
+        this.registry = registry;
+        this.outliers = outliers;
+        this.hedging = hedging;
+        this.sender = sender;
+        this.random = random;
+    }
+
+    /** Replaces the planned shares. */
+    void updatePlannedShares(PlannedShares shares) {
+        plannedShares = shares;
+    }
+
+    /** Sends an attempt at the part to the replica selected, and tells whether there was one. */
+    boolean sendToBest(PartState part) {
+        List<EndpointRecord> candidates = registry.replicas(part.shard).stream()
+                .filter(endpoint -> sender.isAllowed(part, endpoint))
+                .toList();
+        double bestPenalty = candidates.stream()
+                .mapToDouble(endpoint -> penalty(endpoint, part))
+                .min()
+                .orElse(0);
+        double maxPenalty = bestPenalty + OutlierDetector.CLEARLY_WORSE_RATE * (1 + 2 * bestPenalty);
+        EndpointRecord best = null;
+        int ties = 0;
+        for (EndpointRecord endpoint : candidates) {
+            if (penalty(endpoint, part) > maxPenalty) {
+                if (!hedging.mayHedge(part) && part.attempts.isEmpty() && outliers.isTrialDue(endpoint)) {
+                    return sender.send(part, endpoint);
+                }
+            } else if (best == null || load(endpoint, part) < load(best, part)) {
+                best = endpoint;
+                ties = 1;
+            } else if (load(endpoint, part) == load(best, part) && random.nextInt(++ties) == 0) {
+                best = endpoint;
+            }
+        }
+        return best != null && sender.send(part, best);
+    }
+
+    /** Sends a hedged request to an ejected replica whose trial is due, so that the trial risks no query. */
+    void sendHedgedTrial(PartState part) {
+        for (EndpointRecord endpoint : registry.replicas(part.shard)) {
+            if (part.outstanding == 1
+                    && outliers.failureRate(endpoint) > OutlierDetector.CLEARLY_WORSE_RATE
+                    && outliers.isTrialDue(endpoint)) {
+                sender.send(part, endpoint);
+            }
+        }
+    }
+
+    /** Health of a replica as far as it concerns the part: the lower the better. */
+    private double penalty(EndpointRecord endpoint, PartState part) {
+        boolean attempted = part.attempts.stream().anyMatch(attempt -> attempt.endpoint == endpoint);
+        return outliers.failureRate(endpoint)
+                + (attempted ? ATTEMPTED_PENALTY : 0)
+                + (endpoint.unreachable ? UNREACHABLE_PENALTY : 0);
+    }
+
+    private double load(EndpointRecord endpoint, PartState part) {
+        return outstandingCalls(endpoint) / plannedShares.shareOf(part.shard, endpoint.id);
+    }
+
+    private static long outstandingCalls(EndpointRecord endpoint) {
+        int attempts = endpoint.outstanding.size();
+        return attempts < 2
+                ? attempts
+                : endpoint.outstanding.stream()
+                        .map(attempt -> attempt.call)
+                        .distinct()
+                        .count();
+    }
+}
--- /dev/null
+++ b/src/main/java/pepperdock/scheduler/RetryPolicy.java
@@ -0,0 +1,85 @@
+package pepperdock.scheduler;
+
+import pepperdock.estimate.RetryBudget;
+
+/**
+ * Whether a part may be attempted again.
+ *
+ * <p>Rule: a part of an idempotent class may be repeated; one with an idempotency key while the endpoints recognise the
+ * repeat; any other only if no attempt can have executed. Attempts beyond the first are bounded by a {@link RetryBudget},
+ * and an ejected endpoint is retried only after its backoff, or as the last resort. Inputs: outcomes, the budget figures of
+ * {@link ProtocolRules}; times in seconds. Guards against effects that happen twice, and against retry storms. Harms where
+ * a fault hits more parts than the budget covers: those parts are missing from the answers.
+ */
+final class RetryPolicy {
+
+    private final SchedulerContext context;
+    private final OutlierDetector outliers;
+    private final RetryBudget budget = new RetryBudget(new RetryBudget.Stated(0, 0, 0));
+
+    RetryPolicy(SchedulerContext context, OutlierDetector outliers) {
+        this.context = context;
+        this.outliers = outliers;
+        onSettings();
+    }
+
+    /** The settings have been replaced. */
+    void onSettings() {
+        ProtocolRules rules = context.settings().rules();
+        budget.stated(
+                new RetryBudget.Stated(rules.retryBudgetWindowS(), rules.retryBudgetFree(), rules.retryBudgetShare()));
+    }
+
+    /** Counts a query or part that has arrived, from which the budget is reckoned. */
+    void onArrival() {
+        budget.take(context.nowS());
+    }
+
+    /** Counts an attempt that is about to be sent. */
+    void onSend(PartState part) {
+        if (part.attempts.isEmpty()) {
+            budget.first(part.query.parts.size());
+        } else {
+            budget.further(context.nowS(), hasFailureResponse(part));
+        }
+    }
+
+    /** Whether the rules state a budget. */
+    boolean isBudgetStated() {
+        return budget.isStated();
+    }
+
+    /** Whether the budget leaves another attempt at the part, which has been attempted. */
+    boolean hasBudget(PartState part) {
+        return budget.allows(context.nowS(), hasFailureResponse(part));
+    }
+
+    /** Whether the part, which has been attempted, may be retried at the endpoint. */
+    boolean allowsRetry(PartState part, EndpointRecord endpoint) {
+        return hasBudget(part)
+                && (!outliers.isOutlier(endpoint)
+                        || context.nowS() >= endpoint.nextTrialAtS
+                        || outliers.isLastResort(part, endpoint));
+    }
+
+    /** Whether another attempt at the part can't repeat an effect. */
+    boolean isRepeatable(PartState part) {
+        QueryClass queryClass = part.query.queryClass;
+        return switch (queryClass.retrySafety()) {
+            case IDEMPOTENT -> true;
+            case NOT_IDEMPOTENT -> part.attempts.stream().noneMatch(AttemptState::mayHaveExecuted);
+            case IDEMPOTENCY_KEY ->
+                part.attempts.stream()
+                        .filter(AttemptState::mayHaveExecuted)
+                        .findFirst()
+                        .map(first -> context.nowS() <= first.sentAtS + queryClass.idempotencyWindowS())
+                        .orElse(true);
+        };
+    }
+
+    /** Whether the last attempt ended with a response of failure, so that another adds little work to the first. */
+    private static boolean hasFailureResponse(PartState part) {
+        AttemptOutcome last = part.lastAttempt().outcome;
+        return last == AttemptOutcome.ERROR || last == AttemptOutcome.RESET || last != null && last.neverExecuted();
+    }
+}
--- a/src/test/java/pepperdock/scheduler/AdaptiveSchedulerTest.java
+++ b/src/test/java/pepperdock/scheduler/AdaptiveSchedulerTest.java
@@ -768,14 +768,14 @@
             scene.query(i, 6, 1.0);
             scene.module.endBatch();
         }
-        assertEquals(50, ((AdaptiveScheduler) scene.module).searchersKnown());
+        assertEquals(50, ((AdaptiveScheduler) scene.module).endpointsKnown());
         scene.at(scene.now + 0.1);
         for (int i = 1; i <= 50; i++) {
             scene.end(i * 100L, 0, AttemptOutcome.OK, 0.1);
         }
         scene.change();
         scene.module.endBatch();
-        assertEquals(1, ((AdaptiveScheduler) scene.module).searchersKnown());
+        assertEquals(1, ((AdaptiveScheduler) scene.module).endpointsKnown());
     }
 
     @Test
