--- a/src/test/java/pepperdock/scheduler/SchedulerFixture.java
+++ b/src/test/java/pepperdock/scheduler/SchedulerFixture.java
@@ -1,5 +1,7 @@
 package pepperdock.scheduler;
 
+import static org.junit.jupiter.api.Assertions.assertEquals;
+
 import java.util.ArrayList;
 import java.util.Arrays;
 import java.util.List;
@@ -141,6 +143,24 @@
         did.clear();
     }
 
+    /** Brings two queries of eight parts out and the ceiling, by one part turned away as full, to sixteen. */
+    static SchedulerFixture atTheCeiling(double floor) {
+        SchedulerFixture scene = new SchedulerFixture();
+        scene.floor = floor;
+        scene.cancel = false;
+        scene.start("a", "b");
+        scene.serve(80, 8, 0.05);
+        scene.query(1, 6, SchedulerFixture.equal(8));
+        scene.module.endBatch();
+        scene.at(scene.now + 0.01);
+        scene.end(100, 0, AttemptOutcome.OVERLOADED, 0.01);
+        scene.module.endBatch();
+        scene.query(2, 6, SchedulerFixture.equal(8));
+        scene.module.endBatch();
+        assertEquals(17, scene.did.sends.size());
+        return scene;
+    }
+
     static List<Long> parts(long query, int count) {
         List<Long> ids = new ArrayList<>();
         for (int i = 0; i < count; i++) {
