--- a/src/test/java/pepperdock/scheduler/AdaptiveSchedulerTest.java
+++ b/src/test/java/pepperdock/scheduler/AdaptiveSchedulerTest.java
@@ -10,36 +10,36 @@
 class AdaptiveSchedulerTest {
 
     @Test
-    void abortedQueriesLateOutcomesAndUnknownIdsAreHarmless() {
-        SchedulerFixture scene = new SchedulerFixture().start("a");
-        scene.query(1, 6, SchedulerFixture.equal(4));
-        scene.module.endBatch();
-        scene.at(100.1);
-        scene.module.onQueryCancelled(1);
-        scene.module.onQueryCancelled(77);
-        scene.end(100, 0, AttemptOutcome.OK, 0.1);
-        scene.module.onAttemptResult(new AttemptResult(4242, 3, "z", AttemptOutcome.OK, 0.1, LoadReport.NONE));
-        scene.module.onPart(new PartArrival(4243, 999, 0, 1));
-        scene.query(5, 6);
-        scene.module.endBatch();
-        scene.sweep(107);
-        assertEquals(List.of(), scene.did.endings(1));
-        assertEquals(List.of("refuse 5"), scene.did.endings(5));
+    void cancelledQueriesLateResultsAndUnknownIdsAreIgnored() {
+        SchedulerFixture fixture = new SchedulerFixture().start("a");
+        fixture.query(1, 6, SchedulerFixture.equal(4));
+        fixture.scheduler.endBatch();
+        fixture.at(100.1);
+        fixture.scheduler.onQueryCancelled(1);
+        fixture.scheduler.onQueryCancelled(77);
+        fixture.end(100, 0, AttemptOutcome.OK, 0.1);
+        fixture.scheduler.onAttemptResult(new AttemptResult(4242, 3, "z", AttemptOutcome.OK, 0.1, LoadReport.NONE));
+        fixture.scheduler.onPart(new PartArrival(4243, 999, 0, 1));
+        fixture.query(5, 6);
+        fixture.scheduler.endBatch();
+        fixture.sweep(107);
+        assertEquals(List.of(), fixture.actions.endings(1));
+        assertEquals(List.of("reject 5"), fixture.actions.endings(5));
     }
 
     @Test
-    void theSameEventsGiveTheSameActionsAndTheSeedBreaksTies() {
+    void sameEventsAndSeedGiveTheSameActions() {
         List<List<String>> runs = new ArrayList<>();
         for (long seed : new long[] {1, 1, 2}) {
-            SchedulerFixture scene = new SchedulerFixture();
-            scene.seed = seed;
-            scene.start("a", "b", "c");
+            SchedulerFixture fixture = new SchedulerFixture();
+            fixture.seed = seed;
+            fixture.start("a", "b", "c");
             for (int i = 1; i <= 20; i++) {
-                scene.query(i, 6, SchedulerFixture.equal(5));
-                scene.module.endBatch();
-                scene.sweep(scene.now + 0.1);
+                fixture.query(i, 6, SchedulerFixture.equal(5));
+                fixture.scheduler.endBatch();
+                fixture.sweep(fixture.now + 0.1);
             }
-            runs.add(scene.did.all);
+            runs.add(fixture.actions.all);
         }
         assertEquals(runs.get(0), runs.get(1));
         assertNotEquals(runs.get(0), runs.get(2));
--- a/src/test/java/pepperdock/scheduler/ConcurrencyLimitTest.java
+++ b/src/test/java/pepperdock/scheduler/ConcurrencyLimitTest.java
@@ -7,10 +7,10 @@
 class ConcurrencyLimitTest {
 
     @Test
-    void aRefusalAsFullSetsTheCeilingToTwoWholeQueriesAtLeast() {
-        SchedulerFixture scene = SchedulerFixture.atTheCeiling(1);
-        scene.query(3, 6, SchedulerFixture.equal(8));
-        scene.module.endBatch();
-        assertEquals(17, scene.did.sends.size(), "the third query waits");
+    void overloadResponseCutsLimitToTwoWholeQueries() {
+        SchedulerFixture fixture = SchedulerFixture.atConcurrencyLimit(1);
+        fixture.query(3, 6, SchedulerFixture.equal(8));
+        fixture.scheduler.endBatch();
+        assertEquals(17, fixture.actions.sends.size(), "the third query waits");
     }
 }
--- a/src/test/java/pepperdock/scheduler/EndpointListPollerTest.java
+++ b/src/test/java/pepperdock/scheduler/EndpointListPollerTest.java
@@ -11,53 +11,52 @@
 class EndpointListPollerTest {
 
     @Test
-    void anUnreachableListIsAskedForAgainAndDoesNotStopService() {
-        SchedulerFixture scene = new SchedulerFixture();
-        scene.mustAsk = true;
-        scene.start("a");
-        scene.sweep(100.4);
-        assertEquals(1, scene.did.count("subscribe"));
-        scene.at(100.5);
-        scene.module.onEndpointList(EndpointListKind.FAILED, List.of());
-        scene.query(1, 6, 1.0);
-        scene.module.endBatch();
-        assertEquals(1, scene.did.count("subscribe"), "not at once");
-        assertEquals(1, scene.did.sends.size());
-        scene.sweep(102);
-        assertEquals(2, scene.did.count("subscribe"));
+    void failedListCallIsRetriedLaterWhileServiceGoesOn() {
+        SchedulerFixture fixture = new SchedulerFixture();
+        fixture.pollsEndpointList = true;
+        fixture.start("a");
+        fixture.sweep(100.4);
+        assertEquals(1, fixture.actions.count("subscribe"));
+        fixture.at(100.5);
+        fixture.scheduler.onEndpointList(EndpointListKind.FAILED, List.of());
+        fixture.query(1, 6, 1.0);
+        fixture.scheduler.endBatch();
+        assertEquals(1, fixture.actions.count("subscribe"), "not at once");
+        assertEquals(1, fixture.actions.sends.size());
+        fixture.sweep(102);
+        assertEquals(2, fixture.actions.count("subscribe"));
     }
 
     /**
-     * Seen over 91 instances: 43 to 56 whose first calls failed together asked again together, and the same ones failed
-     * again, three and four times. The list is one service; most calls of any tenth of a second must be few.
+     * Discovery is one service, and calls that come together fail together: no tenth of a second may see most of the calls.
      */
     @Test
-    void instancesThatStartAndFailTogetherDoNotAskForTheListTogether() {
+    void instancesSpreadFirstListCallsAndTheirRetries() {
         Map<Long, Integer> first = new HashMap<>();
         Map<Long, Integer> again = new HashMap<>();
         for (int i = 0; i < 100; i++) {
-            SchedulerFixture scene = new SchedulerFixture();
-            scene.mustAsk = true;
-            scene.instances = 100;
-            scene.seed = i;
-            scene.start("a");
-            first.merge(tenthOfTheCall(scene, 1), 1, Integer::sum);
-            scene.at(101);
-            scene.module.onEndpointList(EndpointListKind.FAILED, List.of());
-            scene.module.endBatch();
-            again.merge(tenthOfTheCall(scene, 2), 1, Integer::sum);
+            SchedulerFixture fixture = new SchedulerFixture();
+            fixture.pollsEndpointList = true;
+            fixture.instances = 100;
+            fixture.seed = i;
+            fixture.start("a");
+            first.merge(tenthOfSecondOfCall(fixture, 1), 1, Integer::sum);
+            fixture.at(101);
+            fixture.scheduler.onEndpointList(EndpointListKind.FAILED, List.of());
+            fixture.scheduler.endBatch();
+            again.merge(tenthOfSecondOfCall(fixture, 2), 1, Integer::sum);
         }
         assertTrue(first.values().stream().allMatch(n -> n < 40), first::toString);
         assertTrue(again.values().stream().allMatch(n -> n < 40), again::toString);
     }
 
-    /** The tenth of a second in which an instance makes its so many'th call for the list. */
-    private static long tenthOfTheCall(SchedulerFixture scene, int call) {
-        double limit = scene.now + 5;
-        while (scene.did.count("subscribe") < call && scene.now < limit) {
-            scene.sweep(scene.now + 0.025);
+    /** The tenth of a second in which an instance makes its call number {@code call} for the list. */
+    private static long tenthOfSecondOfCall(SchedulerFixture fixture, int call) {
+        double limit = fixture.now + 5;
+        while (fixture.actions.count("subscribe") < call && fixture.now < limit) {
+            fixture.sweep(fixture.now + 0.025);
         }
-        assertEquals(call, scene.did.count("subscribe"));
-        return Math.round(scene.now * 10);
+        assertEquals(call, fixture.actions.count("subscribe"));
+        return Math.round(fixture.now * 10);
     }
 }
--- a/src/test/java/pepperdock/scheduler/EndpointRegistryTest.java
+++ b/src/test/java/pepperdock/scheduler/EndpointRegistryTest.java
@@ -8,57 +8,57 @@
 class EndpointRegistryTest {
 
     @Test
-    void nothingNewGoesToADrainingOrRemovedSearcher() {
-        SchedulerFixture scene = new SchedulerFixture().start("a", "b", "c");
-        scene.at(101);
-        scene.change(
-                SchedulerFixture.listed("a", EndpointState.DRAINING, 0),
-                SchedulerFixture.listed("b", EndpointState.REMOVED, 0));
-        scene.query(1, 6, SchedulerFixture.equal(6));
-        scene.module.endBatch();
+    void drainingAndRemovedEndpointsReceiveNoAttempts() {
+        SchedulerFixture fixture = new SchedulerFixture().start("a", "b", "c");
+        fixture.at(101);
+        fixture.change(
+                SchedulerFixture.endpoint("a", EndpointState.DRAINING, 0),
+                SchedulerFixture.endpoint("b", EndpointState.REMOVED, 0));
+        fixture.query(1, 6, SchedulerFixture.equal(6));
+        fixture.scheduler.endBatch();
         assertEquals(
                 List.of("c"),
-                scene.did.sends.stream()
-                        .map(RecordingActions.Sent::searcher)
+                fixture.actions.sends.stream()
+                        .map(RecordingActions.Sent::endpointId)
                         .distinct()
                         .toList());
     }
 
     @Test
-    void aSearcherMissingFromACompleteListIsGone() {
-        SchedulerFixture scene = new SchedulerFixture().start("a", "b");
-        scene.at(101);
-        scene.module.onEndpointList(
-                EndpointListKind.COMPLETE, List.of(SchedulerFixture.listed("b", EndpointState.HEALTHY, 0)));
-        scene.query(1, 6, SchedulerFixture.equal(6));
-        scene.module.endBatch();
+    void endpointMissingFromCompleteListIsRemoved() {
+        SchedulerFixture fixture = new SchedulerFixture().start("a", "b");
+        fixture.at(101);
+        fixture.scheduler.onEndpointList(
+                EndpointListKind.COMPLETE, List.of(SchedulerFixture.endpoint("b", EndpointState.HEALTHY, 0)));
+        fixture.query(1, 6, SchedulerFixture.equal(6));
+        fixture.scheduler.endBatch();
         assertEquals(
                 List.of("b"),
-                scene.did.sends.stream()
-                        .map(RecordingActions.Sent::searcher)
+                fixture.actions.sends.stream()
+                        .map(RecordingActions.Sent::endpointId)
                         .distinct()
                         .toList());
     }
 
-    /** A day of releases lists hundreds of searchers that never come back; each must be let go. */
+    /** A day of releases lists hundreds of endpoints that never come back; each must be let go. */
     @Test
-    void aSearcherThatIsGoneIsForgottenOnceItsPartsAreOver() {
-        SchedulerFixture scene = new SchedulerFixture().start("a0");
+    void removedEndpointIsForgottenOnceItsAttemptsEnd() {
+        SchedulerFixture fixture = new SchedulerFixture().start("a0");
         for (int i = 1; i <= 50; i++) {
-            scene.at(scene.now + 0.1);
-            scene.change(
-                    SchedulerFixture.listed("a" + (i - 1), EndpointState.REMOVED, 0),
-                    SchedulerFixture.listed("a" + i, EndpointState.HEALTHY, 0));
-            scene.query(i, 6, 1.0);
-            scene.module.endBatch();
+            fixture.at(fixture.now + 0.1);
+            fixture.change(
+                    SchedulerFixture.endpoint("a" + (i - 1), EndpointState.REMOVED, 0),
+                    SchedulerFixture.endpoint("a" + i, EndpointState.HEALTHY, 0));
+            fixture.query(i, 6, 1.0);
+            fixture.scheduler.endBatch();
         }
-        assertEquals(50, ((AdaptiveScheduler) scene.module).endpointsKnown());
-        scene.at(scene.now + 0.1);
+        assertEquals(50, ((AdaptiveScheduler) fixture.scheduler).endpointsKnown());
+        fixture.at(fixture.now + 0.1);
         for (int i = 1; i <= 50; i++) {
-            scene.end(i * 100L, 0, AttemptOutcome.OK, 0.1);
+            fixture.end(i * 100L, 0, AttemptOutcome.OK, 0.1);
         }
-        scene.change();
-        scene.module.endBatch();
-        assertEquals(1, ((AdaptiveScheduler) scene.module).endpointsKnown());
+        fixture.change();
+        fixture.scheduler.endBatch();
+        assertEquals(1, ((AdaptiveScheduler) fixture.scheduler).endpointsKnown());
     }
 }
--- a/src/test/java/pepperdock/scheduler/FanOutPolicyTest.java
+++ b/src/test/java/pepperdock/scheduler/FanOutPolicyTest.java
@@ -8,89 +8,89 @@
 class FanOutPolicyTest {
 
     @Test
-    void anIdleInstanceSendsEveryPartAndAnswersWhole() {
-        SchedulerFixture scene = new SchedulerFixture().start("a", "b");
-        scene.query(1, 6, 0.4, 0.3, 0.2, 0.1);
-        scene.module.endBatch();
-        assertEquals(List.of(100L, 101L, 102L, 103L), scene.did.sentParts());
-        scene.at(100.2);
+    void idleInstanceSendsAllPartsAndAnswersCompletely() {
+        SchedulerFixture fixture = new SchedulerFixture().start("a", "b");
+        fixture.query(1, 6, 0.4, 0.3, 0.2, 0.1);
+        fixture.scheduler.endBatch();
+        assertEquals(List.of(100L, 101L, 102L, 103L), fixture.actions.sentParts());
+        fixture.at(100.2);
         for (long part : SchedulerFixture.parts(1, 4)) {
-            assertEquals(List.of(), scene.did.endings(1));
-            scene.end(part, 0, AttemptOutcome.OK, 0.2);
-            scene.module.endBatch();
+            assertEquals(List.of(), fixture.actions.endings(1));
+            fixture.end(part, 0, AttemptOutcome.OK, 0.2);
+            fixture.scheduler.endBatch();
         }
-        assertEquals(List.of("answer 1 true"), scene.did.endings(1));
+        assertEquals(List.of("answer 1 true"), fixture.actions.endings(1));
     }
 
     @Test
-    void theHeadLeavesWithTheCountOfTheFormulaLightestPartsLeftOut() {
-        SchedulerFixture scene = SchedulerFixture.atTheCeiling(0.2);
-        scene.query(3, 6, 0.05, 0.3, 0.2, 0.15, 0.12, 0.08, 0.06, 0.04);
-        scene.query(4, 6, SchedulerFixture.equal(8));
-        scene.module.endBatch();
-        scene.did.clear();
-        scene.at(scene.now + 0.1);
+    void queuedQueryGetsRmapCountWithoutLightestParts() {
+        SchedulerFixture fixture = SchedulerFixture.atConcurrencyLimit(0.2);
+        fixture.query(3, 6, 0.05, 0.3, 0.2, 0.15, 0.12, 0.08, 0.06, 0.04);
+        fixture.query(4, 6, SchedulerFixture.equal(8));
+        fixture.scheduler.endBatch();
+        fixture.actions.clear();
+        fixture.at(fixture.now + 0.1);
         // The part served raises the ceiling over 16: one waits behind, two are out: ceil(16.1 / (1 + 1 + 1.5)) = 5.
-        scene.module.onAttemptResult(new AttemptResult(101, 0, "a", AttemptOutcome.OK, 0.1, LoadReport.NONE));
-        scene.module.endBatch();
-        assertEquals(List.of(301L, 302L, 303L, 304L, 305L), scene.did.sentParts());
+        fixture.scheduler.onAttemptResult(new AttemptResult(101, 0, "a", AttemptOutcome.OK, 0.1, LoadReport.NONE));
+        fixture.scheduler.endBatch();
+        assertEquals(List.of(301L, 302L, 303L, 304L, 305L), fixture.actions.sentParts());
     }
 
     @Test
-    void theCountIsClampedToTheFewestPartsThatReachTheFloor() {
-        SchedulerFixture scene = SchedulerFixture.atTheCeiling(0.8);
-        scene.query(3, 6, SchedulerFixture.equal(8));
-        scene.query(4, 6, SchedulerFixture.equal(8));
-        scene.module.endBatch();
-        scene.did.clear();
-        scene.at(scene.now + 0.1);
-        scene.module.onAttemptResult(new AttemptResult(101, 0, "a", AttemptOutcome.OK, 0.1, LoadReport.NONE));
-        scene.module.endBatch();
-        assertEquals(7, scene.did.sends.size());
+    void rmapCountReachesMinimumCoverage() {
+        SchedulerFixture fixture = SchedulerFixture.atConcurrencyLimit(0.8);
+        fixture.query(3, 6, SchedulerFixture.equal(8));
+        fixture.query(4, 6, SchedulerFixture.equal(8));
+        fixture.scheduler.endBatch();
+        fixture.actions.clear();
+        fixture.at(fixture.now + 0.1);
+        fixture.scheduler.onAttemptResult(new AttemptResult(101, 0, "a", AttemptOutcome.OK, 0.1, LoadReport.NONE));
+        fixture.scheduler.endBatch();
+        assertEquals(7, fixture.actions.sends.size());
     }
 
     @Test
-    void classesNeedingAllPartsLeaveTheFormulaIdle() {
-        SchedulerFixture scene = SchedulerFixture.atTheCeiling(1);
-        scene.query(3, 6, SchedulerFixture.equal(8));
-        scene.query(4, 6, SchedulerFixture.equal(8));
-        scene.module.endBatch();
-        scene.did.clear();
-        scene.at(scene.now + 0.1);
-        scene.module.onAttemptResult(new AttemptResult(101, 0, "a", AttemptOutcome.OK, 0.1, LoadReport.NONE));
-        scene.module.endBatch();
-        assertEquals(SchedulerFixture.parts(3, 8), scene.did.sentParts());
+    void classWithoutPartialAnswersSendsAllParts() {
+        SchedulerFixture fixture = SchedulerFixture.atConcurrencyLimit(1);
+        fixture.query(3, 6, SchedulerFixture.equal(8));
+        fixture.query(4, 6, SchedulerFixture.equal(8));
+        fixture.scheduler.endBatch();
+        fixture.actions.clear();
+        fixture.at(fixture.now + 0.1);
+        fixture.scheduler.onAttemptResult(new AttemptResult(101, 0, "a", AttemptOutcome.OK, 0.1, LoadReport.NONE));
+        fixture.scheduler.endBatch();
+        assertEquals(SchedulerFixture.parts(3, 8), fixture.actions.sentParts());
     }
 
     /**
-     * Guards against full fan-out into searchers that queue, where no query ever waits here: of 91 instances on a day at
-     * full size each saw a query every 2.5 s, sent all of its parts, and answered half of them at the aim.
+     * Guards against full fan-out into endpoints that queue: one of many instances sees a query now and then, so none waits
+     * there.
      */
     @Test
-    void aQueryThatNeedNotWaitLeavesOutLightPartsWhilePartsTakeLong() {
+    void slowPartsTrimQueriesThatNeedNotWait() {
         List<Long> all = List.of(200L, 201L, 202L, 203L, 204L, 205L);
-        assertEquals(all.subList(1, 6), sentWhileSlow(0.6, 50), "all but the lightest");
-        assertEquals(all, sentWhileSlow(1, 50), "all are needed");
-        assertEquals(all, sentWhileSlow(0.6, 1), "the instance's own ceiling sees the load");
+        assertEquals(all.subList(1, 6), sentWhilePartsAreSlow(0.6, 50), "all but the lightest");
+        assertEquals(all, sentWhilePartsAreSlow(1, 50), "all are needed");
+        assertEquals(all, sentWhilePartsAreSlow(0.6, 1), "the instance's own ceiling sees the load");
     }
 
-    private static List<Long> sentWhileSlow(double floor, int instances) {
+    private static List<Long> sentWhilePartsAreSlow(double floor, int instances) {
         double[] weights = {0.05, 0.3, 0.1, 0.25, 0.1, 0.2};
-        SchedulerFixture scene = new SchedulerFixture();
-        scene.floor = floor;
-        scene.instances = instances;
-        scene.shards = 6;
-        scene.start("a", "b", "c");
-        scene.serve(40, 6, 0.2 * SchedulerFixture.AIM);
-        scene.query(1, 6, weights);
-        scene.module.endBatch();
-        assertEquals(6, scene.did.sends.size(), "while parts are quick");
-        SchedulerFixture.parts(1, 6).forEach(p -> scene.end(p, 0, AttemptOutcome.OK, 0.1));
-        scene.module.endBatch();
-        scene.at(scene.now + 1).serve(60, 6, 0.36 * SchedulerFixture.AIM);
-        scene.query(2, 6, weights);
-        scene.module.endBatch();
-        return scene.did.sends.stream()
+        SchedulerFixture fixture = new SchedulerFixture();
+        fixture.minimumCoverage = floor;
+        fixture.instances = instances;
+        fixture.shards = 6;
+        fixture.start("a", "b", "c");
+        fixture.serve(40, 6, 0.2 * SchedulerFixture.OBJECTIVE_S);
+        fixture.query(1, 6, weights);
+        fixture.scheduler.endBatch();
+        assertEquals(6, fixture.actions.sends.size(), "while parts are quick");
+        SchedulerFixture.parts(1, 6).forEach(p -> fixture.end(p, 0, AttemptOutcome.OK, 0.1));
+        fixture.scheduler.endBatch();
+        fixture.at(fixture.now + 1).serve(60, 6, 0.36 * SchedulerFixture.OBJECTIVE_S);
+        fixture.query(2, 6, weights);
+        fixture.scheduler.endBatch();
+        return fixture.actions.sends.stream()
                 .map(RecordingActions.Sent::part)
                 .sorted()
                 .toList();
--- a/src/test/java/pepperdock/scheduler/OutlierDetectorTest.java
+++ b/src/test/java/pepperdock/scheduler/OutlierDetectorTest.java
@@ -15,190 +15,194 @@
 class OutlierDetectorTest {
 
     /**
-     * Seen where operators took out the sound holders of ranges whose others answered one attempt in three: their queries were
-     * refused unsent. An error is told at once, so that the next attempt costs no more than a call.
+     * Where the healthy replicas of a shard are draining, queries must not be rejected unsent while the last one answers some
+     * attempts: an error comes at once, so that the next attempt costs no more than a call.
      */
     @Test
-    void theOnlyHolderLeftIsTriedAgainThoughItErrs() {
-        SchedulerFixture scene = new SchedulerFixture();
-        scene.cells = 2;
-        scene.shards = 2;
-        scene.start("a", "b");
-        for (String sound : List.of("x", "y", "z")) {
-            scene.change(new Endpoint(sound, 0, 0, 1, EndpointState.HEALTHY, 1, 0));
+    void lastReplicaIsRetriedThoughItRespondsWithErrors() {
+        SchedulerFixture fixture = new SchedulerFixture();
+        fixture.cells = 2;
+        fixture.shards = 2;
+        fixture.start("a", "b");
+        for (String healthy : List.of("x", "y", "z")) {
+            fixture.change(new Endpoint(healthy, 0, 0, 1, EndpointState.HEALTHY, 1, 0));
         }
         for (int query = 1; query <= 9; query++) {
-            scene.query(query, 6, 1.0);
-            scene.module.endBatch();
-            scene.at(scene.now + 0.01);
+            fixture.query(query, 6, 1.0);
+            fixture.scheduler.endBatch();
+            fixture.at(fixture.now + 0.01);
             long part = query * 100L;
-            boolean toA = scene.did.sends.stream()
-                    .anyMatch(s -> s.part() == part && s.searcher().equals("a"));
-            scene.end(part, 0, toA ? AttemptOutcome.ERROR : AttemptOutcome.OK, 0.01);
-            scene.module.endBatch();
-            scene.end(part, 1, AttemptOutcome.OK, 0.01);
-            scene.module.endBatch();
+            boolean toA = fixture.actions.sends.stream()
+                    .anyMatch(s -> s.part() == part && s.endpointId().equals("a"));
+            fixture.end(part, 0, toA ? AttemptOutcome.ERROR : AttemptOutcome.OK, 0.01);
+            fixture.scheduler.endBatch();
+            fixture.end(part, 1, AttemptOutcome.OK, 0.01);
+            fixture.scheduler.endBatch();
         }
-        scene.change(SchedulerFixture.listed("b", EndpointState.DRAINING, 0));
-        scene.did.clear();
-        scene.query(20, 6, 1.0);
-        scene.module.endBatch();
+        fixture.change(SchedulerFixture.endpoint("b", EndpointState.DRAINING, 0));
+        fixture.actions.clear();
+        fixture.query(20, 6, 1.0);
+        fixture.scheduler.endBatch();
         for (int i = 0; i < 3; i++) {
-            assertEquals(i + 1, scene.did.sends.size(), scene.did.endings(20)::toString);
-            assertEquals("a", scene.did.sends.get(i).searcher());
-            scene.at(scene.now + 0.01);
-            scene.end(2000, i, i < 2 ? AttemptOutcome.ERROR : AttemptOutcome.OK, 0.01);
-            scene.module.endBatch();
+            assertEquals(i + 1, fixture.actions.sends.size(), fixture.actions.endings(20)::toString);
+            assertEquals("a", fixture.actions.sends.get(i).endpointId());
+            fixture.at(fixture.now + 0.01);
+            fixture.end(2000, i, i < 2 ? AttemptOutcome.ERROR : AttemptOutcome.OK, 0.01);
+            fixture.scheduler.endBatch();
         }
-        assertEquals(List.of("answer 20 true"), scene.did.endings(20));
+        assertEquals(List.of("answer 20 true"), fixture.actions.endings(20));
     }
 
     @Test
-    void aSearcherThatRefusesConnectionsIsLeftOutWhileAnotherIsSoundAndTheSoleHolderIsUsed() {
-        SchedulerFixture scene = new SchedulerFixture().start("a", "b");
-        scene.query(1, 6, 1.0);
-        scene.module.endBatch();
-        String broken = scene.did.sends.get(0).searcher();
-        scene.at(100.05);
-        scene.end(100, 0, AttemptOutcome.CONNECT_FAILED, 0.05);
-        scene.query(2, 6, SchedulerFixture.equal(4));
-        scene.module.endBatch();
-        assertTrue(scene.did.sends.stream().skip(1).noneMatch(s -> s.searcher().equals(broken)));
-        scene.at(100.1);
+    void unreachableEndpointIsAvoidedUnlessItIsTheSoleReplica() {
+        SchedulerFixture fixture = new SchedulerFixture().start("a", "b");
+        fixture.query(1, 6, 1.0);
+        fixture.scheduler.endBatch();
+        String broken = fixture.actions.sends.get(0).endpointId();
+        fixture.at(100.05);
+        fixture.end(100, 0, AttemptOutcome.CONNECT_FAILED, 0.05);
+        fixture.query(2, 6, SchedulerFixture.equal(4));
+        fixture.scheduler.endBatch();
+        assertTrue(fixture.actions.sends.stream()
+                .skip(1)
+                .noneMatch(s -> s.endpointId().equals(broken)));
+        fixture.at(100.1);
         String other = broken.equals("a") ? "b" : "a";
-        scene.change(SchedulerFixture.listed(other, EndpointState.DRAINING, 0));
-        scene.did.clear();
-        scene.query(3, 6, 1.0);
-        scene.module.endBatch();
+        fixture.change(SchedulerFixture.endpoint(other, EndpointState.DRAINING, 0));
+        fixture.actions.clear();
+        fixture.query(3, 6, 1.0);
+        fixture.scheduler.endBatch();
         assertEquals(
                 List.of(broken),
-                scene.did.sends.stream()
-                        .map(RecordingActions.Sent::searcher)
+                fixture.actions.sends.stream()
+                        .map(RecordingActions.Sent::endpointId)
                         .distinct()
                         .toList());
     }
 
     @Test
-    void aQueryThatNeedsJammedHoldersIsRefusedAtOnceAndTheyAreWonBack() {
-        SchedulerFixture scene = new SchedulerFixture();
-        scene.cells = 3;
-        scene.shards = 1;
-        scene.cancel = false;
-        scene.start();
-        scene.module.onEndpointList(
+    void queryWithOnlyEjectedReplicasIsRejectedAtOnceAndReplicasRecover() {
+        SchedulerFixture fixture = new SchedulerFixture();
+        fixture.cells = 3;
+        fixture.shards = 1;
+        fixture.cancellation = false;
+        fixture.start();
+        fixture.scheduler.onEndpointList(
                 EndpointListKind.CACHED,
                 Stream.of("a0", "b0", "a1", "b1", "a2", "b2")
                         .map(n -> new Endpoint(n, 0, 0, n.charAt(1) - '0', EndpointState.HEALTHY, 1, 0))
                         .toList());
-        scene.module.endBatch();
-        scene.serve(40, 0.15);
-        int refusedAtOnce = 0;
+        fixture.scheduler.endBatch();
+        fixture.serve(40, 0.15);
+        int rejectedAtOnce = 0;
         for (int i = 1; i <= 40; i++) {
-            scene.query(i, 6, 1.0);
-            scene.module.endBatch();
-            refusedAtOnce += scene.did.endings(i).size();
-            scene.sweep(scene.now + 2.2);
-            scene.end(i * 100L, 0, AttemptOutcome.TIMEOUT, 2);
-            scene.module.endBatch();
+            fixture.query(i, 6, 1.0);
+            fixture.scheduler.endBatch();
+            rejectedAtOnce += fixture.actions.endings(i).size();
+            fixture.sweep(fixture.now + 2.2);
+            fixture.end(i * 100L, 0, AttemptOutcome.TIMEOUT, 2);
+            fixture.scheduler.endBatch();
         }
-        assertTrue(refusedAtOnce >= 5, "jammed holders are spared: " + refusedAtOnce);
+        assertTrue(rejectedAtOnce >= 5, "ejected replicas are spared: " + rejectedAtOnce);
         int whole = 0;
         for (int i = 101; i <= 120; i++) {
-            scene.query(i, 6, 1.0);
-            scene.module.endBatch();
-            scene.at(scene.now + 0.15);
-            scene.end(i * 100L, 0, AttemptOutcome.OK, 0.15);
-            scene.module.endBatch();
-            whole += scene.did.endings(i).contains("answer " + i + " true") ? 1 : 0;
-            scene.sweep(scene.now + 2.2);
+            fixture.query(i, 6, 1.0);
+            fixture.scheduler.endBatch();
+            fixture.at(fixture.now + 0.15);
+            fixture.end(i * 100L, 0, AttemptOutcome.OK, 0.15);
+            fixture.scheduler.endBatch();
+            whole += fixture.actions.endings(i).contains("answer " + i + " true") ? 1 : 0;
+            fixture.sweep(fixture.now + 2.2);
         }
         assertTrue(whole >= 15, "served again: " + whole);
     }
 
-    /** Found on a day of quick errors: refused unsent, though a holder had served a part a moment ago. */
+    /** A replica that answered a part a moment ago may answer the next one. */
     @Test
-    void holdersThatFailNowAndThenButStillAnswerAreNoGroundForARefusal() {
-        SchedulerFixture scene = new SchedulerFixture();
-        scene.cells = 3;
-        scene.shards = 1;
-        scene.start();
-        scene.module.onEndpointList(
+    void replicasWithOccasionalErrorsAreNoGroundForRejection() {
+        SchedulerFixture fixture = new SchedulerFixture();
+        fixture.cells = 3;
+        fixture.shards = 1;
+        fixture.start();
+        fixture.scheduler.onEndpointList(
                 EndpointListKind.CACHED,
                 Stream.of("a0", "b0", "a1", "b1", "a2", "b2")
                         .map(n -> new Endpoint(n, 0, 0, n.charAt(1) - '0', EndpointState.HEALTHY, 1, 0))
                         .toList());
-        scene.module.endBatch();
-        scene.serve(40, 0.15);
-        scene.query(1, 6, SchedulerFixture.equal(8));
-        scene.module.endBatch();
-        scene.at(scene.now + 0.1);
+        fixture.scheduler.endBatch();
+        fixture.serve(40, 0.15);
+        fixture.query(1, 6, SchedulerFixture.equal(8));
+        fixture.scheduler.endBatch();
+        fixture.at(fixture.now + 0.1);
         Set<String> answered = new HashSet<>();
-        for (RecordingActions.Sent sent : List.copyOf(scene.did.sends)) {
-            scene.end(sent.part(), 0, answered.add(sent.searcher()) ? AttemptOutcome.OK : AttemptOutcome.ERROR, 0.1);
+        for (RecordingActions.Sent sent : List.copyOf(fixture.actions.sends)) {
+            fixture.end(
+                    sent.part(), 0, answered.add(sent.endpointId()) ? AttemptOutcome.OK : AttemptOutcome.ERROR, 0.1);
         }
-        scene.module.endBatch();
-        scene.query(2, 6, 1.0);
-        scene.module.endBatch();
-        assertEquals(List.of(), scene.did.endings(2));
+        fixture.scheduler.endBatch();
+        fixture.query(2, 6, 1.0);
+        fixture.scheduler.endBatch();
+        assertEquals(List.of(), fixture.actions.endings(2));
     }
 
     @Test
-    void connectionsBrokenEverywhereDoNotCrowdTheRest() {
-        SchedulerFixture scene = new SchedulerFixture().start("a", "b", "c", "d");
+    void sharedFaultDoesNotCrowdTheRemainingEndpoints() {
+        SchedulerFixture fixture = new SchedulerFixture().start("a", "b", "c", "d");
         for (int round = 0; round < 4; round++) {
             long id = 1L + round;
-            int before = scene.did.sends.size();
-            scene.query(id, 6, SchedulerFixture.equal(4));
-            scene.module.endBatch();
-            List<RecordingActions.Sent> sent = List.copyOf(scene.did.sends.subList(before, scene.did.sends.size()));
-            scene.at(scene.now + 0.1);
+            int before = fixture.actions.sends.size();
+            fixture.query(id, 6, SchedulerFixture.equal(4));
+            fixture.scheduler.endBatch();
+            List<RecordingActions.Sent> sent =
+                    List.copyOf(fixture.actions.sends.subList(before, fixture.actions.sends.size()));
+            fixture.at(fixture.now + 0.1);
             for (RecordingActions.Sent s : sent) {
-                scene.module.onAttemptResult(
-                        new AttemptResult(s.part(), 0, s.searcher(), AttemptOutcome.RESET, 0.1, LoadReport.NONE));
+                fixture.scheduler.onAttemptResult(
+                        new AttemptResult(s.part(), 0, s.endpointId(), AttemptOutcome.RESET, 0.1, LoadReport.NONE));
             }
-            scene.module.onQueryCancelled(id);
-            scene.module.endBatch();
+            fixture.scheduler.onQueryCancelled(id);
+            fixture.scheduler.endBatch();
         }
-        scene.did.clear();
-        scene.query(50, 6, SchedulerFixture.equal(8));
-        scene.module.endBatch();
-        Map<String, Long> counts = scene.did.sends.stream()
-                .collect(Collectors.groupingBy(RecordingActions.Sent::searcher, Collectors.counting()));
+        fixture.actions.clear();
+        fixture.query(50, 6, SchedulerFixture.equal(8));
+        fixture.scheduler.endBatch();
+        Map<String, Long> counts = fixture.actions.sends.stream()
+                .collect(Collectors.groupingBy(RecordingActions.Sent::endpointId, Collectors.counting()));
         assertEquals(4, counts.size());
         assertTrue(counts.values().stream().allMatch(n -> n == 2), counts.toString());
     }
 
     @Test
-    void aPartTurnedAwayIsNotHammeredAtASuspect() {
-        SchedulerFixture scene = new SchedulerFixture().start("a");
-        scene.query(1, 6, 1.0);
-        scene.module.endBatch();
-        scene.at(100.005);
-        scene.end(100, 0, AttemptOutcome.OVERLOADED, 0.001);
-        scene.module.endBatch();
-        assertEquals(1, scene.did.sends.size(), "not again at once");
-        scene.sweep(101);
-        assertEquals(2, scene.did.sends.size(), "but after a pause");
+    void overloadedEndpointIsRetriedOnlyAfterBackoff() {
+        SchedulerFixture fixture = new SchedulerFixture().start("a");
+        fixture.query(1, 6, 1.0);
+        fixture.scheduler.endBatch();
+        fixture.at(100.005);
+        fixture.end(100, 0, AttemptOutcome.OVERLOADED, 0.001);
+        fixture.scheduler.endBatch();
+        assertEquals(1, fixture.actions.sends.size(), "not again at once");
+        fixture.sweep(101);
+        assertEquals(2, fixture.actions.sends.size(), "but after a pause");
     }
 
     @Test
-    void whereCopiesMayRunASuspectIsTriedWithOne() {
-        SchedulerFixture scene = new SchedulerFixture();
-        scene.duplicate = true;
-        scene.start("a", "b", "c");
-        scene.query(1, 6, 1.0);
-        scene.module.endBatch();
-        String broken = scene.did.sends.get(0).searcher();
-        scene.at(100.25);
-        scene.end(100, 0, AttemptOutcome.CONNECT_FAILED, 0.25);
-        scene.module.onQueryCancelled(1);
-        scene.module.endBatch();
-        scene.at(102);
-        scene.did.clear();
-        scene.query(2, 6, 1.0);
-        scene.module.endBatch();
-        assertEquals(2, scene.did.sends.size());
-        assertNotEquals(broken, scene.did.sends.get(0).searcher());
-        assertEquals(broken, scene.did.sends.get(1).searcher());
+    void ejectedEndpointIsTriedWithHedgedRequest() {
+        SchedulerFixture fixture = new SchedulerFixture();
+        fixture.hedging = true;
+        fixture.start("a", "b", "c");
+        fixture.query(1, 6, 1.0);
+        fixture.scheduler.endBatch();
+        String broken = fixture.actions.sends.get(0).endpointId();
+        fixture.at(100.25);
+        fixture.end(100, 0, AttemptOutcome.CONNECT_FAILED, 0.25);
+        fixture.scheduler.onQueryCancelled(1);
+        fixture.scheduler.endBatch();
+        fixture.at(102);
+        fixture.actions.clear();
+        fixture.query(2, 6, 1.0);
+        fixture.scheduler.endBatch();
+        assertEquals(2, fixture.actions.sends.size());
+        assertNotEquals(broken, fixture.actions.sends.get(0).endpointId());
+        assertEquals(broken, fixture.actions.sends.get(1).endpointId());
     }
 }
--- a/src/test/java/pepperdock/scheduler/RecordingActions.java
+++ b/src/test/java/pepperdock/scheduler/RecordingActions.java
@@ -4,18 +4,18 @@
 import java.util.List;
 import java.util.stream.Collectors;
 
-/** Actions written down, in order, and the settings and lists that tests build their scenes from. */
+/** Records the actions of a scheduler, in order. */
 final class RecordingActions implements SchedulerActions {
 
-    record Sent(long part, String searcher, double until) {}
+    record Sent(long part, String endpointId, double until) {}
 
     final List<String> all = new ArrayList<>();
     final List<Sent> sends = new ArrayList<>();
 
     @Override
-    public void sendAttempt(long part, String searcher, double until) {
-        sends.add(new Sent(part, searcher, until));
-        all.add("send " + part + " " + searcher + " " + until);
+    public void sendAttempt(long part, String endpointId, double until) {
+        sends.add(new Sent(part, endpointId, until));
+        all.add("send " + part + " " + endpointId + " " + until);
     }
 
     @Override
@@ -30,7 +30,7 @@
 
     @Override
     public void rejectQuery(long query, double pauseS) {
-        all.add("refuse " + query);
+        all.add("reject " + query);
     }
 
     @Override
@@ -39,13 +39,13 @@
     }
 
     @Override
-    public void checkHealth(String searcher) {
-        all.add("probe " + searcher);
+    public void checkHealth(String endpointId) {
+        all.add("probe " + endpointId);
     }
 
     @Override
-    public void closeIdleConnections(String searcher) {
-        all.add("drop " + searcher);
+    public void closeIdleConnections(String endpointId) {
+        all.add("drop " + endpointId);
     }
 
     @Override
@@ -67,10 +67,10 @@
         return all.stream().filter(a -> a.startsWith(start)).count();
     }
 
-    /** The final answers and second-step answers given to a query. */
+    /** The answers, rejections and failures of a query. */
     List<String> endings(long query) {
         return all.stream()
-                .filter(a -> a.matches("(answer|refuse|fail) " + query + "( .*)?"))
+                .filter(a -> a.matches("(answer|reject|fail) " + query + "( .*)?"))
                 .collect(Collectors.toList());
     }
 
--- a/src/test/java/pepperdock/scheduler/RetryPolicyTest.java
+++ b/src/test/java/pepperdock/scheduler/RetryPolicyTest.java
@@ -10,82 +10,83 @@
 class RetryPolicyTest {
 
     @Test
-    void anUnsafePartThatMayHaveRunIsNotSentAgainAndItsQueryFails() {
-        SchedulerFixture scene = new SchedulerFixture();
-        scene.effect = RetrySafety.NOT_IDEMPOTENT;
-        scene.start("a", "b");
-        scene.query(1, 3, 1.0);
-        scene.module.endBatch();
-        scene.at(100.1);
-        scene.end(100, 0, AttemptOutcome.RESET, 0.1);
-        scene.module.endBatch();
-        scene.sweep(103);
-        assertEquals(1, scene.did.sends.size());
-        assertEquals(List.of("fail 1"), scene.did.endings(1));
+    void nonIdempotentPartThatMayHaveExecutedIsNotRetriedAndItsQueryFails() {
+        SchedulerFixture fixture = new SchedulerFixture();
+        fixture.retrySafety = RetrySafety.NOT_IDEMPOTENT;
+        fixture.start("a", "b");
+        fixture.query(1, 3, 1.0);
+        fixture.scheduler.endBatch();
+        fixture.at(100.1);
+        fixture.end(100, 0, AttemptOutcome.RESET, 0.1);
+        fixture.scheduler.endBatch();
+        fixture.sweep(103);
+        assertEquals(1, fixture.actions.sends.size());
+        assertEquals(List.of("fail 1"), fixture.actions.endings(1));
     }
 
     @Test
-    void anUnsafePartThatNeverRanIsSentAgain() {
-        SchedulerFixture scene = new SchedulerFixture();
-        scene.effect = RetrySafety.NOT_IDEMPOTENT;
-        scene.start("a", "b");
-        scene.query(1, 3, 1.0);
-        scene.module.endBatch();
-        scene.at(100.1);
-        scene.end(100, 0, AttemptOutcome.CONNECT_FAILED, 0.1);
-        scene.module.endBatch();
-        assertEquals(2, scene.did.sends.size());
+    void nonIdempotentPartThatNeverExecutedIsRetried() {
+        SchedulerFixture fixture = new SchedulerFixture();
+        fixture.retrySafety = RetrySafety.NOT_IDEMPOTENT;
+        fixture.start("a", "b");
+        fixture.query(1, 3, 1.0);
+        fixture.scheduler.endBatch();
+        fixture.at(100.1);
+        fixture.end(100, 0, AttemptOutcome.CONNECT_FAILED, 0.1);
+        fixture.scheduler.endBatch();
+        assertEquals(2, fixture.actions.sends.size());
         assertNotEquals(
-                scene.did.sends.get(0).searcher(), scene.did.sends.get(1).searcher());
+                fixture.actions.sends.get(0).endpointId(),
+                fixture.actions.sends.get(1).endpointId());
     }
 
     @Test
-    void aKeyedPartIsSentAgainOnlyWhileRepeatsAreRecognised() {
+    void partWithIdempotencyKeyIsRetriedOnlyWithinItsWindow() {
         for (double after : new double[] {0.9, 1.1}) {
-            SchedulerFixture scene = new SchedulerFixture();
-            scene.effect = RetrySafety.IDEMPOTENCY_KEY;
-            scene.start("a", "b");
-            scene.query(1, 6, 1.0);
-            scene.module.endBatch();
-            scene.at(100 + after);
-            scene.end(100, 0, AttemptOutcome.RESET, after);
-            scene.module.endBatch();
-            assertEquals(after < 1 ? 2 : 1, scene.did.sends.size());
+            SchedulerFixture fixture = new SchedulerFixture();
+            fixture.retrySafety = RetrySafety.IDEMPOTENCY_KEY;
+            fixture.start("a", "b");
+            fixture.query(1, 6, 1.0);
+            fixture.scheduler.endBatch();
+            fixture.at(100 + after);
+            fixture.end(100, 0, AttemptOutcome.RESET, after);
+            fixture.scheduler.endBatch();
+            assertEquals(after < 1 ? 2 : 1, fixture.actions.sends.size());
         }
     }
 
     @Test
-    void attemptsAtAPartStayWithinTheLimit() {
-        SchedulerFixture scene = new SchedulerFixture();
-        scene.maxAttempts = 3;
-        scene.start("a", "b");
-        scene.query(1, 6, 1.0);
-        scene.module.endBatch();
+    void attemptsStayWithinTheLimit() {
+        SchedulerFixture fixture = new SchedulerFixture();
+        fixture.maxAttempts = 3;
+        fixture.start("a", "b");
+        fixture.query(1, 6, 1.0);
+        fixture.scheduler.endBatch();
         for (int i = 0; i < 3; i++) {
-            scene.at(scene.now + 0.05);
-            scene.end(100, i, AttemptOutcome.ERROR, 0.05);
-            scene.module.endBatch();
+            fixture.at(fixture.now + 0.05);
+            fixture.end(100, i, AttemptOutcome.ERROR, 0.05);
+            fixture.scheduler.endBatch();
         }
-        assertEquals(3, scene.did.sends.size());
-        assertEquals(List.of("refuse 1"), scene.did.endings(1));
+        assertEquals(3, fixture.actions.sends.size());
+        assertEquals(List.of("reject 1"), fixture.actions.endings(1));
     }
 
     @Test
-    void furtherAttemptsStayWithinTheStatedBudget() {
-        SchedulerFixture scene = new SchedulerFixture();
-        scene.budgetSpanS = 10;
-        scene.budgetFree = 2;
-        scene.budgetShare = 0.1;
-        scene.start("a", "b");
-        scene.query(1, 6, SchedulerFixture.equal(29));
-        scene.module.endBatch();
-        scene.at(100.1);
+    void retriesStayWithinTheStatedBudget() {
+        SchedulerFixture fixture = new SchedulerFixture();
+        fixture.retryBudgetWindowS = 10;
+        fixture.retryBudgetFree = 2;
+        fixture.retryBudgetShare = 0.1;
+        fixture.start("a", "b");
+        fixture.query(1, 6, SchedulerFixture.equal(29));
+        fixture.scheduler.endBatch();
+        fixture.at(100.1);
         for (long part : SchedulerFixture.parts(1, 29)) {
-            scene.end(part, 0, AttemptOutcome.ERROR, 0.1);
+            fixture.end(part, 0, AttemptOutcome.ERROR, 0.1);
         }
-        scene.module.endBatch();
-        scene.sweep(103);
-        int further = scene.did.sends.size() - 29;
+        fixture.scheduler.endBatch();
+        fixture.sweep(103);
+        int further = fixture.actions.sends.size() - 29;
         assertTrue(further >= 1 && further <= 5, "further attempts: " + further);
     }
 }
--- a/src/test/java/pepperdock/scheduler/SchedulerFixture.java
+++ b/src/test/java/pepperdock/scheduler/SchedulerFixture.java
@@ -8,110 +8,131 @@
 import java.util.Map;
 import java.util.stream.Collectors;
 
-/** A small fleet and one instance in front of it, driven through the interface alone. */
+/** A small fleet and one scheduler in front of it, driven through {@link Scheduler} alone. */
 final class SchedulerFixture {
 
-    static final double AIM = 2;
-    static final double DEADLINE = 6;
-
-    RetrySafety effect = RetrySafety.IDEMPOTENT;
-    double windowS = 1;
-    double floor = 1;
-    double need = 1;
-    double lateWorth;
-    int secondStep;
-    boolean duplicate;
-    boolean cancel = true;
+    static final double OBJECTIVE_S = 2;
+    static final double DEADLINE_S = 6;
+
+    RetrySafety retrySafety = RetrySafety.IDEMPOTENT;
+    double idempotencyWindowS = 1;
+    double minimumCoverage = 1;
+    double completeCoverage = 1;
+    double lateAnswerWeight;
+    int secondStageParts;
+    boolean hedging;
+    boolean cancellation = true;
     int maxAttempts = 4;
     int instances = 1;
     int shards = 4;
-    int batch = 1;
+    int maxPartsPerCall = 1;
     int cells = 1;
-    double budgetFree;
-    double budgetShare;
-    double budgetSpanS;
-    double coldFrom = 0.2;
-    double fallS = 1;
-    boolean mustAsk;
+    double retryBudgetFree;
+    double retryBudgetShare;
+    double retryBudgetWindowS;
+    double warmUpInitialShare = 0.2;
+    double warmUpOverloadWindowS = 1;
+    boolean pollsEndpointList;
     List<Double> tenantRates = List.of();
     int tenant;
     long seed = 7;
     double now = 100;
-    final RecordingActions did = new RecordingActions();
-    Scheduler module;
-    private long nextNo;
+    final RecordingActions actions = new RecordingActions();
+    Scheduler scheduler;
+    private long nextSequenceNumber;
 
     SchedulerSettings settings() {
-        var kind = new QueryClass(AIM, DEADLINE, 1, lateWorth, effect, windowS, floor, need, 0.9, secondStep);
+        var kind = new QueryClass(
+                OBJECTIVE_S,
+                DEADLINE_S,
+                1,
+                lateAnswerWeight,
+                retrySafety,
+                idempotencyWindowS,
+                minimumCoverage,
+                completeCoverage,
+                0.9,
+                secondStageParts);
         return new SchedulerSettings(
                 instances,
                 0,
                 0.005,
-                mustAsk,
+                pollsEndpointList,
                 List.of(kind),
                 tenantRates,
                 0.1,
                 List.of(),
-                new ReplicaLayout(shards, cells, 1, batch),
-                new SchedulerLimits(cancel, duplicate, false, maxAttempts, 1000, 1),
-                new ProtocolRules(0.02, 1, coldFrom, 10, 2, fallS, budgetFree, budgetShare, budgetSpanS, 10));
+                new ReplicaLayout(shards, cells, 1, maxPartsPerCall),
+                new SchedulerLimits(cancellation, hedging, false, maxAttempts, 1000, 1),
+                new ProtocolRules(
+                        0.02,
+                        1,
+                        warmUpInitialShare,
+                        10,
+                        2,
+                        warmUpOverloadWindowS,
+                        retryBudgetFree,
+                        retryBudgetShare,
+                        retryBudgetWindowS,
+                        10));
     }
 
-    static Endpoint listed(String id, EndpointState readiness, double bootAt) {
-        return new Endpoint(id, 0, 0, 0, readiness, 1, bootAt);
+    static Endpoint endpoint(String id, EndpointState state, double startedAtS) {
+        return new Endpoint(id, 0, 0, 0, state, 1, startedAtS);
     }
 
-    /** Starts with the named searchers, each holding every shard. */
-    SchedulerFixture start(String... searchers) {
-        module = Scheduler.create(settings(), seed, did);
+    /** Starts with the named endpoints, each a replica of every shard. */
+    SchedulerFixture start(String... endpoints) {
+        scheduler = Scheduler.create(settings(), seed, actions);
         at(now);
-        module.onEndpointList(
+        scheduler.onEndpointList(
                 EndpointListKind.CACHED,
-                Arrays.stream(searchers)
-                        .map(s -> listed(s, EndpointState.HEALTHY, 0))
+                Arrays.stream(endpoints)
+                        .map(s -> endpoint(s, EndpointState.HEALTHY, 0))
                         .toList());
-        module.endBatch();
+        scheduler.endBatch();
         return this;
     }
 
     SchedulerFixture at(double time) {
         now = time;
-        module.beginBatch(time);
+        scheduler.beginBatch(time);
         return this;
     }
 
     void change(Endpoint... entries) {
-        module.onEndpointList(EndpointListKind.CHANGES, List.of(entries));
+        scheduler.onEndpointList(EndpointListKind.CHANGES, List.of(entries));
     }
 
     /** A query with parts {@code id * 100 + i} at shard i, of the given weights; the batch stays open. */
     void query(long id, double remainingS, double... weights) {
-        long no = nextNo++;
-        module.onQuery(new QueryArrival(id, 0, tenant, "", remainingS, no, weights.length));
+        long number = nextSequenceNumber++;
+        scheduler.onQuery(new QueryArrival(id, 0, tenant, "", remainingS, number, weights.length));
         for (int i = 0; i < weights.length; i++) {
-            module.onPart(new PartArrival(id * 100 + i, no, i % shards, weights[i]));
+            scheduler.onPart(new PartArrival(id * 100 + i, number, i % shards, weights[i]));
         }
-        lastNo = no;
+        lastSequenceNumber = number;
     }
 
-    long lastNo;
+    long lastSequenceNumber;
 
-    void end(long part, int attempt, AttemptOutcome outcome, double spentS) {
-        String searcher = did.sends.stream()
+    /** Reports the result of an attempt that was sent. */
+    void end(long part, int attempt, AttemptOutcome outcome, double elapsedS) {
+        String endpointId = actions.sends.stream()
                 .filter(s -> s.part() == part)
                 .skip(attempt)
                 .findFirst()
-                .map(RecordingActions.Sent::searcher)
+                .map(RecordingActions.Sent::endpointId)
                 .orElse("none");
-        module.onAttemptResult(new AttemptResult(part, attempt, searcher, outcome, spentS, LoadReport.NONE));
+        scheduler.onAttemptResult(new AttemptResult(part, attempt, endpointId, outcome, elapsedS, LoadReport.NONE));
     }
 
     /** Lets time pass in sweeps until {@code until}. */
     void sweep(double until) {
         for (double t = now + 0.025; t <= until + 1e-9; t += 0.025) {
             at(t);
-            module.onTimer("sweep");
-            module.endBatch();
+            scheduler.onTimer("sweep");
+            scheduler.endBatch();
         }
     }
 
@@ -121,44 +142,44 @@
         return weights;
     }
 
-    /** Serves one-part queries one after another, so that the module knows the pace of sound searchers. */
-    void serve(int queries, double spentS) {
-        serve(queries, 1, spentS);
+    /** Serves one-part queries one after another, so that the scheduler knows the part time of healthy endpoints. */
+    void serve(int queries, double elapsedS) {
+        serve(queries, 1, elapsedS);
     }
 
-    void serve(int queries, int parts, double spentS) {
+    void serve(int queries, int parts, double elapsedS) {
         for (int i = 0; i < queries; i++) {
-            long id = 900_000 + nextNo;
+            long id = 900_000 + nextSequenceNumber;
             double asked = now;
-            query(id, DEADLINE, equal(parts));
-            module.endBatch();
-            sweep(now + spentS);
-            at(Math.max(now, asked + spentS));
+            query(id, DEADLINE_S, equal(parts));
+            scheduler.endBatch();
+            sweep(now + elapsedS);
+            at(Math.max(now, asked + elapsedS));
             for (long part : parts(id, parts)) {
-                end(part, 0, AttemptOutcome.OK, spentS);
+                end(part, 0, AttemptOutcome.OK, elapsedS);
             }
-            module.endBatch();
+            scheduler.endBatch();
             at(now + 0.005);
         }
-        did.clear();
+        actions.clear();
     }
 
-    /** Brings two queries of eight parts out and the ceiling, by one part turned away as full, to sixteen. */
-    static SchedulerFixture atTheCeiling(double floor) {
-        SchedulerFixture scene = new SchedulerFixture();
-        scene.floor = floor;
-        scene.cancel = false;
-        scene.start("a", "b");
-        scene.serve(80, 8, 0.05);
-        scene.query(1, 6, SchedulerFixture.equal(8));
-        scene.module.endBatch();
-        scene.at(scene.now + 0.01);
-        scene.end(100, 0, AttemptOutcome.OVERLOADED, 0.01);
-        scene.module.endBatch();
-        scene.query(2, 6, SchedulerFixture.equal(8));
-        scene.module.endBatch();
-        assertEquals(17, scene.did.sends.size());
-        return scene;
+    /** Has two queries of eight parts outstanding and the limit cut to sixteen by one part rejected as overloaded. */
+    static SchedulerFixture atConcurrencyLimit(double minimumCoverage) {
+        SchedulerFixture fixture = new SchedulerFixture();
+        fixture.minimumCoverage = minimumCoverage;
+        fixture.cancellation = false;
+        fixture.start("a", "b");
+        fixture.serve(80, 8, 0.05);
+        fixture.query(1, 6, SchedulerFixture.equal(8));
+        fixture.scheduler.endBatch();
+        fixture.at(fixture.now + 0.01);
+        fixture.end(100, 0, AttemptOutcome.OVERLOADED, 0.01);
+        fixture.scheduler.endBatch();
+        fixture.query(2, 6, SchedulerFixture.equal(8));
+        fixture.scheduler.endBatch();
+        assertEquals(17, fixture.actions.sends.size());
+        return fixture;
     }
 
     static List<Long> parts(long query, int count) {
@@ -169,9 +190,9 @@
         return ids;
     }
 
-    /** Which searchers got parts, and how many. */
+    /** Attempts sent to each endpoint. */
     Map<String, Long> counts() {
-        return did.sends.stream()
-                .collect(Collectors.groupingBy(RecordingActions.Sent::searcher, Collectors.counting()));
+        return actions.sends.stream()
+                .collect(Collectors.groupingBy(RecordingActions.Sent::endpointId, Collectors.counting()));
     }
 }
--- a/src/test/java/pepperdock/scheduler/SchedulerSettingsTest.java
+++ b/src/test/java/pepperdock/scheduler/SchedulerSettingsTest.java
@@ -8,18 +8,18 @@
 class SchedulerSettingsTest {
 
     @Test
-    void nonsensicalSettingsAreRejectedByName() {
-        SchedulerFixture scene = new SchedulerFixture();
-        scene.maxAttempts = 0;
-        var e = assertThrows(IllegalArgumentException.class, scene::settings);
+    void invalidSettingsAreRejectedByName() {
+        SchedulerFixture fixture = new SchedulerFixture();
+        fixture.maxAttempts = 0;
+        var e = assertThrows(IllegalArgumentException.class, fixture::settings);
         assertTrue(e.getMessage().contains("maxAttempts"), e.getMessage());
-        scene.maxAttempts = 1;
-        scene.floor = 0;
-        e = assertThrows(IllegalArgumentException.class, scene::settings);
+        fixture.maxAttempts = 1;
+        fixture.minimumCoverage = 0;
+        e = assertThrows(IllegalArgumentException.class, fixture::settings);
         assertTrue(e.getMessage().contains("floor"), e.getMessage());
-        scene.floor = 1;
-        scene.instances = 0;
-        e = assertThrows(IllegalArgumentException.class, scene::settings);
+        fixture.minimumCoverage = 1;
+        fixture.instances = 0;
+        e = assertThrows(IllegalArgumentException.class, fixture::settings);
         assertTrue(e.getMessage().contains("instances"), e.getMessage());
     }
 }
