--- a/src/main/java/pepperdock/estimate/PartWork.java
+++ b/src/main/java/pepperdock/estimate/PartWork.java
@@ -8,57 +8,60 @@
  */
 public final class PartWork {
 
-    /** Gain towards a shorter time; towards a longer one it is multiplied by {@link #GAIN}, as a part may have queued. */
+    /** Weight of one part towards a shorter time, which shows work without queueing. */
     private static final double SHORTER_GAIN = 0.1;
 
     /** Weight of one part in the mean over classes: some sixty parts, a few seconds of traffic. */
-    private static final double GAIN = 1.0 / 64;
+    private static final double MEAN_GAIN = 1.0 / 64;
 
-    /** So many parts of a class are taken as they come: a first guess that is too short would last. */
+    /** Weight of one part towards a longer time, which may be due to queueing. */
+    private static final double LONGER_GAIN = SHORTER_GAIN * MEAN_GAIN;
+
+    /** So many first parts of a class count alike: an initial guess that is too short would last. */
     private static final int FIRST_PARTS = 16;
 
-    private final double[] byClass;
-    private final int[] seen;
-    private double mean;
-    private int seenInAll;
+    private final double[] workS;
+    private final int[] firstPartsSeen;
+    private double meanS;
+    private int partsInMean;
 
-    /** Begins with a guess for all classes. */
+    /** Begins with a guess for all classes, in seconds. */
     public PartWork(int classes, double guessS) {
-        byClass = new double[classes];
-        Arrays.fill(byClass, guessS);
-        seen = new int[classes];
-        mean = guessS;
+        workS = new double[classes];
+        Arrays.fill(workS, guessS);
+        firstPartsSeen = new int[classes];
+        meanS = guessS;
     }
 
-    /** Takes in a part that was served in so many seconds. */
-    public void add(int classNo, double spentS) {
-        double off = spentS - byClass[classNo];
-        double gain = off < 0 ? SHORTER_GAIN : SHORTER_GAIN * GAIN;
-        if (seen[classNo] < FIRST_PARTS) {
-            gain = 1.0 / ++seen[classNo];
+    /** Takes in a part of a class that was answered after {@code elapsedS}. */
+    public void add(int classIndex, double elapsedS) {
+        double difference = elapsedS - workS[classIndex];
+        double gain = difference < 0 ? SHORTER_GAIN : LONGER_GAIN;
+        if (firstPartsSeen[classIndex] < FIRST_PARTS) {
+            gain = 1.0 / ++firstPartsSeen[classIndex];
         }
-        byClass[classNo] += gain * off;
-        seenInAll += seenInAll < 1 / GAIN ? 1 : 0;
-        mean += (byClass[classNo] - mean) / seenInAll;
+        workS[classIndex] += gain * difference;
+        partsInMean += partsInMean < 1 / MEAN_GAIN ? 1 : 0;
+        meanS += (workS[classIndex] - meanS) / partsInMean;
     }
 
-    /** That of a class. */
-    public double of(int classNo) {
-        return byClass[classNo];
+    /** Work of a part of the class, in seconds. */
+    public double of(int classIndex) {
+        return workS[classIndex];
     }
 
-    /** The mean over the parts served. */
+    /** Mean over the parts answered, in seconds. */
     public double mean() {
-        return mean;
+        return meanS;
     }
 
-    /** That of the lightest class. */
+    /** Work of a part of the lightest class, in seconds. */
     public double least() {
-        return Arrays.stream(byClass).min().orElseThrow();
+        return Arrays.stream(workS).min().orElseThrow();
     }
 
-    /** That of the heaviest class. */
+    /** Work of a part of the heaviest class, in seconds. */
     public double most() {
-        return Arrays.stream(byClass).max().orElseThrow();
+        return Arrays.stream(workS).max().orElseThrow();
     }
 }
--- a/src/main/java/pepperdock/scheduler/RetryPolicy.java
+++ b/src/main/java/pepperdock/scheduler/RetryPolicy.java
@@ -26,21 +26,21 @@
     /** The settings have been replaced. */
     void onSettings() {
         ProtocolRules rules = context.settings().rules();
-        budget.stated(
+        budget.update(
                 new RetryBudget.Stated(rules.retryBudgetWindowS(), rules.retryBudgetFree(), rules.retryBudgetShare()));
     }
 
     /** Counts a query or part that has arrived, from which the budget is reckoned. */
     void onArrival() {
-        budget.take(context.nowS());
+        budget.onArrival(context.nowS());
     }
 
     /** Counts an attempt that is about to be sent. */
     void onSend(PartState part) {
         if (part.attempts.isEmpty()) {
-            budget.first(part.query.parts.size());
+            budget.onFirstAttempt(part.query.parts.size());
         } else {
-            budget.further(context.nowS(), hasFailureResponse(part));
+            budget.onRetry(context.nowS(), hasFailureResponse(part));
         }
     }
 
--- a/src/test/java/pepperdock/estimate/EstimatesTest.java
+++ b/src/test/java/pepperdock/estimate/EstimatesTest.java
@@ -25,13 +25,13 @@
         RetryBudget budget = new RetryBudget(new RetryBudget.Stated(0, 0, 0));
         int made = 0;
         while (budget.allows(1, false)) {
-            budget.further(1, false);
+            budget.onRetry(1, false);
             made++;
         }
         assertEquals(10, made);
         assertTrue(budget.allows(1, true));
         for (int i = 0; i < 7; i++) {
-            budget.first(1);
+            budget.onFirstAttempt(1);
         }
         assertTrue(budget.allows(1, false));
     }
@@ -40,10 +40,10 @@
     void aStatedBudgetHoldsOverItsWindow() {
         RetryBudget budget = new RetryBudget(new RetryBudget.Stated(10, 2, 0.1));
         for (int i = 0; i < 10; i++) {
-            budget.take(5);
+            budget.onArrival(5);
         }
-        budget.further(5, true);
-        budget.further(5, true);
+        budget.onRetry(5, true);
+        budget.onRetry(5, true);
         assertFalse(budget.allows(6, true));
         assertTrue(budget.allows(15.1, true));
     }
