--- a/src/main/java/pepperdock/scheduler/SchedulerSettings.java
+++ b/src/main/java/pepperdock/scheduler/SchedulerSettings.java
@@ -35,25 +35,11 @@
         check(instances >= 1, "instances");
         check(tickS > 0, "tickS");
         check(!classes.isEmpty(), "classes");
-        for (QueryClass c : classes) {
-            check(c.latencyObjectiveS() > 0 && c.latencyObjectiveS() <= c.deadlineS(), "aimS");
-            check(
-                    c.minimumCoverage() > 0 && c.minimumCoverage() <= c.completeCoverage() && c.completeCoverage() <= 1,
-                    "floor and need");
-            check(c.secondStageParts() >= 0, "secondStep");
-            check(c.priorityWeight() >= 0 && c.lateAnswerWeight() >= 0 && c.partialAnswerWeight() >= 0, "worth");
-        }
+        classes.forEach(SchedulerSettings::checkClass);
         check(layout.shards() >= 1 && layout.cells() >= 1 && layout.maxPartsPerCall() >= 1, "layout");
         check(layout.replicasPerShard() >= 1 && layout.replicasPerShard() <= layout.cells(), "span");
         check(limits.maxAttempts() >= 1, "maxAttempts");
-        check(rules.warmUpInitialShare() > 0 && rules.warmUpInitialShare() <= 1, "coldFrom");
-        check(
-                rules.warmUpS() >= 0 && rules.warmUpOverloadWindowS() >= 0 && rules.warmUpOverloadMultiple() > 0,
-                "warm-up and fall figures");
-        check(
-                rules.retryBudgetWindowS() >= 0 && rules.retryBudgetFree() >= 0 && rules.retryBudgetShare() >= 0,
-                "budget figures");
-        check(rules.drainGraceS() >= 0 && rules.answerSlackS() >= 0 && rules.listPollIntervalS() >= 0, "rule periods");
+        checkRules(rules);
         classes = List.copyOf(classes);
         tenantRates = List.copyOf(tenantRates);
         reportNames = List.copyOf(reportNames);
@@ -75,6 +61,31 @@
                 rules);
     }
 
+    private static void checkClass(QueryClass queryClass) {
+        double objectiveS = queryClass.latencyObjectiveS();
+        check(objectiveS > 0 && objectiveS <= queryClass.deadlineS(), "aimS");
+        double minimum = queryClass.minimumCoverage();
+        double complete = queryClass.completeCoverage();
+        check(minimum > 0 && minimum <= complete && complete <= 1, "floor and need");
+        check(queryClass.secondStageParts() >= 0, "secondStep");
+        check(
+                queryClass.priorityWeight() >= 0
+                        && queryClass.lateAnswerWeight() >= 0
+                        && queryClass.partialAnswerWeight() >= 0,
+                "worth");
+    }
+
+    private static void checkRules(ProtocolRules rules) {
+        check(rules.warmUpInitialShare() > 0 && rules.warmUpInitialShare() <= 1, "coldFrom");
+        check(
+                rules.warmUpS() >= 0 && rules.warmUpOverloadWindowS() >= 0 && rules.warmUpOverloadMultiple() > 0,
+                "warm-up and fall figures");
+        check(
+                rules.retryBudgetWindowS() >= 0 && rules.retryBudgetFree() >= 0 && rules.retryBudgetShare() >= 0,
+                "budget figures");
+        check(rules.drainGraceS() >= 0 && rules.answerSlackS() >= 0 && rules.listPollIntervalS() >= 0, "rule periods");
+    }
+
     private static void check(boolean ok, String what) {
         if (!ok) {
             throw new IllegalArgumentException("settings: " + what + " out of range");
