--- /dev/null
+++ b/src/test/java/pepperdock/scheduler/EndpointListPollerTest.java
@@ -0,0 +1,62 @@
+package pepperdock.scheduler;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+
+import java.util.HashMap;
+import java.util.List;
+import java.util.Map;
+import org.junit.jupiter.api.Test;
+
+class EndpointListPollerTest {
+
+    @Test
+    void failedListCallIsRetriedLaterWhileServiceGoesOn() {
+        SchedulerFixture fixture = new SchedulerFixture();
+        fixture.pollsEndpointList = true;
+        fixture.start("a");
+        fixture.sweep(100.4);
+        assertEquals(1, fixture.actions.count("subscribe"));
+        fixture.at(100.5);
+        fixture.scheduler.onEndpointList(EndpointListKind.FAILED, List.of());
+        fixture.query(1, 6, 1.0);
+        fixture.scheduler.endBatch();
+        assertEquals(1, fixture.actions.count("subscribe"), "not at once");
+        assertEquals(1, fixture.actions.sends.size());
+        fixture.sweep(102);
+        assertEquals(2, fixture.actions.count("subscribe"));
+    }
+
+    /**
+     * Discovery is one service, and calls that come together fail together: no tenth of a second may see most of the calls.
+     */
+    @Test
+    void instancesSpreadFirstListCallsAndTheirRetries() {
+        Map<Long, Integer> first = new HashMap<>();
+        Map<Long, Integer> again = new HashMap<>();
+        for (int i = 0; i < 100; i++) {
+            SchedulerFixture fixture = new SchedulerFixture();
+            fixture.pollsEndpointList = true;
+            fixture.instances = 100;
+            fixture.seed = i;
+            fixture.start("a");
+            first.merge(tenthOfSecondOfCall(fixture, 1), 1, Integer::sum);
+            fixture.at(101);
+            fixture.scheduler.onEndpointList(EndpointListKind.FAILED, List.of());
+            fixture.scheduler.endBatch();
+            again.merge(tenthOfSecondOfCall(fixture, 2), 1, Integer::sum);
+        }
+        assertTrue(first.values().stream().allMatch(n -> n < 40), first::toString);
+        assertTrue(again.values().stream().allMatch(n -> n < 40), again::toString);
+    }
+
+    /** The tenth of a second in which an instance makes its call number {@code call} for the list. */
+    private static long tenthOfSecondOfCall(SchedulerFixture fixture, int call) {
+        double limit = fixture.now + 5;
+        while (fixture.actions.count("subscribe") < call && fixture.now < limit) {
+            fixture.sweep(fixture.now + 0.025);
+        }
+        assertEquals(call, fixture.actions.count("subscribe"));
+        return Math.round(fixture.now * 10);
+    }
+}
--- /dev/null
+++ b/src/test/java/pepperdock/scheduler/EndpointRegistryTest.java
@@ -0,0 +1,64 @@
+package pepperdock.scheduler;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+
+import java.util.List;
+import org.junit.jupiter.api.Test;
+
+class EndpointRegistryTest {
+
+    @Test
+    void drainingAndRemovedEndpointsReceiveNoAttempts() {
+        SchedulerFixture fixture = new SchedulerFixture().start("a", "b", "c");
+        fixture.at(101);
+        fixture.change(
+                SchedulerFixture.endpoint("a", EndpointState.DRAINING, 0),
+                SchedulerFixture.endpoint("b", EndpointState.REMOVED, 0));
+        fixture.query(1, 6, SchedulerFixture.equal(6));
+        fixture.scheduler.endBatch();
+        assertEquals(
+                List.of("c"),
+                fixture.actions.sends.stream()
+                        .map(RecordingActions.Sent::endpointId)
+                        .distinct()
+                        .toList());
+    }
+
+    @Test
+    void endpointMissingFromCompleteListIsRemoved() {
+        SchedulerFixture fixture = new SchedulerFixture().start("a", "b");
+        fixture.at(101);
+        fixture.scheduler.onEndpointList(
+                EndpointListKind.COMPLETE, List.of(SchedulerFixture.endpoint("b", EndpointState.HEALTHY, 0)));
+        fixture.query(1, 6, SchedulerFixture.equal(6));
+        fixture.scheduler.endBatch();
+        assertEquals(
+                List.of("b"),
+                fixture.actions.sends.stream()
+                        .map(RecordingActions.Sent::endpointId)
+                        .distinct()
+                        .toList());
+    }
+
+    /** A day of releases lists hundreds of endpoints that never come back; each must be let go. */
+    @Test
+    void removedEndpointIsForgottenOnceItsAttemptsEnd() {
+        SchedulerFixture fixture = new SchedulerFixture().start("a0");
+        for (int i = 1; i <= 50; i++) {
+            fixture.at(fixture.now + 0.1);
+            fixture.change(
+                    SchedulerFixture.endpoint("a" + (i - 1), EndpointState.REMOVED, 0),
+                    SchedulerFixture.endpoint("a" + i, EndpointState.HEALTHY, 0));
+            fixture.query(i, 6, 1.0);
+            fixture.scheduler.endBatch();
+        }
+        assertEquals(50, ((AdaptiveScheduler) fixture.scheduler).endpointsKnown());
+        fixture.at(fixture.now + 0.1);
+        for (int i = 1; i <= 50; i++) {
+            fixture.end(i * 100L, 0, AttemptOutcome.OK, 0.1);
+        }
+        fixture.change();
+        fixture.scheduler.endBatch();
+        assertEquals(1, ((AdaptiveScheduler) fixture.scheduler).endpointsKnown());
+    }
+}
--- /dev/null
+++ b/src/test/java/pepperdock/scheduler/IdleConnectionPolicyTest.java
@@ -0,0 +1,84 @@
+package pepperdock.scheduler;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+
+import java.util.Arrays;
+import java.util.List;
+import java.util.Set;
+import java.util.stream.IntStream;
+import org.junit.jupiter.api.Test;
+
+class IdleConnectionPolicyTest {
+
+    /** Sends a query of a part for each endpoint named; all but the silent ones answer in time. */
+    private static void ask(SchedulerFixture fixture, long id, int parts, Set<String> silent) {
+        int before = fixture.actions.sends.size();
+        fixture.query(id, 6, SchedulerFixture.equal(parts));
+        fixture.scheduler.endBatch();
+        List<RecordingActions.Sent> sent =
+                List.copyOf(fixture.actions.sends.subList(before, fixture.actions.sends.size()));
+        fixture.at(fixture.now + 0.15);
+        sent.stream()
+                .filter(s -> !silent.contains(s.endpointId()))
+                .forEach(s -> fixture.scheduler.onAttemptResult(
+                        new AttemptResult(s.part(), 0, s.endpointId(), AttemptOutcome.OK, 0.15, LoadReport.NONE)));
+        fixture.scheduler.endBatch();
+        fixture.sweep(fixture.now + 1.9);
+        sent.stream()
+                .filter(s -> silent.contains(s.endpointId()))
+                .forEach(s -> fixture.scheduler.onAttemptResult(
+                        new AttemptResult(s.part(), 0, s.endpointId(), AttemptOutcome.CANCELLED, 2, LoadReport.NONE)));
+        fixture.scheduler.endBatch();
+        fixture.sweep(fixture.now + 4);
+    }
+
+    private static SchedulerFixture afterManyQueries(int silent) {
+        SchedulerFixture fixture = new SchedulerFixture();
+        String[] names = IntStream.range(0, 12).mapToObj(i -> "s" + i).toArray(String[]::new);
+        fixture.start(names);
+        for (int i = 1; i <= 5; i++) {
+            ask(fixture, i, 12, Set.of());
+        }
+        ask(fixture, 6, 12, Set.of(Arrays.copyOf(names, silent)));
+        fixture.actions.clear();
+        fixture.query(7, 6, SchedulerFixture.equal(12));
+        fixture.scheduler.endBatch();
+        return fixture;
+    }
+
+    @Test
+    void silentlyDroppedIdleConnectionsAreClosedAndTheirEndpointsNotBlamed() {
+        SchedulerFixture fixture = afterManyQueries(8);
+        assertEquals(12, fixture.actions.count("drop"));
+        assertTrue(fixture.actions.all.get(0).startsWith("drop"), "before the send");
+        assertEquals(12, fixture.counts().size(), "no endpoint is passed over");
+    }
+
+    @Test
+    void fewSilentEndpointsAreNotTakenForDroppedConnections() {
+        SchedulerFixture fixture = afterManyQueries(3);
+        assertTrue(fixture.actions.count("drop") <= 3, "at most at the silent ones");
+        assertTrue(fixture.counts().size() <= 11, "they are passed over, but for trials: " + fixture.counts());
+    }
+
+    @Test
+    void failedConnectsEndTheMistrustOfIdleConnections() {
+        SchedulerFixture fixture = afterManyQueries(8);
+        List<RecordingActions.Sent> sent = List.copyOf(fixture.actions.sends);
+        fixture.at(fixture.now + 0.25);
+        fixture.scheduler.onAttemptResult(new AttemptResult(
+                sent.get(0).part(), 0, sent.get(0).endpointId(), AttemptOutcome.CONNECT_FAILED, 0.25, LoadReport.NONE));
+        sent.stream()
+                .skip(1)
+                .forEach(s -> fixture.scheduler.onAttemptResult(
+                        new AttemptResult(s.part(), 0, s.endpointId(), AttemptOutcome.OK, 0.25, LoadReport.NONE)));
+        fixture.scheduler.onQueryCancelled(7);
+        fixture.scheduler.endBatch();
+        fixture.sweep(fixture.now + 5);
+        fixture.actions.clear();
+        fixture.query(8, 6, SchedulerFixture.equal(12));
+        fixture.scheduler.endBatch();
+        assertEquals(0, fixture.actions.count("drop"));
+    }
+}
--- /dev/null
+++ b/src/test/java/pepperdock/scheduler/SlowStartTest.java
@@ -0,0 +1,80 @@
+package pepperdock.scheduler;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+
+import org.junit.jupiter.api.Test;
+
+class SlowStartTest {
+
+    @Test
+    void warmingEndpointStaysWithinItsAllowance() {
+        SchedulerFixture fixture = new SchedulerFixture();
+        fixture.instances = 2;
+        fixture.start("a");
+        fixture.serve(80, 0.1);
+        double boot = fixture.now;
+        fixture.change(SchedulerFixture.endpoint("a", EndpointState.HEALTHY, boot));
+        fixture.query(1, 6, SchedulerFixture.equal(40));
+        fixture.scheduler.endBatch();
+        fixture.sweep(boot + 0.95);
+        // 2 x 0.2 to 0.28 of ten parts a second, halved between two instances.
+        assertTrue(fixture.actions.sends.size() <= 2, "sent in the first second: " + fixture.actions.sends.size());
+        assertTrue(!fixture.actions.sends.isEmpty(), "a sole replica is used");
+    }
+
+    @Test
+    void allowanceDoesNotShrinkWhenPartsQueue() {
+        int[] sent = new int[2];
+        for (int i = 0; i < 2; i++) {
+            SchedulerFixture fixture = new SchedulerFixture();
+            fixture.start("a", "b");
+            fixture.serve(120, 0.05);
+            if (i == 1) {
+                fixture.serve(40, 0.5);
+            }
+            double boot = fixture.now;
+            fixture.change(SchedulerFixture.endpoint("a", EndpointState.HEALTHY, boot));
+            fixture.query(1, 6, SchedulerFixture.equal(40));
+            fixture.scheduler.endBatch();
+            sent[i] = (int) fixture.actions.sends.stream()
+                    .filter(s -> s.endpointId().equals("a"))
+                    .count();
+        }
+        assertTrue(sent[0] >= 2, "sent to the warming endpoint: " + sent[0]);
+        assertTrue(sent[1] >= sent[0] / 2, sent[1] + " against " + sent[0]);
+    }
+
+    @Test
+    void noSlowStartWithoutOverloadWindow() {
+        SchedulerFixture fixture = new SchedulerFixture();
+        fixture.warmUpOverloadWindowS = 0;
+        fixture.start("a");
+        fixture.change(SchedulerFixture.endpoint("a", EndpointState.HEALTHY, fixture.now));
+        fixture.query(1, 6, SchedulerFixture.equal(4));
+        fixture.scheduler.endBatch();
+        assertEquals(4, fixture.actions.sends.size());
+    }
+
+    /** Drawn at the first part instead, the turn of an instance with little traffic would never come. */
+    @Test
+    void turnCountsFromTheNoticeOfTheStart() {
+        int used = 0;
+        for (int seed = 0; seed < 20; seed++) {
+            SchedulerFixture fixture = new SchedulerFixture();
+            fixture.instances = 20;
+            fixture.seed = seed;
+            fixture.start("a");
+            fixture.serve(20, 0.1);
+            double boot = fixture.now;
+            fixture.change(SchedulerFixture.endpoint("a", EndpointState.HEALTHY, boot));
+            fixture.scheduler.endBatch();
+            fixture.at(boot + 7);
+            fixture.query(1, 6, 1.0);
+            fixture.scheduler.endBatch();
+            used += fixture.actions.sends.size();
+        }
+        // The twenty were allowed some fifty parts by then, between them.
+        assertEquals(20, used);
+    }
+}
