--- a/src/main/java/pepperdock/ClassArchiveTraining.java
+++ b/src/main/java/pepperdock/ClassArchiveTraining.java
@@ -16,6 +16,7 @@
 import pepperdock.config.Config;
 import pepperdock.config.Keys;
 import pepperdock.events.Events;
+import pepperdock.platform.WorkerProtocol;
 import pepperdock.service.Service;
 import pepperdock.service.Startup;
 import pepperdock.simulator.SimulatorAdapter;
@@ -158,7 +159,7 @@
         DataInputStream in = new DataInputStream(s.getInputStream());
         while (true) {
             byte[] frame = in.readNBytes(in.readInt());
-            for (int at = 1; frame[0] == Frames.CALL && at < frame.length; ) {
+            for (int at = 1; frame[0] == WorkerProtocol.CALL && at < frame.length; ) {
                 int end = at;
                 while (frame[end] != '\n') {
                     end++;
@@ -167,7 +168,8 @@
                 at = end + 1 + Integer.parseInt(words[3]);
                 s.getOutputStream()
                         .write(Frames.frame(
-                                Frames.RESULT, (words[0] + " good 1 qps=1\nvalue").getBytes(StandardCharsets.UTF_8)));
+                                WorkerProtocol.RESULT,
+                                (words[0] + " good 1 qps=1\nvalue").getBytes(StandardCharsets.UTF_8)));
             }
         }
     }
--- a/src/main/java/pepperdock/benchmark/EmulatedWorkers.java
+++ b/src/main/java/pepperdock/benchmark/EmulatedWorkers.java
@@ -22,6 +22,7 @@
 import org.HdrHistogram.Histogram;
 import org.HdrHistogram.Recorder;
 import pepperdock.codec.frame.Frames;
+import pepperdock.platform.WorkerProtocol;
 
 /**
  * Many workers of the platform's frames on one thread, each with an address of its own. They take parts, answer each after the
@@ -250,15 +251,15 @@
 
     private void frame(Link link, byte[] bytes, int from, int to) throws IOException {
         switch (bytes[from]) {
-            case Frames.CALL -> call(link, bytes, from + 1, to);
-            case Frames.GIVE_UP -> {
+            case WorkerProtocol.CALL -> call(link, bytes, from + 1, to);
+            case WorkerProtocol.CANCEL -> {
                 Answer answer = link.pending.remove(text(bytes, from + 1, to));
                 if (answer != null) {
                     answer.givenUp = true;
                     giveUps.incrementAndGet();
                 }
             }
-            case Frames.PROBE -> write(link, Frames.frame(Frames.PROBE, GOOD));
+            case WorkerProtocol.HEALTH_CHECK -> write(link, Frames.frame(WorkerProtocol.HEALTH_CHECK, GOOD));
             default -> throw new IOException("letter " + (char) bytes[from]);
         }
     }
@@ -308,7 +309,7 @@
         byte[] line = (id + " good 1 -\n").getBytes(StandardCharsets.US_ASCII);
         byte[] rest = java.util.Arrays.copyOf(line, line.length + VALUE.length);
         System.arraycopy(VALUE, 0, rest, line.length, VALUE.length);
-        return Frames.frame(Frames.RESULT, rest);
+        return Frames.frame(WorkerProtocol.RESULT, rest);
     }
 
     private void write(Link link, byte[] bytes) throws IOException {
--- a/src/main/java/pepperdock/codec/frame/Frame.java
+++ b/src/main/java/pepperdock/codec/frame/Frame.java
@@ -1,4 +1,9 @@
 package pepperdock.codec.frame;
 
-/** One frame: its letter, and the rest. */
+/**
+ * One frame, without its length.
+ *
+ * @param letter the frame's type, one byte on the wire
+ * @param rest the payload
+ */
 public record Frame(char letter, byte[] rest) {}
--- a/src/main/java/pepperdock/codec/frame/FrameParser.java
+++ b/src/main/java/pepperdock/codec/frame/FrameParser.java
@@ -2,42 +2,58 @@
 
 import java.util.Arrays;
 
-/** Cuts a stream of bytes, in any pieces, into frames: four bytes of length, a letter, the rest. */
+/**
+ * Splits a stream of bytes, which comes in any pieces, into frames. Feed it the bytes that were received, discard as many as it
+ * used, and take the frame; repeat until it uses none. Not thread-safe: one parser for one connection.
+ */
 public final class FrameParser {
 
-    private final int most;
-    private final String letters;
+    private final int maxLength;
+    private final String types;
     private Frame frame;
 
-    /** Takes frames of these letters, up to {@code most} bytes; any other is known for one by its first five bytes. */
-    public FrameParser(int most, String letters) {
-        this.most = most;
-        this.letters = letters;
+    /**
+     * Accepts frames of these types whose length is at most {@code maxLength} bytes. Any other is rejected as soon as its
+     * header has come: the payload of an invalid frame might never end.
+     */
+    public FrameParser(int maxLength, String types) {
+        this.maxLength = maxLength;
+        this.types = types;
     }
 
-    /** Returns how many bytes were used: those of one whole frame, which {@link #take} then gives, or none. */
+    /** Returns how many bytes were used: those of one complete frame, which {@link #take} then returns, or none. */
     public int feed(byte[] bytes, int from, int to) throws FrameException {
-        if (to - from < 4) {
+        int available = to - from;
+        if (available < Frames.LENGTH_BYTES) {
             return 0;
         }
-        int length = (bytes[from] & 0xff) << 24
-                | (bytes[from + 1] & 0xff) << 16
-                | (bytes[from + 2] & 0xff) << 8
-                | bytes[from + 3] & 0xff;
-        if (length < 1 || length > most) {
+        int length = readInt(bytes, from);
+        if (length < 1 || length > maxLength) {
             throw new FrameException("frame of length " + length);
         }
-        if (to - from > 4 && letters.indexOf(bytes[from + 4] & 0xff) < 0) {
-            throw new FrameException("frame of letter " + (bytes[from + 4] & 0xff));
+        if (available < Frames.HEADER_BYTES) {
+            return 0;
+        }
+        int type = bytes[from + Frames.LENGTH_BYTES] & 0xff;
+        if (types.indexOf(type) < 0) {
+            throw new FrameException("frame of type " + type);
         }
-        if (to - from - 4 < length) {
+        if (available - Frames.LENGTH_BYTES < length) {
             return 0;
         }
-        frame = new Frame((char) (bytes[from + 4] & 0xff), Arrays.copyOfRange(bytes, from + 5, from + 4 + length));
-        return 4 + length;
+        int end = from + Frames.LENGTH_BYTES + length;
+        frame = new Frame((char) type, Arrays.copyOfRange(bytes, from + Frames.HEADER_BYTES, end));
+        return Frames.LENGTH_BYTES + length;
+    }
+
+    private static int readInt(byte[] bytes, int from) {
+        return (bytes[from] & 0xff) << 24
+                | (bytes[from + 1] & 0xff) << 16
+                | (bytes[from + 2] & 0xff) << 8
+                | bytes[from + 3] & 0xff;
     }
 
-    /** The frame that the last feed completed, or null. */
+    /** Returns the frame that the last feed completed, once; null where there is none. */
     public Frame take() {
         Frame taken = frame;
         frame = null;
--- a/src/main/java/pepperdock/platform/Front.java
+++ b/src/main/java/pepperdock/platform/Front.java
@@ -1,62 +1,61 @@
 package pepperdock.platform;
 
-import com.google.gson.JsonArray;
-import com.google.gson.JsonObject;
-import java.nio.charset.StandardCharsets;
-import java.util.Locale;
 import java.util.function.BooleanSupplier;
-import java.util.regex.Pattern;
 import pepperdock.codec.http.HttpException;
 import pepperdock.codec.http.HttpMessage;
 import pepperdock.config.Site;
 import pepperdock.core.Gatherer;
-import pepperdock.core.Part;
 import pepperdock.core.Query;
 import pepperdock.core.QueryListener;
 import pepperdock.core.QueryRequest;
-import pepperdock.scheduler.RetrySafety;
 import pepperdock.transport.HttpServer;
 
-/** The platform's thin front: its queries and answers to and from the core's. */
+/**
+ * The HTTP front for the platform's clients: passes their queries to the core, and the core's outcomes back.
+ *
+ * <p>Given to an {@link HttpServer}, which calls it on the loop's thread; the core answers on the same thread. The form of
+ * queries and answers is {@link ClientProtocol}'s.
+ */
 public final class Front implements HttpServer.Service {
 
-    private static final String JSON = "application/json";
-    /** Up to an hour. */
-    private static final Pattern WAIT = Pattern.compile("0*[1-9][0-9]{0,5}|0*[12][0-9]{6}|0*3[0-5][0-9]{5}|0*3600000");
-
-    private static final Pattern ID = Pattern.compile("[!-~]{1,128}");
-    private static final Pattern KEY = Pattern.compile("[!-+\\--~]{0,256}");
+    private static final int OK = 200;
+    private static final int METHOD_NOT_ALLOWED = 405;
+    private static final int INTERNAL_ERROR = 500;
+    private static final int UNAVAILABLE = 503;
+    private static final int GATEWAY_TIMEOUT = 504;
 
     private Site site;
     private final Gatherer core;
     private final BooleanSupplier ready;
 
+    /** {@code ready} says whether this gatherer takes queries, for the readiness check. */
     public Front(Site site, Gatherer core, BooleanSupplier ready) {
         this.site = site;
         this.core = core;
         this.ready = ready;
     }
 
-    /** Other settings, for queries from now on. */
-    public void use(Site now) {
-        site = now;
+    /** Replaces the settings, for queries from now on. */
+    public void updateSettings(Site newSite) {
+        site = newSite;
     }
 
     @Override
-    public Runnable serve(HttpMessage m, HttpServer.Reply reply) throws HttpException {
-        switch (m.path()) {
-            case "/api" -> {
-                allow(m, "POST");
-                Query q = core.submit(ask(m), new Answerer(reply));
-                return () -> core.onClientGone(q);
+    public Runnable serve(HttpMessage message, HttpServer.Reply reply) throws HttpException {
+        switch (message.path()) {
+            case ClientProtocol.QUERY_PATH -> {
+                requireMethod(message, "POST");
+                Query query = core.submit(parseQuery(message), new ClientReply(reply));
+                return () -> core.onClientGone(query);
             }
-            case "/-/ready" -> {
-                allow(m, "GET");
-                reply.send(ready.getAsBoolean() ? 200 : 503, JSON, "", "{}".getBytes(StandardCharsets.UTF_8));
+            case ClientProtocol.READY_PATH -> {
+                requireMethod(message, "GET");
+                int status = ready.getAsBoolean() ? OK : UNAVAILABLE;
+                reply.send(status, ClientProtocol.CONTENT_TYPE, "", ClientProtocol.emptyBody());
             }
-            case "/-/healthy" -> {
-                allow(m, "GET");
-                reply.send(200, JSON, "", "{}".getBytes(StandardCharsets.UTF_8));
+            case ClientProtocol.HEALTHY_PATH -> {
+                requireMethod(message, "GET");
+                reply.send(OK, ClientProtocol.CONTENT_TYPE, "", ClientProtocol.emptyBody());
             }
             default -> throw new HttpException(404, "no such path");
         }
@@ -65,82 +64,52 @@
 
     @Override
     public void malformed(int status, String why, HttpServer.Reply reply) {
-        JsonObject body = new JsonObject();
-        body.addProperty("error", why);
-        reply.send(
-                status,
-                JSON,
-                status == 405 ? "Allow: GET, POST\r\n" : "",
-                body.toString().getBytes(StandardCharsets.UTF_8));
+        String headers = status == METHOD_NOT_ALLOWED ? "Allow: GET, POST\r\n" : "";
+        reply.send(status, ClientProtocol.CONTENT_TYPE, headers, ClientProtocol.errorBody(why));
     }
 
-    private static void allow(HttpMessage m, String method) throws HttpException {
-        if (!m.method().equals(method)) {
-            throw new HttpException(405, "only " + method);
+    private static void requireMethod(HttpMessage message, String method) throws HttpException {
+        if (!message.method().equals(method)) {
+            throw new HttpException(METHOD_NOT_ALLOWED, "only " + method);
         }
     }
 
-    private QueryRequest ask(HttpMessage m) throws HttpException {
-        String id = need(m, "Request-Id");
-        int queryClass = site.classes().indexOf(need(m, "Request-Class"));
-        if (queryClass < 0) {
-            throw new HttpException(400, "Request-Class: unknown");
-        }
-        String wait = need(m, "Request-Timeout-Ms");
-        if (!WAIT.matcher(wait).matches()) {
-            throw new HttpException(400, "Request-Timeout-Ms: not a whole number in range");
-        }
-        long timeoutMs = Long.parseLong(wait);
-        boolean keyed = site.module().classes().get(queryClass).retrySafety() == RetrySafety.IDEMPOTENCY_KEY;
-        String key = keyed ? need(m, "Idempotency-Key") : "";
-        if (!ID.matcher(id).matches() || !KEY.matcher(key).matches()) {
-            throw new HttpException(400, "Request-Id or Idempotency-Key: not a plain word");
-        }
-        if (core.isQueryIdInUse(id)) {
-            // On a worker's connection the two would bear one id, and one's answers would be taken for the other's.
+    private QueryRequest parseQuery(HttpMessage message) throws HttpException {
+        ClientProtocol.QueryHeaders headers = ClientProtocol.parseQueryHeaders(message, site);
+        if (core.isQueryIdInUse(headers.id())) {
+            // The ids of its parts would be in use on the workers' connections, and results could be mixed up.
             throw new HttpException(409, "Request-Id: of a request that is still open");
         }
-        QueryBody body = QueryBody.read(m.body(), site.module().layout().shards());
-        return new QueryRequest(id, queryClass, key, timeoutMs / 1e3, body.pieces(), body.text(), null);
+        int shards = site.module().layout().shards();
+        ClientProtocol.QueryBody body = ClientProtocol.parseQueryBody(message.body(), shards);
+        return new QueryRequest(
+                headers.id(),
+                headers.queryClass(),
+                headers.idempotencyKey(),
+                headers.timeoutS(),
+                body.parts(),
+                body.text(),
+                null);
     }
 
-    private static String need(HttpMessage m, String name) throws HttpException {
-        String value = m.header(name);
-        if (value == null || value.isEmpty()) {
-            throw new HttpException(400, name + ": missing");
-        }
-        return value;
-    }
-
-    /** Words the core's one final answer for the platform's clients. */
-    private record Answerer(HttpServer.Reply reply) implements QueryListener {
+    /** Sends the one outcome of a query to its client. */
+    private record ClientReply(HttpServer.Reply reply) implements QueryListener {
 
         @Override
-        public void onAnswer(Query q, boolean whole) {
-            JsonArray answers = new JsonArray();
-            for (Part p : q.parts()) {
-                if (p.value() != null) {
-                    JsonObject one = new JsonObject();
-                    one.addProperty("range", p.shard());
-                    one.addProperty("blob", new String(p.value(), StandardCharsets.UTF_8));
-                    answers.add(one);
-                }
-            }
-            JsonObject body = new JsonObject();
-            body.addProperty("total", whole);
-            body.add("answers", answers);
-            reply.send(200, JSON, "", body.toString().getBytes(StandardCharsets.UTF_8));
+        public void onAnswer(Query query, boolean complete) {
+            reply.send(OK, ClientProtocol.CONTENT_TYPE, "", ClientProtocol.answerBody(query, complete));
         }
 
         @Override
-        public void onRejected(Query q, double pauseS) {
-            String extra = pauseS > 0 ? String.format(Locale.ROOT, "Retry-After: %.3f\r\n", pauseS) : "";
-            reply.send(503, JSON, extra, "{\"error\":\"refused\"}".getBytes(StandardCharsets.UTF_8));
+        public void onRejected(Query query, double retryAfterS) {
+            String headers = ClientProtocol.retryAfterHeader(retryAfterS);
+            reply.send(UNAVAILABLE, ClientProtocol.CONTENT_TYPE, headers, ClientProtocol.rejectedBody());
         }
 
         @Override
-        public void onFailed(Query q, boolean overdue) {
-            reply.send(overdue ? 504 : 500, JSON, "", "{\"error\":\"failed\"}".getBytes(StandardCharsets.UTF_8));
+        public void onFailed(Query query, boolean overdue) {
+            int status = overdue ? GATEWAY_TIMEOUT : INTERNAL_ERROR;
+            reply.send(status, ClientProtocol.CONTENT_TYPE, "", ClientProtocol.failedBody());
         }
 
         @Override
--- /dev/null
+++ b/src/main/java/pepperdock/platform/JvmWarmup.java
@@ -0,0 +1,183 @@
+package pepperdock.platform;
+
+import java.nio.charset.StandardCharsets;
+import java.util.ArrayList;
+import java.util.List;
+import java.util.Map;
+import java.util.function.BooleanSupplier;
+import pepperdock.codec.frame.FrameException;
+import pepperdock.codec.frame.FrameParser;
+import pepperdock.codec.frame.Frames;
+import pepperdock.codec.http.HttpException;
+import pepperdock.codec.http.HttpParser;
+import pepperdock.config.Site;
+import pepperdock.core.Attempt;
+import pepperdock.core.Backend;
+import pepperdock.core.Clock;
+import pepperdock.core.Gatherer;
+import pepperdock.core.ManualClock;
+import pepperdock.core.WorkerEndpoint;
+import pepperdock.scheduler.AttemptOutcome;
+import pepperdock.scheduler.EndpointListKind;
+import pepperdock.scheduler.EndpointState;
+import pepperdock.scheduler.LoadReport;
+import pepperdock.transport.HttpServer;
+
+/**
+ * Runs synthetic queries through the front, the core and the frame codec, so that no client waits for classes to be initialised
+ * and for code that is still interpreted. They run on a gatherer and a clock of their own, and what that gatherer learns is
+ * discarded.
+ *
+ * <p>{@link #runQueries} is called with {@link #QUERIES_BEFORE_READY} before the gatherer reports that it is ready;
+ * {@link #runRemainingQueries} runs the others between the first clients' queries, as a start on part of a core must be short.
+ * Used by one thread at a time: the starting one, then the loop's.
+ */
+public final class JvmWarmup {
+
+    /**
+     * Queries before ready. Measured on half a core with many clients waiting: after one query, the queries of the first second
+     * all ran out of time; all {@link #TOTAL_QUERIES} would delay the start by a second.
+     */
+    public static final int QUERIES_BEFORE_READY = 24;
+    /** After so many queries, the code on a query's path has been compiled. */
+    private static final int TOTAL_QUERIES = 150;
+    /** Seconds between the remaining queries; on half a core they take a few per cent of the time. */
+    private static final double REMAINING_INTERVAL_S = 0.02;
+    /** Seconds on the warm-up's own clock from one query to the next: each is answered before the next begins. */
+    private static final double QUERY_INTERVAL_S = 0.3;
+    /** Seconds on that clock until a worker answers. */
+    private static final double WORKER_LATENCY_S = 0.1;
+    /** Parts of a query, where the layout has as many shards. */
+    private static final int MAX_PARTS = 40;
+    /** Bytes of a request, or of a worker's frame. */
+    private static final int MAX_MESSAGE_BYTES = 1 << 16;
+
+    private static final String VALUE = "value";
+
+    private final Site site;
+    private final ManualClock clock = new ManualClock(1000);
+    private final Front front;
+    private final HttpParser parser = HttpParser.ofRequests(MAX_MESSAGE_BYTES);
+    private int queriesRun;
+    private int queriesAnswered;
+
+    /** Sets up a gatherer with one worker for each cell of the site's layout. */
+    public JvmWarmup(Site site) {
+        this.site = site;
+        EchoBackend backend = new EchoBackend(clock);
+        Gatherer core = new Gatherer(site.module(), 1, clock, backend, () -> {});
+        backend.core = core;
+        List<WorkerEndpoint> endpoints = new ArrayList<>();
+        for (int cell = 0; cell < site.module().layout().cells(); cell++) {
+            endpoints.add(new WorkerEndpoint("warm-" + cell, "", 0, 0, cell, EndpointState.HEALTHY, 1, 0));
+        }
+        core.onEndpointList(EndpointListKind.CACHED, endpoints);
+        core.onEndpointList(EndpointListKind.CHANGES, endpoints);
+        front = new Front(site, core, () -> true);
+    }
+
+    /** Runs so many queries now; returns how many of all that were run so far have been answered. */
+    public int runQueries(int count) {
+        HttpServer.Reply reply = (status, type, extra, body) -> queriesAnswered += status == 200 ? 1 : 0;
+        for (int end = queriesRun + count; queriesRun < end; queriesRun++) {
+            byte[] request = request(queriesRun);
+            try {
+                parser.feed(request, 0, request.length);
+                front.serve(parser.take(), reply);
+            } catch (HttpException e) {
+                throw new IllegalStateException("warm-up", e);
+            }
+            clock.advance(QUERY_INTERVAL_S);
+        }
+        return queriesAnswered;
+    }
+
+    /** Runs the remaining queries one by one on the loop, each only while {@code idle}: real queries warm the same code. */
+    public void runRemainingQueries(Clock loop, BooleanSupplier idle) {
+        loop.after(REMAINING_INTERVAL_S, () -> {
+            if (idle.getAsBoolean()) {
+                runQueries(1);
+            } else {
+                queriesRun++;
+            }
+            if (queriesRun < TOTAL_QUERIES) {
+                runRemainingQueries(loop, idle);
+            }
+        });
+    }
+
+    private byte[] request(int index) {
+        String body = queryBody(Math.min(MAX_PARTS, site.module().layout().shards()));
+        String queryClass = site.classes().get(index % site.classes().size());
+        String head = "POST /api HTTP/1.1\r\nHost: warm\r\nRequest-Id: warm" + index
+                + "\r\nRequest-Class: " + queryClass
+                + "\r\nRequest-Timeout-Ms: 3000\r\nIdempotency-Key: w" + index
+                + "\r\nContent-Length: " + body.length() + "\r\n\r\n";
+        return (head + body).getBytes(StandardCharsets.UTF_8);
+    }
+
+    /** A query for the first shards, with equal weights. */
+    private static String queryBody(int parts) {
+        StringBuilder ranges = new StringBuilder();
+        for (int shard = 0; shard < parts; shard++) {
+            ranges.append(shard == 0 ? "" : ",")
+                    .append("{\"range\":")
+                    .append(shard)
+                    .append(",\"portion\":")
+                    .append(1.0 / parts)
+                    .append('}');
+        }
+        return "{\"ranges\":[" + ranges + "],\"predicate\":\"warm\"}";
+    }
+
+    /** Answers every call after a while, by way of the frame codec. */
+    private static final class EchoBackend implements Backend {
+
+        private final ManualClock clock;
+        /** Set once the gatherer has been made with this backend. */
+        private Gatherer core;
+
+        private EchoBackend(ManualClock clock) {
+            this.clock = clock;
+        }
+
+        @Override
+        public void sendCall(String worker, List<Attempt> call) {
+            List<WorkerProtocol.CallPart> parts = call.stream()
+                    .map(attempt -> new WorkerProtocol.CallPart(
+                            WorkerProtocol.wireId(attempt),
+                            attempt.part().shard(),
+                            100,
+                            "",
+                            attempt.part().query().request().body()))
+                    .toList();
+            int callBytes = WorkerProtocol.encodeCall(parts).length;
+            FrameParser parser = new FrameParser(MAX_MESSAGE_BYTES, WorkerProtocol.TYPES_FROM_WORKERS);
+            clock.after(WORKER_LATENCY_S, () -> {
+                byte[] frame = Frames.frame(
+                        WorkerProtocol.RESULT,
+                        ("w." + callBytes + " good 1 -\n" + VALUE).getBytes(StandardCharsets.UTF_8));
+                try {
+                    parser.feed(frame, 0, frame.length);
+                    WorkerProtocol.parseResult(parser.take().rest());
+                } catch (FrameException e) {
+                    throw new IllegalStateException("warm-up", e);
+                }
+                call.forEach(attempt -> core.onAttemptEnded(
+                        attempt, AttemptOutcome.OK, LoadReport.NONE, VALUE.getBytes(StandardCharsets.UTF_8)));
+            });
+        }
+
+        @Override
+        public void cancel(Attempt attempt) {}
+
+        @Override
+        public void checkHealth(String worker) {}
+
+        @Override
+        public void closeIdleConnections(String worker) {}
+
+        @Override
+        public void updateEndpoints(Map<String, WorkerEndpoint> endpoints) {}
+    }
+}
--- a/src/main/java/pepperdock/platform/WorkerConnection.java
+++ b/src/main/java/pepperdock/platform/WorkerConnection.java
@@ -1,104 +1,80 @@
 package pepperdock.platform;
 
-import java.nio.ByteBuffer;
-import java.nio.charset.CharacterCodingException;
 import java.nio.charset.StandardCharsets;
 import java.util.ArrayDeque;
 import java.util.ArrayList;
-import java.util.HashMap;
-import java.util.LinkedHashMap;
 import java.util.List;
-import java.util.Map;
 import pepperdock.codec.frame.Frame;
 import pepperdock.codec.frame.FrameException;
 import pepperdock.codec.frame.FrameParser;
 import pepperdock.codec.frame.Frames;
 import pepperdock.core.Attempt;
 import pepperdock.core.Clock;
+import pepperdock.platform.InFlightAttempts.InFlight;
 import pepperdock.scheduler.AttemptOutcome;
 import pepperdock.scheduler.LoadReport;
 import pepperdock.transport.Connection;
 
-/** One connection to a worker and the attempts that are out on it, by the id they bear on the wire. */
+/**
+ * One connection to a worker, with calls pipelined on it: many may be in flight, and results come in any order.
+ *
+ * <p>Opened and used by a {@link WorkerConnectionPool}; owned by the loop's thread. Each attempt that is given to {@link #send}
+ * ends in one outcome that is reported to the core, unless {@link #cancel} comes first. Where a worker violates the protocol
+ * the connection is closed, as nothing that follows can be trusted; what was in flight may have run.
+ */
 final class WorkerConnection implements Connection.Handler {
 
-    /** A value is at most what an answer may hold, 64 KiB; its line comes before it. */
-    private static final int FRAME_MOST = (1 << 16) + 2048;
-    /** Ids remembered after their attempt has ended: their answers may come late, or twice, and are not noise. */
-    private static final int PAST_MOST = 512;
-    /** Closed after this share of the worker's idle limit, so that no call crosses the worker's own closing. */
-    private static final double IDLE_SHARE = 0.8;
+    /** Closed after this share of the worker's own idle limit, so that no call crosses the worker's closing. */
+    private static final double IDLE_TIMEOUT_SHARE = 0.8;
+    /** A frame that has begun must be complete within this multiple of the connect timeout: results are written at once. */
+    private static final int FRAME_TIMEOUT_MULTIPLE = 4;
 
-    private static final double PROBE_S = 0.25;
-    /** A frame that is begun is whole within so many times the time a connection may take to come up. */
-    private static final int UNFINISHED_DIALS = 4;
-
-    /** An attempt that is out, and where its frame ends in what was written to the connection. */
-    private record Out(Attempt attempt, long frameEnd) {}
-
-    /** A probe that is out: when it was sent, and what ends it. */
-    private record Probe(double sentAt, Clock.Timer limit) {}
-
-    private final Worker worker;
+    private final WorkerConnectionPool pool;
+    private final WorkerContext context;
     private final Connection connection;
-    private final FrameParser parser = new FrameParser(FRAME_MOST, Frames.FROM_WORKERS);
-    private final Map<String, Out> out = new HashMap<>();
-    /** Whose query each was, by the core's own number. */
-    private final Map<String, Long> past = new LinkedHashMap<>() {
-        private static final long serialVersionUID = 1;
-
-        @Override
-        protected boolean removeEldestEntry(Map.Entry<String, Long> eldest) {
-            return size() > PAST_MOST;
-        }
-    };
-    /** Calls that wait until what was written before them is with the kernel; each is looked at again before it goes. */
-    private final ArrayDeque<List<Attempt>> waiting = new ArrayDeque<>();
-    /** Of the calls written here, those whose last byte the kernel has not taken yet, in order. */
-    private final ArrayDeque<Out> unwritten = new ArrayDeque<>();
-
-    private final ArrayDeque<Probe> probes = new ArrayDeque<>();
-    private int lateProbes;
-    private Clock.Timer unfinished;
-    private Clock.Timer idle;
-    private double usedAt;
-    /** Since when something is out and nothing has come. */
-    private double awaitedSince;
-
-    WorkerConnection(Worker worker, Connection connection) {
-        this.worker = worker;
+    private final FrameParser parser =
+            new FrameParser(WorkerProtocol.MAX_FRAME_BYTES, WorkerProtocol.TYPES_FROM_WORKERS);
+    private final InFlightAttempts inFlight = new InFlightAttempts();
+    /** Calls that wait until all earlier ones are with the kernel; each is checked again before it is written. */
+    private final ArrayDeque<List<Attempt>> pendingCalls = new ArrayDeque<>();
+    /** Attempts whose frame is not wholly with the kernel yet, in the order of their frames. */
+    private final ArrayDeque<InFlight> unflushed = new ArrayDeque<>();
+
+    private final PendingHealthChecks healthChecks;
+    private final IdleTimeout idleTimeout;
+    /** Set while a frame has begun and is incomplete, else null. */
+    private Clock.Timer frameTimeout;
+    /** The last time at which a frame came, or the first call was written after nothing was in flight. */
+    private double lastProgressAt;
+
+    WorkerConnection(WorkerConnectionPool pool, WorkerContext context, Connection connection) {
+        this.pool = pool;
+        this.context = context;
         this.connection = connection;
-        used();
-        watchIdle(worker.site.idleS() * IDLE_SHARE);
+        healthChecks = new PendingHealthChecks(context);
+        double idleS = context.site().idleS() * IDLE_TIMEOUT_SHARE;
+        idleTimeout = new IdleTimeout(context.loop(), idleS, this::closeIfIdle, connection::closed);
         connection.start(this);
     }
 
     /**
-     * Whether it has long been owed an answer. Guards against a way that has gone silent under an open connection: new
-     * calls go on a new one, which either answers or shows at once that the worker can't be reached.
+     * Whether results are overdue. A network path may fail silently under an open connection: new calls then go on a new
+     * connection, which either works or shows at once that the worker is unreachable.
      */
-    boolean silent() {
-        return !out.isEmpty() && worker.loop.now() - awaitedSince > worker.site.dialS();
+    boolean isUnresponsive() {
+        return !inFlight.isEmpty()
+                && context.loop().now() - lastProgressAt > context.site().dialS();
     }
 
-    /** Parts that are out on it, or wait to be. */
-    int out() {
-        return out.size() + waiting.stream().mapToInt(List::size).sum();
+    /** The number of parts that are in flight, or pending until they can be written. */
+    int inFlight() {
+        return inFlight.size() + pendingCalls.stream().mapToInt(List::size).sum();
     }
 
-    /**
-     * Whether an answer that comes on it could be for one of these parts or for another query's of the same id. Guards
-     * against a client that uses an id again once its query is over: a late answer to the old one, or its second copy,
-     * would be served to the new one as though it had been made for it.
-     */
-    boolean confuses(List<Attempt> call) {
-        for (Attempt a : call) {
-            String id = wireId(a);
-            Out o = out.get(id);
-            long query = o != null
-                    ? o.attempt().part().query().sequenceNumber()
-                    : past.getOrDefault(id, a.part().query().sequenceNumber());
-            if (query != a.part().query().sequenceNumber()) {
+    /** Whether a result that comes on this connection could be mistaken for that of one of these attempts. */
+    boolean hasIdConflict(List<Attempt> call) {
+        for (Attempt attempt : call) {
+            if (inFlight.hasIdConflict(attempt)) {
                 return true;
             }
         }
@@ -106,280 +82,235 @@
     }
 
     /**
-     * Sends a call, or keeps it while the kernel has no room for what went before. Kept here it can still be taken back:
-     * in the connection's buffer it would go out whatever had come meanwhile, word of draining or the end of its query.
+     * Writes a call, or keeps it pending while the kernel does not take the bytes of earlier ones. A pending call can still be
+     * withdrawn, when the worker begins to drain or the query ends; in the connection's buffer it could not.
      */
     void send(List<Attempt> call) {
         if (connection.unwritten()) {
-            waiting.add(new ArrayList<>(call));
+            pendingCalls.add(new ArrayList<>(call));
         } else {
             write(call);
         }
     }
 
     @Override
-    public void flushed(Connection c) {
-        tellWritten();
-        while (!waiting.isEmpty() && !connection.unwritten() && !connection.closed()) {
-            List<Attempt> live = worker.startable(waiting.removeFirst());
-            if (!live.isEmpty()) {
-                write(live);
+    public void flushed(Connection flushed) {
+        reportWritten();
+        while (!pendingCalls.isEmpty() && !connection.unwritten() && !connection.closed()) {
+            List<Attempt> startable = pool.retainStartable(pendingCalls.removeFirst());
+            if (!startable.isEmpty()) {
+                write(startable);
             }
         }
     }
 
-    /** What waits for room on it never ran, and won't. */
-    void endWaiting(AttemptOutcome outcome) {
-        List<List<Attempt>> calls = List.copyOf(waiting);
-        waiting.clear();
-        calls.forEach(call -> call.forEach(a -> worker.core.onAttemptEnded(a, outcome, LoadReport.NONE, null)));
+    /** Ends the pending calls: they never ran, and will not. */
+    void endPendingCalls(AttemptOutcome outcome) {
+        List<List<Attempt>> calls = List.copyOf(pendingCalls);
+        pendingCalls.clear();
+        calls.forEach(call -> context.endAttempts(call, outcome));
     }
 
     private void write(List<Attempt> call) {
-        List<Frames.PartCall> parts = new ArrayList<>();
-        for (Attempt a : call) {
-            long wait = Math.max(1, (long) Math.floor((a.deadline() - worker.loop.now()) * 1e3));
-            parts.add(new Frames.PartCall(
-                    wireId(a),
-                    a.part().shard(),
-                    wait,
-                    a.part().query().request().idempotencyKey(),
-                    a.part().query().request().body()));
+        List<WorkerProtocol.CallPart> parts = new ArrayList<>();
+        for (Attempt attempt : call) {
+            parts.add(callPart(attempt));
         }
-        if (out.isEmpty()) {
-            awaitedSince = worker.loop.now();
+        if (inFlight.isEmpty()) {
+            lastProgressAt = context.loop().now();
         }
-        byte[] frame = Frames.call(parts);
-        long end = connection.queued() + frame.length;
-        for (Attempt a : call) {
-            Out o = new Out(a, end);
-            out.put(wireId(a), o);
-            unwritten.add(o);
+        byte[] frame = WorkerProtocol.encodeCall(parts);
+        long frameEnd = connection.queued() + frame.length;
+        for (Attempt attempt : call) {
+            InFlight entry = new InFlight(attempt, frameEnd);
+            inFlight.add(entry);
+            unflushed.add(entry);
         }
-        used();
+        idleTimeout.onUse();
         connection.write(frame);
-        tellWritten();
+        reportWritten();
     }
 
-    private void tellWritten() {
-        while (!unwritten.isEmpty() && unwritten.peekFirst().frameEnd() <= connection.written()) {
-            worker.core.onAttemptWritten(unwritten.removeFirst().attempt());
-        }
+    private WorkerProtocol.CallPart callPart(Attempt attempt) {
+        double remainingMs = (attempt.deadline() - context.loop().now()) * 1e3;
+        return new WorkerProtocol.CallPart(
+                WorkerProtocol.wireId(attempt),
+                attempt.part().shard(),
+                Math.max(1, (long) Math.floor(remainingMs)),
+                attempt.part().query().request().idempotencyKey(),
+                attempt.part().query().request().body());
     }
 
-    static String wireId(Attempt a) {
-        return a.part().query().request().id() + '.' + a.part().shard();
+    /** Reports the attempts whose frame is wholly with the kernel. */
+    private void reportWritten() {
+        while (!unflushed.isEmpty() && unflushed.peekFirst().frameEnd() <= connection.written()) {
+            context.core().onAttemptWritten(unflushed.removeFirst().attempt());
+        }
     }
 
-    /** Gives an attempt up if it is out here; the worker's answer to it, should one come, finds nothing here. */
-    boolean cancel(Attempt a) {
-        String id = wireId(a);
-        Out o = out.get(id);
-        if (o == null || o.attempt() != a) {
-            boolean waited = waiting.stream().anyMatch(call -> call.remove(a));
-            waiting.removeIf(List::isEmpty);
-            return waited;
+    /** Cancels an attempt and returns whether it was on this connection; a result that still comes for it is ignored. */
+    boolean cancel(Attempt attempt) {
+        String id = WorkerProtocol.wireId(attempt);
+        if (!inFlight.contains(id, attempt)) {
+            return removePending(attempt);
         }
-        out.remove(id);
-        past.put(id, a.part().query().sequenceNumber());
-        used();
-        connection.write(Frames.giveUp(id));
-        closeIfUnwanted();
+        inFlight.end(id);
+        idleTimeout.onUse();
+        connection.write(WorkerProtocol.encodeCancel(id));
+        closeIfDraining();
         return true;
     }
 
-    void probe() {
-        double now = worker.loop.now();
-        probes.addLast(new Probe(now, worker.loop.after(PROBE_S, () -> {
-            if (!probes.isEmpty()) {
-                probes.removeFirst();
-                lateProbes++;
-                worker.core.onHealthCheckEnded(worker.id, AttemptOutcome.TIMEOUT, PROBE_S, LoadReport.NONE);
-            }
-        })));
-        used();
-        connection.write(Frames.probe());
+    private boolean removePending(Attempt attempt) {
+        boolean removed = pendingCalls.stream().anyMatch(call -> call.remove(attempt));
+        pendingCalls.removeIf(List::isEmpty);
+        return removed;
     }
 
+    /** Sends a health check. */
+    void checkHealth() {
+        healthChecks.add();
+        idleTimeout.onUse();
+        connection.write(WorkerProtocol.encodeHealthCheck());
+    }
+
+    /** Closes the connection where nothing is in flight or pending on it. */
     void closeIfIdle() {
-        if (out.isEmpty() && probes.isEmpty() && waiting.isEmpty()) {
+        if (inFlight.isEmpty() && healthChecks.isEmpty() && pendingCalls.isEmpty()) {
             connection.close();
             release();
         }
     }
 
-    private void closeIfUnwanted() {
-        if (worker.wantsNothingNew()) {
+    private void closeIfDraining() {
+        if (!pool.isAcceptingCalls()) {
             closeIfIdle();
         }
     }
 
-    /** Closes it whatever is out on it, which then has the outcome of a break. */
-    void abandon() {
+    /** Closes the connection at once; what is in flight ends as by a reset. */
+    void abort() {
         connection.close();
         ended(connection);
     }
 
-    private void used() {
-        usedAt = worker.loop.now();
-    }
-
-    private void watchIdle(double after) {
-        idle = worker.loop.after(after, () -> {
-            double limit = worker.site.idleS() * IDLE_SHARE;
-            double left = usedAt + limit - worker.loop.now();
-            if (left <= 0) {
-                closeIfIdle();
-            }
-            if (!connection.closed()) {
-                watchIdle(left > 0 ? left : limit);
-            }
-        });
-    }
-
-    /** No timer may hold on to a closed connection: where workers close after each answer, hundreds would be kept so. */
+    /** No timer may refer to a closed connection: a worker that closes after each result would leave hundreds in memory. */
     private void release() {
-        worker.remove(this);
-        idle.cancel();
-        if (unfinished != null) {
-            unfinished.cancel();
+        pool.onConnectionClosed(this);
+        idleTimeout.cancel();
+        if (frameTimeout != null) {
+            frameTimeout.cancel();
         }
     }
 
     @Override
-    public void received(Connection c) {
+    public void received(Connection source) {
         try {
-            while (!c.closed()) {
-                int used = parser.feed(c.bytes(), c.from(), c.to());
+            while (!source.closed()) {
+                int used = parser.feed(source.bytes(), source.from(), source.to());
                 if (used == 0) {
-                    begun(c);
+                    onPartialFrame(source);
                     return;
                 }
-                if (unfinished != null) {
-                    unfinished.cancel();
-                    unfinished = null;
+                if (frameTimeout != null) {
+                    frameTimeout.cancel();
+                    frameTimeout = null;
                 }
-                c.consume(used);
-                used();
-                awaitedSince = worker.loop.now();
-                frame(parser.take());
+                source.consume(used);
+                idleTimeout.onUse();
+                lastProgressAt = context.loop().now();
+                onFrame(parser.take());
             }
         } catch (FrameException e) {
-            spoilt(e.getMessage());
+            onProtocolViolation(e.getMessage());
         }
     }
 
     /**
-     * Looks at a frame of which only the beginning is there. Guards against waiting, for as long as its attempt may take,
-     * for an answer that can't be read anyway, or never ends: a sound one comes at once and whole.
+     * Checks a frame of which only a beginning has come, so that no attempt waits for its whole time for a result that is
+     * unusable or never ends.
      */
-    private void begun(Connection c) throws FrameException {
-        int there = c.to() - c.from();
-        if (there > 5 && c.bytes()[c.from() + 4] == Frames.RESULT) {
-            Frames.Result line = Frames.resultLine(c.bytes(), c.from() + 5, c.to());
-            if (line != null) {
-                known(line.id());
+    private void onPartialFrame(Connection source) throws FrameException {
+        int available = source.to() - source.from();
+        int typeIndex = source.from() + Frames.HEADER_BYTES - 1;
+        if (available > Frames.HEADER_BYTES && source.bytes()[typeIndex] == WorkerProtocol.RESULT) {
+            WorkerProtocol.ResultHeader header =
+                    WorkerProtocol.parseResultHeader(source.bytes(), source.from() + Frames.HEADER_BYTES, source.to());
+            if (header != null) {
+                checkKnown(header.id());
             }
         }
-        // From its first byte: counted anew with each that comes, a frame that never ends would hold up all behind it.
-        if (there > 0 && unfinished == null) {
-            unfinished = worker.loop.after(UNFINISHED_DIALS * worker.site.dialS(), () -> {
-                if (!c.closed()) {
-                    spoilt("frame not finished");
-                }
-            });
+        // From the first byte on: restarted by each further byte, a frame that never ends would block all behind it.
+        if (available > 0 && frameTimeout == null) {
+            frameTimeout = context.loop()
+                    .after(FRAME_TIMEOUT_MULTIPLE * context.site().dialS(), () -> {
+                        if (!source.closed()) {
+                            onProtocolViolation("frame not finished in time");
+                        }
+                    });
         }
     }
 
-    private void known(String id) throws FrameException {
-        if (!out.containsKey(id) && !past.containsKey(id)) {
+    private void checkKnown(String id) throws FrameException {
+        if (!inFlight.isKnown(id)) {
             throw new FrameException("unknown id");
         }
     }
 
-    /** Nothing on it can be told from noise any more; what is out may have run. */
-    private void spoilt(String why) {
-        worker.notes.note(System.Logger.Level.WARNING, () -> "bad frame from worker " + worker.id + ": " + why);
-        abandon();
+    private void onProtocolViolation(String reason) {
+        context.log()
+                .note(
+                        System.Logger.Level.WARNING,
+                        () -> "malformed frame from worker " + context.workerId() + ": " + reason);
+        abort();
     }
 
-    private void frame(Frame f) throws FrameException {
-        switch (f.letter()) {
-            case Frames.RESULT -> result(Frames.result(f.rest()));
-            case Frames.PROBE -> {
-                Probe p = probes.pollFirst();
-                if (p != null) {
-                    p.limit().cancel();
-                    boolean good = new String(f.rest(), StandardCharsets.UTF_8).equals("good");
-                    worker.core.onHealthCheckEnded(
-                            worker.id,
-                            good ? AttemptOutcome.OK : AttemptOutcome.ERROR,
-                            worker.loop.now() - p.sentAt(),
-                            LoadReport.NONE);
-                } else if (--lateProbes < 0) {
-                    throw new FrameException("answer to no probe");
-                }
-            }
-            case Frames.UNUSABLE -> {
-                worker.notes.note(
-                        System.Logger.Level.WARNING,
-                        () -> "worker " + worker.id + " could not use a frame: "
-                                + new String(f.rest(), StandardCharsets.UTF_8));
-                abandon();
-            }
-            default -> throw new FrameException("letter " + f.letter());
+    private void onFrame(Frame frame) throws FrameException {
+        switch (frame.letter()) {
+            case WorkerProtocol.RESULT -> onResult(WorkerProtocol.parseResult(frame.rest()));
+            case WorkerProtocol.HEALTH_CHECK ->
+                healthChecks.onAnswer(WorkerProtocol.parseHealthCheckAnswer(frame.rest()));
+            case WorkerProtocol.PROTOCOL_ERROR -> onRejectedFrame(new String(frame.rest(), StandardCharsets.UTF_8));
+            default -> throw new FrameException("unexpected type " + frame.letter());
         }
     }
 
-    private void result(Frames.Result r) throws FrameException {
-        AttemptOutcome outcome = switch (r.end()) {
-            case "good" -> AttemptOutcome.OK;
-            case "bad" -> AttemptOutcome.ERROR;
-            case "later" -> AttemptOutcome.OVERLOADED;
-            default -> throw new FrameException("unknown end " + r.end());
-        };
-        known(r.id());
-        if (outcome == AttemptOutcome.OK && !text(r.value())) {
-            throw new FrameException("value that is no text");
-        }
-        Out o = out.remove(r.id());
-        if (o != null) {
-            past.put(r.id(), o.attempt().part().query().sequenceNumber());
-            LoadReport report =
-                    LoadReport.of(Reports.row(r.report(), worker.site.module().reportNames()));
-            worker.core.onAttemptEnded(o.attempt(), outcome, report, r.value());
-            closeIfUnwanted();
-        }
+    /** The worker could not use a frame of ours, and closes the connection. */
+    private void onRejectedFrame(String reason) {
+        context.log()
+                .note(
+                        System.Logger.Level.WARNING,
+                        () -> "worker " + context.workerId() + " rejected a frame: " + reason);
+        abort();
     }
 
-    /** Whether a value can stand in an answer unchanged. */
-    private static boolean text(byte[] value) {
-        try {
-            StandardCharsets.UTF_8.newDecoder().decode(ByteBuffer.wrap(value));
-            return true;
-        } catch (CharacterCodingException e) {
-            return false;
+    private void onResult(WorkerProtocol.Result result) throws FrameException {
+        WorkerProtocol.ResultHeader header = result.header();
+        checkKnown(header.id());
+        if (header.outcome() == AttemptOutcome.OK && !WorkerProtocol.isText(result.value())) {
+            throw new FrameException("value is not UTF-8");
+        }
+        InFlight ended = inFlight.end(header.id());
+        if (ended != null) {
+            List<String> figures = context.site().module().reportNames();
+            LoadReport report = LoadReport.of(LoadReportParser.parse(header.loadReport(), figures));
+            context.core().onAttemptEnded(ended.attempt(), header.outcome(), report, result.value());
+            closeIfDraining();
         }
     }
 
-    /** A break: what had not been written whole never ran, the rest may have. */
+    /** The connection broke: attempts whose frame was not wholly written never ran, the others may have. */
     @Override
-    public void ended(Connection c) {
+    public void ended(Connection source) {
         release();
-        tellWritten();
-        List<Out> broken = List.copyOf(out.values());
-        out.clear();
-        probes.forEach(p -> {
-            p.limit().cancel();
-            worker.core.onHealthCheckEnded(
-                    worker.id, AttemptOutcome.RESET, worker.loop.now() - p.sentAt(), LoadReport.NONE);
-        });
-        probes.clear();
-        endWaiting(AttemptOutcome.CONNECT_FAILED);
-        for (Out o : broken) {
-            boolean whole = c.written() >= o.frameEnd();
-            worker.core.onAttemptEnded(
-                    o.attempt(), whole ? AttemptOutcome.RESET : AttemptOutcome.CONNECT_FAILED, LoadReport.NONE, null);
+        reportWritten();
+        List<InFlight> broken = inFlight.removeAll();
+        healthChecks.onConnectionReset();
+        endPendingCalls(AttemptOutcome.CONNECT_FAILED);
+        for (InFlight entry : broken) {
+            boolean written = source.written() >= entry.frameEnd();
+            AttemptOutcome outcome = written ? AttemptOutcome.RESET : AttemptOutcome.CONNECT_FAILED;
+            context.core().onAttemptEnded(entry.attempt(), outcome, LoadReport.NONE, null);
         }
     }
 }
--- /dev/null
+++ b/src/main/java/pepperdock/platform/WorkerContext.java
@@ -0,0 +1,29 @@
+package pepperdock.platform;
+
+import java.util.List;
+import pepperdock.config.Site;
+import pepperdock.core.Attempt;
+import pepperdock.core.Gatherer;
+import pepperdock.core.LogRateLimiter;
+import pepperdock.scheduler.AttemptOutcome;
+import pepperdock.scheduler.LoadReport;
+import pepperdock.transport.Loop;
+
+/**
+ * What the connections to one worker share. Immutable; what it refers to is used on the loop's thread only.
+ *
+ * @param workerId the endpoint's id in the endpoint list
+ * @param loop the thread that owns all state, its clock and its timers
+ * @param site the settings of this installation
+ * @param core receives the outcomes of attempts and health checks
+ * @param log for frames that are malformed or rejected
+ */
+record WorkerContext(String workerId, Loop loop, Site site, Gatherer core, LogRateLimiter log) {
+
+    /** Ends each attempt of a call with an outcome that no worker reported. */
+    void endAttempts(List<Attempt> call, AttemptOutcome outcome) {
+        for (Attempt attempt : call) {
+            core.onAttemptEnded(attempt, outcome, LoadReport.NONE, null);
+        }
+    }
+}
--- a/src/main/java/pepperdock/platform/WorkerPool.java
+++ b/src/main/java/pepperdock/platform/WorkerPool.java
@@ -7,22 +7,29 @@
 import pepperdock.core.WorkerEndpoint;
 import pepperdock.transport.Loop;
 
-/** The workers on the platform's frames; a {@link Worker} each. */
-public final class WorkerPool extends PooledBackend<Worker> {
+/**
+ * The backend for workers that speak the platform's frames: one {@link WorkerConnectionPool} for each endpoint of the list.
+ *
+ * <p>Made with the loop that owns it, and started with the gatherer that sends through it. All calls, and all calls back to
+ * the gatherer, are made on the loop's thread.
+ */
+public final class WorkerPool extends PooledBackend<WorkerConnectionPool> {
 
     private final Loop loop;
     private final Site site;
     /** One for all workers: a hundred of them may fail in the same second. */
-    private final LogRateLimiter notes;
+    private final LogRateLimiter log;
 
+    /** The site's settings give the limits of connections and the form of load reports. */
     public WorkerPool(Loop loop, Site site) {
         this.loop = loop;
         this.site = site;
-        notes = new LogRateLimiter(System.getLogger("pepperdock.platform"), loop, "bad or unusable frames");
+        log = new LogRateLimiter(System.getLogger("pepperdock.platform"), loop, "malformed or rejected frames");
     }
 
     @Override
-    protected Worker createWorker(WorkerEndpoint host, Gatherer core) {
-        return new Worker(host.id(), host.address(), loop, site, core, notes);
+    protected WorkerConnectionPool createWorker(WorkerEndpoint endpoint, Gatherer core) {
+        WorkerContext context = new WorkerContext(endpoint.id(), loop, site, core, log);
+        return new WorkerConnectionPool(context, endpoint.address());
     }
 }
--- /dev/null
+++ b/src/main/java/pepperdock/platform/package-info.java
@@ -0,0 +1,11 @@
+/**
+ * The platform's protocols: the HTTP front for its clients ({@link pepperdock.platform.Front}), the client of its workers'
+ * binary frames ({@link pepperdock.platform.WorkerPool}), the watch on its endpoint list
+ * ({@link pepperdock.platform.EndpointWatch}), and the warm-up of the JVM before the first client
+ * ({@link pepperdock.platform.JvmWarmup}).
+ *
+ * <p>The words of each protocol are read and written in one class: {@link pepperdock.platform.ClientProtocol},
+ * {@link pepperdock.platform.WorkerProtocol} and {@link pepperdock.platform.DiscoveryProtocol}. All other classes use the terms
+ * of the core. All state belongs to the thread of one {@link pepperdock.transport.Loop}; there are no locks.
+ */
+package pepperdock.platform;
--- a/src/main/java/pepperdock/service/ClientServers.java
+++ b/src/main/java/pepperdock/service/ClientServers.java
@@ -72,7 +72,7 @@
     /** Changed settings, for queries from now on. */
     void use(Site site, Config changed) {
         if (front != null) {
-            front.use(site);
+            front.updateSettings(site);
         }
         if (searchFront != null) {
             searchFront.use(site, changed.openSearch());
--- a/src/main/java/pepperdock/service/NodeSource.java
+++ b/src/main/java/pepperdock/service/NodeSource.java
@@ -9,7 +9,7 @@
 import pepperdock.core.StaticEndpointList;
 import pepperdock.core.WorkerEndpoint;
 import pepperdock.dnssd.DnsSd;
-import pepperdock.platform.Watch;
+import pepperdock.platform.EndpointWatch;
 import pepperdock.transport.Loop;
 
 /**
@@ -33,9 +33,10 @@
             return new NodeSource(dnsSd, false, dnsSd::start, null, null);
         }
         if (config.discovery() != null) {
-            Watch watch = new Watch(
+            EndpointWatch watch = new EndpointWatch(
                     loop, config.discovery(), config.site(), config.known().seq());
-            return new NodeSource(watch, !config.site().module().pollsEndpointList(), watch::start, watch::move, null);
+            return new NodeSource(
+                    watch, !config.site().module().pollsEndpointList(), watch::start, watch::changeAddress, null);
         }
         StaticEndpointList fixed = new StaticEndpointList(loop, config.known().hosts());
         return new NodeSource(fixed, false, fixed::start, null, fixed::replace);
--- a/src/main/java/pepperdock/service/Service.java
+++ b/src/main/java/pepperdock/service/Service.java
@@ -18,7 +18,7 @@
 import pepperdock.operator.Operator;
 import pepperdock.operator.UpgradePeer;
 import pepperdock.plan.background.PlannerThread;
-import pepperdock.platform.Warmup;
+import pepperdock.platform.JvmWarmup;
 import pepperdock.platform.WorkerPool;
 import pepperdock.scheduler.EndpointListKind;
 import pepperdock.store.Store;
@@ -40,7 +40,7 @@
     private final Startup.Base base;
     private final Loop loop;
     private final Config config;
-    private final Warmup warmup;
+    private final JvmWarmup warmup;
     private final NodeSource nodes;
     private final Gatherer core;
     /** Null where the file has no address for operators. */
@@ -62,8 +62,8 @@
                     "configuration: not given, so taken as: {0}",
                     String.join(", ", site.assumed()));
         }
-        warmup = new Warmup(site);
-        warmup.play(Warmup.BEFORE);
+        warmup = new JvmWarmup(site);
+        warmup.runQueries(JvmWarmup.QUERIES_BEFORE_READY);
         SearchBackend search =
                 config.openSearch() != null && config.openSearch().backend()
                         ? new SearchBackend(loop, site, config.openSearch())
@@ -197,6 +197,6 @@
         base.events().tell("ready");
         clients.servers()
                 .forEach(s -> LOG.log(System.Logger.Level.INFO, "{0} serves on {1}", config.name(), s.address()));
-        warmup.spread(loop, () -> core.inFlightQueries() == 0);
+        warmup.runRemainingQueries(loop, () -> core.inFlightQueries() == 0);
     }
 }
--- a/src/test/java/pepperdock/DescriptorsIT.java
+++ b/src/test/java/pepperdock/DescriptorsIT.java
@@ -137,7 +137,7 @@
                         "\"discovery\":\"127.0.0.1:" + port + "\",\"limits\":{\"sockets\":" + SOCKETS
                                 + "},\"known\":{\"seq\":1,\"whole\":true,\"hosts\":[]},",
                         null)) {
-            jar.awaited("node list watch failed");
+            jar.awaited("endpoint list watch failed");
             AtomicLong most = new AtomicLong();
             Thread counts = new Thread(() -> {
                 try {
--- a/src/test/java/pepperdock/platform/ClientEndBench.java
+++ b/src/test/java/pepperdock/platform/ClientEndBench.java
@@ -224,14 +224,15 @@
         while (true) {
             byte[] frame = in.readNBytes(in.readInt());
             int at = 1;
-            while (frame[0] == Frames.CALL && at < frame.length) {
+            while (frame[0] == WorkerProtocol.CALL && at < frame.length) {
                 int end = at;
                 while (frame[end] != '\n') {
                     end++;
                 }
                 String[] words = new String(frame, at, end - at, StandardCharsets.US_ASCII).split(" ");
                 at = end + 1 + Integer.parseInt(words[3]);
-                byte[] bad = Frames.frame(Frames.RESULT, (words[0] + " bad 1 -\n").getBytes(StandardCharsets.US_ASCII));
+                byte[] bad = Frames.frame(
+                        WorkerProtocol.RESULT, (words[0] + " bad 1 -\n").getBytes(StandardCharsets.US_ASCII));
                 if (random.nextInt(4) > 0) {
                     var unused = answers.schedule(() -> write(s, bad), random.nextInt(60), TimeUnit.MILLISECONDS);
                 }
--- a/src/test/java/pepperdock/platform/WatchTest.java
+++ b/src/test/java/pepperdock/platform/EndpointWatchTest.java
@@ -30,7 +30,7 @@
 import pepperdock.scheduler.EndpointListKind;
 import pepperdock.transport.Loop;
 
-class WatchTest {
+class EndpointWatchTest {
 
     private static final String HOST =
             "{\"host\":\"%s\",\"dial\":\"127.0.0.1:1\",\"block\":0,\"health\":\"in_service\",\"born_ms\":0}";
@@ -39,10 +39,11 @@
     private final Loop loop = new Loop(100, 1 << 16);
     private final ServerSocket server = new ServerSocket(0, 50, InetAddress.getLoopbackAddress());
     private final BlockingQueue<Collection<WorkerEndpoint>> lists = new LinkedBlockingQueue<>();
-    private final Watch watch = new Watch(loop, (InetSocketAddress) server.getLocalSocketAddress(), site, 41);
+    private final EndpointWatch watch =
+            new EndpointWatch(loop, (InetSocketAddress) server.getLocalSocketAddress(), site, 41);
     private final Gatherer core = new Gatherer(site.module(), 3, loop, new WorkerPool(loop, site), watch);
 
-    WatchTest() throws IOException {
+    EndpointWatchTest() throws IOException {
         server.setSoTimeout(30_000);
         watch.start(core);
         loop.execute(() -> {
@@ -127,9 +128,9 @@
         }
     }
 
-    private Watch other(String settings, ServerSocket at) {
+    private EndpointWatch other(String settings, ServerSocket at) {
         Site its = Sites.with(settings);
-        Watch w = new Watch(loop, (InetSocketAddress) at.getLocalSocketAddress(), its, 41);
+        EndpointWatch w = new EndpointWatch(loop, (InetSocketAddress) at.getLocalSocketAddress(), its, 41);
         w.start(new Gatherer(its.module(), 3, loop, new WorkerPool(loop, its), w));
         return w;
     }
@@ -157,10 +158,12 @@
     /** Was: given up at the very moment at which its news count as told, and then asked for the changes of another list. */
     @Test
     void aFirstCallAfterAMoveThatIsSilentIsOpenedAnewWhileItsNewsDoNotCountYet() throws Exception {
-        assertTrue(Watch.MOVED_S + 1 < 4, "two calls, and a connection that is lost, within the four seconds");
-        assertTrue(Watch.MOVED_S > 2.2, "an overbooked list's own limit is outlasted");
+        assertTrue(
+                EndpointWatch.ADDRESS_CHANGE_TIMEOUT_S + 1 < 4,
+                "two calls, and a connection that is lost, within the four seconds");
+        assertTrue(EndpointWatch.ADDRESS_CHANGE_TIMEOUT_S > 2.2, "an overbooked list's own limit is outlasted");
         try (ServerSocket other = new ServerSocket(0, 50, InetAddress.getLoopbackAddress())) {
-            loop.execute(() -> watch.move((InetSocketAddress) other.getLocalSocketAddress()));
+            loop.execute(() -> watch.changeAddress((InetSocketAddress) other.getLocalSocketAddress()));
             Socket silent = other.accept();
             try (silent;
                     Socket anew = other.accept()) {
@@ -232,19 +235,22 @@
             asked(in);
             answer(s, 200, changes(42, "a"));
             assertEquals(1, list().size());
-            assertEquals("GET /api/targets?since=42&timeout_ms=" + Watch.WAIT_MS + " HTTP/1.1", in.readLine());
+            assertEquals(
+                    "GET /api/targets?since=42&timeout_ms=" + EndpointWatch.LONG_POLL_MS + " HTTP/1.1", in.readLine());
             how.end(s);
         }
         try (Socket s = server.accept()) {
             BufferedReader in = reader(s);
-            assertEquals("GET /api/targets?since=42&timeout_ms=" + Watch.FIRST_WAIT_MS + " HTTP/1.1", in.readLine());
+            assertEquals(
+                    "GET /api/targets?since=42&timeout_ms=" + EndpointWatch.FIRST_POLL_MS + " HTTP/1.1", in.readLine());
             String line = in.readLine();
             while (!line.isEmpty()) {
                 line = in.readLine();
             }
             answer(s, 200, changes(43, "b"));
             assertEquals(2, list().size());
-            assertEquals("GET /api/targets?since=43&timeout_ms=" + Watch.WAIT_MS + " HTTP/1.1", in.readLine());
+            assertEquals(
+                    "GET /api/targets?since=43&timeout_ms=" + EndpointWatch.LONG_POLL_MS + " HTTP/1.1", in.readLine());
         }
     }
 
@@ -281,7 +287,7 @@
             try (Socket beside = server.accept()) {
                 BufferedReader inBeside = reader(beside);
                 asked(inBeside);
-                loop.execute(() -> watch.move((InetSocketAddress) other.getLocalSocketAddress()));
+                loop.execute(() -> watch.changeAddress((InetSocketAddress) other.getLocalSocketAddress()));
                 try (Socket moved = other.accept()) {
                     BufferedReader in = reader(moved);
                     assertEquals("/api/targets", asked(in));
@@ -302,7 +308,7 @@
             Socket s = server.accept();
             asked(reader(s));
             s.close();
-            loop.execute(() -> watch.move((InetSocketAddress) other.getLocalSocketAddress()));
+            loop.execute(() -> watch.changeAddress((InetSocketAddress) other.getLocalSocketAddress()));
             try (Socket moved = other.accept()) {
                 BufferedReader in = reader(moved);
                 assertEquals("/api/targets", asked(in));
@@ -339,7 +345,7 @@
     @Test
     void theNextTryAtAnAgentFitsIntoTheGraceOfADrain() {
         assertTrue(
-                1.5 * Watch.AGENT_MOST_S < site.module().rules().drainGraceS() - 0.1,
+                1.5 * EndpointWatch.MAX_AGENT_BACKOFF_S < site.module().rules().drainGraceS() - 0.1,
                 "with its random part, and an answer");
     }
 
@@ -366,10 +372,16 @@
      */
     @Test
     void aWatchThatIsSilentIsGivenUpInTimeToAskAnewBeforeItsNewsCountAsTold() {
-        double told = Watch.WAIT_MS / 1e3 + 2;
-        assertTrue(Watch.patienceS(Watch.WAIT_MS) <= told - 1, "time for the module's pause, and an answer");
-        assertTrue(Watch.patienceS(Watch.WAIT_MS) > Watch.WAIT_MS / 1e3, "an answer at the end of the wait is awaited");
-        assertTrue(Watch.patienceS(Watch.FIRST_WAIT_MS) > 2.2, "an overbooked list's own limit is outlasted");
+        double told = EndpointWatch.LONG_POLL_MS / 1e3 + 2;
+        assertTrue(
+                EndpointWatch.pollTimeoutS(EndpointWatch.LONG_POLL_MS) <= told - 1,
+                "time for the module's pause, and an answer");
+        assertTrue(
+                EndpointWatch.pollTimeoutS(EndpointWatch.LONG_POLL_MS) > EndpointWatch.LONG_POLL_MS / 1e3,
+                "an answer at the end of the wait is awaited");
+        assertTrue(
+                EndpointWatch.pollTimeoutS(EndpointWatch.FIRST_POLL_MS) > 2.2,
+                "an overbooked list's own limit is outlasted");
     }
 
     /** The old watch must end: what it still told would go over the new list. */
@@ -380,7 +392,7 @@
             BufferedReader in =
                     new BufferedReader(new InputStreamReader(old.getInputStream(), StandardCharsets.US_ASCII));
             assertEquals("/api/targets?since=41", asked(in));
-            loop.execute(() -> watch.move((InetSocketAddress) other.getLocalSocketAddress()));
+            loop.execute(() -> watch.changeAddress((InetSocketAddress) other.getLocalSocketAddress()));
             assertEquals(-1, in.read());
             try (Socket s = other.accept()) {
                 in = new BufferedReader(new InputStreamReader(s.getInputStream(), StandardCharsets.US_ASCII));
--- a/src/test/java/pepperdock/platform/WarmupTest.java
+++ b/src/test/java/pepperdock/platform/JvmWarmupTest.java
@@ -7,27 +7,27 @@
 import pepperdock.core.ManualClock;
 
 /** A warm-up that is refused or malformed would warm nothing: each of its queries must be answered. */
-class WarmupTest {
+class JvmWarmupTest {
 
     @Test
     void everyQueryIsAnsweredBeforeReadyAndAfter() {
-        Warmup warmup = new Warmup(Sites.small());
-        assertEquals(Warmup.BEFORE, warmup.play(Warmup.BEFORE));
+        JvmWarmup warmup = new JvmWarmup(Sites.small());
+        assertEquals(JvmWarmup.QUERIES_BEFORE_READY, warmup.runQueries(JvmWarmup.QUERIES_BEFORE_READY));
         ManualClock loop = new ManualClock(0);
-        warmup.spread(loop, () -> true);
+        warmup.runRemainingQueries(loop, () -> true);
         loop.advance(60);
-        assertEquals(150, warmup.play(0));
+        assertEquals(150, warmup.runQueries(0));
     }
 
     @Test
     void theRestIsLeftOutWhileQueriesAreInHandAndEnds() {
-        Warmup warmup = new Warmup(Sites.small());
+        JvmWarmup warmup = new JvmWarmup(Sites.small());
         ManualClock loop = new ManualClock(0);
-        warmup.spread(loop, () -> false);
+        warmup.runRemainingQueries(loop, () -> false);
         loop.advance(60);
-        assertEquals(0, warmup.play(0));
+        assertEquals(0, warmup.runQueries(0));
         int[] asked = {0};
-        warmup.spread(loop, () -> asked[0]++ > 1000);
+        warmup.runRemainingQueries(loop, () -> asked[0]++ > 1000);
         loop.advance(60);
         assertEquals(1, asked[0]);
     }
