--- a/src/test/java/pepperdock/DescriptorsIT.java
+++ b/src/test/java/pepperdock/DescriptorsIT.java
@@ -20,8 +20,8 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.api.io.TempDir;
-import pepperdock.platform.StandIn;
-import pepperdock.platform.StandInWorker;
+import pepperdock.platform.FakeWorker;
+import pepperdock.platform.FakeWorkerBehaviour;
 
 /**
  * The built jar where the system allows fewer descriptors than the configuration says: accept is refused. Guards against an
@@ -129,7 +129,7 @@
             port = free.getLocalPort();
         }
         List<Socket> clients = new ArrayList<>();
-        try (StandInWorker worker = new StandInWorker(new StandIn());
+        try (FakeWorker worker = new FakeWorker(new FakeWorkerBehaviour());
                 BuiltJar jar = new BuiltJar(
                         Path.of("."),
                         folder,
@@ -154,7 +154,7 @@
             try (ServerSocket back = new ServerSocket(port, 50, here)) {
                 discovery(
                         back,
-                        "{\"seq\":2,\"whole\":true,\"hosts\":[{\"host\":\"w\",\"dial\":\"" + worker.dial()
+                        "{\"seq\":2,\"whole\":true,\"hosts\":[{\"host\":\"w\",\"dial\":\"" + worker.address()
                                 + "\",\"block\":0,\"health\":\"in_service\"}]}");
                 fill(jar, clients);
                 String answer = "";
--- a/src/test/java/pepperdock/UpgradeIT.java
+++ b/src/test/java/pepperdock/UpgradeIT.java
@@ -20,8 +20,8 @@
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.api.io.TempDir;
 import pepperdock.config.Sites;
-import pepperdock.platform.StandIn;
-import pepperdock.platform.StandInWorker;
+import pepperdock.platform.FakeWorker;
+import pepperdock.platform.FakeWorkerBehaviour;
 
 /** Real processes of the built jar on one clients' address and one folder for their state: upgrades and bans. */
 @Timeout(180)
@@ -30,8 +30,8 @@
     @TempDir
     private Path folder;
 
-    private final StandIn does = new StandIn();
-    private final List<StandInWorker> workers = new ArrayList<>();
+    private final FakeWorkerBehaviour behaviour = new FakeWorkerBehaviour();
+    private final List<FakeWorker> workers = new ArrayList<>();
     private final List<Gatherer> begun = new ArrayList<>();
     private int port;
 
@@ -121,10 +121,10 @@
         }
         StringBuilder hosts = new StringBuilder();
         for (int cell = 0; cell < 4; cell++) {
-            workers.add(new StandInWorker(does));
+            workers.add(new FakeWorker(behaviour));
             hosts.append(cell == 0 ? "" : ",")
                     .append("{\"host\":\"w" + cell + "\",\"dial\":\""
-                            + workers.get(cell).dial() + "\",\"block\":" + cell
+                            + workers.get(cell).address() + "\",\"block\":" + cell
                             + ",\"health\":\"in_service\",\"born_ms\":0}");
         }
         configure(hosts.toString(), Sites.SETTINGS);
@@ -142,7 +142,7 @@
         for (Gatherer g : begun) {
             g.process.destroyForcibly();
         }
-        for (StandInWorker w : workers) {
+        for (FakeWorker w : workers) {
             w.close();
         }
     }
@@ -220,8 +220,8 @@
                 now.awaited("the other process of this gatherer has ended");
                 old = now;
                 // What must not run twice went out once, by one of the two processes.
-                assertEquals(1, does.times("flying" + i, 0));
-                assertEquals(1, does.times("last" + i, 0));
+                assertEquals(1, behaviour.calls("flying" + i, 0));
+                assertEquals(1, behaviour.calls("last" + i, 0));
             }
         }
         assertEquals(1, old.figure("svc.skipped_workers"));
@@ -246,7 +246,7 @@
             String said = ask(c, "a", "good");
             assertTrue(said.startsWith("HTTP/1.1 503"), said);
         }
-        assertEquals(0, does.times("good", 0), "both holders are out");
+        assertEquals(0, behaviour.calls("good", 0), "both holders are out");
         now.yes("POST /-/workers/w1/enable");
         while (old.figure("svc.skipped_workers") + now.figure("svc.skipped_workers") > 2) {
             Thread.sleep(10);
@@ -254,7 +254,7 @@
         try (Socket c = client()) {
             assertTrue(ask(c, "b", "good").startsWith("HTTP/1.1 200"));
         }
-        assertEquals(1, does.times("good", 0));
+        assertEquals(1, behaviour.calls("good", 0));
     }
 
     /** The worker comes back under its id, at another address and cold, in a file that SIGHUP reads; then the call back comes. */
@@ -262,16 +262,16 @@
     void aBanHoldsOverARestartOfTheWorkerAListAndSighupAndEndsWithTheCallBack() throws Exception {
         Gatherer only = new Gatherer("n0").ready();
         only.yes("POST /-/workers/w0/disable");
-        StandIn again = new StandIn();
-        StandInWorker restarted = new StandInWorker(again);
-        String old = workers.get(0).dial();
+        FakeWorkerBehaviour again = new FakeWorkerBehaviour();
+        FakeWorker restarted = new FakeWorker(again);
+        String old = workers.get(0).address();
         workers.add(restarted);
         String whole = Files.readString(folder.resolve("config.json"));
         Files.writeString(
                 folder.resolve("config.json"),
                 whole.replace(
                         old + "\",\"block\":0,\"health\":\"in_service\",\"born_ms\":0",
-                        restarted.dial() + "\",\"block\":0,\"health\":\"in_service\",\"born_ms\":"
+                        restarted.address() + "\",\"block\":0,\"health\":\"in_service\",\"born_ms\":"
                                 + System.currentTimeMillis()));
         assertFalse(Files.readString(folder.resolve("config.json")).contains(old));
         only.signal("HUP");
@@ -283,9 +283,9 @@
                 assertTrue(ask(c, "b" + i, "good").startsWith("HTTP/1.1 200"));
             }
         }
-        assertEquals(0, again.times("good", 0), "nothing to it, whatever the list says");
+        assertEquals(0, again.calls("good", 0), "nothing to it, whatever the list says");
         only.yes("POST /-/workers/w0/enable");
-        for (int i = 0; again.times("good", 0) == 0; i++) {
+        for (int i = 0; again.calls("good", 0) == 0; i++) {
             try (Socket c = client()) {
                 assertTrue(ask(c, "a" + i, "good").startsWith("HTTP/1.1 200"));
             }
@@ -322,7 +322,7 @@
             send(c, "once", "wallet-move", "bad:*");
             assertTrue(answer(c).startsWith("HTTP/1.1 503"));
         }
-        assertEquals(1, does.times("bad:*", 0), "one attempt");
+        assertEquals(1, behaviour.calls("bad:*", 0), "one attempt");
         old.signal("TERM");
         old.ended();
         assertEquals(0, now.figure("svc.load_errors"));
@@ -388,7 +388,7 @@
             String said = ask(c, "a", "bad:*");
             assertTrue(said.startsWith("HTTP/1.1 503"), said);
         }
-        assertEquals(only.figure("svc.upstream_tries"), does.times("bad:*", 0));
+        assertEquals(only.figure("svc.upstream_tries"), behaviour.calls("bad:*", 0));
         only.signal("TERM");
         only.ended();
         Gatherer next = new Gatherer("n1").ready();
--- a/src/test/java/pepperdock/benchmark/DataPathTest.java
+++ b/src/test/java/pepperdock/benchmark/DataPathTest.java
@@ -10,7 +10,6 @@
 import java.nio.charset.StandardCharsets;
 import java.nio.file.Path;
 import java.util.List;
-import java.util.Map;
 import java.util.concurrent.CompletableFuture;
 import java.util.function.BiFunction;
 import java.util.function.UnaryOperator;
@@ -24,7 +23,9 @@
 import pepperdock.core.Gatherer;
 import pepperdock.core.StaticEndpointList;
 import pepperdock.core.WorkerEndpoint;
+import pepperdock.platform.ForwardingBackend;
 import pepperdock.platform.Front;
+import pepperdock.platform.PlatformFixtures;
 import pepperdock.platform.WorkerPool;
 import pepperdock.scheduler.AttemptOutcome;
 import pepperdock.scheduler.EndpointListKind;
@@ -78,12 +79,8 @@
         core[0] = new Gatherer(PATIENT.site().module(), 1, loop, behind.apply(pool, core), list);
         pool.start(core[0]);
         list.start(core[0]);
-        HttpServer server = new HttpServer(
-                loop,
-                new InetSocketAddress("127.0.0.1", 0),
-                1 << 16,
-                () -> 500,
-                before.apply(new Front(PATIENT.site(), core[0], () -> true)));
+        HttpServer server = PlatformFixtures.listen(
+                loop, 1 << 16, 500, before.apply(new Front(PATIENT.site(), core[0], () -> true)));
         CompletableFuture<Void> listed = new CompletableFuture<>();
         loop.execute(() -> {
             core[0].onEndpointList(EndpointListKind.CACHED, hosts);
@@ -106,7 +103,7 @@
     void aCallThatIsWrittenTwiceIsFound() throws Exception {
         List<String> found = play(
                         10,
-                        (pool, core) -> new Between(pool) {
+                        (pool, core) -> new ForwardingBackend(pool) {
                             private boolean done;
 
                             @Override
@@ -127,7 +124,7 @@
     void aPartThatIsAnsweredForWithoutAWorkerIsFound() throws Exception {
         List<String> found = play(
                         10,
-                        (pool, core) -> new Between(pool) {
+                        (pool, core) -> new ForwardingBackend(pool) {
                             private boolean done;
 
                             @Override
@@ -274,35 +271,6 @@
         return Cli.run(args, new PrintWriter(new StringWriter()), new PrintWriter(new StringWriter()));
     }
 
-    /** Passes everything on to the workers. */
-    private abstract static class Between implements Backend {
-        private final Backend to;
-
-        private Between(Backend to) {
-            this.to = to;
-        }
-
-        @Override
-        public void cancel(Attempt attempt) {
-            to.cancel(attempt);
-        }
-
-        @Override
-        public void checkHealth(String worker) {
-            to.checkHealth(worker);
-        }
-
-        @Override
-        public void closeIdleConnections(String worker) {
-            to.closeIdleConnections(worker);
-        }
-
-        @Override
-        public void updateEndpoints(Map<String, WorkerEndpoint> hosts) {
-            to.updateEndpoints(hosts);
-        }
-    }
-
     /** Answers the first query before its parts are in, and drops the answer that comes. */
     private static final class Hasty implements HttpServer.Service {
         private final HttpServer.Service front;
--- a/src/test/java/pepperdock/opensearch/BothFrontsTest.java
+++ b/src/test/java/pepperdock/opensearch/BothFrontsTest.java
@@ -10,7 +10,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
-import pepperdock.platform.StandIn;
+import pepperdock.platform.FakeWorkerBehaviour;
 
 /** One trace through both fronts, each with workers of its own protocol: every answer must be the same. */
 class BothFrontsTest {
@@ -55,7 +55,7 @@
             try (Stack stack = new Stack(search, 10)) {
                 answers.add(stack.ask(1, queryClass, shards, text, 3000));
                 if (search && queryClass == 2 && !text.startsWith("later")) {
-                    assertEquals(1, stack.does.times(text, 0), "sends of an update that may have run");
+                    assertEquals(1, stack.behaviour.calls(text, 0), "sends of an update that may have run");
                 }
             }
         }
@@ -64,7 +64,7 @@
         assertEquals(in, answers.get(0).values().size());
         assertEquals(false, answers.get(0).whole());
         for (Map.Entry<Integer, String> e : answers.get(0).values().entrySet()) {
-            assertEquals(StandIn.value(text, e.getKey()), e.getValue());
+            assertEquals(FakeWorkerBehaviour.value(text, e.getKey()), e.getValue());
         }
     }
 }
--- a/src/test/java/pepperdock/opensearch/Stack.java
+++ b/src/test/java/pepperdock/opensearch/Stack.java
@@ -4,8 +4,6 @@
 import com.google.gson.JsonParser;
 import java.io.Closeable;
 import java.io.IOException;
-import java.net.InetAddress;
-import java.net.InetSocketAddress;
 import java.net.URI;
 import java.net.http.HttpClient;
 import java.net.http.HttpRequest;
@@ -23,12 +21,12 @@
 import pepperdock.core.Gatherer;
 import pepperdock.core.StaticEndpointList;
 import pepperdock.core.WorkerEndpoint;
+import pepperdock.platform.FakeWorker;
+import pepperdock.platform.FakeWorkerBehaviour;
 import pepperdock.platform.Front;
-import pepperdock.platform.StandIn;
-import pepperdock.platform.StandInWorker;
+import pepperdock.platform.PlatformFixtures;
 import pepperdock.platform.WorkerPool;
 import pepperdock.scheduler.EndpointListKind;
-import pepperdock.scheduler.EndpointState;
 import pepperdock.transport.HttpServer;
 import pepperdock.transport.Loop;
 
@@ -44,7 +42,7 @@
     /** A final answer in words common to both fronts: its kind, whether whole, and the value of each shard. */
     record Answer(String kind, boolean whole, Map<Integer, String> values) {}
 
-    final StandIn does = new StandIn();
+    final FakeWorkerBehaviour behaviour = new FakeWorkerBehaviour();
     final List<StandInSearchServer> backends = new ArrayList<>();
     final SearchFront searchFront;
     private final List<Closeable> workers = new ArrayList<>();
@@ -68,7 +66,7 @@
                 300);
         List<WorkerEndpoint> hosts = new ArrayList<>();
         for (int cell = 0; cell < 4; cell++) {
-            hosts.add(new WorkerEndpoint("w" + cell, worker(), 0, 0, cell, EndpointState.HEALTHY, 1, 0));
+            hosts.add(PlatformFixtures.endpoint("w" + cell, cell, worker()));
         }
         StaticEndpointList list = new StaticEndpointList(loop, hosts);
         WorkerPool pool = new WorkerPool(loop, site);
@@ -79,12 +77,7 @@
         searches.start(core);
         list.start(core);
         searchFront = new SearchFront(site, config, core, loop, searches);
-        server = new HttpServer(
-                loop,
-                new InetSocketAddress(InetAddress.getLoopbackAddress(), 0),
-                1 << 20,
-                () -> 50,
-                search ? searchFront : new Front(site, core, () -> true));
+        server = PlatformFixtures.listen(loop, 1 << 20, 50, search ? searchFront : new Front(site, core, () -> true));
         CountDownLatch listed = new CountDownLatch(1);
         loop.execute(() -> {
             core.onEndpointList(EndpointListKind.CACHED, hosts);
@@ -95,11 +88,11 @@
 
     private String worker() throws IOException {
         if (!search) {
-            StandInWorker w = new StandInWorker(does);
+            FakeWorker w = new FakeWorker(behaviour);
             workers.add(w);
-            return w.dial();
+            return w.address();
         }
-        StandInSearchServer w = new StandInSearchServer(does);
+        StandInSearchServer w = new StandInSearchServer(behaviour);
         workers.add(w);
         backends.add(w);
         return w.dial();
--- a/src/test/java/pepperdock/opensearch/StandInSearchServer.java
+++ b/src/test/java/pepperdock/opensearch/StandInSearchServer.java
@@ -17,7 +17,7 @@
 import java.util.concurrent.atomic.AtomicInteger;
 import java.util.regex.Matcher;
 import java.util.regex.Pattern;
-import pepperdock.platform.StandIn;
+import pepperdock.platform.FakeWorkerBehaviour;
 
 /** A worker of the OpenSearch-style API: searches of one shard, scrolls and updates, as the public API words them. */
 final class StandInSearchServer implements java.io.Closeable {
@@ -34,7 +34,7 @@
 
     final CountDownLatch held = new CountDownLatch(1);
     private final CountDownLatch closing = new CountDownLatch(1);
-    private final StandIn does;
+    private final FakeWorkerBehaviour behaviour;
     private final HttpServer server;
     private final ExecutorService threads = Executors.newCachedThreadPool(r -> {
         Thread t = new Thread(r);
@@ -42,8 +42,8 @@
         return t;
     });
 
-    StandInSearchServer(StandIn does) throws IOException {
-        this.does = does;
+    StandInSearchServer(FakeWorkerBehaviour behaviour) throws IOException {
+        this.behaviour = behaviour;
         server = HttpServer.create(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0), 50);
         server.setExecutor(threads);
         server.createContext("/", this::serve);
@@ -80,15 +80,15 @@
                         .getAsJsonObject("query_string")
                         .get("query")
                         .getAsString();
-        Thread.sleep(StandIn.WORK_MS);
-        switch (does.part(text, shard)) {
+        Thread.sleep(FakeWorkerBehaviour.CALL_MS);
+        switch (behaviour.onCall(text, shard)) {
             case GOOD -> {
                 if (update) {
                     answer(
                             x,
                             200,
                             "{\"_id\":\"1\",\"result\":\"updated\",\"_shards\":{\"total\":2,\"successful\":1,"
-                                    + "\"failed\":0},\"blob\":\"" + StandIn.value(text, shard) + "\"}");
+                                    + "\"failed\":0},\"blob\":\"" + FakeWorkerBehaviour.value(text, shard) + "\"}");
                 } else if (x.getRequestURI().getQuery().contains("scroll=")) {
                     String id = "c" + opened.incrementAndGet() + "-" + shard;
                     contexts.put(id, new AtomicInteger());
@@ -97,7 +97,8 @@
                     answer(
                             x,
                             200,
-                            found(1, hit(shard, 0, StandIn.value(text, shard))).toString());
+                            found(1, hit(shard, 0, FakeWorkerBehaviour.value(text, shard)))
+                                    .toString());
                 }
             }
             case BAD -> {
--- /dev/null
+++ b/src/test/java/pepperdock/platform/ClientGoneOnBusyLoopTest.java
@@ -0,0 +1,227 @@
+package pepperdock.platform;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+
+import java.io.IOException;
+import java.io.UncheckedIOException;
+import java.net.InetAddress;
+import java.net.InetSocketAddress;
+import java.net.ServerSocket;
+import java.net.Socket;
+import java.util.List;
+import java.util.Map;
+import java.util.concurrent.BlockingQueue;
+import java.util.concurrent.LinkedBlockingQueue;
+import java.util.concurrent.TimeUnit;
+import java.util.stream.Stream;
+import org.junit.jupiter.api.AfterEach;
+import org.junit.jupiter.api.Test;
+import org.junit.jupiter.api.Timeout;
+import org.junit.jupiter.params.ParameterizedTest;
+import org.junit.jupiter.params.provider.EnumSource;
+import pepperdock.config.Site;
+import pepperdock.config.Sites;
+import pepperdock.core.Attempt;
+import pepperdock.core.Backend;
+import pepperdock.core.Gatherer;
+import pepperdock.core.Metrics;
+import pepperdock.core.WorkerEndpoint;
+import pepperdock.scheduler.AttemptOutcome;
+import pepperdock.scheduler.EndpointListKind;
+import pepperdock.scheduler.LoadReport;
+import pepperdock.transport.Connection;
+import pepperdock.transport.HttpServer;
+import pepperdock.transport.Loop;
+import pepperdock.transport.TcpTable;
+
+/**
+ * A client closes its connection while the loop is busy, so that the close stands unread in the kernel: an attempt whose turn
+ * comes before the loop polls the kernel again must not begin.
+ */
+@Timeout(60)
+class ClientGoneOnBusyLoopTest {
+
+    private enum Disconnect {
+        CLOSE,
+        HALF_CLOSE,
+        RESET
+    }
+
+    private final Site site = Sites.with(Sites.SETTINGS.replace("\"DialTimeoutS\":0.25", "\"DialTimeoutS\":30"));
+    private final Loop loop = new Loop(100, 1 << 18);
+    private Gatherer core;
+    private HttpServer server;
+
+    ClientGoneOnBusyLoopTest() throws IOException {}
+
+    @AfterEach
+    void close() {
+        loop.close();
+    }
+
+    private void serve(Backend backend) throws IOException {
+        core = new Gatherer(site.module(), 3, loop, backend, () -> {});
+        server = PlatformFixtures.listen(loop, 1 << 16, 10, new Front(site, core, () -> true));
+    }
+
+    private Socket sendQuery() throws IOException {
+        Socket client = PlatformFixtures.connect(server);
+        client.getOutputStream().write(PlatformFixtures.onePartQuery("q", 60_000));
+        return client;
+    }
+
+    /** Disconnects the client; when this returns, the server's kernel knows. */
+    private void disconnect(Socket client, Disconnect how) {
+        try {
+            int port = client.getLocalPort();
+            if (how == Disconnect.HALF_CLOSE) {
+                client.shutdownOutput();
+            } else {
+                client.setSoLinger(how == Disconnect.RESET, 0);
+                client.close();
+            }
+            TcpTable.awaitEnd(server.address().getPort(), port);
+        } catch (IOException e) {
+            throw new UncheckedIOException(e);
+        }
+    }
+
+    /** A backend that records the attempts sent and does nothing else. */
+    private static final class RecordingBackend implements Backend {
+        final BlockingQueue<Attempt> sent = new LinkedBlockingQueue<>();
+
+        @Override
+        public void sendCall(String worker, List<Attempt> call) {
+            sent.addAll(call);
+        }
+
+        @Override
+        public void cancel(Attempt attempt) {}
+
+        @Override
+        public void checkHealth(String worker) {}
+
+        @Override
+        public void closeIdleConnections(String worker) {}
+
+        @Override
+        public void updateEndpoints(Map<String, WorkerEndpoint> endpoints) {}
+    }
+
+    /** A retry is decided in the very turn of the loop in which the client's close stands unread. It is not sent. */
+    @ParameterizedTest
+    @EnumSource(Disconnect.class)
+    void noRetryBeginsOnceTheKernelKnowsThatTheClientHasGone(Disconnect how) throws Exception {
+        RecordingBackend backend = new RecordingBackend();
+        serve(backend);
+        loop.execute(() -> core.onEndpointList(
+                EndpointListKind.CACHED,
+                Stream.of(0, 1, 2, 3)
+                        .map(cell -> PlatformFixtures.endpoint("w" + cell, cell, "127.0.0.1:1"))
+                        .toList()));
+        try (Socket client = sendQuery()) {
+            Attempt first = backend.sent.poll(30, TimeUnit.SECONDS);
+            BlockingQueue<Integer> inFlight = new LinkedBlockingQueue<>();
+            loop.execute(() -> {
+                disconnect(client, how);
+                // The next batch falls due while the loop is busy here, so that it closes before the kernel is polled.
+                double due = loop.now() + 2 * site.module().tickS();
+                while (loop.now() < due) {
+                    Thread.onSpinWait();
+                }
+                core.onAttemptEnded(first, AttemptOutcome.CONNECT_FAILED, LoadReport.NONE, null);
+                loop.execute(() -> inFlight.add(core.inFlightQueries()));
+            });
+            Integer left = inFlight.poll(30, TimeUnit.SECONDS);
+            assertTrue(backend.sent.isEmpty(), "a retry was sent");
+            assertEquals(0, left, "the close is noticed in that turn");
+        }
+    }
+
+    /** Runs a task right after each call. */
+    private static final class TaskAfterCall extends ForwardingBackend {
+        private final Runnable task;
+
+        private TaskAfterCall(Backend delegate, Runnable task) {
+            super(delegate);
+            this.task = task;
+        }
+
+        @Override
+        public void sendCall(String worker, List<Attempt> call) {
+            super.sendCall(worker, call);
+            task.run();
+        }
+    }
+
+    /**
+     * An attempt waits for its connection. In the turn of the loop in which that is established, another connection's handler
+     * comes first and keeps the loop busy, and the client closes meanwhile. The attempt does not begin.
+     */
+    @Test
+    void noAttemptBeginsOnItsConnectionOnceTheKernelKnowsThatTheClientHasGone() throws Exception {
+        BlockingQueue<Connection> opened = new LinkedBlockingQueue<>();
+        Socket[] client = {null};
+        Connection.Handler busyHandler = new Connection.Handler() {
+            @Override
+            public void received(Connection connection) {
+                connection.consume(connection.to() - connection.from());
+                disconnect(client[0], Disconnect.CLOSE);
+            }
+
+            @Override
+            public void ended(Connection connection) {}
+        };
+        InetSocketAddress anyPort = new InetSocketAddress(InetAddress.getLoopbackAddress(), 0);
+        try (ServerSocket worker = new ServerSocket(0, 5, InetAddress.getLoopbackAddress());
+                Loop.Listening other = loop.listen(anyPort, () -> true, connection -> {
+                    connection.start(busyHandler);
+                    opened.add(connection);
+                });
+                Socket trigger =
+                        new Socket(other.address().getAddress(), other.address().getPort())) {
+            opened.take();
+            WorkerPool pool = new WorkerPool(loop, site);
+            serve(new TaskAfterCall(pool, () -> {
+                try {
+                    trigger.getOutputStream().write(1);
+                    TcpTable.awaitUnread(other.address().getPort(), trigger.getLocalPort());
+                } catch (IOException e) {
+                    throw new UncheckedIOException(e);
+                }
+            }));
+            pool.start(core);
+            loop.execute(() -> core.onEndpointList(
+                    EndpointListKind.CACHED,
+                    List.of(PlatformFixtures.endpoint("w", 0, "127.0.0.1:" + worker.getLocalPort()))));
+            // On the loop: the handler above must not run before the client is known.
+            PlatformFixtures.onLoop(loop, () -> {
+                try {
+                    client[0] = sendQuery();
+                    return true;
+                } catch (IOException e) {
+                    throw new UncheckedIOException(e);
+                }
+            });
+            Socket sender = client[0];
+            try (sender) {
+                assertNothingSent(worker, pool);
+            }
+        }
+    }
+
+    /** Accepts the connection and awaits the client's end; whatever was written by then would come before a health check. */
+    private void assertNothingSent(ServerSocket worker, WorkerPool pool) throws Exception {
+        worker.setSoTimeout(30_000);
+        try (Socket connection = worker.accept()) {
+            long gone;
+            do {
+                gone = PlatformFixtures.onLoop(
+                        loop, () -> core.metrics().ended("class-1", Metrics.QueryOutcome.CLIENT_GONE));
+            } while (gone < 1);
+            loop.execute(() -> pool.checkHealth("w"));
+            assertEquals('o', OneWorkerFixture.readFrame(connection)[0]);
+        }
+    }
+}
--- /dev/null
+++ b/src/test/java/pepperdock/platform/ClientGoneWhileConnectingTest.java
@@ -0,0 +1,101 @@
+package pepperdock.platform;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+
+import java.io.IOException;
+import java.net.InetAddress;
+import java.net.ServerSocket;
+import java.net.Socket;
+import java.nio.charset.StandardCharsets;
+import java.util.ArrayList;
+import java.util.List;
+import org.junit.jupiter.api.Test;
+import org.junit.jupiter.api.Timeout;
+import pepperdock.config.Site;
+import pepperdock.config.Sites;
+import pepperdock.core.Gatherer;
+import pepperdock.core.Metrics;
+import pepperdock.scheduler.EndpointListKind;
+import pepperdock.transport.HttpServer;
+import pepperdock.transport.Loop;
+
+/** From the client's socket to the worker's: clients that leave while their first attempt waits for a connection. */
+@Timeout(90)
+class ClientGoneWhileConnectingTest {
+
+    private static final int LEAVING_CLIENTS = 50;
+    private static final int TIMEOUT_MS = 60_000;
+
+    private static final Site PATIENT = Sites.with(Sites.SETTINGS
+            .replace("\"DialTimeoutS\":0.25", "\"DialTimeoutS\":60")
+            .replace("\"MostHeld\":40", "\"MostHeld\":400")
+            .replace("\"GoalTimeS\":2.5,\"DeadlineS\":6", "\"GoalTimeS\":60,\"DeadlineS\":60"));
+
+    private static long clientsGone(Loop loop, Gatherer core) throws InterruptedException {
+        return PlatformFixtures.onLoop(loop, () -> core.metrics().ended("class-1", Metrics.QueryOutcome.CLIENT_GONE));
+    }
+
+    private static Socket sendQuery(HttpServer server, String id) throws IOException {
+        Socket client = PlatformFixtures.connect(server);
+        client.getOutputStream().write(PlatformFixtures.onePartQuery(id, TIMEOUT_MS));
+        return client;
+    }
+
+    /** Every other client resets its connection, the rest close it. */
+    private static void leave(List<Socket> clients) throws IOException {
+        for (int i = 0; i < clients.size(); i++) {
+            clients.get(i).setSoLinger(i % 2 == 0, 0);
+            clients.get(i).close();
+        }
+    }
+
+    /**
+     * The worker's accept queue is full, so that no connection is established. Of 51 clients 50 leave. Once the worker accepts,
+     * the one query that is left is sent and no other.
+     */
+    @Test
+    void noQueryIsSentOnceItsClientHasGone() throws Exception {
+        // The queue holds two: whoever connects third waits until one of them is accepted.
+        try (ServerSocket worker = new ServerSocket(0, 1, InetAddress.getLoopbackAddress());
+                Loop loop = new Loop(500, 1 << 18)) {
+            List<Socket> queueFillers = new ArrayList<>();
+            for (int i = 0; i < 2; i++) {
+                queueFillers.add(new Socket(worker.getInetAddress(), worker.getLocalPort()));
+            }
+            WorkerPool pool = new WorkerPool(loop, PATIENT);
+            Gatherer core = new Gatherer(PATIENT.module(), 3, loop, pool, () -> {});
+            pool.start(core);
+            HttpServer server = PlatformFixtures.listen(loop, 1 << 16, 100, new Front(PATIENT, core, () -> true));
+            loop.execute(() -> core.onEndpointList(
+                    EndpointListKind.CACHED,
+                    List.of(PlatformFixtures.endpoint("w", 0, "127.0.0.1:" + worker.getLocalPort()))));
+            List<Socket> leaving = new ArrayList<>();
+            for (int i = 0; i < LEAVING_CLIENTS; i++) {
+                leaving.add(sendQuery(server, "left" + i));
+            }
+            Socket stays = sendQuery(server, "stays");
+            try (stays) {
+                while (PlatformFixtures.onLoop(loop, core::inFlightQueries) < LEAVING_CLIENTS + 1) {
+                    Thread.onSpinWait();
+                }
+                leave(leaving);
+                while (clientsGone(loop, core) < LEAVING_CLIENTS) {
+                    Thread.onSpinWait();
+                }
+                for (Socket filler : queueFillers) {
+                    worker.accept().close();
+                    filler.close();
+                }
+                try (Socket connection = worker.accept()) {
+                    connection.setSoTimeout(60_000);
+                    String call = new String(OneWorkerFixture.readFrame(connection), StandardCharsets.US_ASCII);
+                    assertEquals("mstays.0 0", call.substring(0, 10));
+                    assertEquals(-1, call.indexOf("left"));
+                    // Whatever has been written by now comes before this health check.
+                    loop.execute(() -> pool.checkHealth("w"));
+                    assertEquals('o', OneWorkerFixture.readFrame(connection)[0]);
+                }
+            }
+        }
+    }
+}
--- a/src/test/java/pepperdock/platform/EdgeSettingsTest.java
+++ b/src/test/java/pepperdock/platform/EdgeSettingsTest.java
@@ -6,8 +6,6 @@
 import com.google.gson.JsonArray;
 import com.google.gson.JsonObject;
 import com.google.gson.JsonParser;
-import java.net.InetAddress;
-import java.net.InetSocketAddress;
 import java.net.Socket;
 import java.nio.charset.StandardCharsets;
 import java.util.ArrayList;
@@ -22,15 +20,14 @@
 import pepperdock.core.Gatherer;
 import pepperdock.core.WorkerEndpoint;
 import pepperdock.scheduler.EndpointListKind;
-import pepperdock.scheduler.EndpointState;
 import pepperdock.transport.HttpServer;
 import pepperdock.transport.Loop;
 
-/** Settings at their edge, as another customer may have them: each serves, and keeps what it says. */
+/** Settings at their limits, as other installations may have them: each serves queries and is obeyed. */
 @Timeout(120)
 class EdgeSettingsTest {
 
-    private final StandIn does = new StandIn();
+    private final FakeWorkerBehaviour behaviour = new FakeWorkerBehaviour();
 
     private static JsonObject settings() {
         return JsonParser.parseString(Sites.SETTINGS
@@ -39,7 +36,7 @@
                 .getAsJsonObject();
     }
 
-    private static JsonObject in(String part, Object... pairs) {
+    private static JsonObject withSettings(String part, Object... pairs) {
         JsonObject all = settings();
         JsonObject at = all.getAsJsonObject(part);
         for (int i = 0; i < pairs.length; i += 2) {
@@ -48,7 +45,7 @@
         return all;
     }
 
-    private static JsonObject eachClass(Object... pairs) {
+    private static JsonObject withEachClass(Object... pairs) {
         JsonObject all = settings();
         all.getAsJsonArray("RequestClasses").forEach(c -> {
             for (int i = 0; i < pairs.length; i += 2) {
@@ -58,7 +55,7 @@
         return all;
     }
 
-    private static JsonObject oneClass() {
+    private static JsonObject withOneClass() {
         JsonObject all = settings();
         JsonArray one = new JsonArray();
         one.add(all.getAsJsonArray("RequestClasses").get(1));
@@ -68,102 +65,96 @@
 
     static Stream<JsonObject> edges() {
         return Stream.of(
-                oneClass(),
-                in("FamilyInfo", "Slices", 1, "Cells", 1, "Span", 1),
-                in("FamilyInfo", "Batch", 1),
-                in("Limits", "Cancel", false),
-                in("Limits", "RetryAfter", false),
-                in("Limits", "MayDuplicate", false),
-                in("Limits", "MaxAttempts", 1),
-                in("Limits", "Multiplex", 1),
-                in("Limits", "Multiplex", 3),
-                eachClass("WindowS", 0),
-                eachClass("GoalTimeS", 0.28, "DeadlineS", 0.28),
-                eachClass("LateWorth", 0, "Worth", 0));
+                withOneClass(),
+                withSettings("FamilyInfo", "Slices", 1, "Cells", 1, "Span", 1),
+                withSettings("FamilyInfo", "Batch", 1),
+                withSettings("Limits", "Cancel", false),
+                withSettings("Limits", "RetryAfter", false),
+                withSettings("Limits", "MayDuplicate", false),
+                withSettings("Limits", "MaxAttempts", 1),
+                withSettings("Limits", "Multiplex", 1),
+                withSettings("Limits", "Multiplex", 3),
+                withEachClass("WindowS", 0),
+                withEachClass("GoalTimeS", 0.28, "DeadlineS", 0.28),
+                withEachClass("LateWorth", 0, "Worth", 0));
     }
 
-    /** Asks for one part of each shard given, and reads the one answer. */
-    private String ask(JsonObject settings, String name, String text, int shards, int ms) throws Exception {
+    /** Sends a query for the first shards to a gatherer with these settings, and reads the one answer. */
+    private String query(JsonObject settings, String queryClass, String text, int shards, int timeoutMs)
+            throws Exception {
         Site site = Sites.with(settings.toString());
-        List<StandInWorker> workers = new ArrayList<>();
+        List<FakeWorker> workers = new ArrayList<>();
         try (Loop loop = new Loop(200, 1 << 18)) {
-            List<WorkerEndpoint> hosts = new ArrayList<>();
+            List<WorkerEndpoint> endpoints = new ArrayList<>();
             for (int cell = 0; cell < site.module().layout().cells(); cell++) {
-                workers.add(new StandInWorker(does));
-                hosts.add(new WorkerEndpoint(
-                        "w" + cell, workers.get(cell).dial(), 0, 0, cell, EndpointState.HEALTHY, 1, 0));
+                workers.add(new FakeWorker(behaviour));
+                endpoints.add(PlatformFixtures.endpoint(
+                        "w" + cell, cell, workers.get(cell).address()));
             }
             WorkerPool pool = new WorkerPool(loop, site);
             Gatherer core = new Gatherer(site.module(), 3, loop, pool, () -> {});
             pool.start(core);
-            HttpServer server = new HttpServer(
-                    loop,
-                    new InetSocketAddress(InetAddress.getLoopbackAddress(), 0),
-                    1 << 16,
-                    () -> 8,
-                    new Front(site, core, () -> true));
-            loop.execute(() -> core.onEndpointList(EndpointListKind.CACHED, hosts));
+            HttpServer server = PlatformFixtures.listen(loop, 1 << 16, 8, new Front(site, core, () -> true));
+            loop.execute(() -> core.onEndpointList(EndpointListKind.CACHED, endpoints));
             StringBuilder ranges = new StringBuilder();
-            for (int s = 0; s < shards; s++) {
-                ranges.append(s == 0 ? "" : ",").append("{\"range\":" + s + ",\"portion\":" + 1.0 / shards + '}');
+            for (int shard = 0; shard < shards; shard++) {
+                ranges.append(shard == 0 ? "" : ",")
+                        .append("{\"range\":" + shard + ",\"portion\":" + 1.0 / shards + '}');
             }
             String body = "{\"ranges\":[" + ranges + "],\"predicate\":\"" + text + "\"}";
-            try (Socket s =
-                    new Socket(server.address().getAddress(), server.address().getPort())) {
-                s.getOutputStream()
-                        .write(("POST /api HTTP/1.1\r\nRequest-Id: a\r\nIdempotency-Key: k\r\nRequest-Class: " + name
-                                        + "\r\nRequest-Timeout-Ms: " + ms + "\r\nConnection: close\r\nContent-Length: "
-                                        + body.length()
-                                        + "\r\n\r\n" + body)
-                                .getBytes(StandardCharsets.US_ASCII));
-                return new String(s.getInputStream().readAllBytes(), StandardCharsets.US_ASCII);
+            String head = "POST /api HTTP/1.1\r\nRequest-Id: a\r\nIdempotency-Key: k\r\nRequest-Class: " + queryClass
+                    + "\r\nRequest-Timeout-Ms: " + timeoutMs
+                    + "\r\nConnection: close\r\nContent-Length: " + body.length() + "\r\n\r\n";
+            try (Socket client = PlatformFixtures.connect(server)) {
+                client.getOutputStream().write((head + body).getBytes(StandardCharsets.US_ASCII));
+                return new String(client.getInputStream().readAllBytes(), StandardCharsets.US_ASCII);
             }
         } finally {
-            for (StandInWorker w : workers) {
-                w.close();
+            for (FakeWorker worker : workers) {
+                worker.close();
             }
         }
     }
 
     @ParameterizedTest
     @MethodSource("edges")
-    void eachEdgeServesEachOfItsClassesWhole(JsonObject settings) throws Exception {
+    void everyClassIsServedCompletely(JsonObject settings) throws Exception {
         Site site = Sites.with(settings.toString());
         int shards = Math.min(4, site.module().layout().shards());
         for (int c = 0; c < site.classes().size(); c++) {
             double deadlineS = site.module().classes().get(c).deadlineS();
-            String said = ask(settings, site.classes().get(c), "t" + c, shards, (int) (deadlineS * 1000));
-            assertTrue(said.startsWith("HTTP/1.1 200"), settings + "\n" + said);
-            JsonObject answer = JsonParser.parseString(said.substring(said.indexOf("\r\n\r\n")))
+            String answer = query(settings, site.classes().get(c), "t" + c, shards, (int) (deadlineS * 1000));
+            assertTrue(answer.startsWith("HTTP/1.1 200"), settings + "\n" + answer);
+            JsonObject body = JsonParser.parseString(answer.substring(answer.indexOf("\r\n\r\n")))
                     .getAsJsonObject();
-            assertTrue(answer.get("total").getAsBoolean(), said);
-            assertEquals(shards, answer.getAsJsonArray("answers").size());
-            for (int s = 0; s < shards; s++) {
-                assertEquals(1, does.times("t" + c, s), "sent once");
+            assertTrue(body.get("total").getAsBoolean(), answer);
+            assertEquals(shards, body.getAsJsonArray("answers").size());
+            for (int shard = 0; shard < shards; shard++) {
+                assertEquals(1, behaviour.calls("t" + c, shard), "sent once");
             }
         }
     }
 
-    /** The window is over before the first answer can be back: what may have run is not sent again. */
+    /** The idempotency window ends before the first answer can be back. A part that may have run is then not retried. */
     @Test
-    void aWindowShorterThanTheWayThereAndBackAllowsNoRepeat() throws Exception {
-        String said = ask(eachClass("WindowS", 0.001), "balance-adjust", "bad:*", 1, 3000);
-        assertTrue(said.startsWith("HTTP/1.1 500"), said);
-        assertEquals(1, does.times("bad:*", 0));
+    void aWindowShorterThanARoundTripAllowsNoRetry() throws Exception {
+        String answer = query(withEachClass("WindowS", 0.001), "balance-adjust", "bad:*", 1, 3000);
+        assertTrue(answer.startsWith("HTTP/1.1 500"), answer);
+        assertEquals(1, behaviour.calls("bad:*", 0));
     }
 
     @Test
-    void withinItsWindowAndAttemptsAKeyedPartIsRepeated() throws Exception {
-        String said = ask(in("Limits", "MaxAttempts", 3), "balance-adjust", "bad:*", 1, 3000);
-        assertTrue(said.startsWith("HTTP/1.1 500"), said);
-        assertEquals(3, does.times("bad:*", 0));
+    void aKeyedPartIsRetriedWithinItsWindowAndAttempts() throws Exception {
+        String answer = query(withSettings("Limits", "MaxAttempts", 3), "balance-adjust", "bad:*", 1, 3000);
+        assertTrue(answer.startsWith("HTTP/1.1 500"), answer);
+        assertEquals(3, behaviour.calls("bad:*", 0));
     }
 
     @Test
-    void noRetryAfterIsToldWhereTheSettingsHaveNone() throws Exception {
-        String said = ask(in("Limits", "RetryAfter", false), "payout-report", "later:*", 1, 3000);
-        assertTrue(said.startsWith("HTTP/1.1 503") && !said.contains("Retry-After"), said);
-        said = ask(settings(), "payout-report", "later:*", 1, 3000);
-        assertTrue(said.startsWith("HTTP/1.1 503") && said.contains("Retry-After: 1.000"), said);
+    void retryAfterIsSentOnlyWhereTheSettingsAllowIt() throws Exception {
+        String answer = query(withSettings("Limits", "RetryAfter", false), "payout-report", "later:*", 1, 3000);
+        assertTrue(answer.startsWith("HTTP/1.1 503") && !answer.contains("Retry-After"), answer);
+        answer = query(settings(), "payout-report", "later:*", 1, 3000);
+        assertTrue(answer.startsWith("HTTP/1.1 503") && answer.contains("Retry-After: 1.000"), answer);
     }
 }
--- a/src/test/java/pepperdock/platform/EndpointWatchTest.java
+++ b/src/test/java/pepperdock/platform/EndpointWatchTest.java
@@ -3,18 +3,15 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import java.io.BufferedReader;
 import java.io.IOException;
-import java.io.InputStreamReader;
 import java.net.InetAddress;
 import java.net.InetSocketAddress;
 import java.net.ServerSocket;
 import java.net.Socket;
-import java.nio.charset.StandardCharsets;
 import java.util.Collection;
+import java.util.List;
 import java.util.Set;
 import java.util.concurrent.BlockingQueue;
-import java.util.concurrent.CompletableFuture;
 import java.util.concurrent.LinkedBlockingQueue;
 import java.util.concurrent.TimeUnit;
 import java.util.stream.Collectors;
@@ -32,15 +29,20 @@
 
 class EndpointWatchTest {
 
-    private static final String HOST =
-            "{\"host\":\"%s\",\"dial\":\"127.0.0.1:1\",\"block\":0,\"health\":\"in_service\",\"born_ms\":0}";
+    /** Seconds: discovery, when overloaded, answers polls that have waited a little less. */
+    private static final double DISCOVERY_LIMIT_S = 2.2;
+    /** Seconds after which events count as delivered: past a long poll's wait, and after a change of address. */
+    private static final double DELIVERED_AFTER_WAIT_S = 2;
+
+    private static final double DELIVERED_AFTER_ADDRESS_CHANGE_S = 4;
+
+    private static final long KNOWN_VERSION = 41;
 
     private final Site site = Sites.small();
     private final Loop loop = new Loop(100, 1 << 16);
     private final ServerSocket server = new ServerSocket(0, 50, InetAddress.getLoopbackAddress());
     private final BlockingQueue<Collection<WorkerEndpoint>> lists = new LinkedBlockingQueue<>();
-    private final EndpointWatch watch =
-            new EndpointWatch(loop, (InetSocketAddress) server.getLocalSocketAddress(), site, 41);
+    private final EndpointWatch watch = new EndpointWatch(loop, addressOf(server), site, KNOWN_VERSION);
     private final Gatherer core = new Gatherer(site.module(), 3, loop, new WorkerPool(loop, site), watch);
 
     EndpointWatchTest() throws IOException {
@@ -48,7 +50,7 @@
         watch.start(core);
         loop.execute(() -> {
             core.addEndpointListListener(lists::add);
-            core.onEndpointList(EndpointListKind.CACHED, java.util.List.of());
+            core.onEndpointList(EndpointListKind.CACHED, List.of());
         });
     }
 
@@ -58,268 +60,230 @@
         loop.close();
     }
 
-    private static String asked(BufferedReader in) throws IOException {
-        String first = in.readLine();
-        String header;
-        do {
-            header = in.readLine();
-        } while (!header.isEmpty());
-        return first.split(" ")[1].replaceAll("&.*", "");
+    private static ServerSocket listen() throws IOException {
+        ServerSocket other = new ServerSocket(0, 50, InetAddress.getLoopbackAddress());
+        other.setSoTimeout(30_000);
+        return other;
+    }
+
+    private static InetSocketAddress addressOf(ServerSocket server) {
+        return (InetSocketAddress) server.getLocalSocketAddress();
+    }
+
+    private void changeAddress(ServerSocket to) {
+        loop.execute(() -> watch.changeAddress(addressOf(to)));
     }
 
-    private static void answer(Socket s, int status, String body) throws IOException {
-        s.getOutputStream()
-                .write(("HTTP/1.1 " + status + " X\r\nContent-Length: " + body.length() + "\r\n\r\n" + body)
-                        .getBytes(StandardCharsets.US_ASCII));
+    /** The ids of the workers in the next list that the gatherer takes. */
+    private Set<String> awaitList() throws InterruptedException {
+        Collection<WorkerEndpoint> list = lists.poll(30, TimeUnit.SECONDS);
+        assertTrue(list != null, "no list came");
+        return list.stream().map(WorkerEndpoint::id).collect(Collectors.toSet());
     }
 
-    private Collection<WorkerEndpoint> list() throws InterruptedException {
-        Collection<WorkerEndpoint> told = lists.poll(30, TimeUnit.SECONDS);
-        assertTrue(told != null, "no list told");
-        return told;
+    private static String pollLine(long version, int waitMs) {
+        return "GET /api/targets?since=" + version + "&timeout_ms=" + waitMs + " HTTP/1.1";
     }
 
     @Test
-    void eachAnswerArmsTheNextCallAndAFailureIsAskedAgain() throws Exception {
-        try (Socket s = server.accept()) {
-            BufferedReader in =
-                    new BufferedReader(new InputStreamReader(s.getInputStream(), StandardCharsets.US_ASCII));
-            assertEquals("/api/targets?since=41", asked(in));
-            // Lists may come indented.
-            answer(
-                    s,
-                    200,
-                    ("{\"seq\":42,\"whole\":false,\"hosts\":[" + HOST.formatted("a") + ',' + HOST.formatted("b") + "]}")
-                            .replace(",", ",\r\n\t  ")
-                            .replace("{", "{\n    ")
-                            .replace("]", "\n]"));
-            assertEquals(2, list().size());
-            assertEquals("/api/targets?since=42", asked(in));
-            answer(s, 200, "{\"seq\":43,\"whole\":true,\"hosts\":[" + HOST.formatted("b") + "]}");
-            assertEquals("b", list().iterator().next().id());
-            assertEquals("/api/targets?since=43", asked(in));
+    void eachAnswerIsFollowedByAPollAndAFailureByARetry() throws Exception {
+        try (DiscoveryConnection discovery = DiscoveryConnection.accept(server)) {
+            assertEquals("/api/targets?since=41", discovery.readTarget());
+            String indented = DiscoveryConnection.list(42, false, "a", "b")
+                    .replace(",", ",\r\n\t  ")
+                    .replace("{", "{\n    ")
+                    .replace("]", "\n]");
+            discovery.answer(200, indented);
+            assertEquals(Set.of("a", "b"), awaitList());
+            assertEquals("/api/targets?since=42", discovery.readTarget());
+            discovery.answerComplete(43, "b");
+            assertEquals(Set.of("b"), awaitList());
+            assertEquals("/api/targets?since=43", discovery.readTarget());
         }
-        try (Socket s = server.accept()) {
-            BufferedReader in =
-                    new BufferedReader(new InputStreamReader(s.getInputStream(), StandardCharsets.US_ASCII));
-            assertEquals("/api/targets?since=43", asked(in));
-            answer(s, 200, "{\"hosts\":[{\"host\":7}]}");
+        try (DiscoveryConnection discovery = DiscoveryConnection.accept(server)) {
+            assertEquals("/api/targets?since=43", discovery.readTarget());
+            discovery.answer(200, "{\"hosts\":[{\"host\":7}]}");
         }
-        try (Socket s = server.accept()) {
-            BufferedReader in =
-                    new BufferedReader(new InputStreamReader(s.getInputStream(), StandardCharsets.US_ASCII));
-            assertEquals("/api/targets?since=43", asked(in));
+        try (DiscoveryConnection discovery = DiscoveryConnection.accept(server)) {
+            assertEquals("/api/targets?since=43", discovery.readTarget());
         }
     }
 
     /**
-     * Seen over 64 gatherers restarted at once while the list was overbooked: it answers calls that have waited two seconds
-     * next, and each had been given up at 1.9 s; 33 of them had no list for ten seconds.
+     * Seen when 64 gatherers were restarted at once and discovery was overloaded: it then answers polls that have waited for
+     * two seconds, and each had timed out after 1.9 s. 33 gatherers had no list for ten seconds.
      */
     @Test
-    void aCallOutlastsTheLimitOfAListThatIsOverbooked() throws Exception {
-        try (Socket s = server.accept()) {
-            BufferedReader in =
-                    new BufferedReader(new InputStreamReader(s.getInputStream(), StandardCharsets.US_ASCII));
-            assertEquals("/api/targets?since=41", asked(in));
-            Thread.sleep(2200);
-            answer(s, 200, "{\"seq\":42,\"whole\":false,\"hosts\":[" + HOST.formatted("a") + "]}");
-            assertEquals("a", list().iterator().next().id());
+    void aPollOutlastsTheTimeLimitOfAnOverloadedDiscovery() throws Exception {
+        try (DiscoveryConnection discovery = DiscoveryConnection.accept(server)) {
+            assertEquals("/api/targets?since=41", discovery.readTarget());
+            Thread.sleep((long) (DISCOVERY_LIMIT_S * 1000));
+            discovery.answerChanges(42, "a");
+            assertEquals(Set.of("a"), awaitList());
         }
     }
 
-    private EndpointWatch other(String settings, ServerSocket at) {
-        Site its = Sites.with(settings);
-        EndpointWatch w = new EndpointWatch(loop, (InetSocketAddress) at.getLocalSocketAddress(), its, 41);
-        w.start(new Gatherer(its.module(), 3, loop, new WorkerPool(loop, its), w));
-        return w;
-    }
-
     /**
-     * Silent in the middle of its answer, and from its first moment: opened anew on a new connection, asking for what is new
-     * at once, and not after a pause of the module's.
+     * Discovery takes a poll and answers nothing, or stops in the middle of its answer. The poll is retried on a new connection
+     * at once, and not after a pause of the scheduler's, and asks for an answer at once.
      */
     @ParameterizedTest
     @ValueSource(strings = {"", "HTTP/1.1 200 X\r\nContent-Length: 90\r\n\r\n{\"seq\":42,"})
-    void aCallThatFallsSilentIsOpenedAnewAtOnceAndMayNotWait(String said) throws Exception {
-        try (Socket s = server.accept()) {
-            BufferedReader in =
-                    new BufferedReader(new InputStreamReader(s.getInputStream(), StandardCharsets.US_ASCII));
-            assertEquals("/api/targets?since=41", asked(in));
-            s.getOutputStream().write(said.getBytes(StandardCharsets.US_ASCII));
-            try (Socket anew = server.accept()) {
-                in = new BufferedReader(new InputStreamReader(anew.getInputStream(), StandardCharsets.US_ASCII));
-                assertEquals("GET /api/targets?since=41&timeout_ms=1 HTTP/1.1", in.readLine());
+    void anOverduePollIsRetriedAtOnceByOneThatIsNotHeld(String begun) throws Exception {
+        try (DiscoveryConnection silent = DiscoveryConnection.accept(server)) {
+            assertEquals("/api/targets?since=41", silent.readTarget());
+            silent.write(begun);
+            try (DiscoveryConnection retry = DiscoveryConnection.accept(server)) {
+                assertEquals(pollLine(41, 1), retry.readRequestLine());
                 assertTrue(lists.isEmpty());
             }
         }
     }
 
-    /** Was: given up at the very moment at which its news count as told, and then asked for the changes of another list. */
+    /**
+     * The first poll at a new address is not answered. It used to time out at the very moment at which its events count as
+     * delivered, and the retry asked for changes since a version of the old address. Now there is time for two polls.
+     */
     @Test
-    void aFirstCallAfterAMoveThatIsSilentIsOpenedAnewWhileItsNewsDoNotCountYet() throws Exception {
+    void anOverdueFirstPollAfterAnAddressChangeIsRetriedInTime() throws Exception {
         assertTrue(
-                EndpointWatch.ADDRESS_CHANGE_TIMEOUT_S + 1 < 4,
-                "two calls, and a connection that is lost, within the four seconds");
-        assertTrue(EndpointWatch.ADDRESS_CHANGE_TIMEOUT_S > 2.2, "an overbooked list's own limit is outlasted");
-        try (ServerSocket other = new ServerSocket(0, 50, InetAddress.getLoopbackAddress())) {
-            loop.execute(() -> watch.changeAddress((InetSocketAddress) other.getLocalSocketAddress()));
+                EndpointWatch.ADDRESS_CHANGE_TIMEOUT_S + 1 < DELIVERED_AFTER_ADDRESS_CHANGE_S,
+                "two polls, and a connection that is lost, fit in");
+        assertTrue(EndpointWatch.ADDRESS_CHANGE_TIMEOUT_S > DISCOVERY_LIMIT_S, "outlasts an overloaded discovery");
+        try (ServerSocket other = listen()) {
+            changeAddress(other);
             Socket silent = other.accept();
             try (silent;
-                    Socket anew = other.accept()) {
-                BufferedReader in =
-                        new BufferedReader(new InputStreamReader(anew.getInputStream(), StandardCharsets.US_ASCII));
-                assertEquals("/api/targets", asked(in));
-                answer(anew, 200, "{\"seq\":7,\"whole\":true,\"hosts\":[" + HOST.formatted("c") + "]}");
-                assertEquals("c", list().iterator().next().id());
-                assertEquals("/api/targets?since=7", asked(in));
+                    DiscoveryConnection retry = DiscoveryConnection.accept(other)) {
+                assertEquals("/api/targets", retry.readTarget());
+                retry.answerComplete(7, "c");
+                assertEquals(Set.of("c"), awaitList());
+                assertEquals("/api/targets?since=7", retry.readTarget());
             }
         }
     }
 
-    private static BufferedReader reader(Socket s) throws IOException {
-        return new BufferedReader(new InputStreamReader(s.getInputStream(), StandardCharsets.US_ASCII));
-    }
-
-    private static String changes(long seq, String host) {
-        return "{\"seq\":" + seq + ",\"whole\":false,\"hosts\":[" + HOST.formatted(host) + "]}";
-    }
-
-    /** How a watch that waits for news ends without telling any. */
-    enum Ending {
-        REFUSED_503 {
+    /** How a long poll ends without an event; the connection is closed right after. */
+    enum PollFailure {
+        UNAVAILABLE {
             @Override
-            void end(Socket s) throws IOException {
-                answer(s, 503, "");
+            void apply(DiscoveryConnection discovery) throws IOException {
+                discovery.answer(503, "");
             }
         },
         CLOSED {
             @Override
-            void end(Socket s) {}
+            void apply(DiscoveryConnection discovery) {}
         },
         RESET {
             @Override
-            void end(Socket s) throws IOException {
-                s.setSoLinger(true, 0);
+            void apply(DiscoveryConnection discovery) throws IOException {
+                discovery.socket.setSoLinger(true, 0);
             }
         },
         HALF_ANSWERED {
             @Override
-            void end(Socket s) throws IOException {
-                s.getOutputStream()
-                        .write("HTTP/1.1 200 X\r\nContent-Length: 90\r\n\r\n{\"seq\":43,"
-                                .getBytes(StandardCharsets.US_ASCII));
+            void apply(DiscoveryConnection discovery) throws IOException {
+                discovery.write("HTTP/1.1 200 X\r\nContent-Length: 90\r\n\r\n{\"seq\":43,");
             }
         },
         RESET_IN_AN_ANSWER_WITHOUT_LENGTH {
             @Override
-            void end(Socket s) throws IOException {
-                s.getOutputStream().write("HTTP/1.1 200 X\r\n\r\n{\"seq\":43,".getBytes(StandardCharsets.US_ASCII));
-                s.setSoLinger(true, 0);
+            void apply(DiscoveryConnection discovery) throws IOException {
+                discovery.write("HTTP/1.1 200 X\r\n\r\n{\"seq\":43,");
+                discovery.socket.setSoLinger(true, 0);
             }
         };
 
-        /** What comes before the connection is closed. */
-        abstract void end(Socket s) throws IOException;
+        abstract void apply(DiscoveryConnection discovery) throws IOException;
     }
 
     /**
-     * A call after a failure is one whose loss must be known soon: whatever it misses counts as told 6 s after the list could
-     * be reached. Was: it might wait 8 s for news, and was given up half a second after that.
+     * A long poll fails. Events count as delivered 6 s after discovery is reachable again, so that the loss of the next poll
+     * must be noticed early. It used to be a long one, held for 8 s and overdue after 8.5 s; now it is not held.
      */
     @ParameterizedTest
-    @EnumSource(Ending.class)
-    void aWatchThatEndsWithoutNewsIsOpenedAgainByACallThatDoesNotWait(Ending how) throws Exception {
-        try (Socket s = server.accept()) {
-            BufferedReader in = reader(s);
-            asked(in);
-            answer(s, 200, changes(42, "a"));
-            assertEquals(1, list().size());
-            assertEquals(
-                    "GET /api/targets?since=42&timeout_ms=" + EndpointWatch.LONG_POLL_MS + " HTTP/1.1", in.readLine());
-            how.end(s);
+    @EnumSource(PollFailure.class)
+    void aFailedPollIsFollowedByOneThatIsNotHeld(PollFailure failure) throws Exception {
+        try (DiscoveryConnection discovery = DiscoveryConnection.accept(server)) {
+            discovery.readTarget();
+            discovery.answerChanges(42, "a");
+            assertEquals(Set.of("a"), awaitList());
+            assertEquals(pollLine(42, EndpointWatch.LONG_POLL_MS), discovery.readRequestLine());
+            failure.apply(discovery);
         }
-        try (Socket s = server.accept()) {
-            BufferedReader in = reader(s);
-            assertEquals(
-                    "GET /api/targets?since=42&timeout_ms=" + EndpointWatch.FIRST_POLL_MS + " HTTP/1.1", in.readLine());
-            String line = in.readLine();
-            while (!line.isEmpty()) {
-                line = in.readLine();
-            }
-            answer(s, 200, changes(43, "b"));
-            assertEquals(2, list().size());
-            assertEquals(
-                    "GET /api/targets?since=43&timeout_ms=" + EndpointWatch.LONG_POLL_MS + " HTTP/1.1", in.readLine());
+        try (DiscoveryConnection discovery = DiscoveryConnection.accept(server)) {
+            assertEquals(pollLine(42, EndpointWatch.FIRST_POLL_MS), discovery.readRequestLine());
+            discovery.readHeaders();
+            discovery.answerChanges(43, "b");
+            assertEquals(Set.of("a", "b"), awaitList());
+            assertEquals(pollLine(43, EndpointWatch.LONG_POLL_MS), discovery.readRequestLine());
         }
     }
 
-    /** Of a late call and the one beside it the first answer counts; an older one behind it must not go over it. */
+    /**
+     * An overdue poll and its retry are both answered. The first answer is used and the other connection closed: an older list
+     * that comes second must not replace a newer one.
+     */
     @ParameterizedTest
     @ValueSource(booleans = {true, false})
-    void ofALateCallAndTheOneBesideItOneAnswerCounts(boolean lateOneAnswers) throws Exception {
-        try (Socket late = server.accept()) {
-            BufferedReader inLate = reader(late);
-            asked(inLate);
-            try (Socket beside = server.accept()) {
-                BufferedReader inBeside = reader(beside);
-                assertEquals("/api/targets?since=41", asked(inBeside));
-                answer(lateOneAnswers ? late : beside, 200, changes(43, "new"));
-                assertEquals("new", list().iterator().next().id());
-                assertEquals("/api/targets?since=43", asked(lateOneAnswers ? inLate : inBeside));
-                Socket other = lateOneAnswers ? beside : late;
-                assertEquals(-1, (lateOneAnswers ? inBeside : inLate).read());
-                answer(other, 200, changes(42, "old"));
-                answer(lateOneAnswers ? late : beside, 200, changes(44, "newer"));
-                assertEquals(
-                        Set.of("new", "newer"),
-                        list().stream().map(WorkerEndpoint::id).collect(Collectors.toSet()));
+    void ofAnOverduePollAndItsRetryTheFirstAnswerIsUsed(boolean overdueOneAnswers) throws Exception {
+        try (DiscoveryConnection overdue = DiscoveryConnection.accept(server)) {
+            overdue.readTarget();
+            try (DiscoveryConnection retry = DiscoveryConnection.accept(server)) {
+                assertEquals("/api/targets?since=41", retry.readTarget());
+                DiscoveryConnection first = overdueOneAnswers ? overdue : retry;
+                DiscoveryConnection second = overdueOneAnswers ? retry : overdue;
+                first.answerChanges(43, "new");
+                assertEquals(Set.of("new"), awaitList());
+                assertEquals("/api/targets?since=43", first.readTarget());
+                assertEquals(-1, second.read());
+                second.answerChanges(42, "old");
+                first.answerChanges(44, "newer");
+                assertEquals(Set.of("new", "newer"), awaitList());
             }
         }
     }
 
     @Test
-    void aMoveEndsALateCallAndTheOneBesideIt() throws Exception {
-        try (ServerSocket other = new ServerSocket(0, 50, InetAddress.getLoopbackAddress());
-                Socket late = server.accept()) {
-            BufferedReader inLate = reader(late);
-            asked(inLate);
-            try (Socket beside = server.accept()) {
-                BufferedReader inBeside = reader(beside);
-                asked(inBeside);
-                loop.execute(() -> watch.changeAddress((InetSocketAddress) other.getLocalSocketAddress()));
-                try (Socket moved = other.accept()) {
-                    BufferedReader in = reader(moved);
-                    assertEquals("/api/targets", asked(in));
-                    assertEquals(-1, inLate.read());
-                    assertEquals(-1, inBeside.read());
-                    answer(moved, 200, changes(7, "c"));
-                    assertEquals("c", list().iterator().next().id());
-                    assertEquals("/api/targets?since=7", asked(in));
+    void anAddressChangeEndsAnOverduePollAndItsRetry() throws Exception {
+        try (ServerSocket other = listen();
+                DiscoveryConnection overdue = DiscoveryConnection.accept(server)) {
+            overdue.readTarget();
+            try (DiscoveryConnection retry = DiscoveryConnection.accept(server)) {
+                retry.readTarget();
+                changeAddress(other);
+                try (DiscoveryConnection discovery = DiscoveryConnection.accept(other)) {
+                    assertEquals("/api/targets", discovery.readTarget());
+                    assertEquals(-1, overdue.read());
+                    assertEquals(-1, retry.read());
+                    discovery.answerChanges(7, "c");
+                    assertEquals(Set.of("c"), awaitList());
+                    assertEquals("/api/targets?since=7", discovery.readTarget());
                 }
             }
         }
     }
 
-    /** Who connects to the server behind the calls stands behind them in its queue: each call would be one more. */
+    /**
+     * The address changes while the scheduler pauses after a failure, and the end of the pause finds a poll in flight. A second
+     * poll would have connected by the time of the test's own connection, which comes last in the accept queue.
+     */
     @Test
-    void aMoveWithinTheModulesPauseMakesOneCall() throws Exception {
-        try (ServerSocket other = new ServerSocket(0, 50, InetAddress.getLoopbackAddress())) {
-            Socket s = server.accept();
-            asked(reader(s));
-            s.close();
-            loop.execute(() -> watch.changeAddress((InetSocketAddress) other.getLocalSocketAddress()));
-            try (Socket moved = other.accept()) {
-                BufferedReader in = reader(moved);
-                assertEquals("/api/targets", asked(in));
-                CompletableFuture<Void> pauseOver = new CompletableFuture<>();
-                loop.execute(() -> {
+    void anAddressChangeDuringAPauseMakesOnePoll() throws Exception {
+        try (ServerSocket other = listen()) {
+            try (DiscoveryConnection discovery = DiscoveryConnection.accept(server)) {
+                discovery.readTarget();
+            }
+            changeAddress(other);
+            try (DiscoveryConnection discovery = DiscoveryConnection.accept(other)) {
+                assertEquals("/api/targets", discovery.readTarget());
+                PlatformFixtures.onLoop(loop, () -> {
                     watch.watch();
-                    pauseOver.complete(null);
+                    return null;
                 });
-                pauseOver.get(30, TimeUnit.SECONDS);
-                answer(moved, 200, changes(7, "c"));
-                assertEquals("/api/targets?since=7", asked(in));
+                discovery.answerChanges(7, "c");
+                assertEquals("/api/targets?since=7", discovery.readTarget());
                 try (Socket last = new Socket(other.getInetAddress(), other.getLocalPort());
                         Socket next = other.accept()) {
                     assertEquals(last.getLocalPort(), next.getPort());
@@ -328,79 +292,69 @@
         }
     }
 
-    /** Was: with every socket in use, as where workers hang, a watch that ended could not be opened again. */
+    /** Every socket is in use, as where workers hang. A watch that ended could not be opened again then. */
     @Test
-    void theListIsAskedForWhereEverySocketIsInUse() throws Exception {
+    void discoveryIsPolledWhereEverySocketIsInUse() throws Exception {
         loop.execute(() -> loop.capSockets(0));
         server.accept().close();
-        try (Socket s = server.accept()) {
-            BufferedReader in = reader(s);
-            assertEquals("/api/targets?since=41", asked(in));
-            answer(s, 200, changes(42, "a"));
-            assertEquals("a", list().iterator().next().id());
+        try (DiscoveryConnection discovery = DiscoveryConnection.accept(server)) {
+            assertEquals("/api/targets?since=41", discovery.readTarget());
+            discovery.answerChanges(42, "a");
+            assertEquals(Set.of("a"), awaitList());
         }
     }
 
-    /** Word of a drain counts at once where lists come unasked, and half a second later nothing may go. */
+    /** Where lists are pushed a drain event counts as delivered at once, and calls must stop within the drain grace. */
     @Test
-    void theNextTryAtAnAgentFitsIntoTheGraceOfADrain() {
+    void theNextPollOfAnAgentFitsIntoTheDrainGrace() {
+        double longestPauseS = 1.5 * EndpointWatch.MAX_AGENT_BACKOFF_S;
         assertTrue(
-                1.5 * EndpointWatch.MAX_AGENT_BACKOFF_S < site.module().rules().drainGraceS() - 0.1,
-                "with its random part, and an answer");
+                longestPauseS < site.module().rules().drainGraceS() - 0.1, "with its jitter, and time for an answer");
     }
 
-    /** Where the settings say that lists come unasked the module never asks: found by reading, no watch was ever opened. */
+    /** Where lists are pushed the core never polls. Found by reading: no watch was ever opened. */
     @Test
-    void whereListsComeUnaskedTheWatchOpensItselfAndAgainAfterAFailure() throws Exception {
-        try (ServerSocket agent = new ServerSocket(0, 50, InetAddress.getLoopbackAddress())) {
-            agent.setSoTimeout(30_000);
-            other(Sites.SETTINGS.replace("\"Discovery\":\"subscribe\"", "\"Discovery\":\"automatic\""), agent);
+    void whereListsArePushedTheWatchStartsAndRetriesByItself() throws Exception {
+        Site pushed = Sites.with(Sites.SETTINGS.replace("\"Discovery\":\"subscribe\"", "\"Discovery\":\"automatic\""));
+        try (ServerSocket agent = listen()) {
+            EndpointWatch agentWatch = new EndpointWatch(loop, addressOf(agent), pushed, KNOWN_VERSION);
+            agentWatch.start(new Gatherer(pushed.module(), 3, loop, new WorkerPool(loop, pushed), agentWatch));
             for (int i = 0; i < 3; i++) {
-                try (Socket s = agent.accept()) {
-                    assertEquals(
-                            "/api/targets?since=41",
-                            asked(new BufferedReader(
-                                    new InputStreamReader(s.getInputStream(), StandardCharsets.US_ASCII))));
+                try (DiscoveryConnection discovery = DiscoveryConnection.accept(agent)) {
+                    assertEquals("/api/targets?since=41", discovery.readTarget());
                 }
             }
         }
     }
 
     /**
-     * Seen with 53 watches silent from their first moment while half of the workers were replaced: given up four seconds past
-     * their wait, two after all that they missed counted as told, they had sent 98 calls to workers long gone.
+     * Seen with 53 watches unanswered from their first moment while half of the workers were replaced: they timed out four
+     * seconds past their wait, two after all that they missed counted as delivered, and had sent 98 calls to workers long gone.
      */
     @Test
-    void aWatchThatIsSilentIsGivenUpInTimeToAskAnewBeforeItsNewsCountAsTold() {
-        double told = EndpointWatch.LONG_POLL_MS / 1e3 + 2;
-        assertTrue(
-                EndpointWatch.pollTimeoutS(EndpointWatch.LONG_POLL_MS) <= told - 1,
-                "time for the module's pause, and an answer");
-        assertTrue(
-                EndpointWatch.pollTimeoutS(EndpointWatch.LONG_POLL_MS) > EndpointWatch.LONG_POLL_MS / 1e3,
-                "an answer at the end of the wait is awaited");
-        assertTrue(
-                EndpointWatch.pollTimeoutS(EndpointWatch.FIRST_POLL_MS) > 2.2,
-                "an overbooked list's own limit is outlasted");
+    void aPollIsOverdueEarlyEnoughForARetryBeforeItsEventsCountAsDelivered() {
+        double waitS = EndpointWatch.LONG_POLL_MS / 1e3;
+        double longPollTimeoutS = EndpointWatch.pollTimeoutS(EndpointWatch.LONG_POLL_MS);
+        assertTrue(longPollTimeoutS <= waitS + DELIVERED_AFTER_WAIT_S - 1, "time for a pause, and an answer");
+        assertTrue(longPollTimeoutS > waitS, "an answer at the end of the wait is awaited");
+        double firstPollTimeoutS = EndpointWatch.pollTimeoutS(EndpointWatch.FIRST_POLL_MS);
+        assertTrue(firstPollTimeoutS > DISCOVERY_LIMIT_S, "outlasts an overloaded discovery");
     }
 
-    /** The old watch must end: what it still told would go over the new list. */
+    /** The old watch must end: a list that still came from it would replace the new one. */
     @Test
-    void aMoveAsksTheNewAddressForTheWholeListAndEndsTheOldWatch() throws Exception {
-        try (ServerSocket other = new ServerSocket(0, 50, InetAddress.getLoopbackAddress());
-                Socket old = server.accept()) {
-            BufferedReader in =
-                    new BufferedReader(new InputStreamReader(old.getInputStream(), StandardCharsets.US_ASCII));
-            assertEquals("/api/targets?since=41", asked(in));
-            loop.execute(() -> watch.changeAddress((InetSocketAddress) other.getLocalSocketAddress()));
-            assertEquals(-1, in.read());
-            try (Socket s = other.accept()) {
-                in = new BufferedReader(new InputStreamReader(s.getInputStream(), StandardCharsets.US_ASCII));
-                assertEquals("/api/targets", asked(in));
+    void anAddressChangeEndsTheOldWatchAndAsksForTheCompleteList() throws Exception {
+        try (ServerSocket other = listen();
+                DiscoveryConnection old = DiscoveryConnection.accept(server)) {
+            assertEquals("/api/targets?since=41", old.readTarget());
+            changeAddress(other);
+            assertEquals(-1, old.read());
+            try (DiscoveryConnection discovery = DiscoveryConnection.accept(other)) {
+                assertEquals("/api/targets", discovery.readTarget());
                 assertTrue(lists.isEmpty());
-                answer(s, 200, "{\"seq\":7,\"whole\":true,\"hosts\":[" + HOST.formatted("c") + "]}");
-                assertEquals("c", list().iterator().next().id());
-                assertEquals("/api/targets?since=7", asked(in));
+                discovery.answerComplete(7, "c");
+                assertEquals(Set.of("c"), awaitList());
+                assertEquals("/api/targets?since=7", discovery.readTarget());
             }
         }
     }
--- /dev/null
+++ b/src/test/java/pepperdock/platform/FakeWorkerBehaviour.java
@@ -0,0 +1,56 @@
+package pepperdock.platform;
+
+import java.util.Locale;
+import java.util.Map;
+import java.util.concurrent.ConcurrentHashMap;
+import java.util.concurrent.atomic.AtomicInteger;
+
+/**
+ * How a fake worker reacts to a part, whatever its protocol: as the query's text says, such as {@code bad:3,7} (an error for
+ * these shards), {@code later:*} (all are rejected) or {@code silent:2}; any other text is served. Counts the calls for each
+ * part. Thread-safe.
+ */
+public final class FakeWorkerBehaviour {
+
+    /** A worker's reaction to a part; its name in lower case begins a text that asks for it. */
+    public enum Reaction {
+        GOOD,
+        BAD,
+        LATER,
+        SILENT
+    }
+
+    /**
+     * How long a call takes: as in service far more than the pauses of a machine, which the scheduler would otherwise take
+     * for a slow worker, and leave parts of light weight out.
+     */
+    public static final int CALL_MS = 60;
+
+    private final Map<String, AtomicInteger> callsByPart = new ConcurrentHashMap<>();
+
+    /** Counts a call for a part and returns how to react to it. */
+    public Reaction onCall(String text, int shard) {
+        callsByPart
+                .computeIfAbsent(text + '/' + shard, key -> new AtomicInteger())
+                .incrementAndGet();
+        for (Reaction reaction : Reaction.values()) {
+            String prefix = reaction.name().toLowerCase(Locale.ROOT) + ':';
+            if (text.startsWith(prefix)) {
+                String shards = ',' + text.substring(prefix.length()) + ',';
+                return shards.equals(",*,") || shards.contains("," + shard + ",") ? reaction : Reaction.GOOD;
+            }
+        }
+        return Reaction.GOOD;
+    }
+
+    /** How many calls came for a part. */
+    public int calls(String text, int shard) {
+        AtomicInteger count = callsByPart.get(text + '/' + shard);
+        return count == null ? 0 : count.get();
+    }
+
+    /** The value that a part has, the same at each of its replicas. */
+    public static String value(String text, int shard) {
+        return Integer.toHexString((text + '#' + shard).hashCode());
+    }
+}
--- a/src/test/java/pepperdock/platform/FrontTest.java
+++ b/src/test/java/pepperdock/platform/FrontTest.java
@@ -5,9 +5,9 @@
 
 import java.io.IOException;
 import java.net.InetAddress;
-import java.net.InetSocketAddress;
 import java.net.ServerSocket;
 import java.net.Socket;
+import java.net.SocketException;
 import java.nio.charset.StandardCharsets;
 import java.util.ArrayList;
 import java.util.List;
@@ -19,7 +19,6 @@
 import pepperdock.core.Gatherer;
 import pepperdock.core.WorkerEndpoint;
 import pepperdock.scheduler.EndpointListKind;
-import pepperdock.scheduler.EndpointState;
 import pepperdock.transport.HttpServer;
 import pepperdock.transport.Loop;
 
@@ -28,111 +27,115 @@
     private static final String QUERY =
             "POST /api HTTP/1.1~Request-Id: a~Request-Class: payout-report~Request-Timeout-Ms: 900";
 
-    private interface Talk {
-        void with(InetSocketAddress server) throws Exception;
+    private interface Conversation {
+        void with(HttpServer server) throws Exception;
     }
 
-    /** A gatherer that lets eight clients in and knows the one worker given, or none. */
-    private static void serve(List<WorkerEndpoint> workers, Talk talk) throws Exception {
+    /** Serves at most eight clients, with these workers, while the conversation lasts. */
+    private static void serve(List<WorkerEndpoint> workers, Conversation conversation) throws Exception {
         Site site = Sites.small();
         try (Loop loop = new Loop(100, 1 << 16)) {
             WorkerPool pool = new WorkerPool(loop, site);
             Gatherer core = new Gatherer(site.module(), 3, loop, pool, () -> {});
             pool.start(core);
-            HttpServer server = new HttpServer(
-                    loop,
-                    new InetSocketAddress(InetAddress.getLoopbackAddress(), 0),
-                    1000,
-                    () -> 8,
-                    new Front(site, core, () -> true));
+            HttpServer server = PlatformFixtures.listen(loop, 1000, 8, new Front(site, core, () -> true));
             loop.execute(() -> core.onEndpointList(EndpointListKind.CACHED, workers));
-            talk.with(server.address());
+            conversation.with(server);
         }
     }
 
-    private static Socket client(InetSocketAddress server, String text) throws IOException {
-        Socket s = new Socket(server.getAddress(), server.getPort());
-        s.getOutputStream().write(text.replace("~", "\r\n").getBytes(StandardCharsets.ISO_8859_1));
-        return s;
+    /** A client that has sent a text, with {@code ~} for the end of a line. */
+    private static Socket client(HttpServer server, String text) throws IOException {
+        Socket client = PlatformFixtures.connect(server);
+        client.getOutputStream().write(text.replace("~", "\r\n").getBytes(StandardCharsets.ISO_8859_1));
+        return client;
     }
 
-    /** All that it says until it closes. */
-    private static String heard(Socket s) throws IOException {
-        return new String(s.getInputStream().readAllBytes(), StandardCharsets.ISO_8859_1);
+    private static String readToEnd(Socket client) throws IOException {
+        return new String(client.getInputStream().readAllBytes(), StandardCharsets.ISO_8859_1);
     }
 
-    /** Sends raw bytes to a gatherer that knows no workers; returns all it says until it closes. */
-    private static String say(String text) throws Exception {
-        String[] said = new String[1];
+    /** Sends a text to a gatherer without workers; returns all that it writes until it closes. */
+    private static String exchange(String text) throws Exception {
+        String[] response = new String[1];
         serve(List.of(), server -> {
-            try (Socket s = client(server, text)) {
-                said[0] = heard(s);
+            try (Socket client = client(server, text)) {
+                response[0] = readToEnd(client);
             }
         });
-        return said[0];
+        return response[0];
     }
 
     private static String query(String id) {
-        String body = "{\"ranges\":[{\"range\":0,\"portion\":1}],\"predicate\":\"x\"}";
+        String body = PlatformFixtures.ONE_PART_BODY;
         return QUERY.replace("Request-Id: a", "Request-Id: " + id) + "~Content-Length: " + body.length() + "~~" + body;
     }
 
-    /** Its parts would bear the same ids at the workers, and one client be served what was made for the other. */
+    /**
+     * A client uses the id of a query that is still open. Its parts would have the same ids at the workers, and one client
+     * could be served what was made for the other. The second query is rejected; once the first is over, the id is free.
+     */
     @Test
-    void anIdThatIsStillOpenIsRefusedAndFreeAgainAfterwards() throws Exception {
+    void aRequestIdInUseIsRejectedAndFreeAgainAfterwards() throws Exception {
         try (ServerSocket silent = new ServerSocket(0, 50, InetAddress.getLoopbackAddress())) {
-            WorkerEndpoint worker =
-                    new WorkerEndpoint("w", "127.0.0.1:" + silent.getLocalPort(), 0, 0, 0, EndpointState.HEALTHY, 1, 0);
+            WorkerEndpoint worker = PlatformFixtures.endpoint("w", 0, "127.0.0.1:" + silent.getLocalPort());
             serve(List.of(worker), server -> {
                 try (Socket first = client(server, query("a"));
-                        Socket taken = silent.accept()) {
-                    taken.getInputStream().readNBytes(5);
+                        Socket connection = silent.accept()) {
+                    connection.getInputStream().readNBytes(5);
                     String second = query("a").replace("payout-report", "history-search~Connection: close");
-                    try (Socket s = client(server, second)) {
-                        assertTrue(heard(s).startsWith("HTTP/1.1 409"));
+                    try (Socket client = client(server, second)) {
+                        assertTrue(readToEnd(client).startsWith("HTTP/1.1 409"));
                     }
-                    assertTrue(new String(first.getInputStream().readNBytes(12), StandardCharsets.ISO_8859_1)
-                            .matches("HTTP/1.1 50[34]"));
-                    try (Socket s = client(server, second.replace("900", "90"))) {
-                        assertTrue(heard(s).matches("(?s)HTTP/1.1 50[034].*"));
+                    String status = new String(first.getInputStream().readNBytes(12), StandardCharsets.ISO_8859_1);
+                    assertTrue(status.matches("HTTP/1.1 50[34]"));
+                    try (Socket client = client(server, second.replace("900", "90"))) {
+                        assertTrue(readToEnd(client).matches("(?s)HTTP/1.1 50[034].*"));
                     }
                 }
             });
         }
     }
 
-    /** Sent at once on one connection; answered one within the other, they would pile up on the loop's stack. */
+    /** A client pipelines 2,001 requests. Answered one within the other, they would overflow the stack of the loop's thread. */
     @Test
-    void hundredsOfRequestsAtOnceAreAnsweredInTurn() throws Exception {
-        String said = say("GET /-/ready HTTP/1.1~~".repeat(2000) + "GET /-/ready HTTP/1.1~Connection: close~~");
-        assertEquals(2001, said.split("HTTP/1.1 200", -1).length - 1);
+    void pipelinedRequestsAreAnsweredInTurn() throws Exception {
+        String response =
+                exchange("GET /-/ready HTTP/1.1~~".repeat(2000) + "GET /-/ready HTTP/1.1~Connection: close~~");
+        assertEquals(2001, response.split("HTTP/1.1 200", -1).length - 1);
     }
 
-    /** What follows an error may be the rest of it, or hide another request: it is read, not served, and no reset sent. */
+    /**
+     * A request is malformed, and more bytes follow it. They may be the rest of it, or hide another request: they are read and
+     * discarded, and the error arrives, as no reset is sent.
+     */
     @Test
-    void afterAnErrorTheRestIsThrownAwayAndTheErrorArrives() throws Exception {
-        String said = say("POST /api HTTP/1.1~Content-Length: 60000000~~" + "x".repeat(400_000));
-        assertTrue(said.startsWith("HTTP/1.1 413"), said);
-        said = say("POST /api HTTP/1.1~Content-Length: 4~Transfer-Encoding: chunked~~0~~" + query("hidden"));
-        assertEquals(1, said.split("HTTP/1.1", -1).length - 1, said);
-        assertTrue(said.startsWith("HTTP/1.1 400"), said);
+    void bytesAfterAMalformedRequestAreDiscarded() throws Exception {
+        String response = exchange("POST /api HTTP/1.1~Content-Length: 60000000~~" + "x".repeat(400_000));
+        assertTrue(response.startsWith("HTTP/1.1 413"), response);
+        response = exchange("POST /api HTTP/1.1~Content-Length: 4~Transfer-Encoding: chunked~~0~~" + query("hidden"));
+        assertEquals(1, response.split("HTTP/1.1", -1).length - 1, response);
+        assertTrue(response.startsWith("HTTP/1.1 400"), response);
     }
 
-    /** More than may be let in say nothing or half a request: one that asks is served, and those end by themselves. */
+    /**
+     * More clients than are admitted connect and send nothing, or half a request. One that sends a request is served all the
+     * same, and the others are closed in time.
+     */
     @Test
-    void clientsThatSayNothingOrNeverFinishEndAndKeepNobodyOut() throws Exception {
+    void clientsThatSendNothingOrNeverFinishBlockNobody() throws Exception {
         serve(List.of(), server -> {
             List<Socket> silent = new ArrayList<>();
             for (int i = 0; i < 20; i++) {
                 silent.add(client(server, i % 2 == 0 ? "" : "POST /api HTTP/1.1~Content-Length: 9~~{"));
             }
-            try (Socket s = client(server, "GET /-/ready HTTP/1.1~Connection: close~~")) {
-                assertTrue(heard(s).startsWith("HTTP/1.1 200"));
+            try (Socket client = client(server, "GET /-/ready HTTP/1.1~Connection: close~~")) {
+                assertTrue(readToEnd(client).startsWith("HTTP/1.1 200"));
             }
-            for (Socket s : silent) {
-                try (s) {
-                    assertTrue(heard(s).matches("(?s)|HTTP/1.1 408.*"));
-                } catch (java.net.SocketException e) {
+            for (Socket client : silent) {
+                try (client) {
+                    assertTrue(readToEnd(client).matches("(?s)|HTTP/1.1 408.*"));
+                } catch (SocketException e) {
                     assertTrue(e.getMessage().contains("reset"), "closed with its half request unread");
                 }
             }
@@ -149,8 +152,8 @@
                         "POST /api HTTP/1.1~Content-Length: 1001~~|413",
                 "what~~|400"
             })
-    void whatIsMalformedHasTheStatusThatFits(String text, int status) throws Exception {
-        assertTrue(say(text).startsWith("HTTP/1.1 " + status), text);
+    void aMalformedRequestGetsTheFittingStatus(String text, int status) throws Exception {
+        assertTrue(exchange(text).startsWith("HTTP/1.1 " + status), text);
     }
 
     @ParameterizedTest
@@ -172,18 +175,19 @@
                 "{\"ranges\":[{\"range\":1,\"portion\":1}],\"predicate\":\"x\",\"predicate\":\"y\"}",
                 "{\"ranges\":[{\"range\":1,\"portion\":0.5},{\"range\":1,\"portion\":0.5}],\"predicate\":\"x\"}"
             })
-    void aBodyThatIsNoQueryIsABadRequest(String body) throws Exception {
-        String said = say(QUERY + "~Connection: close~Content-Length: " + body.length() + "~~" + body);
-        assertTrue(said.startsWith("HTTP/1.1 400"), said);
+    void aMalformedBodyIsABadRequest(String body) throws Exception {
+        String response = exchange(QUERY + "~Connection: close~Content-Length: " + body.length() + "~~" + body);
+        assertTrue(response.startsWith("HTTP/1.1 400"), response);
     }
 
-    /** A refusal is given at once, with the module's own pause; requests on one connection are answered in turn. */
+    /** A rejection carries the scheduler's own Retry-After; requests on one connection are answered in turn. */
     @Test
-    void aRefusalSaysWhenToComeBackAndTheConnectionGoesOn() throws Exception {
+    void aRejectionHasRetryAfterAndTheConnectionStaysOpen() throws Exception {
         String body = "{\"ranges\":[{\"range\":1,\"portion\":1}],\"predicate\":\"x\"}";
-        String one = QUERY + "~Content-Length: " + body.length() + "~~" + body;
-        String said = say(one + one.replace("Request-Id: a", "Request-Id: b~Connection: close"));
-        assertEquals(2, said.split("HTTP/1.1 503", -1).length - 1, said);
-        assertEquals(2, said.split("Retry-After: 1.000", -1).length - 1, said);
+        String first = QUERY + "~Content-Length: " + body.length() + "~~" + body;
+        String second = first.replace("Request-Id: a", "Request-Id: b~Connection: close");
+        String response = exchange(first + second);
+        assertEquals(2, response.split("HTTP/1.1 503", -1).length - 1, response);
+        assertEquals(2, response.split("Retry-After: 1.000", -1).length - 1, response);
     }
 }
--- a/src/test/java/pepperdock/platform/JvmWarmupTest.java
+++ b/src/test/java/pepperdock/platform/JvmWarmupTest.java
@@ -6,11 +6,11 @@
 import pepperdock.config.Sites;
 import pepperdock.core.ManualClock;
 
-/** A warm-up that is refused or malformed would warm nothing: each of its queries must be answered. */
+/** A query that is rejected or malformed would warm nothing: each must be answered. */
 class JvmWarmupTest {
 
     @Test
-    void everyQueryIsAnsweredBeforeReadyAndAfter() {
+    void everyQueryIsAnswered() {
         JvmWarmup warmup = new JvmWarmup(Sites.small());
         assertEquals(JvmWarmup.QUERIES_BEFORE_READY, warmup.runQueries(JvmWarmup.QUERIES_BEFORE_READY));
         ManualClock loop = new ManualClock(0);
@@ -20,15 +20,15 @@
     }
 
     @Test
-    void theRestIsLeftOutWhileQueriesAreInHandAndEnds() {
+    void remainingQueriesAreSkippedWhileTheGathererIsBusy() {
         JvmWarmup warmup = new JvmWarmup(Sites.small());
         ManualClock loop = new ManualClock(0);
         warmup.runRemainingQueries(loop, () -> false);
         loop.advance(60);
         assertEquals(0, warmup.runQueries(0));
-        int[] asked = {0};
-        warmup.runRemainingQueries(loop, () -> asked[0]++ > 1000);
+        int[] idleChecks = {0};
+        warmup.runRemainingQueries(loop, () -> idleChecks[0]++ > 1000);
         loop.advance(60);
-        assertEquals(1, asked[0]);
+        assertEquals(1, idleChecks[0]);
     }
 }
--- /dev/null
+++ b/src/test/java/pepperdock/platform/PlatformFixtures.java
@@ -0,0 +1,56 @@
+package pepperdock.platform;
+
+import java.io.IOException;
+import java.net.InetAddress;
+import java.net.InetSocketAddress;
+import java.net.Socket;
+import java.nio.charset.StandardCharsets;
+import java.util.Optional;
+import java.util.concurrent.BlockingQueue;
+import java.util.concurrent.LinkedBlockingQueue;
+import java.util.function.Supplier;
+import pepperdock.core.WorkerEndpoint;
+import pepperdock.scheduler.EndpointState;
+import pepperdock.transport.HttpServer;
+import pepperdock.transport.Loop;
+
+/** What tests of the platform's protocols share: servers on loopback, endpoints, queries in the clients' form. */
+public final class PlatformFixtures {
+
+    /** The body of a query for all of shard 0. */
+    public static final String ONE_PART_BODY = "{\"ranges\":[{\"range\":0,\"portion\":1}],\"predicate\":\"x\"}";
+
+    private PlatformFixtures() {}
+
+    /** Serves a front on a free loopback port. */
+    public static HttpServer listen(Loop loop, int maxBodyBytes, int maxClients, HttpServer.Service front)
+            throws IOException {
+        InetSocketAddress anyPort = new InetSocketAddress(InetAddress.getLoopbackAddress(), 0);
+        return new HttpServer(loop, anyPort, maxBodyBytes, () -> maxClients, front);
+    }
+
+    /** A client's connection to a server. */
+    public static Socket connect(HttpServer server) throws IOException {
+        return new Socket(server.address().getAddress(), server.address().getPort());
+    }
+
+    /** A healthy worker that holds the shards of a cell. */
+    public static WorkerEndpoint endpoint(String id, int cell, String address) {
+        return new WorkerEndpoint(id, address, 0, 0, cell, EndpointState.HEALTHY, 1, 0);
+    }
+
+    /** A query of the idempotent class payout-report for all of shard 0, as a client sends it. */
+    public static byte[] onePartQuery(String id, int timeoutMs) {
+        String head = "POST /api HTTP/1.1\r\nRequest-Id: " + id
+                + "\r\nRequest-Class: payout-report\r\nRequest-Timeout-Ms: " + timeoutMs
+                + "\r\nContent-Length: " + ONE_PART_BODY.length() + "\r\n\r\n";
+        return (head + ONE_PART_BODY).getBytes(StandardCharsets.US_ASCII);
+    }
+
+    /** Runs a task on the loop's thread and returns its result, which may be null. */
+    public static <T> T onLoop(Loop loop, Supplier<T> task) throws InterruptedException {
+        BlockingQueue<Optional<T>> result = new LinkedBlockingQueue<>();
+        loop.execute(() -> result.add(Optional.ofNullable(task.get())));
+        return result.take().orElse(null);
+    }
+}
