--- a/src/main/java/pepperdock/simulator/WireLine.java
+++ b/src/main/java/pepperdock/simulator/JsonLine.java
@@ -11,12 +11,18 @@
 import java.util.HashMap;
 import java.util.Map;
 
-/** The fields of the line in hand, kept by name; reused from line to line. */
-final class WireLine {
-    private final Map<String, Object> values = new HashMap<>();
+/**
+ * The fields of the current line, one JSON object, by name. Reused from line to line, to spare allocations. Fields of another
+ * type than text, number, object or array are skipped. Accessors throw {@link IllegalArgumentException} for a field that is
+ * missing or of another type. Not thread-safe.
+ */
+final class JsonLine {
 
+    private final Map<String, Object> fields = new HashMap<>();
+
+    /** Replaces the fields by those of another line; throws for anything but one JSON object. */
     void read(String text) throws IOException {
-        values.clear();
+        fields.clear();
         JsonReader reader = new JsonReader(new StringReader(text));
         reader.setStrictness(Strictness.STRICT);
         if (reader.peek() != JsonToken.BEGIN_OBJECT) {
@@ -26,9 +32,9 @@
         while (reader.hasNext()) {
             String name = reader.nextName();
             switch (reader.peek()) {
-                case STRING -> values.put(name, reader.nextString());
-                case NUMBER -> values.put(name, parsed(reader.nextString()));
-                case BEGIN_OBJECT, BEGIN_ARRAY -> values.put(name, JsonParser.parseReader(reader));
+                case STRING -> fields.put(name, reader.nextString());
+                case NUMBER -> fields.put(name, parseNumber(reader.nextString()));
+                case BEGIN_OBJECT, BEGIN_ARRAY -> fields.put(name, JsonParser.parseReader(reader));
                 default -> reader.skipValue();
             }
         }
@@ -38,7 +44,8 @@
         }
     }
 
-    private static Object parsed(String text) {
+    /** A {@link Long}, or a {@link Double} where the text has a fraction or an exponent. */
+    private static Object parseNumber(String text) {
         for (int i = 0; i < text.length(); i++) {
             if (".eE".indexOf(text.charAt(i)) >= 0) {
                 return Double.parseDouble(text);
@@ -47,12 +54,13 @@
         return Long.parseLong(text);
     }
 
+    /** Whether the line has a field of that name. */
     boolean has(String name) {
-        return values.get(name) != null;
+        return fields.get(name) != null;
     }
 
-    private <T> T value(String name, Class<T> type) {
-        Object value = values.get(name);
+    private <T> T field(String name, Class<T> type) {
+        Object value = fields.get(name);
         if (value == null) {
             throw new IllegalArgumentException("missing " + name);
         }
@@ -63,28 +71,30 @@
     }
 
     String text(String name) {
-        return value(name, String.class);
+        return field(name, String.class);
     }
 
     double number(String name) {
-        return value(name, Number.class).doubleValue();
+        return field(name, Number.class).doubleValue();
     }
 
     long integer(String name) {
-        return value(name, Number.class).longValue();
+        return field(name, Number.class).longValue();
     }
 
-    JsonElement node(String name) {
-        return value(name, JsonElement.class);
+    /** A field that is an object or an array. */
+    JsonElement element(String name) {
+        return field(name, JsonElement.class);
     }
 
-    double[] row(String name) {
-        if (!(values.get(name) instanceof JsonArray row)) {
+    /** A field that is an array of numbers; null when it is missing or something else. */
+    double[] numbersOrNull(String name) {
+        if (!(fields.get(name) instanceof JsonArray array)) {
             return null;
         }
-        double[] numbers = new double[row.size()];
+        double[] numbers = new double[array.size()];
         for (int i = 0; i < numbers.length; i++) {
-            numbers[i] = row.get(i).getAsDouble();
+            numbers[i] = array.get(i).getAsDouble();
         }
         return numbers;
     }
--- a/src/main/java/pepperdock/simulator/SimulatorAdapter.java
+++ b/src/main/java/pepperdock/simulator/SimulatorAdapter.java
@@ -1,8 +1,6 @@
 package pepperdock.simulator;
 
-import com.google.gson.JsonElement;
 import com.google.gson.JsonParseException;
-import com.google.gson.stream.JsonWriter;
 import java.io.BufferedReader;
 import java.io.BufferedWriter;
 import java.io.IOException;
@@ -12,255 +10,146 @@
 import java.io.OutputStreamWriter;
 import java.io.PrintStream;
 import java.io.UncheckedIOException;
-import java.io.Writer;
 import java.nio.charset.StandardCharsets;
 import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.List;
-import java.util.Locale;
 import java.util.Map;
-import pepperdock.config.Keys;
-import pepperdock.config.Site;
-import pepperdock.scheduler.AttemptOutcome;
-import pepperdock.scheduler.AttemptResult;
 import pepperdock.scheduler.Endpoint;
 import pepperdock.scheduler.EndpointListKind;
-import pepperdock.scheduler.EndpointState;
-import pepperdock.scheduler.HealthCheckResult;
-import pepperdock.scheduler.LoadReport;
-import pepperdock.scheduler.PartArrival;
-import pepperdock.scheduler.QueryArrival;
-import pepperdock.scheduler.Scheduler;
-import pepperdock.scheduler.SchedulerSettings;
+import pepperdock.simulator.SimulatorProtocol.Command;
 
-/** Translates between JSON lines and {@link Scheduler}: one module per instance, nothing shared between them. */
+/**
+ * Serves a simulator of fleets: delivers its events to the schedulers of the simulated gatherers, in batches, and writes their
+ * decisions. Gatherers share nothing. Runs on the caller's thread until the input ends.
+ */
 public final class SimulatorAdapter {
 
-    private static final Map<String, EndpointListKind> LIST_KINDS = Map.of(
-            "D",
-            EndpointListKind.CHANGES,
-            "F",
-            EndpointListKind.COMPLETE,
-            "C",
-            EndpointListKind.CACHED,
-            "X",
-            EndpointListKind.FAILED);
-    private static final Map<String, AttemptOutcome> OUTCOMES = Map.of(
-            "OK",
-            AttemptOutcome.OK,
-            "ERROR",
-            AttemptOutcome.ERROR,
-            "FULL",
-            AttemptOutcome.OVERLOADED,
-            "TIMEOUT",
-            AttemptOutcome.TIMEOUT,
-            "CONNECT_FAILED",
-            AttemptOutcome.CONNECT_FAILED,
-            "RESET",
-            AttemptOutcome.RESET,
-            "CANCELLED",
-            AttemptOutcome.CANCELLED,
-            "MOOT",
-            AttemptOutcome.NOT_SENT);
-    private static final Map<String, EndpointState> READINESS = Map.of(
-            "healthy",
-            EndpointState.HEALTHY,
-            "cordoned",
-            EndpointState.DRAINING,
-            "deregistered",
-            EndpointState.REMOVED);
+    private static final int BUFFER_CHARS = 1 << 16;
 
     private final BufferedReader in;
     private final PrintStream err;
-    private final Writer out;
-    private final Map<Integer, List<Endpoint>> pages = new HashMap<>();
-    private final Map<Integer, Instance> instances = new HashMap<>();
-    private final List<Instance> touched = new ArrayList<>();
-    private final WireLine line = new WireLine();
-    private double now;
-    private long batch;
-    private boolean open;
+    private final SimulatorProtocol protocol;
+    /** Endpoints by the number that lists name them by, as many gatherers receive the same list. */
+    private final Map<Integer, List<Endpoint>> endpointsByNumber = new HashMap<>();
 
+    private final Map<Integer, SimulatedGatherer> gatherers = new HashMap<>();
+    /** Those with an event in the current batch, in the order of their first. */
+    private final List<SimulatedGatherer> inBatch = new ArrayList<>();
+
+    private double batchTime;
+    private long batchNumber;
+    private boolean batchOpen;
+
+    /** Creates an adapter; faults of the input go to {@code err}. */
     public SimulatorAdapter(InputStream in, OutputStream out, PrintStream err) {
-        this.in = new BufferedReader(new InputStreamReader(in, StandardCharsets.UTF_8), 1 << 16);
+        this.in = new BufferedReader(new InputStreamReader(in, StandardCharsets.UTF_8), BUFFER_CHARS);
         this.err = err;
-        this.out = new BufferedWriter(new OutputStreamWriter(out, StandardCharsets.UTF_8), 1 << 16);
+        protocol = new SimulatorProtocol(
+                new BufferedWriter(new OutputStreamWriter(out, StandardCharsets.UTF_8), BUFFER_CHARS));
     }
 
-    /** Serves until the input ends; returns the exit status. */
+    /** Serves until the input ends; returns the exit status: 0, or 1 after a line that can't be used. */
     public int run() {
-        long number = 0;
+        long lineNumber = 0;
         try {
             for (String text = in.readLine(); text != null; text = in.readLine()) {
-                number++;
+                lineNumber++;
                 if (!text.isBlank()) {
-                    line.read(text);
+                    protocol.read(text);
                     handle();
                 }
             }
             return 0;
         } catch (IOException | UncheckedIOException | IllegalArgumentException | JsonParseException e) {
-            String what = String.valueOf(e.getMessage()).lines().findFirst().orElse("");
-            err.println("drill: line " + number + ": " + what);
+            String message = String.valueOf(e.getMessage()).lines().findFirst().orElse("");
+            err.println("drill: line " + lineNumber + ": " + message);
             return 1;
         }
     }
 
+    /** Handles the current line of the protocol. */
     private void handle() throws IOException {
-        String cmd = line.text("cmd");
-        if (!open && !cmd.equals("Tick")) {
-            throw new IllegalArgumentException(cmd + " outside a batch");
-        }
-        switch (cmd) {
-            case "Tick" -> {
-                if (open) {
-                    throw new IllegalArgumentException("Tick inside a batch");
-                }
-                now = line.number("ClockS");
-                batch = line.integer("n");
-                open = true;
-            }
-            case "Commit" -> commit();
-            case "Page" -> pages.put((int) line.integer("Buffer"), entries(line.node("NodesList")));
-            case "Attach" -> attach();
-            case "Down" -> {
-                Instance gone = instances.remove((int) line.integer("Mixer"));
-                touched.remove(gone);
-            }
-            case "Targets" -> targets(instance());
-            case "Order" -> order(instance());
-            case "AttemptEnd" -> attemptEnd(instance());
-            case "ProbeDone" -> {
-                Instance to = instance();
-                String searcher = line.text("Searcher");
-                AttemptOutcome outcome = outcome();
-                double spent = line.number("SpentS");
-                to.tell(m -> m.onHealthCheckResult(
-                        new HealthCheckResult(searcher, outcome, spent, LoadReport.of(line.row("Report")))));
-            }
-            case "Aborted" -> {
-                Instance to = instance();
-                long id = line.integer("Tid");
-                to.tell(m -> m.onQueryCancelled(id));
-            }
-            case "Bell" -> {
-                Instance to = instance();
-                String token = line.text("Cookie");
-                to.tell(m -> m.onTimer(token));
-            }
-            case "HeadReceived", "Message" -> instance();
-            default -> throw new IllegalArgumentException("unknown event " + cmd);
+        String name = protocol.commandName();
+        Command command = Command.ofOrNull(name);
+        if (!batchOpen && command != Command.BEGIN_BATCH) {
+            throw new IllegalArgumentException(name + " outside a batch");
         }
-    }
-
-    private void commit() throws IOException {
-        for (Instance each : touched) {
-            each.tell(Scheduler::endBatch);
-            each.touched = false;
+        if (command == null) {
+            throw new IllegalArgumentException("unknown event " + name);
         }
-        touched.clear();
-        JsonWriter json = new JsonWriter(out);
-        json.beginObject().name("cmd").value("Eor").name("n").value(batch).endObject();
-        out.write('\n');
-        out.flush();
-        open = false;
+        dispatch(command);
     }
 
-    private void attach() throws IOException {
-        int number = (int) line.integer("Mixer");
-        touched.remove(instances.remove(number));
-        Instance made = new Instance(out, number);
-        long salt = line.integer("Salt");
-        SchedulerSettings settings = Site.read(Keys.of("Env", line.node("Env"))).module();
-        made.create(settings, salt);
-        instances.put(number, made);
-        touch(made);
-    }
-
-    private void targets(Instance to) {
-        EndpointListKind kind = known(LIST_KINDS, line.text("How"), "How");
-        List<Endpoint> entries = List.of();
-        if (kind != EndpointListKind.FAILED) {
-            entries = pages.get((int) line.integer("Buffer"));
-            if (entries == null) {
-                throw new IllegalArgumentException("Targets names a Buffer never given");
-            }
+    private void dispatch(Command command) throws IOException {
+        switch (command) {
+            case BEGIN_BATCH -> beginBatch();
+            case END_BATCH -> endBatch();
+            case ENDPOINTS -> endpointsByNumber.put(protocol.endpointsNumber(), protocol.endpoints());
+            case START_GATHERER -> startGatherer();
+            case STOP_GATHERER -> inBatch.remove(gatherers.remove(protocol.gatherer()));
+            case ENDPOINT_LIST -> deliverEndpointList(gatherer());
+            case ARRIVAL -> gatherer().deliver(protocol.arrival());
+            case ATTEMPT_RESULT -> gatherer().deliver(protocol.attemptResult());
+            case HEALTH_CHECK_RESULT -> gatherer().deliver(protocol.healthCheckResult());
+            case QUERY_CANCELLED -> gatherer().deliver(protocol.queryCancelled());
+            case TIMER -> gatherer().deliver(protocol.timer());
+            // Nothing in them that a scheduler decides by, but a batch begins with them as with any event.
+            case HEAD_RECEIVED, MESSAGE -> gatherer();
         }
-        List<Endpoint> told = entries;
-        to.tell(m -> m.onEndpointList(kind, told));
     }
 
-    private void order(Instance to) {
-        long id = line.integer("Tid");
-        long no = line.integer("QueryNo");
-        int shard = (int) line.integer("Shard");
-        double share = line.number("ShareOrCount");
-        if (shard >= 0) {
-            to.tell(m -> m.onPart(new PartArrival(id, no, shard, share)));
-            return;
+    private void beginBatch() {
+        if (batchOpen) {
+            throw new IllegalArgumentException(protocol.commandName() + " inside a batch");
         }
-        int queryClass = (int) line.integer("Profile");
-        double remaining = line.number("RemainingS");
-        int tenant = line.has("UserGroup") ? (int) line.integer("UserGroup") : 0;
-        String key = line.has("Key") ? line.text("Key") : "";
-        to.tell(m -> m.onQuery(new QueryArrival(id, queryClass, tenant, key, remaining, no, (int) share)));
+        batchTime = protocol.batchTime();
+        batchNumber = protocol.batchNumber();
+        batchOpen = true;
     }
 
-    private void attemptEnd(Instance to) {
-        long id = line.integer("Tid");
-        int attempt = (int) line.integer("SeqNo");
-        String searcher = line.text("Searcher");
-        AttemptOutcome outcome = outcome();
-        double spent = line.number("SpentS");
-        to.tell(m -> m.onAttemptResult(
-                new AttemptResult(id, attempt, searcher, outcome, spent, LoadReport.of(line.row("Report")))));
+    private void endBatch() throws IOException {
+        inBatch.forEach(SimulatedGatherer::endBatch);
+        inBatch.clear();
+        protocol.writeEndOfBatch(batchNumber);
+        batchOpen = false;
     }
 
-    private AttemptOutcome outcome() {
-        return known(OUTCOMES, line.text("Code").toUpperCase(Locale.ROOT), "Code");
+    /** Starts a gatherer; an earlier one of that number ends, with all that it had. */
+    private void startGatherer() {
+        int number = protocol.gatherer();
+        inBatch.remove(gatherers.remove(number));
+        SimulatedGatherer gatherer = new SimulatedGatherer(protocol, number);
+        long seed = protocol.seed();
+        gatherer.start(protocol.settings(), seed);
+        gatherers.put(number, gatherer);
+        joinBatch(gatherer);
     }
 
-    private Instance instance() {
-        Instance found = instances.get((int) line.integer("Mixer"));
-        if (found == null) {
-            throw new IllegalArgumentException("event for a Mixer that is not attached");
+    private void deliverEndpointList(SimulatedGatherer gatherer) {
+        EndpointListKind kind = protocol.endpointListKind();
+        List<Endpoint> endpoints =
+                kind == EndpointListKind.FAILED ? List.of() : endpointsByNumber.get(protocol.endpointsNumber());
+        if (endpoints == null) {
+            throw SimulatorProtocol.unknownEndpoints();
         }
-        touch(found);
-        return found;
+        gatherer.deliver(scheduler -> scheduler.onEndpointList(kind, endpoints));
     }
 
-    private void touch(Instance instance) {
-        if (!instance.touched) {
-            instance.touched = true;
-            touched.add(instance);
-            instance.tell(m -> m.beginBatch(now));
+    /** The gatherer that the current line is for, with the batch begun. */
+    private SimulatedGatherer gatherer() {
+        SimulatedGatherer gatherer = gatherers.get(protocol.gatherer());
+        if (gatherer == null) {
+            throw SimulatorProtocol.unknownGatherer();
         }
+        joinBatch(gatherer);
+        return gatherer;
     }
 
-    private static <T> T known(Map<String, T> names, String name, String field) {
-        T value = names.get(name);
-        if (value == null) {
-            throw new IllegalArgumentException("unknown " + field + " " + name);
-        }
-        return value;
-    }
-
-    private static List<Endpoint> entries(JsonElement list) {
-        if (!list.isJsonArray()) {
-            throw new IllegalArgumentException("wrong type of NodesList");
-        }
-        List<Endpoint> entries = new ArrayList<>();
-        for (JsonElement e : list.getAsJsonArray()) {
-            Keys k = Keys.of("NodesList", e);
-            entries.add(new Endpoint(
-                    k.text("Searcher"),
-                    (int) k.number("Campus", 0),
-                    (int) k.number("ClassOfHost", 0),
-                    (int) k.number("Place"),
-                    known(READINESS, k.text("Readiness"), "Readiness"),
-                    k.number("Weight", 1),
-                    k.number("BootTimeS", 0)));
+    private void joinBatch(SimulatedGatherer gatherer) {
+        if (!gatherer.isInBatch()) {
+            inBatch.add(gatherer);
+            gatherer.beginBatch(batchTime);
         }
-        return List.copyOf(entries);
     }
 }
