--- a/src/main/java/pepperdock/events/Events.java
+++ b/src/main/java/pepperdock/events/Events.java
@@ -4,57 +4,66 @@
 import java.util.function.Consumer;
 
 /**
- * What a gatherer did, for whoever judges several of them together: one JSON object on a line of standard output, where its
- * file has {@code "events": true}. Off otherwise, at the cost of a call. Never a log: the log is for operators, events
- * have names and keys that a checker reads, and each is written where the thing has just happened, in its order.
+ * Writes what a gatherer does, for checkers that judge several gatherers together: one JSON object a line on standard output,
+ * where the deploy file has {@code "events": true}; off otherwise, at the cost of a call. Unlike the log, which is for
+ * operators, events have stable names and keys, and each is written where it happens, in order.
  *
- * <p>Called on the loop only. Standard output is a pipe to the rig; a rig that stops reading stops the program, so nothing
- * but a rig should ask for events.
+ * <p>Called on the I/O thread only. Standard output is a pipe to the checker, and one that stops reading blocks the process, so
+ * only test rigs should turn events on.
  */
 public final class Events {
 
-    private static final Events NONE = new Events(null);
+    private static final Events OFF = new Events(null);
 
-    private final Consumer<JsonObject> to;
+    /** Null when events are off. */
+    private final Consumer<JsonObject> sink;
 
-    private Events(Consumer<JsonObject> to) {
-        this.to = to;
+    private Events(Consumer<JsonObject> sink) {
+        this.sink = sink;
     }
 
-    /** To standard output, or nowhere. */
+    /** Events on standard output, or none. */
     public static Events of(boolean on) {
-        return on ? new Events(System.out::println) : NONE;
+        return on ? new Events(System.out::println) : OFF;
     }
 
-    public static Events to(Consumer<JsonObject> to) {
-        return new Events(to);
+    /** Events that are passed to {@code sink}. */
+    public static Events to(Consumer<JsonObject> sink) {
+        return new Events(sink);
     }
 
+    /** Whether events are written, for callers that would have to compute one. */
     public boolean on() {
-        return to != null;
+        return sink != null;
     }
 
-    /** Writes one event: its name, then keys and values by turns; a value is a text, a number, or a truth. */
+    /**
+     * Writes one event, if events are on.
+     *
+     * @param what name of the event
+     * @param keysAndValues keys and values by turns; a value is a number, a boolean, or anything else for its text
+     */
     public void tell(String what, Object... keysAndValues) {
-        if (to != null) {
-            to.accept(event(what, keysAndValues));
+        if (sink != null) {
+            sink.accept(event(what, keysAndValues));
         }
     }
 
+    /** The event of that name with these keys and values, as {@link #tell} writes it. */
     public static JsonObject event(String what, Object... keysAndValues) {
-        JsonObject line = new JsonObject();
-        line.addProperty("what", what);
+        JsonObject event = new JsonObject();
+        event.addProperty("what", what);
         for (int i = 0; i < keysAndValues.length; i += 2) {
             String key = (String) keysAndValues[i];
             Object value = keysAndValues[i + 1];
-            if (value instanceof Number n) {
-                line.addProperty(key, n);
-            } else if (value instanceof Boolean b) {
-                line.addProperty(key, b);
+            if (value instanceof Number number) {
+                event.addProperty(key, number);
+            } else if (value instanceof Boolean flag) {
+                event.addProperty(key, flag);
             } else {
-                line.addProperty(key, String.valueOf(value));
+                event.addProperty(key, String.valueOf(value));
             }
         }
-        return line;
+        return event;
     }
 }
