--- a/src/test/java/pepperdock/core/Bench.java
+++ b/src/test/java/pepperdock/core/GathererFixture.java
@@ -11,52 +11,56 @@
 import pepperdock.scheduler.LoadReport;
 
 /** A core between a backend, a discovery and clients that write down what they are told, on a clock moved by hand. */
-final class Bench implements Backend, QueryListener {
+final class GathererFixture implements Backend, QueryListener {
 
     final ManualClock clock = new ManualClock(1000);
     final List<List<Attempt>> calls = new ArrayList<>();
     final List<Attempt> cancelled = new ArrayList<>();
     final List<String> answers = new ArrayList<>();
-    int subscribed;
-    final Gatherer core = new Gatherer(Sites.small().module(), 7, clock, this, () -> subscribed++);
+    int watchCalls;
+    final Gatherer gatherer = new Gatherer(Sites.small().module(), 7, clock, this, () -> watchCalls++);
 
-    Bench() {
-        core.onEndpointList(
+    GathererFixture() {
+        gatherer.onEndpointList(
                 EndpointListKind.CACHED,
                 List.of(
-                        host(0, EndpointState.HEALTHY),
-                        host(1, EndpointState.HEALTHY),
-                        host(2, EndpointState.HEALTHY),
-                        host(3, EndpointState.HEALTHY)));
+                        endpoint(0, EndpointState.HEALTHY),
+                        endpoint(1, EndpointState.HEALTHY),
+                        endpoint(2, EndpointState.HEALTHY),
+                        endpoint(3, EndpointState.HEALTHY)));
         clock.advance(0.1);
     }
 
-    static WorkerEndpoint host(int cell, EndpointState readiness) {
-        return new WorkerEndpoint("w" + cell, "127.0.0.1:1", 0, 0, cell, readiness, 1, 0);
+    static WorkerEndpoint endpoint(int cell, EndpointState state) {
+        return new WorkerEndpoint("w" + cell, "127.0.0.1:1", 0, 0, cell, state, 1, 0);
     }
 
     /** A query of class 0 to 2 over the first shards. */
-    Query ask(int queryClass, double timeoutS, int parts) {
-        return core.submit(
+    Query submit(int queryClass, double timeoutS, int parts) {
+        return gatherer.submit(
                 new QueryRequest(
                         "q",
                         queryClass,
                         queryClass == 2 ? "k" : "",
                         timeoutS,
                         IntStream.range(0, parts)
-                                .mapToObj(s -> new QueryRequest.RequestedPart(s, 1.0 / parts))
+                                .mapToObj(shard -> new QueryRequest.RequestedPart(shard, 1.0 / parts))
                                 .toList(),
                         new byte[0],
                         null),
                 this);
     }
 
-    List<Attempt> out() {
-        return calls.stream().flatMap(List::stream).filter(a -> !a.hasEnded()).toList();
+    List<Attempt> attemptsInFlight() {
+        return calls.stream()
+                .flatMap(List::stream)
+                .filter(attempt -> !attempt.hasEnded())
+                .toList();
     }
 
-    void end(Attempt a, AttemptOutcome outcome) {
-        core.onAttemptEnded(a, outcome, LoadReport.NONE, outcome == AttemptOutcome.OK ? new byte[] {'v'} : null);
+    void endAttempt(Attempt attempt, AttemptOutcome outcome) {
+        gatherer.onAttemptEnded(
+                attempt, outcome, LoadReport.NONE, outcome == AttemptOutcome.OK ? new byte[] {'v'} : null);
     }
 
     @Override
@@ -79,18 +83,18 @@
     public void updateEndpoints(Map<String, WorkerEndpoint> hosts) {}
 
     @Override
-    public void onAnswer(Query q, boolean whole) {
+    public void onAnswer(Query query, boolean whole) {
         answers.add("answered " + whole + ' '
-                + q.parts().stream().filter(p -> p.value() != null).count());
+                + query.parts().stream().filter(part -> part.value() != null).count());
     }
 
     @Override
-    public void onRejected(Query q, double pauseS) {
+    public void onRejected(Query query, double pauseS) {
         answers.add("refused " + pauseS);
     }
 
     @Override
-    public void onFailed(Query q, boolean overdue) {
+    public void onFailed(Query query, boolean overdue) {
         answers.add("failed " + overdue);
     }
 }
--- a/src/test/java/pepperdock/core/LogBudgetTest.java
+++ b/src/test/java/pepperdock/core/LogRateLimiterTest.java
@@ -9,24 +9,24 @@
 import org.junit.jupiter.api.Test;
 
 /** Guards against a log that grows with the trouble: a hundred workers in one second, again and again. */
-class LogBudgetTest {
+class LogRateLimiterTest {
 
     private final List<String> lines = new ArrayList<>();
     private final ManualClock clock = new ManualClock(5);
     private final java.util.logging.Logger jul = java.util.logging.Logger.getLogger("test.budget");
-    private final LogRateLimiter budget = new LogRateLimiter(System.getLogger("test.budget"), clock, "failures");
+    private final LogRateLimiter limiter = new LogRateLimiter(System.getLogger("test.budget"), clock, "failures");
 
-    LogBudgetTest() {
+    LogRateLimiterTest() {
         jul.setUseParentHandlers(false);
-        jul.setFilter(r -> lines.add(new SimpleFormatter().formatMessage(r)));
+        jul.setFilter(record -> lines.add(new SimpleFormatter().formatMessage(record)));
     }
 
     private void fail(int times) {
-        IntStream.range(0, times).forEach(i -> budget.note(System.Logger.Level.WARNING, () -> "failure " + i));
+        IntStream.range(0, times).forEach(i -> limiter.note(System.Logger.Level.WARNING, () -> "failure " + i));
     }
 
     @Test
-    void aHundredInOneSecondAreTwentyLinesAndOneThatCountsTheRest() {
+    void linesBeyondTheLimitAreCountedInOneLine() {
         fail(100);
         assertEquals(LogRateLimiter.MAX_LINES_PER_SECOND, lines.size());
         clock.advance(3);
@@ -39,7 +39,7 @@
 
     /** A window that begins before the rest of the last was told must not lose its count, nor begin without lines. */
     @Test
-    void noneIsLostWhereTroubleGoesOn() {
+    void noLineIsLostAcrossWindows() {
         int told = 0;
         for (int i = 0; i < 50; i++) {
             fail(10);
--- a/src/test/java/pepperdock/core/EntriesEndTest.java
+++ b/src/test/java/pepperdock/core/MemoryBoundTest.java
@@ -26,40 +26,40 @@
  * over all their maps and collections, so that one added later is held to it too; each that may hold something at rest is
  * named with how much.
  */
-class EntriesEndTest {
+class MemoryBoundTest {
 
     private static final int WORKERS = 4;
     /** What stands while nothing is asked: the list, each class, a record of each listed worker, each cell, and each way to a centre. */
     private static final Map<String, Integer> AT_REST =
             Map.of("hosts", WORKERS, "endedByClass", 3, "searchers", WORKERS, "cells", WORKERS, "ways", 1);
 
-    private final Bench bench = new Bench();
+    private final GathererFixture fixture = new GathererFixture();
     private final SplittableRandom random = new SplittableRandom(11);
-    private int asked;
+    private int submitted;
     private int replaced;
 
-    private Query ask() {
+    private Query submit() {
         int queryClass = random.nextInt(3);
         int parts = queryClass == 0 ? 12 : queryClass == 1 ? 4 : 1;
-        return bench.core.submit(
+        return fixture.gatherer.submit(
                 new QueryRequest(
-                        "q" + asked++,
+                        "q" + submitted++,
                         queryClass,
-                        queryClass == 2 ? "k" + asked : "",
+                        queryClass == 2 ? "k" + submitted : "",
                         3,
                         IntStream.range(0, parts)
-                                .mapToObj(s -> new QueryRequest.RequestedPart(s, 1.0 / parts))
+                                .mapToObj(shard -> new QueryRequest.RequestedPart(shard, 1.0 / parts))
                                 .toList(),
                         new byte[0],
                         null),
-                bench);
+                fixture);
     }
 
     /** A worker gives way to a new one with an id of its own, as on days of releases. */
     private void replace() {
         int cell = replaced % WORKERS;
         String old = replaced < WORKERS ? "w" + cell : "n" + (replaced - WORKERS);
-        bench.core.onEndpointList(
+        fixture.gatherer.onEndpointList(
                 EndpointListKind.CHANGES,
                 List.of(
                         new WorkerEndpoint(old, "127.0.0.1:1", 0, 0, cell, EndpointState.REMOVED, 1, 0),
@@ -71,7 +71,7 @@
                                 cell,
                                 EndpointState.HEALTHY,
                                 1,
-                                bench.clock.now())));
+                                fixture.clock.now())));
     }
 
     private void day(int queries) {
@@ -85,60 +85,60 @@
             AttemptOutcome.CONNECT_FAILED
         };
         for (int i = 0; i < queries; i++) {
-            Query q = ask();
-            bench.clock.advance(0.05 + 0.3 * random.nextDouble());
-            for (Attempt a : bench.out()) {
+            Query query = submit();
+            fixture.clock.advance(0.05 + 0.3 * random.nextDouble());
+            for (Attempt attempt : fixture.attemptsInFlight()) {
                 if (random.nextInt(10) > 0) {
-                    bench.end(a, ends[random.nextInt(ends.length)]);
+                    fixture.endAttempt(attempt, ends[random.nextInt(ends.length)]);
                 }
             }
             if (random.nextInt(10) == 0) {
-                bench.core.onClientGone(q);
+                fixture.gatherer.onClientGone(query);
             }
             if (i % 20 == 0) {
                 replace();
             }
-            bench.calls.clear();
+            fixture.calls.clear();
         }
-        bench.clock.advance(3600);
+        fixture.clock.advance(3600);
         // A worker that went with parts still out is forgotten with the next word of the list.
-        bench.core.onEndpointList(EndpointListKind.CHANGES, List.of());
-        bench.clock.advance(60);
+        fixture.gatherer.onEndpointList(EndpointListKind.CHANGES, List.of());
+        fixture.clock.advance(60);
     }
 
-    private static Object value(Field f, Object of) {
+    private static Object value(Field field, Object of) {
         return assertDoesNotThrow(() -> {
-            f.setAccessible(true);
-            return f.get(of);
+            field.setAccessible(true);
+            return field.get(of);
         });
     }
 
     private static Map<String, Integer> sizes(Object of) {
         Map<String, Integer> sizes = new TreeMap<>();
-        for (Field f : of.getClass().getDeclaredFields()) {
-            Object held = Modifier.isStatic(f.getModifiers()) ? null : value(f, of);
-            if (held instanceof Map<?, ?> m) {
-                sizes.put(f.getName(), m.size());
-            } else if (held instanceof Collection<?> c) {
-                sizes.put(f.getName(), c.size());
+        for (Field field : of.getClass().getDeclaredFields()) {
+            Object held = Modifier.isStatic(field.getModifiers()) ? null : value(field, of);
+            if (held instanceof Map<?, ?> map) {
+                sizes.put(field.getName(), map.size());
+            } else if (held instanceof Collection<?> collection) {
+                sizes.put(field.getName(), collection.size());
             }
         }
         return sizes;
     }
 
     private Object module() throws NoSuchFieldException {
-        return value(Gatherer.class.getDeclaredField("scheduler"), bench.core);
+        return value(Gatherer.class.getDeclaredField("scheduler"), fixture.gatherer);
     }
 
     /** The gatherer and the objects of its package that it is made of; its clock and its backend are the fixture's. */
     private Set<Object> components() {
         Set<Object> found = Collections.newSetFromMap(new IdentityHashMap<>());
-        addComponents(bench.core, found);
+        addComponents(fixture.gatherer, found);
         return found;
     }
 
     private void addComponents(Object owner, Set<Object> found) {
-        if (owner == bench || owner == bench.clock || !found.add(owner)) {
+        if (owner == fixture || owner == fixture.clock || !found.add(owner)) {
             return;
         }
         for (Field field : owner.getClass().getDeclaredFields()) {
@@ -160,7 +160,7 @@
     }
 
     @Test
-    void nothingIsKeptOfWhatIsOver() throws Exception {
+    void nothingIsRetainedOfEndedQueriesAndDepartedWorkers() throws Exception {
         day(1500);
         List<String> kept = new ArrayList<>();
         int found = 0;
@@ -175,8 +175,8 @@
         addKept(module(), ofModule, kept);
         assertEquals(List.of(), kept);
         assertTrue(
-                replaced > 70 && bench.answers.size() > 1000,
-                replaced + " replaced, " + bench.answers.size() + " answers");
+                replaced > 70 && fixture.answers.size() > 1000,
+                replaced + " replaced, " + fixture.answers.size() + " answers");
         Map<?, ?> searchers = (Map<?, ?>) value(module().getClass().getDeclaredField("searchers"), module());
         searchers.values().forEach(s -> assertEquals(0, sizes(s).get("open"), "attempts still out"));
     }
--- a/src/test/java/pepperdock/simulator/SimulatorAdapterIT.java
+++ b/src/test/java/pepperdock/simulator/SimulatorAdapterIT.java
@@ -71,7 +71,7 @@
     }
 
     @Test
-    void aRestartDiscardsAllAndIdsOfTheEarlierLifeAreHarmless() throws Exception {
+    void restartDiscardsStateAndIgnoresIdsOfTheEarlierIncarnation() throws Exception {
         Ran ran = run(START + QUERY + """
                 {"cmd":"Tick","ClockS":2.1,"n":3}
                 {"cmd":"Down","Mixer":4}
@@ -89,7 +89,7 @@
     }
 
     @Test
-    void badLinesEndItWithOneMessageThatNamesTheLine() throws Exception {
+    void unusableLineEndsTheRunWithOneMessageThatNamesIt() throws Exception {
         String[][] cases = {
             {"{\"cmd\":\"Tick\",\"ClockS\":", "line 6"},
             {"[1]", "not a JSON object"},
@@ -111,7 +111,7 @@
     }
 
     @Test
-    void aFailureOfTheModuleBecomesBrokenForItsInstance() throws Exception {
+    void schedulerFaultIsReportedForItsGatherer() throws Exception {
         Ran ran = run(START + QUERY.replace("\"Profile\":0", "\"Profile\":7"));
         assertEquals(0, ran.status());
         assertTrue(
@@ -120,7 +120,7 @@
     }
 
     @Test
-    void theConnectionOfACallThatStayedUnansweredIsClosedBeforeTheNext() throws Exception {
+    void connectionOfAnUnansweredCallIsClosedBeforeTheNextCall() throws Exception {
         Ran ran = run(START + QUERY + """
                 {"cmd":"Tick","ClockS":3.9,"n":3}
                 {"cmd":"Bell","Mixer":4,"Cookie":"sweep"}
