--- a/src/test/java/pepperdock/core/ConcurrentEventsTest.java
+++ b/src/test/java/pepperdock/core/ConcurrentEventsTest.java
@@ -16,8 +16,8 @@
 import pepperdock.scheduler.EndpointState;
 
 /**
- * Every two things that can happen to a query with a part that is out twice, in each order, in one batch and in two: one
- * final answer, one outcome for each attempt, nothing sent once it is given, nothing beyond what the class allows.
+ * Any two events that can happen to a query with a hedged request in flight, in each order, in one batch and in two: one final
+ * answer, one outcome for each attempt, nothing sent after the answer, no more attempts than the class allows.
  */
 class ConcurrentEventsTest {
 
@@ -39,7 +39,7 @@
     private Attempt first;
     private Attempt hedge;
 
-    /** Six parts, of which the last to be answered has a second copy out. */
+    /** Submits a query of six parts, and advances until the last one unanswered has a hedged request in flight. */
     private void hedgeLastPart() {
         query = fixture.submit(0, 3, 6);
         fixture.clock.advance(0.01);
@@ -55,7 +55,7 @@
                     .findFirst()
                     .orElse(null);
         }
-        assertTrue(hedge != null && hedge.part() == first.part(), "a second copy is out");
+        assertTrue(hedge != null && hedge.part() == first.part(), "a hedged request is in flight");
         assertEquals(List.of(), fixture.answers);
     }
 
@@ -84,6 +84,10 @@
                         .flatMap(other -> Stream.of(false, true).map(apart -> Arguments.of(one, other, apart))));
     }
 
+    /**
+     * The last part of a query is slow, and a hedged request is in flight beside its first attempt. Then two things happen
+     * nearly together, in one batch or in two.
+     */
     @ParameterizedTest
     @MethodSource("pairs")
     void concurrentEventsLeaveOneAnswerAndOneOutcomePerAttempt(Event one, Event other, boolean apart) {
@@ -104,12 +108,12 @@
         Metrics metrics = fixture.gatherer.metrics();
         assertEquals(left ? 1 : 0, metrics.ended("class-0", Metrics.QueryOutcome.CLIENT_GONE));
         assertEquals(metrics.submittedTotal(), metrics.endedTotal(), "each counted once");
-        assertEquals(Map.of(), sentAfterEnd, "sent once it was over");
+        assertEquals(Map.of(), sentAfterEnd, "sent after the query had ended");
         assertTrue(first.part().attempts.size() <= 4);
         assertEquals(first.number + 1, hedge.number);
     }
 
-    /** Moves on, and looks for what was sent though the query had been over before. */
+    /** Advances, and records what was sent though the query had ended before. */
     private void step(double seconds) {
         boolean over = query.ended;
         int before = fixture.calls.size();
@@ -122,7 +126,7 @@
         }
     }
 
-    /** Of the list that is held from before the start, too: what it says to be leaving is never begun with. */
+    /** A gatherer starts with its cached list, which says that two of four workers are draining: they receive nothing. */
     @Test
     void drainingStateInCachedListIsRespected() {
         fixture.gatherer.onEndpointList(
@@ -139,7 +143,7 @@
                         .allMatch(attempt -> attempt.worker().matches("w[02]")));
     }
 
-    /** Word of leaving and of its coming back, before anything is decided between: it is used again. */
+    /** One worker is reported as draining and one as removed, and both as healthy before anything was decided: both are used. */
     @Test
     void returningWorkerIsUsedAgain() {
         fixture.gatherer.onEndpointList(
--- a/src/test/java/pepperdock/core/GathererFixture.java
+++ b/src/test/java/pepperdock/core/GathererFixture.java
@@ -10,7 +10,7 @@
 import pepperdock.scheduler.EndpointState;
 import pepperdock.scheduler.LoadReport;
 
-/** A core between a backend, a discovery and clients that write down what they are told, on a clock moved by hand. */
+/** A gatherer whose backend, discovery and clients record what they are called with, on a clock that the test advances. */
 final class GathererFixture implements Backend, QueryListener {
 
     final ManualClock clock = new ManualClock(1000);
@@ -35,7 +35,7 @@
         return new WorkerEndpoint("w" + cell, "127.0.0.1:1", 0, 0, cell, state, 1, 0);
     }
 
-    /** A query of class 0 to 2 over the first shards. */
+    /** Submits a query of class 0 to 2 over the first shards. */
     Query submit(int queryClass, double timeoutS, int parts) {
         return gatherer.submit(
                 new QueryRequest(
@@ -90,7 +90,7 @@
 
     @Override
     public void onRejected(Query query, double pauseS) {
-        answers.add("refused " + pauseS);
+        answers.add("rejected " + pauseS);
     }
 
     @Override
--- a/src/test/java/pepperdock/core/GathererTest.java
+++ b/src/test/java/pepperdock/core/GathererTest.java
@@ -15,14 +15,16 @@
 import pepperdock.scheduler.EndpointListKind;
 import pepperdock.scheduler.EndpointState;
 
+/** A gatherer between stand-ins for clients, workers and discovery, on a clock that the test advances. */
 class GathererTest {
 
     private static final double STEP_S = 0.01;
-    /** What waits for a moment is looked at in sweeps 25 ms apart, in batches of 5 ms; and two steps of the clock. */
+    /** The scheduler sweeps every 25 ms, in batches of 5 ms; and two steps of the clock. */
     private static final double SWEEP_S = 0.025 + 0.005 + 2 * STEP_S;
 
     private final GathererFixture fixture = new GathererFixture();
 
+    /** A call has costs of its own: attempts at one worker share calls, of at most the batch size. */
     @Test
     void attemptsAtOneWorkerInOneBatchShareCalls() {
         fixture.submit(0, 3, 12);
@@ -37,6 +39,10 @@
         assertTrue(fixture.calls.stream().allMatch(call -> call.size() <= 8));
     }
 
+    /**
+     * All parts are answered, and a reset is reported for each before the batch closes. Only the first outcome counts: the
+     * answer is complete, and the only one.
+     */
     @Test
     void completeAnswerIsGivenOnceAndLateOutcomesAreIgnored() {
         fixture.submit(0, 3, 6);
@@ -48,6 +54,10 @@
         assertEquals(List.of("answered true 6"), fixture.answers);
     }
 
+    /**
+     * A worker accepts a call and never answers. The client waits a second: it is answered by then, and the attempt that is
+     * still in flight is cancelled.
+     */
     @Test
     void queryWithoutAnswerEndsByItsDeadline() {
         fixture.submit(2, 1, 1);
@@ -56,7 +66,11 @@
         assertTrue(fixture.cancelled.containsAll(fixture.calls.get(0)));
     }
 
-    /** Found on a calm day: refused at 64 of 93 held, as the query's own parts were counted before it was let in. */
+    /**
+     * Three large queries are in flight, and a fourth would exceed the limit with its own parts. Were those counted before it
+     * is accepted, a gatherer would reject queries of all shards on a calm day, with a third of its capacity unused. It is
+     * accepted; the next one finds the limit reached and is rejected, small as it is.
+     */
     @Test
     void queryIsRejectedOnlyOnceInFlightLimitIsReached() {
         for (int i = 0; i < 3; i++) {
@@ -67,9 +81,13 @@
         assertEquals(List.of(), fixture.answers);
         fixture.submit(2, 3, 1);
         fixture.clock.advance(0);
-        assertEquals(List.of("refused 1.0"), fixture.answers);
+        assertEquals(List.of("rejected 1.0"), fixture.answers);
     }
 
+    /**
+     * Clients submit large queries and disconnect right after, one after another. Were their capacity not freed, the fifth
+     * would be rejected; were their attempts not cancelled, workers would go on for nobody. A disconnect may be reported twice.
+     */
     @Test
     void clientDisconnectCancelsAttemptsAndFreesCapacity() {
         for (int i = 0; i < 20; i++) {
@@ -86,7 +104,11 @@
                 fixture.calls.stream().flatMap(List::stream).toList()));
     }
 
-    /** In the batch, over lists that say otherwise, and until the call back; then it is used again. */
+    /**
+     * An operator bans a worker while a batch is open. Discovery, which knows nothing of it, then lists the worker as healthy,
+     * as a change and in a complete list, and others fail so that retries look for a worker. The banned one receives nothing
+     * until the ban is lifted; then it is used again.
+     */
     @Test
     void bannedWorkerReceivesNothingWhateverTheListSays() {
         fixture.submit(0, 3, 12);
@@ -124,7 +146,10 @@
         assertEquals(0, fixture.gatherer.bannedEndpoints().size());
     }
 
-    /** Neither the class's number nor its rules nor its attempts shift under a query that is in hand. */
+    /**
+     * While a query is in flight the settings are replaced: its class number now means a class that may not be retried. Its
+     * attempt fails. It is retried by the rules of its arrival; a query that arrived under the new ones fails.
+     */
     @Test
     void queryInFlightKeepsTheRulesOfItsArrival() {
         Query old = fixture.submit(0, 3, 1);
@@ -139,13 +164,13 @@
         assertEquals(2, fixture.attemptsInFlight().size());
         List.copyOf(fixture.attemptsInFlight()).forEach(attempt -> fixture.endAttempt(attempt, AttemptOutcome.ERROR));
         fixture.clock.advance(0.1);
-        assertEquals(List.of("failed false"), fixture.answers, "unsafe, and one attempt");
+        assertEquals(List.of("failed false"), fixture.answers, "not to be retried");
         assertEquals(
                 List.of(old),
                 fixture.attemptsInFlight().stream()
                         .map(attempt -> attempt.part().query())
                         .toList(),
-                "safe, and four");
+                "retried by its own rules");
         fixture.endAttempt(fixture.attemptsInFlight().get(0), AttemptOutcome.OK);
         fixture.clock.advance(0.1);
         assertEquals(List.of("failed false", "answered true 1"), fixture.answers);
@@ -154,7 +179,10 @@
         assertEquals(1, fixture.gatherer.metrics().ended("new", Metrics.QueryOutcome.FAILED));
     }
 
-    /** Half of what a cold worker is allowed, while two processes send to it. */
+    /**
+     * During an upgrade two processes of a gatherer send to a worker that has just started. Each may send half of what one
+     * alone may, or the cold worker would receive twice its allowance.
+     */
     @Test
     void coldWorkerReceivesLessWhileUpgradePeerIsActive() {
         double[] sent = new double[2];
@@ -172,9 +200,10 @@
             each.clock.advance(0.01);
             sent[i] = each.attemptsInFlight().size();
         }
-        assertTrue(sent[1] <= sent[0] / 2 && sent[0] > 0, sent[0] + " alone, " + sent[1] + " beside another");
+        assertTrue(sent[1] <= sent[0] / 2 && sent[0] > 0, sent[0] + " alone, " + sent[1] + " beside the upgrade peer");
     }
 
+    /** Of four workers one is reported as draining, and another is missing from the complete list that follows. */
     @Test
     void drainingWorkerReceivesNothingNew() {
         fixture.gatherer.onEndpointList(
@@ -191,7 +220,10 @@
                         .allMatch(attempt -> attempt.worker().matches("w[02]")));
     }
 
-    /** What a whole list does not name is gone, also for what was decided on before it came. */
+    /**
+     * A query arrives, and before its batch closes a complete list comes that leaves two workers out. What the scheduler
+     * decides with this batch must not go to them.
+     */
     @Test
     void workerMissingFromCompleteListReceivesNothingDecidedBefore() {
         fixture.submit(0, 3, 12);
@@ -206,6 +238,10 @@
                         .allMatch(attempt -> attempt.worker().matches("w[02]")));
     }
 
+    /**
+     * A change of a balance is slow, and then its connection breaks: it may have been executed. It was not sent a second time
+     * while the first attempt might run, and its client gets one answer.
+     */
     @Test
     void partWithIdempotencyKeyIsNotHedgedWhileItsFirstAttemptMayRun() {
         fixture.submit(2, 3, 1);
@@ -216,7 +252,10 @@
         assertEquals(1, fixture.answers.size());
     }
 
-    /** A call may wait for a connection after it was decided on: past the window a repeat would run a second time. */
+    /**
+     * A retry waits for a connection after it was decided on. Past the window in which workers recognise its key it would be
+     * executed a second time, so it may no longer start then; nor may it once it has ended.
+     */
     @Test
     void retryWithIdempotencyKeyMayStartOnlyWithinItsWindow() {
         fixture.submit(2, 3, 1);
@@ -226,12 +265,15 @@
         fixture.clock.advance(0.1);
         Attempt repeat = fixture.calls.get(1).get(0);
         assertTrue(repeat.mayStart(sent + 1.3));
-        assertFalse(repeat.mayStart(sent + 1.51), "1.5 s after the first was sent");
+        assertFalse(repeat.mayStart(sent + 1.51), "window of 1.5 s from the first attempt");
         fixture.endAttempt(repeat, AttemptOutcome.OK);
-        assertFalse(repeat.mayStart(sent + 0.3), "over");
+        assertFalse(repeat.mayStart(sent + 0.3), "ended");
     }
 
-    /** Sent on, a request that comes while the program ends would be lost with it. */
+    /**
+     * The process ends with two queries in flight: a search, which is harmless to repeat, and a change of a balance, which has
+     * been sent. A third arrives on a connection that had sent half a request. Forwarded, it would be lost with the process.
+     */
     @Test
     void shutdownEndsQueriesInFlightAndRejectsLaterOnes() {
         fixture.submit(0, 3, 6);
@@ -239,17 +281,17 @@
         fixture.gatherer.onClientGone(fixture.submit(2, 3, 2));
         fixture.clock.advance(0.01);
         fixture.gatherer.endAllQueries();
-        assertEquals(List.of("refused 1.0", "failed false"), fixture.answers);
+        assertEquals(List.of("rejected 1.0", "failed false"), fixture.answers);
         int calls = fixture.calls.size();
         fixture.submit(0, 3, 6);
         fixture.clock.advance(0.1);
-        assertEquals("refused 1.0", fixture.answers.get(2));
+        assertEquals("rejected 1.0", fixture.answers.get(2));
         assertEquals(calls, fixture.calls.size());
     }
 
     /**
-     * The list may be back right after a call that failed, and its news count as told 6 s later: by then the next call's
-     * connection (1 s) and an answer that waits its turn (2 s) have to fit in. Was: up to 7.5 s after the failure.
+     * Discovery fails again and again, at once or after seconds. It may be back right after a failed poll, and its changes
+     * count as known 6 s later: by then the next poll's connection (1 s) and an answer that waits its turn (2 s) have to fit in.
      */
     @ParameterizedTest
     @ValueSource(doubles = {0, 1, 2, 2.5})
@@ -265,7 +307,7 @@
         }
     }
 
-    /** Moves on to the next call for the list, which has to come within so long. */
+    /** Advances to the next poll of the list, which has to come within so many seconds. */
     private void awaitPoll(double withinS) {
         int before = fixture.watchCalls;
         double end = fixture.clock.now() + withinS;
@@ -275,6 +317,7 @@
         assertEquals(before + 1, fixture.watchCalls);
     }
 
+    /** A poll of the endpoint list fails once: another follows within 3 s. */
     @Test
     void endpointListIsPolledAgainAfterAFailure() {
         int before = fixture.watchCalls;
--- a/src/test/java/pepperdock/core/LogRateLimiterTest.java
+++ b/src/test/java/pepperdock/core/LogRateLimiterTest.java
@@ -8,7 +8,6 @@
 import java.util.stream.IntStream;
 import org.junit.jupiter.api.Test;
 
-/** Guards against a log that grows with the trouble: a hundred workers in one second, again and again. */
 class LogRateLimiterTest {
 
     private final List<String> lines = new ArrayList<>();
@@ -25,6 +24,10 @@
         IntStream.range(0, times).forEach(i -> limiter.note(System.Logger.Level.WARNING, () -> "failure " + i));
     }
 
+    /**
+     * A hundred workers fail in one second: twenty lines are written, and one that counts the rest. Three more fail later:
+     * each has its line.
+     */
     @Test
     void linesBeyondTheLimitAreCountedInOneLine() {
         fail(100);
@@ -37,7 +40,10 @@
         assertEquals(LogRateLimiter.MAX_LINES_PER_SECOND + 4, lines.size());
     }
 
-    /** A window that begins before the rest of the last was told must not lose its count, nor begin without lines. */
+    /**
+     * A fault goes on for seconds. A window that begins before the suppressed lines of the last one were counted in the log
+     * must not lose their number, nor begin without lines.
+     */
     @Test
     void noLineIsLostAcrossWindows() {
         int told = 0;
--- a/src/test/java/pepperdock/core/MemoryBoundTest.java
+++ b/src/test/java/pepperdock/core/MemoryBoundTest.java
@@ -22,14 +22,14 @@
 import pepperdock.scheduler.EndpointState;
 
 /**
- * Memory over a long day: whatever the core and the module keep of queries, parts, attempts and workers ends. By reflection
- * over all their maps and collections, so that one added later is held to it too; each that may hold something at rest is
- * named with how much.
+ * Memory over a long day: the core and the scheduler forget queries, parts, attempts and workers that have ended. Checked by
+ * reflection over all their maps and collections, so that those added later are covered; each that may hold something at rest
+ * is named with its size.
  */
 class MemoryBoundTest {
 
     private static final int WORKERS = 4;
-    /** What stands while nothing is asked: the list, each class, a record of each listed worker, each cell, and each way to a centre. */
+    /** Sizes without a query in flight: the list, the classes, and the scheduler's records of workers, cells and zones. */
     private static final Map<String, Integer> AT_REST =
             Map.of("hosts", WORKERS, "endedByClass", 3, "searchers", WORKERS, "cells", WORKERS, "ways", 1);
 
@@ -55,7 +55,7 @@
                 fixture);
     }
 
-    /** A worker gives way to a new one with an id of its own, as on days of releases. */
+    /** Replaces a worker by one with a new id, as at a release. */
     private void replace() {
         int cell = replaced % WORKERS;
         String old = replaced < WORKERS ? "w" + cell : "n" + (replaced - WORKERS);
@@ -101,7 +101,7 @@
             fixture.calls.clear();
         }
         fixture.clock.advance(3600);
-        // A worker that went with parts still out is forgotten with the next word of the list.
+        // A worker that left with attempts in flight is forgotten with the next list.
         fixture.gatherer.onEndpointList(EndpointListKind.CHANGES, List.of());
         fixture.clock.advance(60);
     }
@@ -159,6 +159,10 @@
         });
     }
 
+    /**
+     * A long day: queries are answered, fail, are retried and lose their clients, and workers are replaced by new ones with ids
+     * of their own. An hour after the last nothing of them is left, or the process would run out of memory in time.
+     */
     @Test
     void nothingIsRetainedOfEndedQueriesAndDepartedWorkers() throws Exception {
         day(1500);
