--- a/src/main/java/pepperdock/benchmark/Deployment.java
+++ b/src/main/java/pepperdock/benchmark/Deployment.java
@@ -6,6 +6,7 @@
 import java.util.ArrayList;
 import java.util.List;
 import pepperdock.config.Config;
+import pepperdock.config.DeploymentSettingsReader;
 import pepperdock.config.Keys;
 import pepperdock.config.Site;
 import pepperdock.core.QueryRequest;
@@ -84,7 +85,7 @@
     }
 
     Site site() {
-        return Site.read(Keys.of("settings", settings()));
+        return DeploymentSettingsReader.read(Keys.of("settings", settings()));
     }
 
     /** The gatherer's file; all addresses are in 127.{@code block}.0.0/16. */
--- a/src/main/java/pepperdock/config/Config.java
+++ b/src/main/java/pepperdock/config/Config.java
@@ -10,9 +10,18 @@
 import java.util.Map;
 
 /**
- * All that a gatherer is told at its start, checked and with defaults. {@code listen} is null where only
- * the OpenSearch-style front serves, {@code discovery} where the list is fixed or comes from DNS; {@code openSearch},
- * {@code dnsSd}, {@code plan} and {@code operator} are null where the operator's file has none.
+ * The configuration of a gatherer, checked and with defaults. Immutable. Environment variables take precedence over the file.
+ *
+ * @param name of this gatherer
+ * @param listen where clients connect; null where only the OpenSearch-style front serves
+ * @param discovery where the endpoint list is polled; null where it is fixed or comes from DNS
+ * @param seed of the random generator
+ * @param known the endpoint list to begin with
+ * @param site the deployment's settings
+ * @param openSearch null where the file has no such front
+ * @param dnsSd null where the endpoint list does not come from DNS
+ * @param plan null where shares are not planned
+ * @param operator where operators connect; null for no such address
  */
 public record Config(
         String name,
@@ -26,65 +35,97 @@
         PlanConfig plan,
         InetSocketAddress operator) {
 
-    private static final int SOCKETS = 1024;
+    /** Names the configuration file. */
+    private static final String FILE_VARIABLE = "EDGE_CONFIG";
+
+    private static final String NAME_VARIABLE = "EDGE_NAME";
+    private static final String LISTEN_VARIABLE = "EDGE_LISTEN";
+    private static final String DISCOVERY_VARIABLE = "EDGE_DISCOVERY";
+    private static final String OPERATOR_VARIABLE = "EDGE_OPERATOR";
+
+    private static final String NAME = "name";
+    private static final String DEFAULT_NAME = "pepperdock";
+    private static final String LISTEN = "listen";
+    private static final String DISCOVERY = "discovery";
+    private static final String OPERATOR = "operator";
+    private static final String SEED = "seed";
+    private static final String SETTINGS = "settings";
+    private static final String KNOWN = "known";
+    private static final String MEMBERS = "members";
+    private static final String STORE = "store";
+    private static final String OPEN_SEARCH = "opensearch";
+    private static final String DNS_SD = "dnssd";
+    private static final String PLAN = "plan";
+    private static final String EVENTS = "events";
+    private static final String LIMITS = "limits";
+    private static final String SOCKETS = "sockets";
+    private static final int MIN_SOCKETS = 160;
+    private static final int MAX_SOCKETS = 1 << 24;
+    private static final int DEFAULT_SOCKETS = 1024;
 
     /** The file that {@code EDGE_CONFIG} names. */
     public static Keys file(Map<String, String> env) {
-        String file = env.get("EDGE_CONFIG");
+        String file = env.get(FILE_VARIABLE);
         if (file == null) {
-            throw new ConfigException("EDGE_CONFIG", "not set");
+            throw new ConfigException(FILE_VARIABLE, "not set");
         }
         try {
-            return Keys.of("", parse(Files.readString(Path.of(file)), "EDGE_CONFIG"));
+            return Keys.of("", parse(Files.readString(Path.of(file)), FILE_VARIABLE));
         } catch (IOException e) {
-            throw new ConfigException("EDGE_CONFIG", "can't read " + file);
+            throw new ConfigException(FILE_VARIABLE, "can't read " + file);
         }
     }
 
-    /** The store's part of a file, which is wanted before the rest; null where there is none. */
-    public static StoreConfig store(Keys all) {
-        return all.has("store") ? StoreConfig.read(all.needed("store"), AddressTranslation.read(all)) : null;
+    /** The store's part of a file, which is needed before the rest; null where there is none. */
+    public static StoreConfig store(Keys file) {
+        return file.has(STORE) ? StoreConfig.read(file.needed(STORE), AddressTranslation.read(file)) : null;
     }
 
-    /** Whether events are written for a rig that judges several gatherers together. */
-    public static boolean events(Keys all) {
-        return all.flag("events", false);
+    /** Whether events are written, for tests that judge several gatherers together. */
+    public static boolean events(Keys file) {
+        return file.flag(EVENTS, false);
     }
 
-    public static int sockets(Keys all) {
-        return all.within("limits").whole("sockets", 160, 1 << 24, SOCKETS);
+    /** How many descriptors this process may have open. */
+    public static int sockets(Keys file) {
+        return file.within(LIMITS).whole(SOCKETS, MIN_SOCKETS, MAX_SOCKETS, DEFAULT_SOCKETS);
     }
 
-    /** Reads and checks a file; the platform's variables go before what stands in it. */
-    public static Config read(Keys all, Map<String, String> env) {
-        sockets(all);
-        events(all);
-        if (all.has("members")) {
-            MembersConfig.read(all);
+    /** Reads and checks a whole file; the environment's variables take precedence over what stands in it. */
+    public static Config read(Keys file, Map<String, String> env) {
+        sockets(file);
+        events(file);
+        if (file.has(MEMBERS)) {
+            MembersConfig.read(file);
         }
-        Site site = Site.read(all.needed("settings"));
-        HostList known = all.has("known") ? HostList.read(all.needed("known"), site) : HostList.none();
+        Site site = DeploymentSettingsReader.read(file.needed(SETTINGS));
+        HostList known = file.has(KNOWN) ? HostList.read(file.needed(KNOWN), site) : HostList.none();
         OpenSearchConfig openSearch =
-                all.has("opensearch") ? OpenSearchConfig.read(all.needed("opensearch"), site) : null;
+                file.has(OPEN_SEARCH) ? OpenSearchConfig.read(file.needed(OPEN_SEARCH), site) : null;
+        boolean listens = openSearch == null || file.has(LISTEN);
         return new Config(
-                env.getOrDefault("EDGE_NAME", all.text("name", "pepperdock")),
-                env.containsKey("EDGE_LISTEN")
-                        ? address("EDGE_LISTEN", env.get("EDGE_LISTEN"))
-                        : openSearch == null || all.has("listen") ? address("listen", all.text("listen")) : null,
-                env.containsKey("EDGE_DISCOVERY")
-                        ? address("EDGE_DISCOVERY", env.get("EDGE_DISCOVERY"))
-                        : all.has("discovery") ? address("discovery", all.text("discovery")) : null,
-                seed(all),
+                env.getOrDefault(NAME_VARIABLE, file.text(NAME, DEFAULT_NAME)),
+                addressOf(env, LISTEN_VARIABLE, file, LISTEN, listens),
+                addressOf(env, DISCOVERY_VARIABLE, file, DISCOVERY, file.has(DISCOVERY)),
+                seed(file),
                 known,
                 openSearch != null && openSearch.backend() ? site.withoutRepeats() : site,
                 openSearch,
-                all.has("dnssd") ? DnsSdConfig.read(all.needed("dnssd")) : null,
-                all.has("plan") ? PlanConfig.read(all.needed("plan")) : null,
-                env.containsKey("EDGE_OPERATOR")
-                        ? address("EDGE_OPERATOR", env.get("EDGE_OPERATOR"))
-                        : all.has("operator") ? address("operator", all.text("operator")) : null);
+                file.has(DNS_SD) ? DnsSdConfig.read(file.needed(DNS_SD)) : null,
+                file.has(PLAN) ? PlanConfig.read(file.needed(PLAN)) : null,
+                addressOf(env, OPERATOR_VARIABLE, file, OPERATOR, file.has(OPERATOR)));
+    }
+
+    /** The variable's address where it is set, else the file's where it is wanted, else null. */
+    private static InetSocketAddress addressOf(
+            Map<String, String> env, String variable, Keys file, String key, boolean wanted) {
+        if (env.containsKey(variable)) {
+            return address(variable, env.get(variable));
+        }
+        return wanted ? address(key, file.text(key)) : null;
     }
 
+    /** Parses JSON; where it is none, the key is named as faulty. */
     public static JsonElement parse(String json, String key) {
         try {
             return JsonParser.parseString(json);
@@ -93,24 +134,24 @@
         }
     }
 
-    private static long seed(Keys all) {
-        if (!all.has("seed")) {
+    private static long seed(Keys file) {
+        if (!file.has(SEED)) {
             return System.nanoTime();
         }
         try {
-            return Long.parseUnsignedLong(all.text("seed"), 16);
+            return Long.parseUnsignedLong(file.text(SEED), 16);
         } catch (NumberFormatException e) {
-            throw new ConfigException(all.key("seed"), "not 16 hex digits");
+            throw new ConfigException(file.key(SEED), "not 16 hex digits");
         }
     }
 
-    /** An address as {@link #address} reads it. */
+    /** An address as text, as {@link #address} reads it. */
     public static String text(InetSocketAddress address) {
         String host = address.getAddress().getHostAddress();
         return (host.indexOf(':') < 0 ? host : '[' + host + ']') + ':' + address.getPort();
     }
 
-    /** An address and port, given in digits: nothing is looked up. */
+    /** Parses an address and port in digits: no name is looked up. */
     public static InetSocketAddress address(String key, String text) {
         int colon = text.lastIndexOf(':');
         try {
--- a/src/main/java/pepperdock/config/DnsSdConfig.java
+++ b/src/main/java/pepperdock/config/DnsSdConfig.java
@@ -3,27 +3,44 @@
 import java.net.InetSocketAddress;
 import java.util.Locale;
 
-/** Where node records are browsed: the server, the service ({@code _ledger._tcp}), the domain and the pace. */
+/**
+ * Discovery of workers by DNS service records, the file's key {@code dnssd}. Immutable.
+ *
+ * @param server of the DNS
+ * @param service such as {@code _ledger._tcp}
+ * @param domain in which the service is browsed
+ * @param timeoutS of one DNS query, in seconds
+ * @param leastS between two polls, at least, in seconds
+ */
 public record DnsSdConfig(InetSocketAddress server, String service, String domain, double timeoutS, double leastS) {
 
+    private static final String SERVER = "server";
+    private static final String SERVICE = "service";
+    private static final String SERVICE_PATTERN = "_[a-z0-9-]{1,15}\\._(tcp|udp)";
+    private static final String DOMAIN = "domain";
+    private static final String DOMAIN_PATTERN = "[A-Za-z0-9-]+(\\.[A-Za-z0-9-]+)*\\.?";
+    private static final String TIMEOUT_S = "timeout_s";
+    private static final double DEFAULT_TIMEOUT_S = 2;
+    private static final String LEAST_S = "least_s";
+    private static final double DEFAULT_LEAST_S = 1;
+
     static DnsSdConfig read(Keys keys) {
-        String service = keys.text("service");
-        if (!service.toLowerCase(Locale.ROOT).matches("_[a-z0-9-]{1,15}\\._(tcp|udp)")) {
-            throw new ConfigException(keys.key("service"), "not of the form _name._tcp");
+        String service = keys.text(SERVICE);
+        if (!service.toLowerCase(Locale.ROOT).matches(SERVICE_PATTERN)) {
+            throw new ConfigException(keys.key(SERVICE), "not of the form _name._tcp");
         }
-        String domain = keys.text("domain");
-        if (!domain.matches("[A-Za-z0-9-]+(\\.[A-Za-z0-9-]+)*\\.?")) {
-            throw new ConfigException(keys.key("domain"), "not a domain name");
+        String domain = keys.text(DOMAIN);
+        if (!domain.matches(DOMAIN_PATTERN)) {
+            throw new ConfigException(keys.key(DOMAIN), "not a domain name");
         }
-        double timeout = keys.number("timeout_s", 2);
-        double least = keys.number("least_s", 1);
-        if (!(timeout > 0)) {
-            throw new ConfigException(keys.key("timeout_s"), "not above 0");
+        double timeoutS = keys.number(TIMEOUT_S, DEFAULT_TIMEOUT_S);
+        double leastS = keys.number(LEAST_S, DEFAULT_LEAST_S);
+        if (!(timeoutS > 0)) {
+            throw new ConfigException(keys.key(TIMEOUT_S), "not above 0");
         }
-        if (!(least > 0)) {
-            throw new ConfigException(keys.key("least_s"), "not above 0");
+        if (!(leastS > 0)) {
+            throw new ConfigException(keys.key(LEAST_S), "not above 0");
         }
-        return new DnsSdConfig(
-                Config.address(keys.key("server"), keys.text("server")), service, domain, timeout, least);
+        return new DnsSdConfig(Config.address(keys.key(SERVER), keys.text(SERVER)), service, domain, timeoutS, leastS);
     }
 }
--- a/src/main/java/pepperdock/config/HostList.java
+++ b/src/main/java/pepperdock/config/HostList.java
@@ -11,10 +11,30 @@
 import pepperdock.core.WorkerEndpoint;
 import pepperdock.scheduler.EndpointState;
 
-/** A node list in discovery's form: its version, whether it is the whole list, and its entries. */
+/**
+ * An endpoint list in the form of discovery: the one class that knows its JSON keys. Immutable.
+ *
+ * @param seq its version
+ * @param whole whether it is the complete list, rather than a change of one
+ * @param hosts its entries
+ */
 public record HostList(long seq, boolean whole, List<WorkerEndpoint> hosts) {
 
-    private static final Map<String, EndpointState> HEALTH = Map.of(
+    private static final String SEQ = "seq";
+    private static final String COMPLETE = "whole";
+    private static final String ENTRIES = "hosts";
+    private static final String ID = "host";
+    private static final String ADDRESS = "dial";
+    private static final String ZONE_NAME = "site";
+    private static final String KIND_NAME = "class";
+    private static final String CELL = "block";
+    private static final int MAX_CELL = 1 << 24;
+    private static final String STATE = "health";
+    private static final String WEIGHT = "share";
+    private static final String STARTED_AT_MS = "born_ms";
+    private static final double MS_PER_S = 1e3;
+
+    private static final Map<String, EndpointState> STATES = Map.of(
             "in_service",
             EndpointState.HEALTHY,
             "terminating",
@@ -22,7 +42,11 @@
             "terminated",
             EndpointState.REMOVED);
 
-    /** Decodes the body of an answer; throws {@link ConfigException} for whatever it is not. */
+    /**
+     * Decodes the body of discovery's response.
+     *
+     * @throws ConfigException where it is no endpoint list
+     */
     public static HostList parse(String json, Site site) {
         try {
             return read(Keys.of("list", JsonParser.parseString(json)), site);
@@ -31,56 +55,63 @@
         }
     }
 
+    /** Reads a list from its JSON object. */
     public static HostList read(Keys list, Site site) {
         List<WorkerEndpoint> hosts = new ArrayList<>();
-        for (Keys h : list.objects("hosts")) {
-            EndpointState readiness = HEALTH.get(h.text("health"));
-            if (readiness == null) {
-                throw new ConfigException(h.key("health"), "unknown state " + h.text("health"));
+        for (Keys entry : list.objects(ENTRIES)) {
+            EndpointState state = STATES.get(entry.text(STATE));
+            if (state == null) {
+                throw new ConfigException(entry.key(STATE), "unknown state " + entry.text(STATE));
             }
             hosts.add(new WorkerEndpoint(
-                    h.text("host"),
-                    h.text("dial", ""),
-                    index(site.zones(), h.text("site", "")),
-                    index(site.kinds(), h.text("class", "")),
-                    h.whole("block", 0, 1 << 24),
-                    readiness,
-                    h.number("share", 1),
-                    h.number("born_ms", 0) / 1e3));
+                    entry.text(ID),
+                    entry.text(ADDRESS, ""),
+                    index(site.zones(), entry.text(ZONE_NAME, "")),
+                    index(site.kinds(), entry.text(KIND_NAME, "")),
+                    entry.whole(CELL, 0, MAX_CELL),
+                    state,
+                    entry.number(WEIGHT, 1),
+                    entry.number(STARTED_AT_MS, 0) / MS_PER_S));
         }
-        return new HostList((long) list.number("seq", 0), list.flag("whole", false), List.copyOf(hosts));
+        return new HostList((long) list.number(SEQ, 0), list.flag(COMPLETE, false), List.copyOf(hosts));
     }
 
-    /** No entry at all: what is known before anyone has told. */
+    /** The empty list: what is known before the first one has come. */
     public static HostList none() {
         return read(new Keys("known", new JsonObject()), null);
     }
 
-    /** The same form written, for the store; {@link #parse} reads it. */
+    /** Writes a complete list in the same form, for the store; {@link #parse} reads it. */
     public static String write(Collection<WorkerEndpoint> hosts, Site site) {
-        JsonArray list = new JsonArray();
-        for (WorkerEndpoint h : hosts) {
-            JsonObject o = new JsonObject();
-            o.addProperty("host", h.id());
-            o.addProperty("dial", h.address());
-            o.addProperty("site", h.zone() < site.zones().size() ? site.zones().get(h.zone()) : "");
-            o.addProperty("class", h.kind() < site.kinds().size() ? site.kinds().get(h.kind()) : "");
-            o.addProperty("block", h.cell());
-            o.addProperty(
-                    "health",
-                    HEALTH.entrySet().stream()
-                            .filter(e -> e.getValue() == h.state())
-                            .findFirst()
-                            .orElseThrow()
-                            .getKey());
-            o.addProperty("share", h.weight());
-            o.addProperty("born_ms", Math.round(h.startedAtS() * 1e3));
-            list.add(o);
+        JsonArray entries = new JsonArray();
+        for (WorkerEndpoint host : hosts) {
+            JsonObject entry = new JsonObject();
+            entry.addProperty(ID, host.id());
+            entry.addProperty(ADDRESS, host.address());
+            entry.addProperty(ZONE_NAME, name(site.zones(), host.zone()));
+            entry.addProperty(KIND_NAME, name(site.kinds(), host.kind()));
+            entry.addProperty(CELL, host.cell());
+            entry.addProperty(STATE, name(host.state()));
+            entry.addProperty(WEIGHT, host.weight());
+            entry.addProperty(STARTED_AT_MS, Math.round(host.startedAtS() * MS_PER_S));
+            entries.add(entry);
         }
-        JsonObject all = new JsonObject();
-        all.addProperty("whole", true);
-        all.add("hosts", list);
-        return all.toString();
+        JsonObject list = new JsonObject();
+        list.addProperty(COMPLETE, true);
+        list.add(ENTRIES, entries);
+        return list.toString();
+    }
+
+    private static String name(EndpointState state) {
+        return STATES.entrySet().stream()
+                .filter(entry -> entry.getValue() == state)
+                .findFirst()
+                .orElseThrow()
+                .getKey();
+    }
+
+    private static String name(List<String> names, int index) {
+        return index < names.size() ? names.get(index) : "";
     }
 
     private static int index(List<String> names, String name) {
--- a/src/main/java/pepperdock/config/Keys.java
+++ b/src/main/java/pepperdock/config/Keys.java
@@ -10,15 +10,19 @@
 import java.util.TreeSet;
 import java.util.function.Consumer;
 
-/** A JSON object and where it stands, so that every complaint names the whole key. */
+/**
+ * Reads the values of a JSON object, and knows where the object stands in the file, so that every {@link ConfigException} names
+ * the whole key. Immutable but for the JSON object, which nobody changes.
+ */
 public final class Keys {
 
     private final String path;
     private final JsonObject object;
     private final Consumer<String> assumed;
 
+    /** Of an object at a place; an empty path is the top of the file. */
     public Keys(String path, JsonObject object) {
-        this(path, object, said -> {});
+        this(path, object, defaultUsed -> {});
     }
 
     private Keys(String path, JsonObject object, Consumer<String> assumed) {
@@ -27,16 +31,18 @@
         this.assumed = assumed;
     }
 
-    /** The same object; from here and from within it, each value that stands in for an absent one is told as KEY=VALUE. */
+    /** The same object; each default that is used of it, or of an object within, is reported as KEY=VALUE. */
     public Keys assuming(Consumer<String> assumed) {
         return new Keys(path, object, assumed);
     }
 
-    private <T> T instead(String name, T otherwise) {
-        assumed.accept(key(name) + '=' + otherwise);
-        return otherwise;
+    /** Reports a default, and returns it. */
+    private <T> T instead(String name, T defaultValue) {
+        assumed.accept(key(name) + '=' + defaultValue);
+        return defaultValue;
     }
 
+    /** Of an element that must be an object. */
     public static Keys of(String path, JsonElement element) {
         if (element == null || !element.isJsonObject()) {
             throw new ConfigException(path.isEmpty() ? "configuration" : path, "not an object");
@@ -44,10 +50,12 @@
         return new Keys(path, element.getAsJsonObject());
     }
 
+    /** The whole key of a name here. */
     public String key(String name) {
         return path.isEmpty() ? name : path + '.' + name;
     }
 
+    /** Whether a name stands here with a value other than null. */
     public boolean has(String name) {
         return object.has(name) && !object.get(name).isJsonNull();
     }
@@ -57,7 +65,7 @@
         return object.keySet();
     }
 
-    /** Refuses whatever is not among these names. */
+    /** Rejects any name that is not among these. */
     public void only(String... names) {
         Set<String> known = Set.of(names);
         for (String name : object.keySet()) {
@@ -67,12 +75,12 @@
         }
     }
 
-    /** The same object with one key put in that another object has. */
+    /** A copy with the value that another object has for a name. */
     public Keys with(String name, Keys other) {
         return with(name, other.need(name));
     }
 
-    /** The same object with one key put in. */
+    /** A copy with a value for a name. */
     public Keys with(String name, JsonElement value) {
         JsonObject copy = object.deepCopy();
         copy.add(name, value);
@@ -88,8 +96,8 @@
     }
 
     /**
-     * The first key that stands here, or within, and not there; null where there is none. Of a list of objects, the keys that
-     * all of them have: each object there has to have them too.
+     * The first key that stands here, or in an object within, and is missing there; null where none is. Of a list of objects,
+     * the keys that all of them have count: each object there must have them too.
      */
     public String lost(Keys there) {
         return lost(path, object, there.object);
@@ -153,17 +161,19 @@
         return object.get(name);
     }
 
-    /** An object within; empty where absent. */
+    /** An object within; an empty one where it is absent. */
     public Keys within(String name) {
         return has(name)
                 ? of(key(name), object.get(name)).assuming(assumed)
                 : new Keys(key(name), new JsonObject(), assumed);
     }
 
+    /** An object within, which must be there. */
     public Keys needed(String name) {
         return of(key(name), need(name)).assuming(assumed);
     }
 
+    /** A string, which must be there. */
     public String text(String name) {
         JsonElement e = need(name);
         if (!e.isJsonPrimitive() || !e.getAsJsonPrimitive().isString()) {
@@ -172,19 +182,22 @@
         return e.getAsString();
     }
 
-    public String text(String name, String otherwise) {
-        return has(name) ? text(name) : instead(name, otherwise);
+    /** A string, or the default. */
+    public String text(String name, String defaultValue) {
+        return has(name) ? text(name) : instead(name, defaultValue);
     }
 
+    /** A finite number, which must be there. */
     public double number(String name) {
         return number(key(name), need(name));
     }
 
-    public double number(String name, double otherwise) {
-        return has(name) ? number(name) : instead(name, otherwise);
+    /** A finite number, or the default. */
+    public double number(String name, double defaultValue) {
+        return has(name) ? number(name) : instead(name, defaultValue);
     }
 
-    /** A whole number within bounds. */
+    /** An integer within bounds, which must be there. */
     public int whole(String name, int least, int most) {
         double value = number(name);
         if (value != Math.rint(value) || value < least || value > most) {
@@ -193,13 +206,15 @@
         return (int) value;
     }
 
-    public int whole(String name, int least, int most, int otherwise) {
-        return has(name) ? whole(name, least, most) : instead(name, otherwise);
+    /** An integer within bounds, or the default. */
+    public int whole(String name, int least, int most, int defaultValue) {
+        return has(name) ? whole(name, least, most) : instead(name, defaultValue);
     }
 
-    public boolean flag(String name, boolean otherwise) {
+    /** A boolean, or the default. */
+    public boolean flag(String name, boolean defaultValue) {
         if (!has(name)) {
-            return instead(name, otherwise);
+            return instead(name, defaultValue);
         }
         JsonElement e = object.get(name);
         if (!e.isJsonPrimitive() || !e.getAsJsonPrimitive().isBoolean()) {
@@ -208,6 +223,7 @@
         return e.getAsBoolean();
     }
 
+    /** A list of objects; empty where it is absent. */
     public List<Keys> objects(String name) {
         List<Keys> all = new ArrayList<>();
         for (JsonElement e : array(name)) {
@@ -216,6 +232,7 @@
         return all;
     }
 
+    /** A list of strings; empty where it is absent. */
     public List<String> texts(String name) {
         List<String> all = new ArrayList<>();
         for (JsonElement e : array(name)) {
@@ -227,12 +244,12 @@
         return all;
     }
 
-    /** A figure of a list, or the other where the list is absent or short. */
-    public double numberAt(String name, int at, double otherwise) {
+    /** A number of a list, or the default where the list is absent or too short. */
+    public double numberAt(String name, int at, double defaultValue) {
         JsonArray all = array(name);
         return at < all.size()
                 ? number(key(name) + '[' + at + ']', all.get(at))
-                : instead(name + '[' + at + ']', otherwise);
+                : instead(name + '[' + at + ']', defaultValue);
     }
 
     private JsonArray array(String name) {
--- a/src/main/java/pepperdock/config/OpenSearchConfig.java
+++ b/src/main/java/pepperdock/config/OpenSearchConfig.java
@@ -6,8 +6,14 @@
 import java.util.Map;
 
 /**
- * The operator's part for the OpenSearch-style front: where it listens, which index stands for which class, whether the
- * workers are asked in the same API, and the limits on scrolls and connections.
+ * The OpenSearch-style front, the file's key {@code opensearch}. Immutable.
+ *
+ * @param listen where clients connect
+ * @param indices the number of the query class that each index name stands for
+ * @param backend whether the workers speak the same API, rather than the platform's frames
+ * @param connectionsPerWorker at most
+ * @param scrollContexts open at a time, at most
+ * @param scrollMostS the longest time that a client may ask to keep a scroll context, in seconds
  */
 public record OpenSearchConfig(
         InetSocketAddress listen,
@@ -17,31 +23,54 @@
         int scrollContexts,
         double scrollMostS) {
 
+    private static final String LISTEN = "listen";
+    private static final String INDICES = "indices";
+    private static final String INDEX_NAME = "index";
+    private static final String INDEX_CLASS = "class";
+    private static final String INDEX_NAME_PATTERN = "[a-z0-9][a-z0-9._-]*";
+    private static final String BACKEND = "backend";
+    private static final String BACKEND_OPENSEARCH = "opensearch";
+    private static final String BACKEND_FRAMES = "frames";
+    private static final String CONNECTIONS_PER_WORKER = "connections_per_worker";
+    private static final int MAX_CONNECTIONS_PER_WORKER = 1024;
+    private static final int DEFAULT_CONNECTIONS_PER_WORKER = 8;
+    private static final String SCROLL_CONTEXTS = "scroll_contexts";
+    private static final int MAX_SCROLL_CONTEXTS = 100_000;
+    private static final int DEFAULT_SCROLL_CONTEXTS = 500;
+    private static final String SCROLL_MOST_S = "scroll_most_s";
+    private static final int MAX_SCROLL_MOST_S = 86_400;
+    private static final int DEFAULT_SCROLL_MOST_S = 300;
+
     static OpenSearchConfig read(Keys keys, Site site) {
+        Map<String, Integer> indices = readIndices(keys, site);
+        String backend = keys.text(BACKEND, BACKEND_OPENSEARCH);
+        if (!List.of(BACKEND_OPENSEARCH, BACKEND_FRAMES).contains(backend)) {
+            throw new ConfigException(keys.key(BACKEND), "neither opensearch nor frames");
+        }
+        return new OpenSearchConfig(
+                Config.address(keys.key(LISTEN), keys.text(LISTEN)),
+                indices,
+                backend.equals(BACKEND_OPENSEARCH),
+                keys.whole(CONNECTIONS_PER_WORKER, 1, MAX_CONNECTIONS_PER_WORKER, DEFAULT_CONNECTIONS_PER_WORKER),
+                keys.whole(SCROLL_CONTEXTS, 1, MAX_SCROLL_CONTEXTS, DEFAULT_SCROLL_CONTEXTS),
+                keys.whole(SCROLL_MOST_S, 1, MAX_SCROLL_MOST_S, DEFAULT_SCROLL_MOST_S));
+    }
+
+    private static Map<String, Integer> readIndices(Keys keys, Site site) {
         Map<String, Integer> indices = new LinkedHashMap<>();
-        for (Keys index : keys.objects("indices")) {
-            int queryClass = site.classes().indexOf(index.text("class"));
+        for (Keys index : keys.objects(INDICES)) {
+            int queryClass = site.classes().indexOf(index.text(INDEX_CLASS));
             if (queryClass < 0) {
-                throw new ConfigException(index.key("class"), "unknown class " + index.text("class"));
+                throw new ConfigException(index.key(INDEX_CLASS), "unknown class " + index.text(INDEX_CLASS));
             }
-            if (!index.text("index").matches("[a-z0-9][a-z0-9._-]*")) {
-                throw new ConfigException(index.key("index"), "not an index name");
+            if (!index.text(INDEX_NAME).matches(INDEX_NAME_PATTERN)) {
+                throw new ConfigException(index.key(INDEX_NAME), "not an index name");
             }
-            indices.put(index.text("index"), queryClass);
+            indices.put(index.text(INDEX_NAME), queryClass);
         }
         if (indices.isEmpty()) {
-            throw new ConfigException(keys.key("indices"), "missing or empty");
-        }
-        String backend = keys.text("backend", "opensearch");
-        if (!List.of("opensearch", "frames").contains(backend)) {
-            throw new ConfigException(keys.key("backend"), "neither opensearch nor frames");
+            throw new ConfigException(keys.key(INDICES), "missing or empty");
         }
-        return new OpenSearchConfig(
-                Config.address(keys.key("listen"), keys.text("listen")),
-                indices,
-                backend.equals("opensearch"),
-                keys.whole("connections_per_worker", 1, 1024, 8),
-                keys.whole("scroll_contexts", 1, 100_000, 500),
-                keys.whole("scroll_most_s", 1, 86_400, 300));
+        return indices;
     }
 }
--- a/src/main/java/pepperdock/config/PlanFile.java
+++ b/src/main/java/pepperdock/config/PlanFile.java
@@ -11,7 +11,7 @@
 
 /**
  * A planning problem from a file ({@code docs/planning.md}). Work and capacity are seconds of work a second, taken to the
- * microsecond. Keys that it does not know are refused: a misspelt bound would otherwise be a bound left out.
+ * microsecond. Unknown keys are rejected: a misspelt bound would otherwise be a bound left out. Stateless.
  */
 public final class PlanFile {
 
@@ -21,6 +21,11 @@
 
     private PlanFile() {}
 
+    /**
+     * Reads and checks the problem.
+     *
+     * @throws ConfigException where a key is missing or unknown, or its value can't be used
+     */
     public static Problem read(Keys all) {
         all.only("zones", "crossings", "gatherers", "nodes", "ranges", "spare_node");
         List<String> zones = all.has("zones") ? distinct(all, "zones") : List.of("all");
--- a/src/main/java/pepperdock/distribution/Admission.java
+++ b/src/main/java/pepperdock/distribution/Admission.java
@@ -2,49 +2,58 @@
 
 import java.util.Random;
 
-/** How many snapshots may be under way at once, and when the others should ask again. */
+/**
+ * Admission control of snapshots: how many may be under way at once, and when the others should retry. Owned by the thread that
+ * calls {@link Publisher}.
+ */
 final class Admission {
 
     private static final double JITTER = 0.25;
 
-    private final int most;
-    private final Random chance;
+    private final int limit;
+    private final Random random;
     private int underWay;
-    /** Turned away, and not back yet. */
+    /** Rejected, and not back yet. */
     private int waiting;
 
-    Admission(int most, Random chance) {
-        this.most = most;
-        this.chance = chance;
+    Admission(int limit, Random random) {
+        this.limit = limit;
+        this.random = random;
     }
 
-    /** Whether a snapshot may begin now; one that does must be {@link #finished} once. */
+    /** Whether a snapshot may begin now; each that does must be {@link #finished} once. */
     boolean admits() {
-        if (underWay >= most) {
+        if (underWay >= limit) {
             return false;
         }
         underWay++;
         return true;
     }
 
+    /** An admitted snapshot has ended. */
     void finished() {
         underWay--;
     }
 
-    /** One that was turned away is back, or gone. */
+    /** One that was rejected is back, or gone. */
     void returned() {
         waiting--;
     }
 
+    /** Snapshots that are under way. */
     int underWay() {
         return underWay;
     }
 
-    /** Milliseconds after which one that was not admitted should ask again, where a snapshot takes so many. It counts as waiting until {@link #returned}. */
+    /**
+     * When one that was not admitted should retry. It counts as waiting until {@link #returned}.
+     *
+     * @param snapshotMillis how long one snapshot takes
+     */
     int retryAfterMillis(int snapshotMillis) {
-        int roundsAhead = 1 + waiting / most;
+        int roundsAhead = 1 + waiting / limit;
         waiting++;
-        double jitter = 1 - JITTER + 2 * JITTER * chance.nextDouble();
+        double jitter = 1 - JITTER + 2 * JITTER * random.nextDouble();
         return (int) (roundsAhead * snapshotMillis * jitter);
     }
 }
--- a/src/main/java/pepperdock/distribution/Age.java
+++ b/src/main/java/pepperdock/distribution/Age.java
@@ -1,8 +1,9 @@
 package pepperdock.distribution;
 
 /**
- * How old the version in force is: since when it is not known to be the newest.
+ * How old the version in force is: for how long it is not known to be the newest.
  *
+ * @param millis that long
  * @param atLeast it was never known to be since the subscriber's start, so it may be older
  */
 public record Age(long millis, boolean atLeast) {}
--- a/src/main/java/pepperdock/distribution/ByteBudget.java
+++ b/src/main/java/pepperdock/distribution/ByteBudget.java
@@ -1,6 +1,9 @@
 package pepperdock.distribution;
 
-/** Bytes that may be sent: so many a second, and so many at once. Counted a byte at a time. */
+/**
+ * A token bucket of bytes that may be sent: so many a second, and so many at once. Owned by the thread that calls
+ * {@link Publisher}.
+ */
 final class ByteBudget {
 
     private static final long MILLIS = 1000;
@@ -25,7 +28,7 @@
         return milliBytes >= Math.min(bytes, burst) * MILLIS;
     }
 
-    /** So many bytes are sent; a budget may be overdrawn, and what is owed is not sent later. */
+    /** So many bytes are sent; the budget may be overdrawn by the last message. */
     void spend(int bytes) {
         milliBytes -= bytes * MILLIS;
     }
--- a/src/main/java/pepperdock/distribution/Change.java
+++ b/src/main/java/pepperdock/distribution/Change.java
@@ -1,6 +1,6 @@
 package pepperdock.distribution;
 
-/** What becomes of one key from one version to a later one. */
+/** The change of one key from one version to a later one. Immutable. */
 public sealed interface Change {
 
     /** The key that changes. */
@@ -9,7 +9,7 @@
     /** Bytes of this change on the wire. */
     int bytes();
 
-    /** The key has this value from here on. */
+    /** The key gets this value. */
     record Put(Item item) implements Change {
         @Override
         public String key() {
@@ -22,7 +22,7 @@
         }
     }
 
-    /** The key is gone from here on. */
+    /** The key is removed. */
     record Remove(String key) implements Change {
         @Override
         public int bytes() {
--- a/src/main/java/pepperdock/distribution/Configuration.java
+++ b/src/main/java/pepperdock/distribution/Configuration.java
@@ -7,7 +7,7 @@
 import java.util.Optional;
 import java.util.TreeMap;
 
-/** A whole configuration as of one version. Immutable; two of the same version with equal digests are the same. */
+/** A complete configuration as of one version. Immutable; two of the same version with equal digests are the same. */
 public final class Configuration {
 
     /** What there is before the first version. */
@@ -28,10 +28,11 @@
     /** The configuration of these items; of two with the same key the later one counts. */
     public static Configuration of(Version version, int format, Collection<Item> items) {
         TreeMap<String, Item> byKey = new TreeMap<>();
-        items.forEach(i -> byKey.put(i.key(), i));
+        items.forEach(item -> byKey.put(item.key(), item));
         return new Configuration(version, format, byKey);
     }
 
+    /** The version as of which this is. */
     public Version version() {
         return version;
     }
@@ -41,6 +42,7 @@
         return format;
     }
 
+    /** The digest of version, format and items. */
     public Digest digest() {
         return digest;
     }
--- a/src/main/java/pepperdock/distribution/Delta.java
+++ b/src/main/java/pepperdock/distribution/Delta.java
@@ -3,22 +3,23 @@
 import java.util.List;
 
 /**
- * What leads from one version to a later one.
+ * The changes from one version to a later one. Immutable.
  *
- * @param base what it fits on: this version with this digest, and no other
+ * @param base the version that it applies to, with {@code baseDigest}, and no other
  * @param digest of the result
  * @param format of the result
  */
 public record Delta(Version base, Digest baseDigest, Version result, Digest digest, int format, List<Change> changes) {
 
     /** Bytes beside the changes. */
-    static final int HEAD = 2 * (Version.BYTES + Digest.BYTES) + 8;
+    static final int HEADER_BYTES = 2 * (Version.BYTES + Digest.BYTES) + 8;
 
+    /** Copies the list. */
     public Delta {
         changes = List.copyOf(changes);
     }
 
-    /** What leads from one configuration to the other. */
+    /** The changes from one configuration to the other. */
     static Delta between(Configuration from, Configuration to) {
         return new Delta(from.version(), from.digest(), to.version(), to.digest(), to.format(), from.changesTo(to));
     }
@@ -30,6 +31,6 @@
 
     /** Bytes on the wire. */
     int bytes() {
-        return HEAD + changes.stream().mapToInt(Change::bytes).sum();
+        return HEADER_BYTES + changes.stream().mapToInt(Change::bytes).sum();
     }
 }
--- a/src/main/java/pepperdock/distribution/Encoding.java
+++ b/src/main/java/pepperdock/distribution/Encoding.java
@@ -7,20 +7,23 @@
 import java.util.Collection;
 import java.util.List;
 
-/** A configuration as bytes: version, format, number of items, then each item by key in ascending order. */
+/**
+ * Encodes a configuration: version, format, number of items, then each item by key in ascending order. Big-endian. Stateless.
+ */
 public final class Encoding {
 
-    private static final int HEAD = Version.BYTES + 8;
+    private static final int HEADER_BYTES = Version.BYTES + 8;
 
     private Encoding() {}
 
-    /** Bytes of a text behind its length. */
+    /** Bytes of a text and its length. */
     static int textBytes(String text) {
         return 2 + text.getBytes(StandardCharsets.UTF_8).length;
     }
 
+    /** Encodes a configuration; the items must come by key in ascending order. */
     static byte[] write(Version version, int format, Collection<Item> items) {
-        int bytes = HEAD + items.stream().mapToInt(Item::bytes).sum();
+        int bytes = HEADER_BYTES + items.stream().mapToInt(Item::bytes).sum();
         ByteBuffer to = ByteBuffer.allocate(bytes);
         to.putLong(version.epoch()).putLong(version.number()).putInt(format).putInt(items.size());
         for (Item item : items) {
@@ -31,9 +34,9 @@
     }
 
     /**
-     * The configuration that was written.
+     * Decodes a configuration.
      *
-     * @throws IllegalArgumentException where these bytes are not one, whole
+     * @throws MalformedConfigurationException where these bytes are not one whole configuration
      */
     public static Configuration read(byte[] bytes) {
         try {
@@ -50,11 +53,11 @@
                 items.add(new Item(new String(key, StandardCharsets.UTF_8), value));
             }
             if (from.hasRemaining()) {
-                throw new IllegalArgumentException(from.remaining() + " bytes follow the configuration");
+                throw new MalformedConfigurationException(from.remaining() + " bytes follow the configuration");
             }
             return Configuration.of(version, format, items);
         } catch (BufferUnderflowException | NegativeArraySizeException e) {
-            throw new IllegalArgumentException("configuration cut short", e);
+            throw new MalformedConfigurationException("configuration cut short", e);
         }
     }
 }
--- a/src/main/java/pepperdock/distribution/MachineChoice.java
+++ b/src/main/java/pepperdock/distribution/MachineChoice.java
@@ -7,26 +7,30 @@
 import java.util.List;
 import java.util.Random;
 
-/** Which control machine to try next, and when: those of the own region first, in random order, with jittered back-off. */
+/**
+ * Selects the control machine of the next attempt, and its backoff: those of the subscriber's region first, in random order, with
+ * jittered exponential backoff. Owned by the thread that calls {@link Subscriber}.
+ */
 final class MachineChoice {
 
-    /** More doublings than this would not change a back-off. */
-    private static final int DOUBLINGS_MOST = 16;
+    /** More doublings than this would not change a backoff. */
+    private static final int MAX_DOUBLINGS = 16;
 
     private final List<ControlMachine> all;
     private final String region;
     private final SubscriberSettings settings;
-    private final Random chance;
+    private final Random random;
     private final Deque<ControlMachine> round = new ArrayDeque<>();
     private int failures;
 
-    MachineChoice(List<ControlMachine> all, String region, SubscriberSettings settings, Random chance) {
+    MachineChoice(List<ControlMachine> all, String region, SubscriberSettings settings, Random random) {
         this.all = List.copyOf(all);
         this.region = region;
         this.settings = settings;
-        this.chance = chance;
+        this.random = random;
     }
 
+    /** The control machine to try now; a new round begins once all were tried. */
     ControlMachine next() {
         if (round.isEmpty()) {
             begin();
@@ -34,41 +38,42 @@
         return round.removeFirst();
     }
 
-    /** Tries this one after all others. */
+    /** Begins a round in which this one comes last. */
     void last(ControlMachine machine) {
         begin();
         round.remove(machine);
         round.addLast(machine);
     }
 
-    /** Whether each has been tried since the round began. */
+    /** Whether all were tried since the round began. */
     boolean roundOver() {
         return round.isEmpty();
     }
 
+    /** A control machine has answered: the backoff begins anew. */
     void worked() {
         failures = 0;
     }
 
-    /** Begins a round anew with the next attempt. */
+    /** A control machine is up to date: the next attempt begins a new round. */
     void settled() {
         round.clear();
     }
 
     /** Milliseconds to wait before the next attempt; the attempt before failed. */
     int backOffMillis() {
-        long most = Math.min(
-                settings.backOffMostMillis(), (long) settings.backOffMillis() << Math.min(failures, DOUBLINGS_MOST));
+        long maxMillis = Math.min(
+                settings.backOffMostMillis(), (long) settings.backOffMillis() << Math.min(failures, MAX_DOUBLINGS));
         failures++;
-        return chance.nextInt((int) most + 1);
+        return random.nextInt((int) maxMillis + 1);
     }
 
     private void begin() {
         List<ControlMachine> near = new ArrayList<>();
         List<ControlMachine> far = new ArrayList<>();
-        all.forEach(m -> (m.region().equals(region) ? near : far).add(m));
-        Collections.shuffle(near, chance);
-        Collections.shuffle(far, chance);
+        all.forEach(machine -> (machine.region().equals(region) ? near : far).add(machine));
+        Collections.shuffle(near, random);
+        Collections.shuffle(far, random);
         round.clear();
         round.addAll(near);
         round.addAll(far);
--- /dev/null
+++ b/src/main/java/pepperdock/distribution/MalformedConfigurationException.java
@@ -0,0 +1,15 @@
+package pepperdock.distribution;
+
+/** Bytes that are not one whole encoded configuration. */
+public final class MalformedConfigurationException extends IllegalArgumentException {
+
+    private static final long serialVersionUID = 1;
+
+    MalformedConfigurationException(String message) {
+        super(message);
+    }
+
+    MalformedConfigurationException(String message, Throwable cause) {
+        super(message, cause);
+    }
+}
--- a/src/main/java/pepperdock/distribution/Message.java
+++ b/src/main/java/pepperdock/distribution/Message.java
@@ -1,6 +1,6 @@
 package pepperdock.distribution;
 
-/** What a subscriber and a publisher say to each other over one connection, in order. */
+/** The messages between a subscriber and a publisher, over one connection, in order. Immutable. */
 public sealed interface Message {
 
     /** Bytes of a message on the wire beside its content: IPv4 and TCP headers with time stamps, length and kind. */
@@ -14,10 +14,10 @@
         return OVERHEAD + content();
     }
 
-    /** What a subscriber says. */
+    /** A message of a subscriber. */
     sealed interface FromSubscriber extends Message {}
 
-    /** What a publisher says. */
+    /** A message of a publisher. */
     sealed interface FromPublisher extends Message {}
 
     // ---- From a subscriber ------------------------------------------------------------
@@ -35,7 +35,7 @@
         }
     }
 
-    /** This is in force from now on, or still; also the subscriber's sign of life. */
+    /** This is in force from now on, or still; also the subscriber's heartbeat. */
     record InForce(Version version, Digest digest, Durability durability) implements FromSubscriber {
         @Override
         public int content() {
@@ -44,9 +44,9 @@
     }
 
     /**
-     * Send what is newer than this.
+     * Requests what is newer than this.
      *
-     * @param whole as a snapshot, since a delta did not fit
+     * @param whole whether as a snapshot, since a delta did not fit
      */
     record Ask(Version inForce, Digest digest, boolean whole) implements FromSubscriber {
         @Override
@@ -66,7 +66,7 @@
     // ---- From a publisher ------------------------------------------------------------
 
     /**
-     * Sign of life, with what the control machine holds as newest.
+     * The newest version that the control machine holds; sent at even intervals.
      *
      * @param confirmedMillisAgo how long ago this control machine last knew that nothing newer was settled
      */
@@ -86,9 +86,9 @@
     }
 
     /**
-     * A part of an encoded configuration. Pieces come in order; one at offset 0 begins anew.
+     * A chunk of an encoded configuration. Chunks come in order; one at offset 0 begins anew.
      *
-     * @param total bytes of the whole
+     * @param total bytes of the complete configuration
      */
     record SnapshotPiece(Version version, Digest digest, int format, int total, int offset, byte[] piece)
             implements FromPublisher {
@@ -98,7 +98,7 @@
         }
     }
 
-    /** Not now: ask again after so many milliseconds. */
+    /** The request is rejected for now: retry after so many milliseconds. */
     record RetryAfter(int millis) implements FromPublisher {
         @Override
         public int content() {
--- a/src/main/java/pepperdock/distribution/Publisher.java
+++ b/src/main/java/pepperdock/distribution/Publisher.java
@@ -7,19 +7,20 @@
 import java.util.TreeMap;
 
 /**
- * The side of a control machine: sends every subscriber that is connected here what was settled after the version that the
- * subscriber has in force, as a delta or a snapshot, within the budgets of {@link PublisherSettings}. To one subscriber there
- * is one version under way at a time; what is settled meanwhile goes in one delta after the answer.
+ * A control machine's side of the distribution: sends every connected subscriber what was settled after the version that it has
+ * in force, as a delta or a snapshot, within the budgets of {@link PublisherSettings}. One version is in flight to a subscriber
+ * at a time; what is settled meanwhile goes in one delta after the answer.
  *
- * <p>Connections are opened by subscribers and numbered by the caller. Times are milliseconds of the caller's clock.
+ * <p>All state belongs to one thread, the caller's. Connections are opened by subscribers and numbered by the caller. Times are
+ * milliseconds of the caller's clock.
  */
 public class Publisher {
 
-    private static final int MILLIS = 1000;
-    /** A delta is one message, and no larger on the wire, whatever may be sent at once. */
-    private static final int DELTA_BYTES_MOST = 64 << 10;
-    /** Said where this machine has not been confirmed for longer, or never was. */
-    private static final int LONGEST_UNCONFIRMED_MILLIS = 86_400_000;
+    private static final int MILLIS_PER_SECOND = 1000;
+    /** A delta is one message, and no larger on the wire, whatever the burst. */
+    private static final int MAX_DELTA_BYTES = 64 << 10;
+    /** Sent where this machine has not been confirmed for longer, or never was. */
+    private static final int MAX_UNCONFIRMED_MILLIS = 86_400_000;
 
     private final PublisherSettings settings;
     private final VersionSource source;
@@ -30,11 +31,17 @@
     private final TreeMap<Long, Session> sessions = new TreeMap<>();
     private Configuration latest = Configuration.NONE;
     private byte[] latestEncoded = latest.encoded();
-    /** The newest version that a subscriber has said to have in force. */
+    /** The newest version that any subscriber has reported in force. */
     private Version newestHeard = Version.NONE;
-    /** The connection after which the next round of snapshot pieces begins, so that all get their share. */
+    /** The connection after which the next round of snapshot chunks begins: round robin. */
     private long lastServed;
 
+    /**
+     * Learns what the source has.
+     *
+     * @param seed of the jitter
+     * @param now as for all other calls
+     */
     public Publisher(PublisherSettings settings, VersionSource source, PublisherOutput output, long seed, long now) {
         this.settings = settings;
         this.source = source;
@@ -45,18 +52,18 @@
         learn();
     }
 
-    // ---- What the caller sees ------------------------------------------------------------
+    // ---- State, for the caller ------------------------------------------------------------
 
     /** The newest version that this control machine holds. */
     public Configuration latest() {
         return latest;
     }
 
-    /** Every subscriber that is connected here and has said who it is, in the order of their connections. */
+    /** Every connected subscriber that has introduced itself, in the order of connections. */
     public List<SubscriberState> subscribers(long now) {
         return sessions.values().stream()
                 .filter(Session::known)
-                .map(s -> s.state(latest.version(), now, settings.answerMillis()))
+                .map(session -> session.state(latest.version(), now, settings.answerMillis()))
                 .toList();
     }
 
@@ -65,7 +72,7 @@
         return admission.underWay();
     }
 
-    // ---- What the caller does ------------------------------------------------------------
+    // ---- Inputs ------------------------------------------------------------
 
     /** A subscriber has opened a connection. */
     public void connected(long connection, long now) {
@@ -83,7 +90,7 @@
     /** The source may have something newer. */
     public void settled(long now) {
         if (learn()) {
-            sessions.values().forEach(s -> offer(s, false, now));
+            sessions.values().forEach(session -> offer(session, false, now));
             send(now);
         }
     }
@@ -128,14 +135,15 @@
         send(now);
     }
 
-    // ---- Rules; tests plant faults here ------------------------------------------------------------
+    // ---- Safety rules; tests plant faults by overriding them
+    // ------------------------------------------------------------
 
     /** Whether what this machine holds may be offered to a subscriber that has that version in force. */
     protected boolean mayOffer(Version latestHere, Version inForceThere) {
         return latestHere.newerThan(inForceThere);
     }
 
-    // ---- How ------------------------------------------------------------
+    // ---- Messages ------------------------------------------------------------
 
     private boolean learn() {
         boolean any = false;
@@ -152,9 +160,8 @@
 
     private Message.Heartbeat heartbeat(long now) {
         boolean behind = newestHeard.newerThan(latest.version());
-        long ago = behind ? LONGEST_UNCONFIRMED_MILLIS : Math.max(0, now - source.confirmedAtMillis());
-        return new Message.Heartbeat(
-                latest.version(), latest.digest(), (int) Math.min(ago, LONGEST_UNCONFIRMED_MILLIS));
+        long ago = behind ? MAX_UNCONFIRMED_MILLIS : Math.max(0, now - source.confirmedAtMillis());
+        return new Message.Heartbeat(latest.version(), latest.digest(), (int) Math.min(ago, MAX_UNCONFIRMED_MILLIS));
     }
 
     private void asked(Session session, Message.Ask ask, long now) {
@@ -188,7 +195,7 @@
         }
     }
 
-    /** Begins to send what the subscriber lacks, unless something is under way to it. */
+    /** Begins to send what the subscriber lacks, unless something is in flight to it. */
     private void offer(Session session, boolean whole, long now) {
         if (!session.known()
                 || session.busy()
@@ -210,27 +217,27 @@
 
     /**
      * The next delta for a subscriber: to the newest version, or as far as may be sent at once, the rest after the answer.
-     * Empty where the snapshot is to be sent: all deltas together would be too much beside it, or lead nowhere.
+     * Empty where the snapshot is to be sent: the deltas would be too large beside it, or are not kept any more.
      */
     private Optional<Delta> step(Session session) {
         Optional<Delta> all = recent.since(session.inForce(), session.digest());
-        long most = (long) latestEncoded.length * settings.deltaPercent() / 100;
-        if (all.isEmpty() || all.get().bytes() > most) {
+        long maxBytes = (long) latestEncoded.length * settings.deltaPercent() / 100;
+        if (all.isEmpty() || all.get().bytes() > maxBytes) {
             return Optional.empty();
         }
-        int atOnce = Math.min(DELTA_BYTES_MOST, settings.subscriberBurstBytes() - Message.OVERHEAD);
+        int atOnce = Math.min(MAX_DELTA_BYTES, settings.subscriberBurstBytes() - Message.OVERHEAD);
         if (all.get().bytes() <= atOnce) {
             return all;
         }
         return recent.since(session.inForce(), session.digest(), atOnce, session.reads())
-                .filter(d -> !session.hasRefused(d.result()));
+                .filter(delta -> !session.hasRefused(delta.result()));
     }
 
     /** How long a snapshot takes at the rate of one subscriber, or at that of all that may be under way. */
     private int snapshotMillis() {
         int share = settings.snapshotBytesPerSecond() / settings.snapshotsAtOnce();
         int rate = Math.min(settings.subscriberBytesPerSecond(), share);
-        return (int) ((long) latestEncoded.length * MILLIS / rate);
+        return (int) ((long) latestEncoded.length * MILLIS_PER_SECOND / rate);
     }
 
     private void send(long now) {
@@ -248,12 +255,12 @@
     }
 
     private void drain(Session session, long now) {
-        for (Message.FromPublisher m = session.next(now); m != null; m = session.next(now)) {
-            output.send(session.connection, m);
+        for (Message.FromPublisher message = session.next(now); message != null; message = session.next(now)) {
+            output.send(session.connection, message);
         }
     }
 
-    /** Sends pieces while the subscriber's budget lasts; false once that of all snapshots is spent. */
+    /** Sends chunks while the subscriber's budget lasts; false once that of all snapshots is spent. */
     private boolean pieces(Session session, long now) {
         while (session.transfer() != null && session.idle()) {
             if (!snapshotBudget.allows(settings.pieceBytes(), now)) {
--- a/src/main/java/pepperdock/distribution/PublisherSettings.java
+++ b/src/main/java/pepperdock/distribution/PublisherSettings.java
@@ -1,10 +1,10 @@
 package pepperdock.distribution;
 
 /**
- * What a publisher may spend, and when it speaks.
+ * The budgets and intervals of a publisher. Immutable.
  *
  * @param heartbeatMillis between two heartbeats to one subscriber
- * @param silenceMillis after so long without a word a subscriber's connection is closed
+ * @param silenceMillis after so long without a message a subscriber's connection is closed
  * @param answerMillis a subscriber that has not put in force what was sent by then lags
  * @param subscriberBytesPerSecond to one subscriber, of all kinds of messages
  * @param subscriberBurstBytes to one subscriber at once; no second sees more than this and the rate together
--- a/src/main/java/pepperdock/distribution/RecentChanges.java
+++ b/src/main/java/pepperdock/distribution/RecentChanges.java
@@ -6,23 +6,27 @@
 import java.util.Optional;
 import java.util.TreeMap;
 
-/** The deltas between the newest versions, and what they come to from any of those versions on. */
+/**
+ * The deltas between the newest versions, kept within bounds, and their sum from any of those versions on. Owned by the thread
+ * that calls {@link Publisher}.
+ */
 final class RecentChanges {
 
-    private final int mostVersions;
-    private final long mostBytes;
+    private final int maxVersions;
+    private final long maxBytes;
     private final Deque<Delta> deltas = new ArrayDeque<>();
     private long bytes;
 
-    RecentChanges(int mostVersions, long mostBytes) {
-        this.mostVersions = mostVersions;
-        this.mostBytes = mostBytes;
+    RecentChanges(int maxVersions, long maxBytes) {
+        this.maxVersions = maxVersions;
+        this.maxBytes = maxBytes;
     }
 
+    /** Adds the newest delta, and drops the oldest beyond the bounds. */
     void add(Delta delta) {
         deltas.addLast(delta);
         bytes += delta.bytes();
-        while (deltas.size() > mostVersions || bytes > mostBytes) {
+        while (deltas.size() > maxVersions || bytes > maxBytes) {
             bytes -= deltas.removeFirst().bytes();
         }
     }
@@ -36,16 +40,16 @@
      * One delta from that version with that digest as far towards the newest as so many bytes lead, to a version of a format
      * that is no higher; empty where that version is no longer held or they lead nowhere.
      */
-    Optional<Delta> since(Version version, Digest digest, int mostBytes, int highestFormat) {
+    Optional<Delta> since(Version version, Digest digest, int maxBytes, int highestFormat) {
         Delta furthest = null;
         TreeMap<String, Change> changes = new TreeMap<>();
-        long size = Delta.HEAD;
+        long size = Delta.HEADER_BYTES;
         boolean begun = false;
         for (Delta delta : deltas) {
             begun |= delta.base().equals(version) && delta.baseDigest().equals(digest);
             if (begun) {
                 size += grown(changes, delta);
-                if (size > mostBytes) {
+                if (size > maxBytes) {
                     break;
                 }
                 furthest = delta.format() <= highestFormat ? delta : furthest;
@@ -70,7 +74,7 @@
         for (Delta delta : deltas) {
             boolean within = !version.newerThan(delta.base()) && !delta.result().newerThan(last.result());
             if (within) {
-                delta.changes().forEach(c -> changes.put(c.key(), c));
+                delta.changes().forEach(change -> changes.put(change.key(), change));
             }
         }
         return new Delta(version, digest, last.result(), last.digest(), last.format(), List.copyOf(changes.values()));
--- a/src/main/java/pepperdock/distribution/Refusal.java
+++ b/src/main/java/pepperdock/distribution/Refusal.java
@@ -1,16 +1,17 @@
 package pepperdock.distribution;
 
 /**
- * Why a subscriber does not put a version in force.
+ * Why a subscriber does not put a version in force. Immutable.
  *
  * @param detail for the operator; 200 characters at most
  */
 public record Refusal(Version version, Reason reason, String detail) {
 
-    private static final int DETAIL_MOST = 200;
+    private static final int MAX_DETAIL_LENGTH = 200;
 
+    /** Truncates the detail. */
     public Refusal {
-        detail = detail.length() > DETAIL_MOST ? detail.substring(0, DETAIL_MOST) : detail;
+        detail = detail.length() > MAX_DETAIL_LENGTH ? detail.substring(0, MAX_DETAIL_LENGTH) : detail;
     }
 
     /** Kinds of refusal. */
--- a/src/main/java/pepperdock/distribution/Session.java
+++ b/src/main/java/pepperdock/distribution/Session.java
@@ -4,7 +4,10 @@
 import java.util.Deque;
 import java.util.Optional;
 
-/** One connection of a publisher: who is there, what it has, and what waits to be sent to it. */
+/**
+ * One connection of a publisher: the subscriber, what it has in force, and what waits to be sent to it. Owned by the thread that
+ * calls {@link Publisher}.
+ */
 final class Session {
 
     final long connection;
@@ -24,9 +27,9 @@
     private Version unanswered;
 
     private long unansweredSince;
-    /** What is left of a snapshot that is under way; null where there is none. */
+    /** The snapshot that is being sent; null where there is none. */
     private SnapshotTransfer transfer;
-    /** It was told to ask again later, and has not yet. */
+    /** It was told to retry later, and has not yet. */
     boolean waiting;
 
     long lastHeard;
@@ -62,14 +65,14 @@
         }
     }
 
-    void refused(Refusal by) {
-        refusal = by;
-        if (by.version().equals(unanswered)) {
+    void refused(Refusal refused) {
+        refusal = refused;
+        if (refused.version().equals(unanswered)) {
             unanswered = null;
         }
     }
 
-    /** The subscriber asks: whatever was sent before did not help. */
+    /** The subscriber requests what is newer: whatever was sent before did not help. */
     void asked(Version version, Digest as, long now) {
         inForce(version, as, durability, now);
         unanswered = null;
@@ -92,7 +95,7 @@
         return refusal != null && refusal.version().equals(version);
     }
 
-    /** Whether something is under way to it already. */
+    /** Whether something is in flight to it. */
     boolean busy() {
         return unanswered != null || transfer != null || waiting;
     }
@@ -122,7 +125,7 @@
         return queue.isEmpty();
     }
 
-    /** The next message that may be sent now; null where there is none. It is spent. */
+    /** Takes the next message that the budget allows now; null where there is none. */
     Message.FromPublisher next(long now) {
         Message.FromPublisher first = queue.peekFirst();
         if (first == null || !budget.allows(first.bytes(), now)) {
--- a/src/main/java/pepperdock/distribution/SnapshotAssembly.java
+++ b/src/main/java/pepperdock/distribution/SnapshotAssembly.java
@@ -1,12 +1,12 @@
 package pepperdock.distribution;
 
-/** The pieces of one snapshot as they come. */
+/** Assembles a snapshot from its chunks. Owned by the thread that calls {@link Subscriber}. */
 final class SnapshotAssembly {
 
     private final Version version;
     private final Digest digest;
     private final byte[] bytes;
-    private int held;
+    private int received;
 
     SnapshotAssembly(Message.SnapshotPiece first) {
         version = first.version();
@@ -14,21 +14,21 @@
         bytes = new byte[first.total()];
     }
 
-    /** Whether the piece is the next one; then it is held. */
+    /** Takes the chunk if it is the next one; whether it is. */
     boolean add(Message.SnapshotPiece piece) {
         boolean next = piece.version().equals(version)
                 && piece.digest().equals(digest)
-                && piece.offset() == held
+                && piece.offset() == received
                 && piece.offset() + piece.piece().length <= bytes.length;
         if (next) {
-            System.arraycopy(piece.piece(), 0, bytes, held, piece.piece().length);
-            held += piece.piece().length;
+            System.arraycopy(piece.piece(), 0, bytes, received, piece.piece().length);
+            received += piece.piece().length;
         }
         return next;
     }
 
-    boolean whole() {
-        return held == bytes.length;
+    boolean complete() {
+        return received == bytes.length;
     }
 
     byte[] bytes() {
--- a/src/main/java/pepperdock/distribution/SnapshotTransfer.java
+++ b/src/main/java/pepperdock/distribution/SnapshotTransfer.java
@@ -2,29 +2,33 @@
 
 import java.util.Arrays;
 
-/** A snapshot on its way to one subscriber, in pieces. The bytes are shared by all transfers of one version. */
+/**
+ * A snapshot in flight to one subscriber, in chunks. The bytes are shared by all transfers of one version. Owned by the thread
+ * that calls {@link Publisher}.
+ */
 final class SnapshotTransfer {
 
-    private final Configuration of;
+    private final Configuration snapshot;
     private final byte[] bytes;
     private final int pieceBytes;
     private int offset;
 
-    SnapshotTransfer(Configuration of, byte[] bytes, int pieceBytes) {
-        this.of = of;
+    SnapshotTransfer(Configuration snapshot, byte[] bytes, int pieceBytes) {
+        this.snapshot = snapshot;
         this.bytes = bytes;
         this.pieceBytes = pieceBytes;
     }
 
     Version version() {
-        return of.version();
+        return snapshot.version();
     }
 
+    /** The next chunk. */
     Message.SnapshotPiece next() {
         int end = Math.min(bytes.length, offset + pieceBytes);
         byte[] piece = Arrays.copyOfRange(bytes, offset, end);
-        Message.SnapshotPiece message =
-                new Message.SnapshotPiece(of.version(), of.digest(), of.format(), bytes.length, offset, piece);
+        Message.SnapshotPiece message = new Message.SnapshotPiece(
+                snapshot.version(), snapshot.digest(), snapshot.format(), bytes.length, offset, piece);
         offset = end;
         return message;
     }
--- a/src/main/java/pepperdock/distribution/Subscriber.java
+++ b/src/main/java/pepperdock/distribution/Subscriber.java
@@ -5,60 +5,58 @@
 import java.util.Random;
 
 /**
- * The side of a gatherer: has one control machine at a time send it what is settled, puts each version in force whole or not
- * at all, and never one that is older than any it had in force. Without a control machine it goes on by the last version and
- * says how old that is.
+ * The gatherer's side of the distribution: receives settled versions from one control machine at a time, puts each in force
+ * whole or not at all, and never one that is older than any it had in force. Without a control machine it goes on with the last
+ * version, and reports how old that is.
  *
- * <p>Times are milliseconds of the caller's clock.
+ * <p>All state belongs to one thread, the caller's. Times are milliseconds of the caller's clock. The connection is
+ * {@link ControlConnection}'s, and what is in force {@link InForceConfiguration}'s; the messages between them are handled here.
  */
 public class Subscriber {
 
-    /** So many questions without an answer, and the control machine is left: it may not hear this subscriber. */
-    private static final int QUESTIONS_MOST = 2;
-    /** Of snapshots; the field of a piece is not trusted beyond this. */
-    private static final int SNAPSHOT_BYTES_MOST = 16 << 20;
-
-    private enum Phase {
-        WAITING,
-        CONNECTING,
-        CONNECTED
-    }
+    /** After so many requests without an answer the control machine is left: it may not hear this subscriber. */
+    private static final int MAX_UNANSWERED_REQUESTS = 2;
+    /** Of snapshots; a larger total is not trusted. */
+    private static final int MAX_SNAPSHOT_BYTES = 16 << 20;
 
     private final SubscriberId id;
     private final SubscriberSettings settings;
-    private final VersionStore store;
     private final Validator validator;
     private final SubscriberOutput output;
-    private final MachineChoice choice;
+    private final MachineChoice selector;
+    private final ControlConnection connection;
+    private final InForceConfiguration inForce;
 
-    private Configuration inForce;
-    private Version floor;
-    private Durability durability;
+    /** Null where there was none. */
     private Refusal refusal;
 
-    private Phase phase = Phase.WAITING;
-    private ControlMachine machine;
-    /** When the phase ends: the next attempt, or the end of patience with this one. */
-    private long phaseEnds;
-
     private long lastHeard;
-    /** The newest version that the control machine has spoken of, and when it was last known to be the newest. */
+    /** The newest version that the control machine has offered. */
     private Version offered = Version.NONE;
-
+    /** When that was last known to be the newest. */
     private long offeredConfirmedAt;
-    private long stayUntil;
+    /** Whether all control machines were tried in vain, so that this one is kept for a while. */
     private boolean stays;
+
+    private long stayUntil;
     private long lastProgress;
-    private int questions;
+    private int unansweredRequests;
     private long aliveAt;
-    private long saveAgainAt;
+    /** The snapshot that is being received; null where there is none. */
     private SnapshotAssembly assembly;
-    private boolean whole;
+    /** Whether a snapshot has to be requested, as a delta did not fit. */
+    private boolean needsSnapshot;
     /** The version in force was the newest at this time; the subscriber's start where that is not known. */
     private long currentAt;
 
     private boolean everCurrent;
 
+    /**
+     * Loads what the store holds, and puts it in force.
+     *
+     * @param seed of the backoff and the order of control machines
+     * @param now as for all other calls
+     */
     public Subscriber(
             SubscriberIdentity self,
             List<ControlMachine> machines,
@@ -70,26 +68,29 @@
             long now) {
         id = self.id();
         this.settings = settings;
-        this.store = store;
         this.validator = validator;
         this.output = output;
-        Random chance = new Random(seed);
-        choice = new MachineChoice(machines, self.region(), settings, chance);
+        Random random = new Random(seed);
+        selector = new MachineChoice(machines, self.region(), settings, random);
         currentAt = now;
-        phaseEnds = now + chance.nextInt(settings.backOffMillis());
-        begin(store.load());
+        long firstAttemptAt = now + random.nextInt(settings.backOffMillis());
+        connection = new ControlConnection(selector, output, settings.connectMillis(), firstAttemptAt);
+        inForce = new InForceConfiguration(store, settings.saveAgainMillis());
+        if (!inForce.version().equals(Version.NONE)) {
+            output.inForce(inForce.configuration());
+        }
     }
 
-    // ---- What the caller sees ------------------------------------------------------------
+    // ---- State, for the caller ------------------------------------------------------------
 
     /** What is in force; {@link Configuration#NONE} where nothing is. */
     public Configuration inForce() {
-        return inForce;
+        return inForce.configuration();
     }
 
     /** What the disk holds of it. */
     public Durability durability() {
-        return durability;
+        return inForce.durability();
     }
 
     /** The last refusal, if there was one since the start. */
@@ -99,56 +100,46 @@
 
     /** Whether a version newer than the one on the disk was in force before the restart, so that nothing is until it comes. */
     public boolean heldBack() {
-        return floor.newerThan(inForce.version());
+        return inForce.heldBack();
     }
 
     /** The control machine that it is connected to, if it is. */
     public Optional<ControlMachine> machine() {
-        return phase == Phase.CONNECTED ? Optional.of(machine) : Optional.empty();
+        return connection.machine();
     }
 
+    /** How old the version in force is. */
     public Age age(long now) {
         return new Age(Math.max(0, now - currentAt), !everCurrent);
     }
 
-    // ---- What the caller does ------------------------------------------------------------
+    // ---- Inputs ------------------------------------------------------------
 
     /** Time passes; to be called several times a second. */
     public void tick(long now) {
-        saveAgain(now);
-        switch (phase) {
-            case WAITING -> {
-                if (now >= phaseEnds) {
-                    machine = choice.next();
-                    phase = Phase.CONNECTING;
-                    phaseEnds = now + settings.connectMillis();
-                    output.connect(machine);
-                }
-            }
-            case CONNECTING -> {
-                if (now >= phaseEnds) {
-                    output.disconnect();
-                    waitToTryAgain(now);
-                }
-            }
-            case CONNECTED -> connectedTick(now);
-            default -> throw new IllegalStateException(phase.toString());
+        if (inForce.retrySave(now) && connection.connected()) {
+            reportInForce();
+        }
+        if (connection.connected()) {
+            connectedTick(now);
+        } else if (connection.tick(now)) {
+            assembly = null;
         }
     }
 
     /** The connection is open. */
     public void connected(long now) {
-        phase = Phase.CONNECTED;
+        connection.opened();
         lastHeard = now;
         lastProgress = now;
         offered = Version.NONE;
         offeredConfirmedAt = now;
-        questions = 0;
-        stays = choice.roundOver();
+        unansweredRequests = 0;
+        stays = selector.roundOver();
         stayUntil = now + settings.stayMillis();
         aliveAt = now + settings.aliveMillis();
         assembly = null;
-        output.send(new Message.Hello(id, settings.reads(), inForce.version(), inForce.digest(), durability));
+        output.send(new Message.Hello(id, settings.reads(), inForce.version(), inForce.digest(), inForce.durability()));
         if (refusal != null && !inForce.version().newerThan(refusal.version())) {
             output.send(new Message.Refused(refusal));
         }
@@ -156,29 +147,31 @@
 
     /** The connection has ended, or could not be opened. */
     public void disconnected(long now) {
-        waitToTryAgain(now);
+        assembly = null;
+        connection.backOff(now);
     }
 
     /** A message has come on the connection. */
     public void received(Message.FromPublisher message, long now) {
         lastHeard = now;
-        choice.worked();
+        selector.worked();
         if (message instanceof Message.Heartbeat heartbeat) {
-            heard(heartbeat, now);
+            onHeartbeat(heartbeat, now);
         } else if (message instanceof Message.Update update) {
-            update(update.delta(), now);
+            onUpdate(update.delta(), now);
         } else if (message instanceof Message.SnapshotPiece piece) {
-            piece(piece, now);
+            onSnapshotPiece(piece, now);
         } else if (message instanceof Message.RetryAfter later) {
-            progress(now + later.millis() - settings.lagMillis());
+            madeProgress(now + later.millis() - settings.lagMillis());
         }
     }
 
-    // ---- Rules; tests plant faults here ------------------------------------------------------------
+    // ---- Safety rules; tests plant faults by overriding them
+    // ------------------------------------------------------------
 
     /** Whether a version may follow on the one in force. */
     protected boolean mayFollow(Version next) {
-        return next.newerThan(inForce.version()) && !floor.newerThan(next);
+        return next.newerThan(inForce.version()) && !inForce.floor().newerThan(next);
     }
 
     /** Whether the result is what was settled. */
@@ -201,7 +194,7 @@
         return unconfirmedMillis > settings.staleMillis();
     }
 
-    // ---- Connections ------------------------------------------------------------
+    // ---- The control machine ------------------------------------------------------------
 
     private void connectedTick(long now) {
         if (tooSilent(now - lastHeard)) {
@@ -214,121 +207,112 @@
             leave(now);
             return;
         }
-        if (lags() && now - lastProgress > settings.lagMillis()) {
-            if (questions == QUESTIONS_MOST) {
+        if (lagsBehindOffer() && now - lastProgress > settings.lagMillis()) {
+            if (unansweredRequests == MAX_UNANSWERED_REQUESTS) {
                 leave(now);
                 return;
             }
-            ask(now);
+            requestNewer(now);
         }
         if (now >= aliveAt) {
-            output.send(new Message.InForce(inForce.version(), inForce.digest(), durability));
+            reportInForce();
             aliveAt = now + settings.aliveMillis();
         }
     }
 
-    /** Leaves a control machine that is open but of no use, for each of the others before it is tried again. */
     private void leave(long now) {
-        output.disconnect();
-        choice.last(machine);
-        waitToTryAgain(now);
-    }
-
-    private void waitToTryAgain(long now) {
-        phase = Phase.WAITING;
         assembly = null;
-        phaseEnds = now + choice.backOffMillis();
+        connection.leave(now);
     }
 
-    private void heard(Message.Heartbeat heartbeat, long now) {
+    private void onHeartbeat(Message.Heartbeat heartbeat, long now) {
         offered = heartbeat.latest();
         offeredConfirmedAt = now - heartbeat.confirmedMillisAgo();
         boolean confirmed = heartbeat.confirmedMillisAgo() <= settings.staleMillis();
-        boolean same = offered.equals(inForce.version());
+        boolean sameVersion = offered.equals(inForce.version());
         if (confirmed && !inForce.version().newerThan(offered)) {
-            choice.settled();
+            selector.settled();
         }
-        if (same && !heartbeat.digest().equals(inForce.digest())) {
-            conflict(heartbeat);
-        } else if (same && offeredConfirmedAt >= currentAt) {
+        if (sameVersion && !heartbeat.digest().equals(inForce.digest())) {
+            onConflict(heartbeat);
+        } else if (sameVersion && offeredConfirmedAt >= currentAt) {
             currentAt = offeredConfirmedAt;
             everCurrent = true;
         }
     }
 
-    private void conflict(Message.Heartbeat heartbeat) {
-        Refusal by = new Refusal(offered, Refusal.Reason.CONFLICT, "other content: " + heartbeat.digest());
-        if (!by.equals(refusal)) {
-            refuse(by);
+    /** The control machine holds the version in force with another content. */
+    private void onConflict(Message.Heartbeat heartbeat) {
+        Refusal conflict = new Refusal(offered, Refusal.Reason.CONFLICT, "other content: " + heartbeat.digest());
+        if (!conflict.equals(refusal)) {
+            refuse(conflict);
         }
     }
 
-    private boolean lags() {
+    private boolean lagsBehindOffer() {
         return mayFollow(offered) && (refusal == null || !refusal.version().equals(offered));
     }
 
-    private void progress(long now) {
+    private void madeProgress(long now) {
         lastProgress = now;
-        questions = 0;
+        unansweredRequests = 0;
     }
 
-    private void ask(long now) {
-        questions++;
+    private void requestNewer(long now) {
+        unansweredRequests++;
         lastProgress = now;
-        output.send(new Message.Ask(inForce.version(), inForce.digest(), whole));
+        output.send(new Message.Ask(inForce.version(), inForce.digest(), needsSnapshot));
     }
 
-    // ---- Versions ------------------------------------------------------------
+    private void requestSnapshot(long now) {
+        needsSnapshot = true;
+        requestNewer(now);
+    }
 
-    private void begin(VersionStore.Saved saved) {
-        boolean old = saved.floor().newerThan(saved.configuration().version());
-        floor = old ? saved.floor() : saved.configuration().version();
-        inForce = old ? Configuration.NONE : saved.configuration();
-        durability = old ? Durability.FLOOR_ONLY : Durability.SAVED;
-        if (!old && !inForce.version().equals(Version.NONE)) {
-            output.inForce(inForce);
-        }
+    private void reportInForce() {
+        output.send(new Message.InForce(inForce.version(), inForce.digest(), inForce.durability()));
     }
 
-    private void update(Delta delta, long now) {
-        progress(now);
+    // ---- Versions ------------------------------------------------------------
+
+    private void onUpdate(Delta delta, long now) {
+        madeProgress(now);
         if (!mayFollow(delta.result()) || !readable(delta.result(), delta.format())) {
             return;
         }
-        Configuration result = delta.fits(inForce) ? applied(inForce, delta) : null;
+        Configuration base = inForce.configuration();
+        Configuration result = delta.fits(base) ? applied(base, delta) : null;
         if (result == null || !intact(result, delta.digest())) {
-            whole = true;
-            ask(now);
+            requestSnapshot(now);
             return;
         }
-        take(result, now);
+        putInForce(result, now);
     }
 
-    private void piece(Message.SnapshotPiece piece, long now) {
-        progress(now);
+    private void onSnapshotPiece(Message.SnapshotPiece piece, long now) {
+        madeProgress(now);
         if (piece.offset() == 0) {
             boolean wanted = mayFollow(piece.version()) && readable(piece.version(), piece.format());
-            boolean possible = piece.total() >= 0 && piece.total() <= SNAPSHOT_BYTES_MOST;
+            boolean possible = piece.total() >= 0 && piece.total() <= MAX_SNAPSHOT_BYTES;
             assembly = wanted && possible ? new SnapshotAssembly(piece) : null;
         }
-        if (assembly == null || !assembly.add(piece) || !assembly.whole()) {
+        if (assembly == null || !assembly.add(piece) || !assembly.complete()) {
             return;
         }
-        SnapshotAssembly full = assembly;
+        SnapshotAssembly complete = assembly;
         assembly = null;
-        Configuration result = read(full);
-        if (result == null || !intact(result, full.digest())) {
-            whole = true;
-            ask(now);
+        Configuration result = decode(complete);
+        if (result == null || !intact(result, complete.digest())) {
+            requestSnapshot(now);
             return;
         }
-        take(result, now);
+        putInForce(result, now);
     }
 
     /** Null where the bytes are no configuration. */
-    private static Configuration read(SnapshotAssembly full) {
+    private static Configuration decode(SnapshotAssembly complete) {
         try {
-            return Encoding.read(full.bytes());
+            return Encoding.read(complete.bytes());
         } catch (IllegalArgumentException e) {
             return null;
         }
@@ -343,44 +327,20 @@
         return false;
     }
 
-    private void refuse(Refusal by) {
-        refusal = by;
-        output.send(new Message.Refused(by));
+    private void refuse(Refusal refused) {
+        refusal = refused;
+        output.send(new Message.Refused(refused));
     }
 
-    private void take(Configuration next, long now) {
+    private void putInForce(Configuration next, long now) {
         Optional<String> complaint = validator.complaint(next);
         if (complaint.isPresent()) {
             refuse(new Refusal(next.version(), Refusal.Reason.INVALID, complaint.get()));
             return;
         }
-        whole = false;
-        save(next, now);
-        inForce = next;
+        needsSnapshot = false;
+        inForce.replace(next, now);
         output.inForce(next);
-        output.send(new Message.InForce(next.version(), next.digest(), durability));
-    }
-
-    private void save(Configuration next, long now) {
-        if (store.save(next)) {
-            durability = Durability.SAVED;
-            floor = next.version();
-        } else if (store.saveFloor(next.version())) {
-            durability = Durability.FLOOR_ONLY;
-            floor = next.version();
-        } else {
-            durability = Durability.MEMORY_ONLY;
-        }
-        saveAgainAt = now + settings.saveAgainMillis();
-    }
-
-    private void saveAgain(long now) {
-        if (durability == Durability.SAVED || heldBack() || now < saveAgainAt) {
-            return;
-        }
-        save(inForce, now);
-        if (durability == Durability.SAVED && phase == Phase.CONNECTED) {
-            output.send(new Message.InForce(inForce.version(), inForce.digest(), durability));
-        }
+        reportInForce();
     }
 }
--- a/src/main/java/pepperdock/distribution/SubscriberOutput.java
+++ b/src/main/java/pepperdock/distribution/SubscriberOutput.java
@@ -1,11 +1,12 @@
 package pepperdock.distribution;
 
-/** What a subscriber wants done. It has one connection at most. */
+/** What the caller does for a {@link Subscriber}, which has one connection at most. */
 public interface SubscriberOutput {
 
     /** Opens a connection; {@link Subscriber#connected} or {@link Subscriber#disconnected} is to be called. */
     void connect(ControlMachine to);
 
+    /** Sends a message on the connection. */
     void send(Message.FromSubscriber message);
 
     /** Closes the connection, also one that is being opened; {@link Subscriber#disconnected} need not be called. */
--- a/src/main/java/pepperdock/distribution/SubscriberSettings.java
+++ b/src/main/java/pepperdock/distribution/SubscriberSettings.java
@@ -1,18 +1,18 @@
 package pepperdock.distribution;
 
 /**
- * When a subscriber loses patience. All in milliseconds but {@code reads}.
+ * The timeouts and intervals of a subscriber, in milliseconds but for {@code reads}. Immutable.
  *
  * @param reads the highest format that this program version reads
  * @param connectMillis a connection that is not open by then is given up
- * @param silenceMillis a control machine that says nothing for so long is left for another
+ * @param silenceMillis a control machine that sends nothing for so long is left for another
  * @param staleMillis a control machine that has not been confirmed for so long is left for another
  * @param stayMillis after all were tried in vain, so long with one that is not confirmed before they are tried again
- * @param lagMillis without progress for so long, where something newer is known, it is asked for again
- * @param aliveMillis between two signs of life
+ * @param lagMillis without progress for so long, where something newer is known, it is requested again
+ * @param aliveMillis between two heartbeats
  * @param saveAgainMillis between two attempts to save what could not be saved
- * @param backOffMillis the first back-off, at most; doubled with each attempt that fails
- * @param backOffMostMillis no back-off is longer
+ * @param backOffMillis the first backoff, at most; doubled with each attempt that fails
+ * @param backOffMostMillis no backoff is longer
  */
 public record SubscriberSettings(
         int reads,
--- a/src/main/java/pepperdock/distribution/Validator.java
+++ b/src/main/java/pepperdock/distribution/Validator.java
@@ -2,7 +2,7 @@
 
 import java.util.Optional;
 
-/** Judges a whole configuration before it is put in force. */
+/** Validates a complete configuration before it is put in force. */
 public interface Validator {
 
     /** What is wrong with it; empty where it may be put in force. */
--- a/src/main/java/pepperdock/distribution/Version.java
+++ b/src/main/java/pepperdock/distribution/Version.java
@@ -4,8 +4,8 @@
  * The place of a configuration in the settled order. Versions are compared by epoch first, so that a control machine with an
  * old disk can't make its number look newer.
  *
- * @param epoch which life of the log; raised by the operator when a log has to be begun anew from an older disk
- * @param number the index of the committed log entry that made this version; grows within an epoch, with gaps
+ * @param epoch the incarnation of the log; raised by the operator when a log has to be begun anew from an older disk
+ * @param number the index of the committed log entry that made this version; it grows within an epoch, with gaps
  */
 public record Version(long epoch, long number) implements Comparable<Version> {
 
--- a/src/main/java/pepperdock/distribution/VersionSource.java
+++ b/src/main/java/pepperdock/distribution/VersionSource.java
@@ -2,7 +2,7 @@
 
 import java.util.List;
 
-/** Where a publisher learns of settled versions: the committed log of its control machine. */
+/** The settled versions that a publisher sends: the committed log of its control machine. */
 public interface VersionSource {
 
     /** The configurations settled after that version and known to this machine, oldest first. */
--- a/src/main/java/pepperdock/distribution/VersionStore.java
+++ b/src/main/java/pepperdock/distribution/VersionStore.java
@@ -6,14 +6,16 @@
     /**
      * What a disk holds when a process starts.
      *
-     * @param configuration {@link Configuration#NONE} where there is none that is whole
+     * @param configuration {@link Configuration#NONE} where there is none that is complete
      * @param floor nothing older than this may be put in force
      */
     record Saved(Configuration configuration, Version floor) {
 
+        /** Of a new disk. */
         public static final Saved NOTHING = new Saved(Configuration.NONE, Version.NONE);
     }
 
+    /** What the disk holds. */
     Saved load();
 
     /** Replaces the configuration, whole or not at all, and syncs it. False where that failed; the disk may be full. */
--- a/src/main/java/pepperdock/distribution/wire/MessageCodec.java
+++ b/src/main/java/pepperdock/distribution/wire/MessageCodec.java
@@ -15,13 +15,15 @@
 import pepperdock.distribution.SubscriberId;
 import pepperdock.distribution.Version;
 
-/** Messages as frames: the length of what follows in four bytes, a kind in one, the content. Big-endian. */
+/**
+ * Encodes messages as frames: the length of what follows in four bytes, a kind in one, the content. Big-endian. Stateless.
+ */
 public final class MessageCodec {
 
     /** Bytes before the kind. */
     static final int LENGTH_BYTES = 4;
     /** No frame is longer, its length left out. */
-    static final int FRAME_MOST = 128 << 10;
+    static final int MAX_FRAME_BYTES = 128 << 10;
 
     private static final byte HELLO = 1;
     private static final byte IN_FORCE = 2;
@@ -36,7 +38,7 @@
 
     private MessageCodec() {}
 
-    /** A frame, its length before it. */
+    /** Encodes a message as a frame, with its length. */
     public static byte[] frame(Message message) {
         int length = 1 + message.content();
         ByteBuffer to = ByteBuffer.allocate(LENGTH_BYTES + length).putInt(length);
@@ -49,20 +51,20 @@
     }
 
     /**
-     * What a frame says, its length left out.
+     * Decodes a frame without its length.
      *
-     * @throws IllegalArgumentException where these bytes are no message, whole
+     * @throws MalformedMessageException where these bytes are not one whole message
      */
     public static Message read(byte[] bytes, int from, int length) {
         ByteBuffer in = ByteBuffer.wrap(bytes, from, length);
         try {
             Message message = read(in);
             if (in.hasRemaining()) {
-                throw new IllegalArgumentException(in.remaining() + " bytes follow the message");
+                throw new MalformedMessageException(in.remaining() + " bytes follow the message");
             }
             return message;
         } catch (BufferUnderflowException | IndexOutOfBoundsException e) {
-            throw new IllegalArgumentException("message cut short", e);
+            throw new MalformedMessageException("message cut short", e);
         }
     }
 
@@ -73,15 +75,15 @@
             to.put(HELLO);
             text(to, m.from().name());
             to.putInt(m.reads());
-            standing(to, m.inForce(), m.digest());
+            versionAndDigest(to, m.inForce(), m.digest());
             to.put((byte) m.durability().ordinal());
         } else if (message instanceof Message.InForce m) {
             to.put(IN_FORCE);
-            standing(to, m.version(), m.digest());
+            versionAndDigest(to, m.version(), m.digest());
             to.put((byte) m.durability().ordinal());
         } else if (message instanceof Message.Ask m) {
             to.put(ASK);
-            standing(to, m.inForce(), m.digest());
+            versionAndDigest(to, m.inForce(), m.digest());
             to.put((byte) (m.whole() ? 1 : 0));
         } else if (message instanceof Message.Refused m) {
             to.put(REFUSED);
@@ -94,14 +96,14 @@
     private static void write(ByteBuffer to, Message.FromPublisher message) {
         if (message instanceof Message.Heartbeat m) {
             to.put(HEARTBEAT);
-            standing(to, m.latest(), m.digest());
+            versionAndDigest(to, m.latest(), m.digest());
             to.putInt(m.confirmedMillisAgo());
         } else if (message instanceof Message.Update m) {
             to.put(UPDATE);
             delta(to, m.delta());
         } else if (message instanceof Message.SnapshotPiece m) {
             to.put(SNAPSHOT_PIECE);
-            standing(to, m.version(), m.digest());
+            versionAndDigest(to, m.version(), m.digest());
             to.putInt(m.format()).putInt(m.total()).putInt(m.offset()).put(m.piece());
         } else if (message instanceof Message.RetryAfter m) {
             to.put(RETRY_AFTER).putInt(m.millis());
@@ -109,8 +111,8 @@
     }
 
     private static void delta(ByteBuffer to, Delta delta) {
-        standing(to, delta.base(), delta.baseDigest());
-        standing(to, delta.result(), delta.digest());
+        versionAndDigest(to, delta.base(), delta.baseDigest());
+        versionAndDigest(to, delta.result(), delta.digest());
         to.putInt(delta.format()).putInt(delta.changes().size());
         for (Change change : delta.changes()) {
             if (change instanceof Change.Put put) {
@@ -124,7 +126,7 @@
         }
     }
 
-    private static void standing(ByteBuffer to, Version version, Digest digest) {
+    private static void versionAndDigest(ByteBuffer to, Version version, Digest digest) {
         version(to, version);
         to.putLong(digest.high()).putLong(digest.low());
     }
@@ -165,7 +167,7 @@
                 new Message.SnapshotPiece(
                         version(in), digest(in), in.getInt(), in.getInt(), in.getInt(), bytes(in, in.remaining()));
             case RETRY_AFTER -> new Message.RetryAfter(in.getInt());
-            default -> throw new IllegalArgumentException("no kind of message: " + kind);
+            default -> throw new MalformedMessageException("no kind of message: " + kind);
         };
     }
 
@@ -189,7 +191,7 @@
         return switch (kind) {
             case PUT -> new Change.Put(new Item(key, bytes(in, in.getInt())));
             case REMOVE -> new Change.Remove(key);
-            default -> throw new IllegalArgumentException("no kind of change: " + kind);
+            default -> throw new MalformedMessageException("no kind of change: " + kind);
         };
     }
 
--- a/src/main/java/pepperdock/distribution/wire/MessageReader.java
+++ b/src/main/java/pepperdock/distribution/wire/MessageReader.java
@@ -5,22 +5,22 @@
 import pepperdock.distribution.Message;
 import pepperdock.transport.Connection;
 
-/** Takes whole frames out of what a connection has received. */
+/** Decodes the complete frames that a connection has received. Stateless; called on the loop's thread. */
 final class MessageReader {
 
     private MessageReader() {}
 
     /**
-     * Hands over each whole message; false is to be answered where no more is wanted.
+     * Passes on each complete message, until the predicate returns false.
      *
-     * @throws IllegalArgumentException where what came is no frame
+     * @throws MalformedMessageException where the bytes are no frame
      */
     static void take(Connection connection, Predicate<Message> to) {
         while (!connection.closed() && connection.to() - connection.from() >= MessageCodec.LENGTH_BYTES) {
             int from = connection.from();
             int length = ByteBuffer.wrap(connection.bytes()).getInt(from);
-            if (length <= 0 || length > MessageCodec.FRAME_MOST) {
-                throw new IllegalArgumentException("a frame of " + length + " bytes");
+            if (length <= 0 || length > MessageCodec.MAX_FRAME_BYTES) {
+                throw new MalformedMessageException("a frame of " + length + " bytes");
             }
             if (connection.to() - from - MessageCodec.LENGTH_BYTES < length) {
                 return;
--- a/src/main/java/pepperdock/distribution/wire/PublisherServer.java
+++ b/src/main/java/pepperdock/distribution/wire/PublisherServer.java
@@ -14,33 +14,33 @@
 import pepperdock.transport.Connection;
 import pepperdock.transport.Loop;
 
-/** A publisher behind a listening address. All of it belongs to the loop's thread. */
+/** A publisher behind a listening address. All state belongs to the loop's thread. */
 public final class PublisherServer implements PublisherOutput, AutoCloseable {
 
     private static final System.Logger LOG = System.getLogger("pepperdock.distribution");
     private static final double TICK_SECONDS = 0.05;
-    private static final double MILLIS = 1e3;
+    private static final double MILLIS_PER_SECOND = 1e3;
 
     private final Loop loop;
     private final Publisher publisher;
     private final Loop.Listening listening;
     private final TreeMap<Long, Connection> connections = new TreeMap<>();
     private Clock.Timer timer;
-    private long numbers;
+    private long lastNumber;
     private boolean closed;
 
-    /** Listens from now on; {@code connectionsMost} subscribers are served, and others closed unserved. */
+    /** Listens from now on; {@code maxConnections} subscribers are served, and others closed unserved. */
     public PublisherServer(
             Loop loop,
             InetSocketAddress at,
-            int connectionsMost,
+            int maxConnections,
             PublisherSettings settings,
             VersionSource source,
             long seed)
             throws IOException {
         this.loop = loop;
         publisher = new Publisher(settings, source, this, seed, now());
-        listening = loop.listen(at, Loop.Kind.OWN, () -> connections.size() < connectionsMost, this::accepted);
+        listening = loop.listen(at, Loop.Kind.OWN, () -> connections.size() < maxConnections, this::accepted);
         timer = loop.after(TICK_SECONDS, this::tick);
     }
 
@@ -77,31 +77,31 @@
     }
 
     private void accepted(Connection connection) {
-        long number = ++numbers;
+        long number = ++lastNumber;
         connections.put(number, connection);
-        connection.limitUnread(MessageCodec.LENGTH_BYTES + MessageCodec.FRAME_MOST);
+        connection.limitUnread(MessageCodec.LENGTH_BYTES + MessageCodec.MAX_FRAME_BYTES);
         publisher.connected(number, now());
         connection.start(new Connection.Handler() {
             @Override
-            public void received(Connection c) {
-                take(number, c);
+            public void received(Connection from) {
+                decode(number, from);
             }
 
             @Override
-            public void ended(Connection c) {
+            public void ended(Connection from) {
                 forget(number);
             }
         });
     }
 
-    private void take(long number, Connection connection) {
+    private void decode(long number, Connection connection) {
         try {
             MessageReader.take(connection, message -> {
-                if (!(message instanceof Message.FromSubscriber said)) {
-                    throw new IllegalArgumentException(
+                if (!(message instanceof Message.FromSubscriber received)) {
+                    throw new MalformedMessageException(
                             "not a subscriber's: " + message.getClass().getSimpleName());
                 }
-                publisher.received(number, said, now());
+                publisher.received(number, received, now());
                 return connections.containsKey(number);
             });
         } catch (IllegalArgumentException e) {
@@ -133,6 +133,6 @@
     }
 
     private long now() {
-        return (long) (loop.now() * MILLIS);
+        return (long) (loop.now() * MILLIS_PER_SECOND);
     }
 }
--- a/src/main/java/pepperdock/distribution/wire/SubscriberClient.java
+++ b/src/main/java/pepperdock/distribution/wire/SubscriberClient.java
@@ -16,7 +16,7 @@
 import pepperdock.transport.Connection;
 import pepperdock.transport.Loop;
 
-/** A subscriber that dials its control machines. All of it belongs to the loop's thread, also its construction. */
+/** A subscriber that dials its control machines. All state belongs to the loop's thread, also its construction. */
 public final class SubscriberClient implements SubscriberOutput, AutoCloseable {
 
     /** Where a control machine is reached. */
@@ -24,7 +24,7 @@
 
     private static final System.Logger LOG = System.getLogger("pepperdock.distribution");
     private static final double TICK_SECONDS = 0.1;
-    private static final double MILLIS = 1e3;
+    private static final double MILLIS_PER_SECOND = 1e3;
 
     private final Loop loop;
     private final List<Reach> reaches;
@@ -34,13 +34,14 @@
     private Clock.Timer timer;
     /** Null while there is none. */
     private Connection connection;
-    /** Counts the attempts, so that one that was given up is known when it comes after all. */
+    /** Numbers the attempts, so that the outcome of one that was given up is ignored. */
     private long attempt;
 
     private long bytesIn;
     private long bytesOut;
     private boolean closed;
 
+    /** Begins to dial with the first tick; {@code inForce} gets each configuration that is put in force. */
     public SubscriberClient(
             Loop loop,
             SubscriberIdentity self,
@@ -59,6 +60,7 @@
         timer = loop.after(TICK_SECONDS, this::tick);
     }
 
+    /** The subscriber, for its state. */
     public Subscriber subscriber() {
         return subscriber;
     }
@@ -92,7 +94,7 @@
                 .findFirst()
                 .orElseThrow()
                 .address();
-        loop.dial(address, settings.connectMillis() / MILLIS, new Loop.Dialled() {
+        loop.dial(address, settings.connectMillis() / MILLIS_PER_SECOND, new Loop.Dialled() {
             @Override
             public void up(Connection made) {
                 if (number == attempt && !closed) {
@@ -143,17 +145,17 @@
 
     private void opened(long number, Connection made) {
         connection = made;
-        made.limitUnread(MessageCodec.LENGTH_BYTES + MessageCodec.FRAME_MOST);
+        made.limitUnread(MessageCodec.LENGTH_BYTES + MessageCodec.MAX_FRAME_BYTES);
         made.start(new Connection.Handler() {
             @Override
-            public void received(Connection c) {
+            public void received(Connection from) {
                 if (number == attempt) {
-                    take(number, c);
+                    decode(number, from);
                 }
             }
 
             @Override
-            public void ended(Connection c) {
+            public void ended(Connection from) {
                 if (number == attempt) {
                     connection = null;
                     subscriber.disconnected(now());
@@ -163,15 +165,15 @@
         subscriber.connected(now());
     }
 
-    private void take(long number, Connection from) {
+    private void decode(long number, Connection from) {
         try {
             MessageReader.take(from, message -> {
-                if (!(message instanceof Message.FromPublisher said)) {
-                    throw new IllegalArgumentException(
+                if (!(message instanceof Message.FromPublisher received)) {
+                    throw new MalformedMessageException(
                             "not a publisher's: " + message.getClass().getSimpleName());
                 }
-                bytesIn += MessageCodec.LENGTH_BYTES + 1 + said.content();
-                subscriber.received(said, now());
+                bytesIn += MessageCodec.LENGTH_BYTES + 1 + received.content();
+                subscriber.received(received, now());
                 return number == attempt;
             });
         } catch (IllegalArgumentException e) {
@@ -182,6 +184,6 @@
     }
 
     private long now() {
-        return (long) (loop.now() * MILLIS);
+        return (long) (loop.now() * MILLIS_PER_SECOND);
     }
 }
--- a/src/main/java/pepperdock/operator/BanFile.java
+++ b/src/main/java/pepperdock/operator/BanFile.java
@@ -6,6 +6,7 @@
 import java.nio.ByteBuffer;
 import java.nio.channels.FileChannel;
 import java.nio.channels.FileLock;
+import java.nio.charset.CharacterCodingException;
 import java.nio.charset.StandardCharsets;
 import java.nio.file.Files;
 import java.nio.file.NoSuchFileException;
@@ -19,34 +20,42 @@
 import pepperdock.config.Keys;
 
 /**
- * The bans on disk, shared by the two processes of an upgrade: one file, replaced whole by a rename, so that whoever reads it
- * reads all or nothing of a change, and whoever is killed leaves the state before. On a thread that may wait for a disk.
+ * The bans on disk, shared by the two processes of an upgrade. The file is replaced by an atomic rename, so that a reader sees
+ * all or nothing of a change, and a process that is killed leaves the state before. Used on one thread, which may wait for a
+ * disk.
  */
 final class BanFile {
 
     private static final System.Logger LOG = System.getLogger("pepperdock.operator");
     private static final int VERSION = 1;
-    /** For the other process to let go of the lock: it holds it for a write; stopped with it, it must not stop this one. */
-    private static final int LOCK_TRIES = 50;
+    /** The other process holds the lock for one write; one that is stopped while it holds it must not stop this one. */
+    private static final int LOCK_ATTEMPTS = 50;
 
-    private static final int LOCK_PAUSE_MS = 10;
+    private static final int LOCK_BACKOFF_MS = 10;
+    private static final String BANS_FILE = "bans.json";
+    private static final String NEW_FILE = "bans.new";
+    private static final String LOCK_FILE = "bans.lock";
+    private static final String DAMAGED_FILE = "bans.damaged";
+    private static final String VERSION_KEY = "version";
+    private static final String DISABLED_KEY = "disabled";
 
     private final Path folder;
     private final Path file;
 
+    /** In that folder, which must exist. */
     BanFile(Path folder) {
         this.folder = folder;
-        file = folder.resolve("bans.json");
+        file = folder.resolve(BANS_FILE);
     }
 
-    /** Who is banned; nobody where there is no file. One that can't be read is put aside, named in the log, and is as none. */
+    /** The banned workers; none where there is no file. A damaged file is moved aside, named in the log, and counts as none. */
     Set<String> read() throws IOException {
         try {
             return parse(Files.readString(file));
         } catch (NoSuchFileException e) {
             return Set.of();
-        } catch (ConfigException | java.nio.charset.CharacterCodingException e) {
-            Path aside = folder.resolve("bans.damaged");
+        } catch (ConfigException | CharacterCodingException e) {
+            Path aside = folder.resolve(DAMAGED_FILE);
             LOG.log(
                     System.Logger.Level.ERROR,
                     "bans not readable, kept as {0}, none in force: {1}",
@@ -57,11 +66,15 @@
         }
     }
 
-    /** Puts one change into the file as it is now; returns the state that is written. */
+    /**
+     * Makes one change to the file as it is now.
+     *
+     * @return the banned workers since the change
+     */
     Set<String> change(String worker, boolean out) throws IOException {
-        try (FileChannel lock =
-                FileChannel.open(folder.resolve("bans.lock"), StandardOpenOption.CREATE, StandardOpenOption.WRITE)) {
-            FileLock held = locked(lock);
+        try (FileChannel lockChannel =
+                FileChannel.open(folder.resolve(LOCK_FILE), StandardOpenOption.CREATE, StandardOpenOption.WRITE)) {
+            FileLock held = lock(lockChannel);
             Set<String> state = new LinkedHashSet<>(read());
             boolean changes = out ? state.add(worker) : state.remove(worker);
             if (changes) {
@@ -74,11 +87,12 @@
         }
     }
 
-    private static FileLock locked(FileChannel channel) throws IOException {
+    /** The lock; null where the other process has held it for all attempts, or this thread is interrupted. */
+    private static FileLock lock(FileChannel channel) throws IOException {
         FileLock held = channel.tryLock();
-        for (int i = 0; held == null && i < LOCK_TRIES; i++) {
+        for (int attempt = 0; held == null && attempt < LOCK_ATTEMPTS; attempt++) {
             try {
-                Thread.sleep(LOCK_PAUSE_MS);
+                Thread.sleep(LOCK_BACKOFF_MS);
             } catch (InterruptedException e) {
                 Thread.currentThread().interrupt();
                 return null;
@@ -91,31 +105,31 @@
     private void write(Set<String> state) throws IOException {
         JsonArray disabled = new JsonArray();
         state.forEach(disabled::add);
-        JsonObject all = new JsonObject();
-        all.addProperty("version", VERSION);
-        all.add("disabled", disabled);
-        Path fresh = folder.resolve("bans.new");
-        try (FileChannel to = FileChannel.open(
-                fresh, StandardOpenOption.CREATE, StandardOpenOption.WRITE, StandardOpenOption.TRUNCATE_EXISTING)) {
-            ByteBuffer bytes = ByteBuffer.wrap(all.toString().getBytes(StandardCharsets.UTF_8));
+        JsonObject content = new JsonObject();
+        content.addProperty(VERSION_KEY, VERSION);
+        content.add(DISABLED_KEY, disabled);
+        Path newFile = folder.resolve(NEW_FILE);
+        try (FileChannel channel = FileChannel.open(
+                newFile, StandardOpenOption.CREATE, StandardOpenOption.WRITE, StandardOpenOption.TRUNCATE_EXISTING)) {
+            ByteBuffer bytes = ByteBuffer.wrap(content.toString().getBytes(StandardCharsets.UTF_8));
             while (bytes.hasRemaining()) {
-                to.write(bytes);
+                channel.write(bytes);
             }
-            to.force(true);
+            channel.force(true);
         }
-        Files.move(fresh, file, StandardCopyOption.ATOMIC_MOVE);
+        Files.move(newFile, file, StandardCopyOption.ATOMIC_MOVE);
     }
 
     private static Set<String> parse(String text) {
         Keys keys = Keys.of("bans", Config.parse(text, "bans"));
-        keys.only("version", "disabled");
-        keys.whole("version", VERSION, VERSION);
-        if (!keys.has("disabled")) {
-            throw new ConfigException(keys.key("disabled"), "missing");
+        keys.only(VERSION_KEY, DISABLED_KEY);
+        keys.whole(VERSION_KEY, VERSION, VERSION);
+        if (!keys.has(DISABLED_KEY)) {
+            throw new ConfigException(keys.key(DISABLED_KEY), "missing");
         }
-        Set<String> state = new LinkedHashSet<>(keys.texts("disabled"));
+        Set<String> state = new LinkedHashSet<>(keys.texts(DISABLED_KEY));
         if (state.size() > Bans.MOST) {
-            throw new ConfigException(keys.key("disabled"), "more than " + Bans.MOST);
+            throw new ConfigException(keys.key(DISABLED_KEY), "more than " + Bans.MOST);
         }
         return state;
     }
--- a/src/main/java/pepperdock/operator/Bans.java
+++ b/src/main/java/pepperdock/operator/Bans.java
@@ -7,32 +7,36 @@
 import java.util.Set;
 
 /**
- * Which workers are taken out by hand: those last read or written, and what has been asked since and is still being written.
- * Pure; on the loop's thread. What is asked holds from the moment it is asked, whatever is read of an older state meanwhile.
+ * The workers that operators have banned: the state last read or written, and the changes that are still being written. A change
+ * is in force from the moment it is requested, whatever is read of an older state meanwhile. No I/O; on the loop's thread.
  */
 final class Bans {
 
-    /** So many at most: more are no ban of workers any more, and the file is read whole. */
+    /** Bans at most: the file is read whole, and a fleet without most of its workers is not what a ban is for. */
     static final int MOST = 1000;
 
+    /** A worker banned, or let back. */
     private record Change(String worker, boolean out) {}
 
-    private final Set<String> kept = new LinkedHashSet<>();
-    /** What could not be written: in force here whatever is read, until a change of the same worker is written. */
+    /** As last read or written. */
+    private final Set<String> saved = new LinkedHashSet<>();
+    /** Changes that could not be written: in force here whatever is read, until one of the same worker is written. */
     private final Map<String, Change> unwritten = new LinkedHashMap<>();
 
-    private final Map<Long, Change> asked = new LinkedHashMap<>();
+    /** Changes that are being written, by number. */
+    private final Map<Long, Change> pending = new LinkedHashMap<>();
+
     private long changeNumber;
 
-    /** Takes what is asked; returns its number for {@link #written}. */
+    /** Takes a requested change; returns its number for {@link #written}. */
     long ask(String worker, boolean out) {
-        asked.put(++changeNumber, new Change(worker, out));
+        pending.put(++changeNumber, new Change(worker, out));
         return changeNumber;
     }
 
-    /** What was asked under a number is written, and this is the state since; null where it could not be written. */
+    /** A change is written, and this is the state since; null where it could not be written. */
     void written(long number, Collection<String> state) {
-        Change change = asked.remove(number);
+        Change change = pending.remove(number);
         unwritten.remove(change.worker());
         if (state != null) {
             read(state);
@@ -41,21 +45,22 @@
         }
     }
 
-    /** The state as another process has written it. */
+    /** Takes on the state of the file, which another process may have changed. */
     void read(Collection<String> state) {
-        kept.clear();
-        kept.addAll(state);
+        saved.clear();
+        saved.addAll(state);
     }
 
-    /** Changes that are asked and not written yet. */
+    /** How many changes are still being written. */
     int waiting() {
-        return asked.size();
+        return pending.size();
     }
 
+    /** The workers that are banned now. */
     Set<String> inForce() {
-        Set<String> now = new LinkedHashSet<>(kept);
+        Set<String> now = new LinkedHashSet<>(saved);
         unwritten.values().forEach(change -> apply(now, change));
-        asked.values().forEach(change -> apply(now, change));
+        pending.values().forEach(change -> apply(now, change));
         return now;
     }
 
--- a/src/main/java/pepperdock/operator/Operator.java
+++ b/src/main/java/pepperdock/operator/Operator.java
@@ -16,21 +16,21 @@
 import pepperdock.transport.Loop;
 
 /**
- * What operators have to do with a running gatherer: their address, the bans, and the other process of an upgrade. State is
- * the loop's; the disk is a thread's of its own, which hands back what it read.
+ * The operators' side of a running gatherer: their HTTP address, the bans, and the other process of an upgrade. State belongs to
+ * the loop's thread; files are used on a thread of their own, which passes what it reads to the loop.
  */
 public final class Operator implements OperatorEndpoint.Operations, UpgradePeer {
 
     private static final System.Logger LOG = System.getLogger("pepperdock.operator");
-    /** Out of the descriptors that are kept spare; whoever waits without a whole call gives way to the next. */
-    private static final int CALLERS_MOST = 12;
-    /** Whoever has not completed a call by then is nobody's caller any more. */
-    private static final double CALL_S = 4;
+    /** Connections at a time, out of the spare descriptors; one without a complete request gives way to the next. */
+    private static final int MAX_CONNECTIONS = 12;
+    /** A request that is not complete by then is dropped. */
+    private static final double REQUEST_TIMEOUT_S = 4;
 
-    private static final int BODY_MOST = 4096;
-    /** Calls that may wait for a disk that stands still. */
-    private static final int PENDING_MOST = 100;
-    /** How often the disk is asked for another process and for its bans: word of leaving has a grace of five times that. */
+    private static final int MAX_BODY_BYTES = 4096;
+    /** Bans that may wait for a disk that does not respond. */
+    private static final int MAX_PENDING_BANS = 100;
+    /** How often the files are read for another process and its bans; draining allows five times as long for that. */
     private static final long REFRESH_MS = 100;
 
     private final Loop loop;
@@ -39,7 +39,7 @@
     private final Bans bans = new Bans();
     private final List<Consumer<Boolean>> otherProcessListeners = new ArrayList<>();
     private final List<Consumer<Boolean>> otherServingListeners = new ArrayList<>();
-    /** All three null where there is no folder for the state. */
+    /** This and the next two are null where there is no folder for the state. */
     private final BanFile file;
 
     private final ProcessLocks locks;
@@ -49,14 +49,19 @@
     private boolean handedOver;
     private long loads;
     private long loadErrors;
-    /** The disk thread's. */
+    /** From here on: state of the disk thread, which reports changes of it. */
     private boolean lastSeenOther;
 
     private boolean lastSeenServing;
     private Set<String> lastSeenBans;
     private boolean failing;
 
-    /** {@code folder} is null where nothing outlives this process; {@code ready} says whether it takes queries. */
+    /**
+     * Reads the state that is there, and takes part in the handover between processes.
+     *
+     * @param folder null where nothing outlives this process
+     * @param ready whether this process takes queries
+     */
     public Operator(Path folder, Loop loop, Gatherer core, BooleanSupplier ready) throws IOException {
         this.loop = loop;
         this.core = core;
@@ -87,13 +92,13 @@
                     lastSeenBans.size());
         }
         diskThread = Executors.newSingleThreadScheduledExecutor(task -> {
-            Thread t = new Thread(task, "operator");
-            t.setDaemon(true);
-            return t;
+            Thread thread = new Thread(task, "operator");
+            thread.setDaemon(true);
+            return thread;
         });
     }
 
-    /** Opens the address and begins to look for another process; on the loop's thread, before the first list is told. */
+    /** Opens the address and begins to watch for another process; on the loop's thread, before the first endpoint list. */
     public void start(InetSocketAddress at) throws IOException {
         core.setBannedEndpoints(bans.inForce());
         if (otherProcess) {
@@ -107,11 +112,17 @@
                     diskThread.scheduleWithFixedDelay(this::refresh, REFRESH_MS, REFRESH_MS, TimeUnit.MILLISECONDS);
         }
         HttpServer server = new HttpServer(
-                loop, at, Loop.Kind.APART, CALL_S, BODY_MOST, () -> CALLERS_MOST, new OperatorEndpoint(this));
+                loop,
+                at,
+                Loop.Kind.APART,
+                REQUEST_TIMEOUT_S,
+                MAX_BODY_BYTES,
+                () -> MAX_CONNECTIONS,
+                new OperatorEndpoint(this));
         LOG.log(System.Logger.Level.INFO, "operators are served on {0}", server.address());
     }
 
-    /** Tells the other process that this one takes queries from now on, then goes on with that, on the loop's thread. */
+    /** Shows the other process that this one takes queries from now on, then runs the task on the loop's thread. */
     public void serve(Runnable then) {
         onDiskThread(locks::holdServing, then);
     }
@@ -125,6 +136,7 @@
         }
     }
 
+    /** A task for the disk thread. */
     private interface Step {
         void run() throws IOException;
     }
@@ -153,12 +165,12 @@
         return otherProcess;
     }
 
-    /** Tells, on the loop's thread, of each change of that, and of the state at the start where there is another. */
+    /** Notifies, on the loop's thread, of each change of that, and of the state at the start where there is another. */
     public void whenOtherProcessChanges(Consumer<Boolean> then) {
         otherProcessListeners.add(then);
     }
 
-    /** The same of whether another takes new queries: one that was told to end lives on for a while, and has no part then. */
+    /** The same of whether another takes new queries: one that is draining lives on for a while, but takes none. */
     public void whenOtherServingChanges(Consumer<Boolean> then) {
         otherServingListeners.add(then);
     }
@@ -170,7 +182,7 @@
         onDiskThread(locks::releaseServing, () -> {});
     }
 
-    /** A configuration file was taken, or turned down. */
+    /** Counts a configuration file that was put in use, or rejected. */
     public void read(boolean taken) {
         if (taken) {
             loads++;
@@ -236,11 +248,11 @@
         return core.isKnownEndpoint(worker);
     }
 
-    /** In force at once; told once it is also written down, as an upgrade a moment later must find it. */
+    /** In force at once; acknowledged once it is also written, as an upgrade a moment later must find it. */
     @Override
     public void ban(String worker, boolean out, Consumer<String> then) {
         if (out && !bans.inForce().contains(worker) && bans.inForce().size() >= Bans.MOST
-                || bans.waiting() >= PENDING_MOST) {
+                || bans.waiting() >= MAX_PENDING_BANS) {
             then.accept("not done: " + bans.inForce().size() + " workers are disabled, " + bans.waiting()
                     + " calls wait for the disk");
             return;
--- a/src/main/java/pepperdock/operator/OperatorEndpoint.java
+++ b/src/main/java/pepperdock/operator/OperatorEndpoint.java
@@ -8,26 +8,29 @@
 import pepperdock.codec.http.HttpMessage;
 import pepperdock.transport.HttpServer;
 
-/** The operators' calls, one a connection: what each path takes, and what is said of what it does not. */
+/**
+ * The operators' HTTP calls, one a connection: the paths, their methods and the JSON responses. On the loop's thread.
+ */
 final class OperatorEndpoint implements HttpServer.Service {
 
-    /** What the calls are about; on the loop's thread. */
+    /** The operations behind the calls; on the loop's thread. */
     interface Operations {
         /** Whether this process takes queries now. */
         boolean ready();
 
+        /** All metrics as text. */
         String metrics();
 
-        /** Whether a worker of this id has ever stood in the list. */
+        /** Whether a worker of this id was ever in the endpoint list. */
         boolean knows(String worker);
 
-        /** Takes a worker out, or lets it back; {@code then} gets null once that holds, or why it could not be kept. */
+        /** Bans a worker, or lets it back; {@code then} gets null once that is saved, or why it could not be. */
         void ban(String worker, boolean out, Consumer<String> then);
     }
 
     private static final String JSON = "application/json";
     private static final String WORKERS = "/-/workers/";
-    private static final int ID_MOST = 256;
+    private static final int MAX_ID_LENGTH = 256;
 
     private final Operations operations;
 
@@ -36,15 +39,15 @@
     }
 
     @Override
-    public Runnable serve(HttpMessage m, HttpServer.Reply reply) throws HttpException {
-        String path = m.path();
+    public Runnable serve(HttpMessage request, HttpServer.Reply reply) throws HttpException {
+        String path = request.path();
         if (path.equals("/-/ready")) {
-            if (requireMethod(m, "GET", reply)) {
+            if (requireMethod(request, "GET", reply)) {
                 boolean ready = operations.ready();
                 respond(reply, ready ? 200 : 503, "", "ready", ready);
             }
         } else if (path.equals("/-/metrics")) {
-            if (requireMethod(m, "GET", reply)) {
+            if (requireMethod(request, "GET", reply)) {
                 reply.send(
                         200,
                         "text/plain; charset=utf-8",
@@ -52,17 +55,17 @@
                         operations.metrics().getBytes(StandardCharsets.UTF_8));
             }
         } else if (path.startsWith(WORKERS) && path.endsWith("/disable")) {
-            ban(m, path, true, reply);
+            ban(request, path, true, reply);
         } else if (path.startsWith(WORKERS) && path.endsWith("/enable")) {
-            ban(m, path, false, reply);
+            ban(request, path, false, reply);
         } else {
             throw new HttpException(404, "no such path");
         }
         return () -> {};
     }
 
-    private void ban(HttpMessage m, String path, boolean out, HttpServer.Reply reply) throws HttpException {
-        if (!requireMethod(m, "POST", reply)) {
+    private void ban(HttpMessage request, String path, boolean out, HttpServer.Reply reply) throws HttpException {
+        if (!requireMethod(request, "POST", reply)) {
             return;
         }
         String worker = worker(path.substring(WORKERS.length(), Math.max(WORKERS.length(), path.lastIndexOf('/'))));
@@ -81,7 +84,7 @@
     private static String worker(String segment) throws HttpException {
         try {
             String id = URLDecoder.decode(segment.replace("+", "%2B"), StandardCharsets.UTF_8);
-            if (id.isEmpty() || id.length() > ID_MOST || id.chars().anyMatch(Character::isISOControl)) {
+            if (id.isEmpty() || id.length() > MAX_ID_LENGTH || id.chars().anyMatch(Character::isISOControl)) {
                 throw new HttpException(400, "worker id: empty, too long or with control characters");
             }
             return id;
@@ -90,13 +93,13 @@
         }
     }
 
-    /** Whether it is that method, with no body; said at once where it is another. */
-    private boolean requireMethod(HttpMessage m, String method, HttpServer.Reply reply) throws HttpException {
-        if (!m.method().equals(method)) {
+    /** Whether it is that method, without a body; another method is answered at once. */
+    private boolean requireMethod(HttpMessage request, String method, HttpServer.Reply reply) throws HttpException {
+        if (!request.method().equals(method)) {
             respond(reply, 405, "Allow: " + method + "\r\n", "error", "only " + method);
             return false;
         }
-        if (m.body().length > 0) {
+        if (request.body().length > 0) {
             throw new HttpException(400, "body: none is taken here");
         }
         return true;
--- a/src/main/java/pepperdock/operator/ProcessLocks.java
+++ b/src/main/java/pepperdock/operator/ProcessLocks.java
@@ -8,43 +8,50 @@
 import java.nio.file.StandardOpenOption;
 
 /**
- * Tells whether another process of this gatherer lives, and whether it serves: each holds the lock of a file of its own for as
- * long as it lives, and of a second one while it takes queries. The system lets go of
- * both whatever end it comes to. A lock belongs to the process, and is gone with the first of its descriptors that is closed:
- * the own file is never opened again.
+ * Tells whether another process of this gatherer lives, and whether it serves. Each process holds the lock of a file of its own
+ * for as long as it lives, and of a second one while it takes queries; the system releases both however the process ends. A
+ * POSIX lock belongs to the process, and is released with the first of its descriptors that is closed: so a process never opens
+ * its own file again. Used on one thread at a time.
  */
 final class ProcessLocks implements AutoCloseable {
 
-    /** An upgrade has two processes, and one begun before the last has ended three. */
+    /** An upgrade has two processes, and three when it begins before the last one has ended. */
     private static final int SLOTS = 4;
 
+    private static final String LIFE_PREFIX = "life.";
+    private static final String SERVING_PREFIX = "serves.";
+    private static final int NO_SLOT = -1;
+
     private final Path folder;
-    private int slot = -1;
+    private int slot = NO_SLOT;
     private FileChannel lifeLock;
     private FileChannel serviceLock;
 
+    /** Takes the first free slot; without one, this process is not seen by others. */
     ProcessLocks(Path folder) throws IOException {
         this.folder = folder;
         for (int i = 0; i < SLOTS && slot < 0; i++) {
-            lifeLock = tryHold("life.", i);
+            lifeLock = tryHold(LIFE_PREFIX, i);
             if (lifeLock != null) {
                 slot = i;
             }
         }
     }
 
-    private FileChannel tryHold(String kind, int i) throws IOException {
-        FileChannel c = FileChannel.open(folder.resolve(kind + i), StandardOpenOption.CREATE, StandardOpenOption.WRITE);
-        if (c.tryLock() != null) {
-            return c;
+    /** The open file with its lock; null where another process holds it. */
+    private FileChannel tryHold(String prefix, int index) throws IOException {
+        FileChannel channel =
+                FileChannel.open(folder.resolve(prefix + index), StandardOpenOption.CREATE, StandardOpenOption.WRITE);
+        if (channel.tryLock() != null) {
+            return channel;
         }
-        c.close();
+        channel.close();
         return null;
     }
 
     /** This process takes queries from now on. */
     void holdServing() throws IOException {
-        serviceLock = slot < 0 ? null : tryHold("serves.", slot);
+        serviceLock = slot < 0 ? null : tryHold(SERVING_PREFIX, slot);
     }
 
     /** This process takes no new queries from now on. */
@@ -54,20 +61,22 @@
         }
     }
 
+    /** Whether another process of this gatherer lives. */
     boolean otherLives() throws IOException {
-        return heldByOther("life.");
+        return heldByOther(LIFE_PREFIX);
     }
 
+    /** Whether another process of this gatherer takes queries. */
     boolean otherProcessServes() throws IOException {
-        return heldByOther("serves.");
+        return heldByOther(SERVING_PREFIX);
     }
 
-    private boolean heldByOther(String kind) throws IOException {
+    private boolean heldByOther(String prefix) throws IOException {
         for (int i = 0; i < SLOTS; i++) {
-            Path at = folder.resolve(kind + i);
+            Path at = folder.resolve(prefix + i);
             if (i != slot && Files.exists(at)) {
-                try (FileChannel c = FileChannel.open(at, StandardOpenOption.WRITE)) {
-                    FileLock free = c.tryLock();
+                try (FileChannel channel = FileChannel.open(at, StandardOpenOption.WRITE)) {
+                    FileLock free = channel.tryLock();
                     if (free == null) {
                         return true;
                     }
--- a/src/main/java/pepperdock/operator/UpgradePeer.java
+++ b/src/main/java/pepperdock/operator/UpgradePeer.java
@@ -1,6 +1,6 @@
 package pepperdock.operator;
 
-/** The other process of an upgrade, as this one's end sees it; on the loop's thread. */
+/** The other process of an upgrade, as a graceful shutdown sees it; on the loop's thread. */
 public interface UpgradePeer {
 
     /** There is none. */
@@ -19,12 +19,12 @@
         public void handOver() {}
     };
 
-    /** Goes on once {@link #otherProcessServes} is true to this moment. */
+    /** Runs the task once {@link #otherProcessServes} is up to date. */
     void refresh(Runnable then);
 
-    /** Whether another process of this gatherer takes queries, as last looked. */
+    /** Whether another process of this gatherer takes queries, as of the last refresh. */
     boolean otherProcessServes();
 
-    /** This process takes no new queries from now on; what it might have sent is the other's to send. */
+    /** This process takes no new queries from now on; its share of what may be sent to workers is the other's. */
     void handOver();
 }
--- a/src/main/java/pepperdock/plan/Levels.java
+++ b/src/main/java/pepperdock/plan/Levels.java
@@ -13,23 +13,29 @@
 import org.ojalgo.optimisation.Variable;
 
 /**
- * Spreads work that only some nodes may take so that the nodes' utilisations are least in the order of the greatest, then
- * the next, and so on (lexicographically least, which is unique). The greatest is, by the theorem of Hall and Rado, the
- * most over all sets of nodes of the work that may go nowhere else over the set's capacity. One linear program finds it and
- * a spread that reaches it; the nodes that cannot shed to any node below it are such a set. They and their work are done
- * with: the next level is the same problem without them.
+ * Spreads work that only some nodes may take so that the nodes' utilisations are least in the order of the greatest, then the
+ * next, and so on (lexicographically least, which is unique). The greatest is, by the theorem of Hall and Rado, the maximum over
+ * all sets of nodes of the work that may go nowhere else over the set's capacity. One linear program finds it and a spread that
+ * reaches it; the nodes that cannot shed load to any node below it are such a set. They and their work are final: the next level
+ * is the same problem without them.
  *
- * <p>Works on demands merged by who may take them, and on one connected piece of the fleet at a time.
+ * <p>Works on demands merged by who may take them, and on one connected component of the fleet at a time. Used by one thread.
  */
 final class Levels {
 
-    /** A load this near to the level, in shares of it, is at the level; the program's own accuracy is far finer. */
-    private static final double NEAR = 1e-7;
+    /** A load this close to the level, relative to it, is at the level; the solver's own accuracy is far finer. */
+    private static final double TOLERANCE = 1e-7;
 
     /** Work that any of these nodes may take, in ascending order. */
     record Demand(long work, int[] nodes) {}
 
-    /** {@code flow[d][i]}: what the i-th node of demand d gets, in units of work; the work and set behind each level. */
+    /**
+     * The result.
+     *
+     * @param flow {@code flow[d][i]}: what the i-th node of demand d gets, in units of work
+     * @param utilisation of each node
+     * @param first the nodes of the greatest utilisation
+     */
     record Spread(double[][] flow, Ratio[] utilisation, BitSet first) {}
 
     private final long[] capacity;
@@ -60,7 +66,7 @@
         return new Spread(levels.flow, levels.utilisation, levels.first);
     }
 
-    /** Splits what is left into connected pieces and levels each by itself; {@code done} nodes take no more. */
+    /** Splits what is left into connected components and levels each by itself; nodes in {@code done} take no more. */
     private void pieces(BitSet left, BitSet done) {
         Map<Integer, Integer> parent = new HashMap<>();
         for (int d = left.nextSetBit(0); d >= 0; d = left.nextSetBit(d + 1)) {
@@ -98,6 +104,7 @@
         return top;
     }
 
+    /** Finds the greatest utilisation of a component and its nodes, and goes on with the rest. */
     private void level(BitSet piece, BitSet done) {
         double u = program(piece, done);
         BitSet tight = tight(piece, done, u);
@@ -130,7 +137,7 @@
         }
     }
 
-    /** Of all sets at a level, the one of the greatest: what a conflict is made of. */
+    /** Keeps the set of the greatest level: what a conflict is made of. */
     private void keepFirst(Ratio level, BitSet set) {
         if (first.isEmpty() || level.compareTo(utilisation[first.nextSetBit(0)]) > 0) {
             first.clear();
@@ -138,7 +145,7 @@
         }
     }
 
-    /** Least u so that a spread of the piece's work over nodes not done keeps each at u of its capacity; fills the flow. */
+    /** The least utilisation that a spread of a component's work over the nodes not done can keep; fills the flow. */
     private double program(BitSet piece, BitSet done) {
         double workUnit =
                 piece.stream().mapToDouble(d -> demands.get(d).work()).max().orElse(1);
@@ -186,7 +193,7 @@
             }
         }
         BitSet sheds = new BitSet();
-        nodes.stream().filter(n -> load[n] < u * capacity[n] * (1 - NEAR)).forEach(sheds::set);
+        nodes.stream().filter(n -> load[n] < u * capacity[n] * (1 - TOLERANCE)).forEach(sheds::set);
         boolean grows = true;
         while (grows) {
             grows = false;
@@ -197,7 +204,7 @@
                     out |= !done.get(node) && sheds.get(node);
                 }
                 for (int i = 0; out && i < of.length; i++) {
-                    if (!done.get(of[i]) && !sheds.get(of[i]) && flow[d][i] > NEAR * u * capacity[of[i]]) {
+                    if (!done.get(of[i]) && !sheds.get(of[i]) && flow[d][i] > TOLERANCE * u * capacity[of[i]]) {
                         sheds.set(of[i]);
                         grows = true;
                     }
--- a/src/main/java/pepperdock/plan/Planner.java
+++ b/src/main/java/pepperdock/plan/Planner.java
@@ -19,25 +19,28 @@
 import pepperdock.plan.Levels.Spread;
 import pepperdock.plan.Problem.Range;
 
-/** From a problem to its plan or its conflict. Throws ArithmeticException where the linear program itself fails. */
+/**
+ * Solves a problem: finds its plan or its conflict. An {@link ArithmeticException} means that the linear program itself failed.
+ * One planner is used by one thread.
+ */
 public final class Planner {
 
-    /** Room for rounding where loads found by one program bound the next, in shares of a node's load. */
+    /** Tolerance where loads found by one program bound the next, relative to a node's load. */
     private static final double ROUNDING = 1e-9;
 
-    /** What a flow may be off by when it is checked, in shares. */
-    private static final double CHECK = 1e-7;
+    /** Tolerance of the check of a flow, relative. */
+    private static final double CHECK_TOLERANCE = 1e-7;
 
     private final Problem problem;
     private final Set<Work> some;
     private final BigInteger rates;
-    /** For each range and zone the place of its demand; -1 where there is no work, or nobody to do it. */
+    /** For each range and zone the index of its demand; -1 where there is no work, or no node that may take it. */
     private final int[][] demandOf;
 
     private final List<Demand> demands = new ArrayList<>();
     private final List<Integer> zoneOf = new ArrayList<>();
 
-    /** Reckons with these pieces of work only; null for all. */
+    /** For these pieces of work only; null for all. */
     private Planner(Problem problem, Collection<Work> some) {
         this.problem = problem;
         this.some = some == null ? null : new HashSet<>(some);
@@ -45,14 +48,15 @@
         demandOf = new int[problem.ranges().size()][problem.zones().size()];
     }
 
+    /** The plan of least utilisations, without slack. */
     public static Plan plan(Problem problem) {
         return plan(problem, 0);
     }
 
     /**
-     * A plan whose shares may load each node more than need be, by {@code slack} of the greatest utilisation, so as to stay
-     * nearer to equal ones: in a ring, evening out the last digit of measured work moves shares all round it.
-     * Utilisations are then bounds without the slack.
+     * A plan whose shares may load each node more than necessary, by {@code slack} of the greatest utilisation, to stay closer to
+     * equal ones: in a ring, levelling the last digit of measured work moves shares all round it. The utilisations reported are
+     * bounds without the slack.
      */
     public static Plan plan(Problem problem, double slack) {
         Conflict conflict = conflict(problem, null);
@@ -86,7 +90,7 @@
         if (!whole.tooMuch(spread)) {
             return null;
         }
-        // What the fullest set alone may take is too much by itself; only that need be searched.
+        // The work that only the fullest set may take exceeds it by itself; only that needs to be searched.
         List<Work> kept = smallest(
                 problem,
                 all.stream()
@@ -113,7 +117,7 @@
         return planner.tooMuch(planner.spread());
     }
 
-    /** Takes away ever smaller pieces as long as the rest is too much; of what is left, none can be spared. */
+    /** Delta debugging: drops ever smaller pieces as long as the rest is too much; of what is left, none can be dropped. */
     private static List<Work> smallest(Problem problem, List<Work> all) {
         List<Work> kept = new ArrayList<>(all);
         for (int piece = Integer.highestOneBit(kept.size()); piece >= 1; piece /= 2) {
@@ -132,7 +136,7 @@
 
     // ---- Shares ------------------------------------------------------------
 
-    /** Demands merged by zone and open holders; work is in units of the rates' sum, to stay whole. */
+    /** Levels the demands, merged by zone and nodes in service; work is multiplied by the rates, to stay an integer. */
     private Spread spread() {
         Map<List<Integer>, Integer> places = new LinkedHashMap<>();
         List<Long> work = new ArrayList<>();
@@ -227,8 +231,8 @@
 
     /**
      * Among the spreads with these loads and crossings one that moves least work away from equal shares: a linear program
-     * otherwise ends at a corner, where ranges go whole to one holder for no reason. Reckoned in what is moved: {@code more}
-     * and {@code less} than the equal share.
+     * otherwise ends at a vertex, where ranges go whole to one replica for no reason. The variables are what is moved:
+     * {@code more} and {@code less} than the equal share.
      */
     private double[][] evenest(Spread spread, double[][] near, double slack) {
         double room = spread.first().isEmpty()
@@ -286,14 +290,15 @@
     }
 
     /**
-     * Whether a flow carries all work and keeps the nodes' bounds, reckoned anew. Guards against what was seen on a random
-     * fleet: the program called optimal a point that overran a bound by a sixth.
+     * Whether a flow carries all work and keeps the nodes' bounds, computed anew: the solver may call a point optimal that
+     * exceeds a bound by a sixth.
      */
     private boolean keeps(double[][] flow, Spread spread, double room) {
         double[] load = new double[problem.nodes().size()];
         for (int d = 0; d < flow.length; d++) {
             double sum = Arrays.stream(flow[d]).sum();
-            if (Math.abs(sum - demands.get(d).work()) > CHECK * demands.get(d).work()) {
+            if (Math.abs(sum - demands.get(d).work())
+                    > CHECK_TOLERANCE * demands.get(d).work()) {
                 return false;
             }
             for (int i = 0; i < flow[d].length; i++) {
@@ -303,14 +308,14 @@
         for (int n = 0; n < load.length; n++) {
             double bound = (spread.utilisation()[n].value() + room)
                     * problem.nodes().get(n).capacity();
-            if (load[n] > bound * (1 + CHECK) + CHECK) {
+            if (load[n] > bound * (1 + CHECK_TOLERANCE) + CHECK_TOLERANCE) {
                 return false;
             }
         }
         return true;
     }
 
-    /** Among the spreads with these loads one of least crossings; the given one where all cost alike. */
+    /** Among the spreads with these loads one of least crossings; the given one where all cost the same. */
     private double[][] nearest(Spread spread) {
         boolean alike = true;
         for (int d = 0; d < demands.size(); d++) {
--- a/src/main/java/pepperdock/plan/Problem.java
+++ b/src/main/java/pepperdock/plan/Problem.java
@@ -1,14 +1,15 @@
 package pepperdock.plan;
 
+import java.util.ArrayList;
 import java.util.List;
 
 /**
- * What shares are reckoned from.
+ * The input of the planner. Immutable.
  *
- * @param zones names of the zones; nodes and gatherers name theirs by its place here
+ * @param zones names of the zones; nodes and gatherers refer to theirs by its index
  * @param crossing {@code crossing[from][to]}: cost of a second of work sent there by a gatherer of {@code from};
  *     infinite where none may be sent
- * @param rates how much of all queries comes to the gatherers of each zone, in any unit; whole, one of them above 0
+ * @param rates the queries that come to the gatherers of each zone, in any unit; integers, one of them above 0
  * @param spareNode whether capacity must suffice with any one node away, too
  */
 public record Problem(
@@ -19,16 +20,18 @@
         List<Range> ranges,
         boolean spareNode) {
 
-    /** Whole microseconds of work a second that a node can do now: its capacity over the factor by which it is slow. */
+    /** A node; its capacity in microseconds of work a second is that of now, divided by the factor by which it is slow. */
     public record Node(String name, int zone, long capacity, boolean inService) {}
 
-    /** An account range: whole microseconds of work a second, and the places of its holders among the nodes. */
+    /** An account range: microseconds of work a second, and the indexes of the nodes that hold its replicas. */
     public record Range(int number, long work, List<Integer> holders) {
+        /** Copies the list. */
         public Range {
             holders = List.copyOf(holders);
         }
     }
 
+    /** Copies the lists. */
     public Problem {
         zones = List.copyOf(zones);
         nodes = List.copyOf(nodes);
@@ -44,9 +47,9 @@
 
     /** The same with one node away. */
     Problem without(int node) {
-        List<Node> left = new java.util.ArrayList<>(nodes);
-        Node gone = left.get(node);
-        left.set(node, new Node(gone.name(), gone.zone(), gone.capacity(), false));
+        List<Node> left = new ArrayList<>(nodes);
+        Node removed = left.get(node);
+        left.set(node, new Node(removed.name(), removed.zone(), removed.capacity(), false));
         return new Problem(zones, crossing, rates, left, ranges, false);
     }
 }
--- a/src/main/java/pepperdock/plan/background/PlannerThread.java
+++ b/src/main/java/pepperdock/plan/background/PlannerThread.java
@@ -17,17 +17,17 @@
 import pepperdock.scheduler.ReplicaLayout;
 
 /**
- * Plans beside the loop: {@link Upkeep} says on the loop when and from what, a thread of its own solves, and what comes back
- * is handed to the core on the loop again. While there is no plan the core goes on with equal shares, or with the last ones.
+ * Plans beside the loop: {@link Upkeep} decides on the loop's thread when and from what, the thread "planner" solves, and the
+ * result is passed to the core on the loop's thread. Until then the core goes on with equal shares, or with the last ones.
  */
 public final class PlannerThread {
 
     private static final System.Logger LOG = System.getLogger("pepperdock.plan");
-    private static final double LOOK_S = 0.1;
-    /** Of the greatest utilisation: what measured work and speeds are off by without meaning anything. */
+    private static final double CHECK_INTERVAL_S = 0.1;
+    /** Part of the greatest utilisation that is within the error of measured work and speeds. */
     private static final double SLACK = 0.1;
     /** Ranges or nodes that a line of the log names. */
-    private static final int NAMED = 8;
+    private static final int MAX_NAMED = 8;
 
     private final Clock loop;
     private final Gatherer core;
@@ -56,15 +56,15 @@
 
     /** A daemon thread that solves one problem at a time. */
     public static Consumer<Runnable> thread() {
-        ExecutorService one = Executors.newSingleThreadExecutor(task -> {
-            Thread t = new Thread(task, "planner");
-            t.setDaemon(true);
-            return t;
+        ExecutorService executor = Executors.newSingleThreadExecutor(task -> {
+            Thread thread = new Thread(task, "planner");
+            thread.setDaemon(true);
+            return thread;
         });
-        return one::execute;
+        return executor::execute;
     }
 
-    /** On the loop, before the first list comes. */
+    /** Begins to plan; on the loop's thread, before the first endpoint list comes. */
     public void start() {
         core.addEndpointListListener(hosts -> {
             upkeep.listed(hosts.stream().map(PlannerThread::member).toList());
@@ -75,12 +75,12 @@
         again();
     }
 
-    private static Upkeep.Member member(WorkerEndpoint h) {
-        return new Upkeep.Member(h.id(), h.cell(), h.state() == EndpointState.HEALTHY);
+    private static Upkeep.Member member(WorkerEndpoint endpoint) {
+        return new Upkeep.Member(endpoint.id(), endpoint.cell(), endpoint.state() == EndpointState.HEALTHY);
     }
 
     private void again() {
-        loop.after(LOOK_S, () -> {
+        loop.after(CHECK_INTERVAL_S, () -> {
             look();
             again();
         });
@@ -118,8 +118,9 @@
     }
 
     /**
-     * What operators read of a plan that is in use from now on, or of why there is none: logged alike, a fleet that can't be
-     * planned for looked like one that was. {@code plan} is null where solving failed.
+     * The line of the log for a plan that is in use from now on, or for why there is none.
+     *
+     * @param plan null where solving failed
      */
     static String outcome(Problem problem, Plan plan) {
         int nodes = problem.nodes().size();
@@ -143,7 +144,7 @@
     }
 
     private static String named(List<?> all) {
-        String first = all.stream().limit(NAMED).map(Object::toString).collect(Collectors.joining(", "));
-        return all.size() <= NAMED ? first : first + " and " + (all.size() - NAMED) + " more";
+        String first = all.stream().limit(MAX_NAMED).map(Object::toString).collect(Collectors.joining(", "));
+        return all.size() <= MAX_NAMED ? first : first + " and " + (all.size() - MAX_NAMED) + " more";
     }
 }
--- a/src/main/java/pepperdock/service/ClientServers.java
+++ b/src/main/java/pepperdock/service/ClientServers.java
@@ -14,14 +14,14 @@
 import pepperdock.transport.HttpServer;
 import pepperdock.transport.Loop;
 
-/** The fronts that the configuration names, and the servers on which clients reach them. */
+/** The fronts that the configuration names, and the HTTP servers on which clients reach them. On the loop's thread. */
 final class ClientServers {
 
-    /** Of all descriptors, clients may hold one in so many: connections to workers and discovery need theirs. */
-    private static final int CLIENTS_SHARE = 3;
+    /** Clients may use one in so many of all descriptors: connections to workers and discovery need the rest. */
+    private static final int DESCRIPTORS_PER_CLIENT = 3;
 
-    private static final int BODY_MOST = 64 << 10;
-    private static final int SEARCH_BODY_MOST = 1 << 20;
+    private static final int MAX_BODY_BYTES = 64 << 10;
+    private static final int MAX_SEARCH_BODY_BYTES = 1 << 20;
 
     private final Config config;
     private final Loop loop;
@@ -29,7 +29,12 @@
     private final SearchFront searchFront;
     private final List<HttpServer> servers = new ArrayList<>();
 
-    /** {@code search} is null where the workers speak frames; {@code ready} says whether queries are taken. */
+    /**
+     * Opens the fronts, but no address yet.
+     *
+     * @param search null where the workers speak frames
+     * @param ready whether queries are taken
+     */
     ClientServers(Config config, Gatherer core, Loop loop, SearchBackend search, BooleanSupplier ready) {
         this.config = config;
         this.loop = loop;
@@ -39,20 +44,20 @@
                 : new SearchFront(config.site(), config.openSearch(), core, loop, search);
     }
 
-    /** Those that listen; empty until {@link #listen}. */
+    /** The servers that listen; none until {@link #listen}. */
     List<HttpServer> servers() {
         return servers;
     }
 
-    /** Where clients connect; shared with another process where operators may upgrade this one. */
+    /** Opens the clients' addresses; shared with another process where operators may upgrade this one. */
     void listen() {
         int fronts = front != null && searchFront != null ? 2 : 1;
-        IntSupplier clients = () -> (loop.sockets() + Startup.OTHER_DESCRIPTORS) / CLIENTS_SHARE / fronts;
+        IntSupplier clients = () -> (loop.sockets() + Startup.OTHER_DESCRIPTORS) / DESCRIPTORS_PER_CLIENT / fronts;
         Loop.Kind kind = config.operator() == null ? Loop.Kind.OWN : Loop.Kind.SHARED;
         try {
             if (front != null) {
-                servers.add(
-                        new HttpServer(loop, config.listen(), kind, HttpServer.REQUEST_S, BODY_MOST, clients, front));
+                servers.add(new HttpServer(
+                        loop, config.listen(), kind, HttpServer.REQUEST_S, MAX_BODY_BYTES, clients, front));
             }
             if (searchFront != null) {
                 servers.add(new HttpServer(
@@ -60,7 +65,7 @@
                         config.openSearch().listen(),
                         kind,
                         HttpServer.REQUEST_S,
-                        SEARCH_BODY_MOST,
+                        MAX_SEARCH_BODY_BYTES,
                         clients,
                         searchFront));
             }
@@ -69,7 +74,7 @@
         }
     }
 
-    /** Changed settings, for queries from now on. */
+    /** Puts changed settings in use, for queries from now on. */
     void use(Site site, Config changed) {
         if (front != null) {
             front.use(site);
--- a/src/main/java/pepperdock/service/Drain.java
+++ b/src/main/java/pepperdock/service/Drain.java
@@ -7,33 +7,33 @@
 import pepperdock.transport.Loop;
 
 /**
- * The planned end, on SIGTERM: what was taken is finished, what still arrives is answered, and the program is gone before
- * SIGKILL. Clients keep the connections they have for as long as these stand, and the next gatherer may just be starting:
- * so they are served on, and sent elsewhere only when the time left is needed to finish. Handled as a signal, not in a
- * shutdown hook, since the JDK's log is closed by a hook of its own at the same time.
+ * Graceful shutdown, on SIGTERM: queries in flight are finished, those that still arrive are answered, and the program ends
+ * before SIGKILL. Clients keep their connections for as long as these are open, and the next gatherer may just be starting: so
+ * they are served on, and their connections closed only when the time left is needed to finish. Handled as a signal, not in a
+ * shutdown hook, since the JDK's log is closed by a hook of its own at the same time. On the loop's thread.
  */
 final class Drain {
 
     private static final System.Logger LOG = System.getLogger("pepperdock");
     /** SIGKILL comes no sooner than the longest deadline, counted as this at most, and {@link #SPARE_S}. */
-    private static final double DEADLINE_MOST_S = 3;
+    private static final double MAX_DEADLINE_S = 3;
 
     private static final double SPARE_S = 0.7;
     /** New connections keep coming for 0.4 s; with none left after that there is nothing to wait for. */
     private static final double STILL_COMING_S = 0.6;
     /**
-     * Before SIGKILL by so much: replies close their connections, idle ones are closed, what is in hand fails, the end.
-     * The first two as late as answers allow, most of which take under 0.1 s: found on a day of restarts, where the
-     * successor of another gatherer was ready 0.1 to 0.3 s after the last connections here had been closed. The other two
-     * stay: what is unanswered at SIGKILL is lost, and half a core needs its time to write.
+     * The stages, in seconds before SIGKILL: responses close their connections, idle ones are closed, queries in flight fail,
+     * the program ends. The first two are as late as answers allow, most of which take under 0.1 s: a successor of another
+     * gatherer may be ready only 0.1 to 0.3 s after the last connections here have been closed. The other two leave half a
+     * core the time to write: what is unanswered at SIGKILL is lost.
      */
-    private static final double SEND_AWAY_S = 0.65;
+    private static final double CLOSE_AFTER_RESPONSE_S = 0.65;
 
     private static final double CLOSE_S = 0.45;
     private static final double FAIL_S = 0.35;
     private static final double END_S = 0.2;
-    private static final double LOOK_S = 0.02;
-    /** So long nobody may have come or asked, first with sockets that listen and then without, before the end. */
+    private static final double CHECK_INTERVAL_S = 0.02;
+    /** So long no connection and no query may have come, first with listening sockets and then without, before the end. */
     private static final double QUIET_S = 0.1;
 
     private final Loop loop;
@@ -45,7 +45,7 @@
     private boolean stopped;
     private double quietSince = Double.NaN;
 
-    /** {@code leave} tells others that this one goes, before all else. */
+    /** {@code leave} announces to the other gatherers that this one shuts down, before all else. */
     Drain(Loop loop, List<HttpServer> servers, Gatherer core, UpgradePeer otherProcess, Runnable leave) {
         this.otherProcess = otherProcess;
         this.leave = leave;
@@ -54,6 +54,7 @@
         this.core = core;
     }
 
+    /** Shuts down on SIGTERM or SIGINT from now on. */
     void onSignal() {
         Signals.on("TERM", () -> loop.execute(this::begin));
         Signals.on("INT", () -> loop.execute(this::begin));
@@ -68,27 +69,27 @@
         double now = loop.now();
         double killS = SPARE_S
                 + Math.min(
-                        DEADLINE_MOST_S,
+                        MAX_DEADLINE_S,
                         core.settings().classes().stream()
-                                .mapToDouble(c -> c.deadlineS())
+                                .mapToDouble(queryClass -> queryClass.deadlineS())
                                 .max()
-                                .orElse(DEADLINE_MOST_S));
+                                .orElse(MAX_DEADLINE_S));
         LOG.log(System.Logger.Level.INFO, "draining, {0} in hand", core.inFlightQueries());
-        loop.after(killS - SEND_AWAY_S, () -> servers.forEach(HttpServer::drain));
+        loop.after(killS - CLOSE_AFTER_RESPONSE_S, () -> servers.forEach(HttpServer::drain));
         loop.after(killS - CLOSE_S, () -> servers.forEach(HttpServer::stopListening));
         loop.after(killS - FAIL_S, core::endAllQueries);
         loop.after(killS - END_S, () -> {
             servers.forEach(HttpServer::poll);
-            // A turn of the loop later: what was read just now has been refused and written.
-            loop.after(LOOK_S, () -> end("with {0} in hand"));
+            // A turn of the loop later: what was read just now has been rejected and written.
+            loop.after(CHECK_INTERVAL_S, () -> end("with {0} in hand"));
         });
         otherProcess.refresh(() -> begin(now + killS - CLOSE_S));
     }
 
-    /** As soon as it is known whether clients have another process to go to. */
+    /** Goes on once it is known whether another process serves clients. */
     private void begin(double closedAt) {
         if (otherProcess.otherProcessServes()) {
-            // Whoever connects from now on is the other's; whoever is here is sent there with its next reply.
+            // New connections are the other's; each one here is closed with its next response.
             LOG.log(System.Logger.Level.INFO, "another process serves on, no new connections here");
             servers.forEach(HttpServer::drain);
             servers.forEach(HttpServer::handOver);
@@ -100,9 +101,8 @@
     }
 
     /**
-     * Answers count once their last byte is written; clients that keep a connection are waited for till it is closed. The
-     * end comes after a quiet time, and after the listening sockets are closed: ended at the first moment with nothing in
-     * hand, whoever was just connecting found a machine that accepts and a program that is gone.
+     * Ends once all answers are written to their last byte and no connection is left, after a quiet time and after the
+     * listening sockets are closed: else a client that was just connecting would be accepted by the system and never answered.
      */
     private void whenDone(double closedAt) {
         boolean written = servers.stream().mapToInt(HttpServer::busy).sum() == 0;
@@ -121,10 +121,10 @@
                 servers.forEach(HttpServer::stopListening);
             }
         }
-        loop.after(LOOK_S, () -> whenDone(closedAt));
+        loop.after(CHECK_INTERVAL_S, () -> whenDone(closedAt));
     }
 
-    /** What has come in this very moment is read before the end, and answered. */
+    /** Ends, unless a query has come in this very moment, which is read and answered first. */
     private void endUnlessAsked() {
         servers.forEach(HttpServer::poll);
         if (core.inFlightQueries() == 0
--- a/src/main/java/pepperdock/service/Exit.java
+++ b/src/main/java/pepperdock/service/Exit.java
@@ -1,6 +1,6 @@
 package pepperdock.service;
 
-/** Ends the program where it can't start, with a line that says why. */
+/** Ends the program where it can't start, with a line on the standard error stream. */
 public final class Exit {
 
     private Exit() {}
--- a/src/main/java/pepperdock/service/FirstList.java
+++ b/src/main/java/pepperdock/service/FirstList.java
@@ -3,20 +3,20 @@
 import pepperdock.core.Clock;
 import pepperdock.core.Gatherer;
 
-/** Whether a node list has come since the start, and what waits for it. All on the loop's thread. */
+/** Runs a task once the first endpoint list has come, or after a timeout. On the loop's thread. */
 final class FirstList {
 
     private final Clock clock;
     private boolean come;
     private Runnable waiting;
 
-    /** Listens from now on; a list that comes before anything waits for it counts. */
+    /** Listens from now on; a list that comes before a task waits for it counts. */
     FirstList(Gatherer core, Clock clock) {
         this.clock = clock;
         core.addEndpointListListener(hosts -> come());
     }
 
-    /** Runs the task once the list has come; else after {@code mostS} seconds, as what is known serves too. */
+    /** Runs the task once a list has come; else after {@code mostS} seconds, as the one that is known serves too. */
     void within(double mostS, Runnable task) {
         waiting = task;
         if (come) {
--- a/src/main/java/pepperdock/service/NodeSource.java
+++ b/src/main/java/pepperdock/service/NodeSource.java
@@ -13,12 +13,14 @@
 import pepperdock.transport.Loop;
 
 /**
- * Where the node list comes from: DNS records, the platform's discovery, or the configuration; and what of it can change live.
+ * Where the endpoint list comes from: DNS records, the platform's discovery, or the configuration; and what of it can change
+ * while the program runs. Immutable; its functions are called on the loop's thread.
  *
- * @param unasked whether an agent tells the list by itself, so that what it has counts as told from the start
- * @param start begins to ask, for this core
- * @param move to another address of discovery; null where none is asked
- * @param replace the configuration's list; null where that is not in use
+ * @param discovery as the core sees it
+ * @param unasked whether an agent pushes the list, so that what it has counts as known from the start
+ * @param start begins to poll, for this core
+ * @param move changes the address of discovery; null where none is polled
+ * @param replace replaces the configuration's list; null where that is not in use
  */
 record NodeSource(
         EndpointDiscovery discovery,
@@ -27,6 +29,7 @@
         Consumer<InetSocketAddress> move,
         Consumer<List<WorkerEndpoint>> replace) {
 
+    /** The one that the configuration names. */
     static NodeSource open(Config config, Loop loop) {
         if (config.dnsSd() != null) {
             DnsSd dnsSd = new DnsSd(config.dnsSd(), config.site(), loop, loop::execute);
--- a/src/main/java/pepperdock/service/Reload.java
+++ b/src/main/java/pepperdock/service/Reload.java
@@ -10,32 +10,32 @@
 import java.util.function.Consumer;
 import pepperdock.config.Config;
 import pepperdock.config.ConfigException;
+import pepperdock.config.DeploymentSettingsReader;
 import pepperdock.config.Keys;
-import pepperdock.config.Site;
 import pepperdock.core.WorkerEndpoint;
 
 /**
- * Reads the configuration file anew on SIGHUP. Guards against the JVM's own handling of that signal, which is to end.
- * The file is read and checked whole on a thread of its own and only then put into use, on the loop; a faulty one leaves
- * all as it was. What can't change while the program runs is named in the log.
+ * Reloads the configuration file on SIGHUP, in place of the JVM's default, which is to end. The file is read and checked whole on
+ * the thread "reload", and only then put in use, on the loop's thread; a faulty one leaves all as it was. What can't change
+ * while the program runs is named in the log.
  */
 final class Reload {
 
     private static final System.Logger LOG = System.getLogger("pepperdock");
-    /** Of no concern to a running program: the seed is new in each file, the list held is older than our own. */
-    private static final List<String> PASSED_OVER = List.of("seed", "known");
-    /** What the platform's files have: one of these that is gone is a file cut short, not a part switched off. */
-    private static final List<String> PLATFORM =
+    /** Ignored by a running program: the seed is new in each file, and its endpoint list is older than the current one. */
+    private static final List<String> IGNORED = List.of("seed", "known");
+    /** Keys of the platform's files: one of these that is missing means a truncated file, not a part switched off. */
+    private static final List<String> PLATFORM_KEYS =
             List.of("name", "listen", "discovery", "seed", "limits", "known", "settings");
 
-    /** What can change live; an absent one is null. */
+    /** How to put in use what can change while the program runs; null where that is not in use. */
     record Live(
             Consumer<InetSocketAddress> discovery,
             Consumer<List<WorkerEndpoint>> known,
             Consumer<Integer> sockets,
             Consumer<Config> settings) {}
 
-    /** Without the address of discovery: that of a start goes before the file, but can't be changed since. */
+    /** Without the address of discovery: at the start it takes precedence over the file, but a reload follows the file. */
     private final Map<String, String> env;
 
     private final Consumer<Runnable> loop;
@@ -45,8 +45,12 @@
     private Keys current;
 
     /**
-     * {@code current} is the file now in use, with the settings in use; {@code stored} says that these came from the store and
-     * that the file need not have any; {@code told} is told of each file, on the loop.
+     * Waits for {@link #onSignal}.
+     *
+     * @param current the file in use, with the settings in use
+     * @param stored whether the settings came from the store, so that the file need not have any
+     * @param loop runs a task on the loop's thread
+     * @param told gets, on the loop's thread, whether a file was put in use
      */
     Reload(
             Map<String, String> env,
@@ -64,55 +68,37 @@
         this.live = live;
     }
 
-    /** From here on SIGHUP reloads; signals that come close together are served in turn. */
+    /** Reloads on SIGHUP from now on; signals that come close together are handled in turn. */
     void onSignal() {
         ExecutorService reader = Executors.newSingleThreadExecutor(task -> {
-            Thread t = new Thread(task, "reload");
-            t.setDaemon(true);
-            return t;
+            Thread thread = new Thread(task, "reload");
+            thread.setDaemon(true);
+            return thread;
         });
         Signals.on("HUP", () -> reader.execute(this::reload));
     }
 
-    /** Whatever is wrong with the file, the program goes on with the one it has. */
+    /** Reloads the file; whatever is wrong with it, the program goes on with the one in use. */
     void reload() {
         try {
             Keys read = Config.file(env);
             Keys file = read.has("settings") || !stored ? read : read.with("settings", current);
-            for (String key : PLATFORM) {
-                if (current.has(key) && !file.has(key)) {
-                    throw new ConfigException(key, "missing");
-                }
-            }
-            String lost = current.has("settings") ? current.needed("settings").lost(file.needed("settings")) : null;
-            if (lost != null) {
-                throw new ConfigException(lost, "missing, but in the file in use");
-            }
+            checkComplete(file);
             Config config = Config.read(file, env);
             List<Runnable> changes = new ArrayList<>();
-            List<String> later = new ArrayList<>();
-            for (String key : current.differing(file)) {
-                Runnable change = change(key, config, file);
-                if (change != null) {
-                    changes.add(change);
-                    if (key.equals("settings")) {
-                        later.addAll(Site.laterKeys(current.needed(key), file.needed(key)));
-                    }
-                } else if (!PASSED_OVER.contains(key)) {
-                    later.add(key);
-                }
-            }
+            List<String> keysForRestart = new ArrayList<>();
+            collectChanges(file, config, changes, keysForRestart);
             current = file;
             loop.accept(() -> {
                 changes.forEach(Runnable::run);
                 told.accept(true);
             });
             LOG.log(System.Logger.Level.INFO, "configuration reloaded");
-            if (!later.isEmpty()) {
+            if (!keysForRestart.isEmpty()) {
                 LOG.log(
                         System.Logger.Level.WARNING,
                         "configuration: changed, but in use only after a restart: {0}",
-                        String.join(", ", later));
+                        String.join(", ", keysForRestart));
             }
         } catch (ConfigException e) {
             LOG.log(System.Logger.Level.ERROR, "configuration not reloaded, the old one stays: {0}", e.getMessage());
@@ -123,6 +109,36 @@
         }
     }
 
+    /** Rejects a file that lacks what the one in use has: it may be truncated. */
+    private void checkComplete(Keys file) {
+        for (String key : PLATFORM_KEYS) {
+            if (current.has(key) && !file.has(key)) {
+                throw new ConfigException(key, "missing");
+            }
+        }
+        String lost = current.has("settings") ? current.needed("settings").lost(file.needed("settings")) : null;
+        if (lost != null) {
+            throw new ConfigException(lost, "missing, but in the file in use");
+        }
+    }
+
+    /** Sorts the keys that differ into changes to make now and keys that need a restart. */
+    private void collectChanges(Keys file, Config config, List<Runnable> changes, List<String> keysForRestart) {
+        for (String key : current.differing(file)) {
+            Runnable change = change(key, config, file);
+            if (change != null) {
+                changes.add(change);
+                if (key.equals("settings")) {
+                    keysForRestart.addAll(
+                            DeploymentSettingsReader.keysForRestart(current.needed(key), file.needed(key)));
+                }
+            } else if (!IGNORED.contains(key)) {
+                keysForRestart.add(key);
+            }
+        }
+    }
+
+    /** Puts a key's new value in use; null where that needs a restart. */
     private Runnable change(String key, Config config, Keys file) {
         if (key.equals("discovery") && live.discovery() != null && config.discovery() != null) {
             return () -> live.discovery().accept(config.discovery());
--- a/src/main/java/pepperdock/service/Service.java
+++ b/src/main/java/pepperdock/service/Service.java
@@ -25,17 +25,20 @@
 import pepperdock.transport.HttpServer;
 import pepperdock.transport.Loop;
 
-/** One gatherer in service: each part that the configuration names, opened and tied to the others. */
+/**
+ * One gatherer in service: opens each part that the configuration names, connects it to the others, and begins to serve once
+ * the endpoint list is here or a timeout has passed. State belongs to the loop's thread.
+ */
 public final class Service {
 
     private static final System.Logger LOG = System.getLogger("pepperdock");
-    /** Beside another process of the same gatherer, ready when the list has been asked for, or after so long. */
-    private static final double LIST_S = 3;
+    /** Beside another process of the same gatherer, ready once the first endpoint list has come, or after so long. */
+    private static final double LIST_TIMEOUT_S = 3;
     /**
-     * Where lists come unasked, what the agent has counts as told from a new process's first moment: ready once its list is
-     * here, or after so long. An agent that is silent has nothing to tell.
+     * Where lists are pushed, what the agent has counts as known from a new process's first moment: ready once its list is
+     * here, or after so long. An agent that is silent has nothing to send.
      */
-    static final double UNASKED_LIST_S = 1.5;
+    static final double PUSHED_LIST_TIMEOUT_S = 1.5;
 
     private final Startup.Base base;
     private final Loop loop;
@@ -74,9 +77,9 @@
         core.setClassNames(site.classes());
         backend.start(core);
         firstList = new FirstList(core, loop);
-        keepNodes();
+        storeEndpointLists();
         startPlanner();
-        loop.execute(this::followNodes);
+        loop.execute(this::followEndpoints);
         operator = config.operator() == null ? null : new Operator(folder(base.env()), loop, core, this::takesQueries);
         clients = new ClientServers(config, core, loop, search, () -> ready);
     }
@@ -112,14 +115,14 @@
         return folder == null || folder.isEmpty() ? null : Path.of(folder);
     }
 
-    /** The leader keeps the last node list in the store: what a gatherer that starts anew knows before it has asked. */
-    private void keepNodes() {
+    /** The store's leader saves each endpoint list: a gatherer that starts begins with it, before its first poll. */
+    private void storeEndpointLists() {
         if (base.store().leads()) {
-            core.addEndpointListListener(this::storeNodes);
+            core.addEndpointListListener(this::storeEndpointList);
         }
     }
 
-    private void storeNodes(Collection<WorkerEndpoint> hosts) {
+    private void storeEndpointList(Collection<WorkerEndpoint> hosts) {
         Store store = base.store();
         String list = HostList.write(
                 hosts.stream().sorted(Comparator.comparing(WorkerEndpoint::id)).toList(), config.site());
@@ -128,8 +131,8 @@
         }
     }
 
-    /** The file's list first: where lists come unasked the next may come at once, and must not be replaced by it. */
-    private void followNodes() {
+    /** The file's list first: where lists are pushed the next may come at once, and must not be replaced by the file's. */
+    private void followEndpoints() {
         core.onEndpointList(EndpointListKind.CACHED, config.known().hosts());
         nodes.start().accept(core);
     }
@@ -145,14 +148,17 @@
     private void handleSignals(Keys file, boolean stored) {
         Consumer<Boolean> loaded = operator == null ? taken -> {} : operator::read;
         Reload.Live live = new Reload.Live(
-                nodes.move(), nodes.replace(), n -> loop.capSockets(n - Startup.OTHER_DESCRIPTORS), this::use);
+                nodes.move(),
+                nodes.replace(),
+                sockets -> loop.capSockets(sockets - Startup.OTHER_DESCRIPTORS),
+                this::use);
         new Reload(base.env(), file, stored, loop::execute, live, loaded).onSignal();
         UpgradePeer peer = operator == null ? UpgradePeer.NONE : operator;
         Runnable leave = base.members() == null ? () -> {} : base.members()::leave;
         new Drain(loop, clients.servers(), core, peer, leave).onSignal();
     }
 
-    /** Changed settings, for queries from now on. */
+    /** Puts changed settings in use, for queries from now on. */
     private void use(Config changed) {
         site = site.changed(changed.site());
         core.updateSettings(site.module(), site.classes());
@@ -164,15 +170,15 @@
             startOperator();
         }
         if (anotherProcess()) {
-            firstList.within(LIST_S, this::takeOver);
+            firstList.within(LIST_TIMEOUT_S, this::takeOver);
         } else if (nodes.unasked()) {
-            firstList.within(UNASKED_LIST_S, this::serve);
+            firstList.within(PUSHED_LIST_TIMEOUT_S, this::serve);
         } else {
             serve();
         }
     }
 
-    /** What two processes of one gatherer share between them, and the operators' address. */
+    /** Shares capacity with another process of this gatherer, and opens the operators' address. */
     private void startOperator() {
         operator.whenOtherServingChanges(core::setUpgradePeerActive);
         operator.whenOtherProcessChanges(
@@ -184,7 +190,7 @@
         }
     }
 
-    /** Once the list has been asked for and has come; else after a while, as what is known serves too. */
+    /** Takes over from another process: serves beside it from now on. */
     private void takeOver() {
         operator.serve(() -> {
             clients.listen();
@@ -196,7 +202,8 @@
         ready = true;
         base.events().tell("ready");
         clients.servers()
-                .forEach(s -> LOG.log(System.Logger.Level.INFO, "{0} serves on {1}", config.name(), s.address()));
+                .forEach(server ->
+                        LOG.log(System.Logger.Level.INFO, "{0} serves on {1}", config.name(), server.address()));
         warmup.spread(loop, () -> core.inFlightQueries() == 0);
     }
 }
--- a/src/main/java/pepperdock/service/Signals.java
+++ b/src/main/java/pepperdock/service/Signals.java
@@ -3,8 +3,8 @@
 import java.lang.reflect.Proxy;
 
 /**
- * Signals of the system, handled in place of the JVM's own way, which is to end. By reflection: the compiler warns of the
- * JDK's unsupported module that holds them, and has no switch for it.
+ * Handles signals of the system in place of the JVM's default, which is to end. By reflection: the compiler warns of the JDK's
+ * unsupported module that holds them, and has no switch for it. Stateless.
  */
 final class Signals {
 
@@ -12,7 +12,7 @@
 
     private Signals() {}
 
-    /** {@code then} runs on a thread of the JVM's own whenever the signal comes. */
+    /** Runs a task, on a thread of the JVM's own, whenever the signal comes. */
     static void on(String name, Runnable then) {
         try {
             Class<?> signal = Class.forName("sun.misc.Signal");
--- a/src/main/java/pepperdock/service/Startup.java
+++ b/src/main/java/pepperdock/service/Startup.java
@@ -12,19 +12,21 @@
 import pepperdock.transport.Loop;
 
 /**
- * Opens what a gatherer stands on, the loop, the store, events and membership, and starts the {@link Service} once there are
- * settings: the file's, or where it has none the store's.
+ * Opens what a gatherer needs before its settings: the loop, the store, events and membership; then starts the {@link Service}
+ * once there are settings, the file's, or where it has none the store's. State belongs to the loop's thread once it runs.
  */
 public final class Startup {
 
     private static final System.Logger LOG = System.getLogger("pepperdock");
-    /** Descriptors that are not ours to use: the jar, the selectors, standard streams (18 seen), and some to spare. */
+    /** Descriptors that are not for connections: the jar, the selectors, the standard streams (18), and some spare ones. */
     static final int OTHER_DESCRIPTORS = 40;
 
-    private static final int BUFFER_MOST = 256 << 10;
-    private static final int SEARCH_BUFFER_MOST = 16 << 20;
+    private static final int MAX_BUFFER_BYTES = 256 << 10;
+    private static final int MAX_SEARCH_BUFFER_BYTES = 16 << 20;
+    private static final String SETTINGS_KEY = "settings";
+    private static final String ENDPOINTS_KEY = "nodes";
 
-    /** What stands before there are settings; {@code members} is null where the file has none. */
+    /** What is open before there are settings; {@code members} is null where the file has none. */
     public record Base(Map<String, String> env, Loop loop, Store store, Events events, Members members) {}
 
     private final Keys file;
@@ -36,7 +38,11 @@
         this.base = base;
     }
 
-    /** Opens the store first: a member whose file has no settings serves by those that the store holds. */
+    /**
+     * Opens the store first: a member whose file has no settings uses those that the store holds.
+     *
+     * @throws pepperdock.config.ConfigException where the file can't be used
+     */
     public static void open(Map<String, String> env) throws IOException {
         Keys file = Config.file(env);
         StoreConfig members = Config.store(file);
@@ -45,7 +51,9 @@
         }
         Loop loop = new Loop(
                 Config.sockets(file) - OTHER_DESCRIPTORS,
-                file.has("opensearch") || members != null || file.has("members") ? SEARCH_BUFFER_MOST : BUFFER_MOST);
+                file.has("opensearch") || members != null || file.has("members")
+                        ? MAX_SEARCH_BUFFER_BYTES
+                        : MAX_BUFFER_BYTES);
         Store store = new Store(members, loop);
         Events events = Events.of(Config.events(file));
         Members fleet = file.has("members") ? Members.open(file, loop, events) : null;
@@ -55,14 +63,14 @@
     private void begin() throws IOException {
         Store store = base.store();
         if (file.has("settings")) {
-            Service.start(withKnownNodes(file), false, base);
+            Service.start(withKnownEndpoints(file), false, base);
             base.loop().execute(this::storeSettings);
-        } else if (store.get("settings") != null) {
+        } else if (store.get(SETTINGS_KEY) != null) {
             serveByStore();
         } else {
             LOG.log(System.Logger.Level.INFO, "no settings yet, waiting for the store");
             store.watch((key, value) -> {
-                if (key.equals("settings") && !begun) {
+                if (key.equals(SETTINGS_KEY) && !begun) {
                     begun = true;
                     base.loop().execute(this::serveByStore);
                 }
@@ -72,15 +80,15 @@
 
     private void storeSettings() {
         Store store = base.store();
-        if (store.leads() && !file.json("settings").equals(store.get("settings"))) {
-            store.put("settings", file.json("settings"), held -> {});
+        if (store.leads() && !file.json("settings").equals(store.get(SETTINGS_KEY))) {
+            store.put(SETTINGS_KEY, file.json("settings"), held -> {});
         }
     }
 
     private void serveByStore() {
         try {
-            Keys whole = file.with("settings", Config.parse(base.store().get("settings"), "settings"));
-            Service.start(withKnownNodes(whole), true, base);
+            Keys whole = file.with("settings", Config.parse(base.store().get(SETTINGS_KEY), "settings"));
+            Service.start(withKnownEndpoints(whole), true, base);
         } catch (ConfigException e) {
             Exit.because("configuration: " + e.getMessage(), 2);
         } catch (IOException e) {
@@ -88,11 +96,11 @@
         }
     }
 
-    /** Where the file knows no nodes, those that the store last held. */
-    private Keys withKnownNodes(Keys of) {
+    /** Where the file has no endpoint list, the one that the store holds. */
+    private Keys withKnownEndpoints(Keys of) {
         Store store = base.store();
-        return of.has("known") || store.get("nodes") == null
+        return of.has("known") || store.get(ENDPOINTS_KEY) == null
                 ? of
-                : of.with("known", Config.parse(store.get("nodes"), "known"));
+                : of.with("known", Config.parse(store.get(ENDPOINTS_KEY), "known"));
     }
 }
--- a/src/main/java/pepperdock/store/LogFile.java
+++ b/src/main/java/pepperdock/store/LogFile.java
@@ -12,25 +12,31 @@
 import java.util.zip.CRC32;
 
 /**
- * A log and a snapshot in one folder. Each record is its length, a checksum and its bytes; what is written is on disk
- * before a method returns. A record that a crash cut short at the end is cut off when the log is opened again; damage
- * anywhere else is no crash's doing, and opening fails.
+ * A log and a snapshot in one folder. A record is its length, its CRC-32 and its bytes; what is written is on disk before a
+ * method returns. A record that a crash cut short at the end is truncated when the log is opened again; damage anywhere else is
+ * not a crash's doing, and opening fails with {@link LogCorruptionException}. Used by one thread at a time.
  */
 final class LogFile implements AutoCloseable {
 
     private static final System.Logger LOG = System.getLogger("pepperdock.store");
-    private static final int HEAD = 8;
+    /** Bytes of a record before its content: length and checksum. */
+    private static final int HEADER_BYTES = 8;
+
+    private static final String LOG_FILE = "log";
+    private static final String SNAPSHOT_FILE = "snapshot";
+    private static final String NEW_SNAPSHOT_FILE = "snapshot.new";
 
     private final Path folder;
     private final FileChannel log;
     private final List<byte[]> records = new ArrayList<>();
 
+    /** Opens the log, or creates it, and truncates a torn record at its end. */
     LogFile(Path folder) throws IOException {
         this.folder = folder;
         Files.createDirectories(folder);
         log = FileChannel.open(
-                folder.resolve("log"), StandardOpenOption.CREATE, StandardOpenOption.READ, StandardOpenOption.WRITE);
-        long good = scan(Files.readAllBytes(folder.resolve("log")), records);
+                folder.resolve(LOG_FILE), StandardOpenOption.CREATE, StandardOpenOption.READ, StandardOpenOption.WRITE);
+        long good = scan(Files.readAllBytes(folder.resolve(LOG_FILE)), records);
         if (good < log.size()) {
             LOG.log(System.Logger.Level.WARNING, "store log: torn tail of {0} bytes cut off", log.size() - good);
             log.truncate(good);
@@ -46,33 +52,37 @@
 
     /** The snapshot's bytes; null where there is none. */
     byte[] snapshot() throws IOException {
-        Path file = folder.resolve("snapshot");
+        Path file = folder.resolve(SNAPSHOT_FILE);
         if (!Files.exists(file)) {
             return null;
         }
-        List<byte[]> one = new ArrayList<>();
+        List<byte[]> found = new ArrayList<>();
         byte[] all = Files.readAllBytes(file);
-        if (scan(all, one) != all.length || one.size() != 1) {
-            throw new IOException("store snapshot is damaged");
+        if (scan(all, found) != all.length || found.size() != 1) {
+            throw LogCorruptionException.damagedSnapshot();
         }
-        return one.get(0);
+        return found.get(0);
     }
 
+    /** Appends a record; it is on disk when this returns. */
     void append(byte[] record) throws IOException {
         write(log, record);
         log.force(false);
     }
 
-    /** Puts a snapshot in place of all records so far. */
+    /** Replaces the snapshot and all records by a new snapshot, atomically for whoever opens the folder later. */
     void replace(byte[] snapshot) throws IOException {
-        Path fresh = folder.resolve("snapshot.new");
+        Path fresh = folder.resolve(NEW_SNAPSHOT_FILE);
         try (FileChannel file = FileChannel.open(
                 fresh, StandardOpenOption.CREATE, StandardOpenOption.WRITE, StandardOpenOption.TRUNCATE_EXISTING)) {
             write(file, snapshot);
             file.force(true);
         }
         Files.move(
-                fresh, folder.resolve("snapshot"), StandardCopyOption.ATOMIC_MOVE, StandardCopyOption.REPLACE_EXISTING);
+                fresh,
+                folder.resolve(SNAPSHOT_FILE),
+                StandardCopyOption.ATOMIC_MOVE,
+                StandardCopyOption.REPLACE_EXISTING);
         log.truncate(0);
         log.force(true);
     }
@@ -83,34 +93,38 @@
     }
 
     private static void write(FileChannel to, byte[] record) throws IOException {
-        ByteBuffer b = ByteBuffer.allocate(HEAD + record.length);
-        b.putInt(record.length).putInt(checksum(record)).put(record).flip();
-        while (b.hasRemaining()) {
-            to.write(b);
+        ByteBuffer buffer = ByteBuffer.allocate(HEADER_BYTES + record.length);
+        buffer.putInt(record.length).putInt(checksum(record)).put(record).flip();
+        while (buffer.hasRemaining()) {
+            to.write(buffer);
         }
     }
 
-    /** Collects sound records; returns where they end. */
+    /**
+     * Collects the sound records; returns where they end.
+     *
+     * @throws LogCorruptionException where a damaged record is followed by more bytes
+     */
     static long scan(byte[] all, List<byte[]> into) throws IOException {
-        ByteBuffer b = ByteBuffer.wrap(all);
-        while (b.remaining() >= HEAD) {
-            int start = b.position();
-            int length = b.getInt();
-            int sum = b.getInt();
-            if (length < 0 || length > b.remaining()) {
+        ByteBuffer buffer = ByteBuffer.wrap(all);
+        while (buffer.remaining() >= HEADER_BYTES) {
+            int start = buffer.position();
+            int length = buffer.getInt();
+            int sum = buffer.getInt();
+            if (length < 0 || length > buffer.remaining()) {
                 return start;
             }
             byte[] record = new byte[length];
-            b.get(record);
+            buffer.get(record);
             if (checksum(record) != sum) {
-                if (b.hasRemaining()) {
-                    throw new IOException("store log is damaged at byte " + start);
+                if (buffer.hasRemaining()) {
+                    throw LogCorruptionException.damagedRecord(start);
                 }
                 return start;
             }
             into.add(record);
         }
-        return b.position();
+        return buffer.position();
     }
 
     private static int checksum(byte[] record) {
