--- a/src/main/java/pepperdock/store/StoreCodec.java
+++ b/src/main/java/pepperdock/store/StoreCodec.java
@@ -8,75 +8,96 @@
 import java.util.List;
 import java.util.Map;
 
-/** Entries and snapshots as bytes, on disk and between members alike. */
+/**
+ * Encodes entries and snapshots, on disk and between members alike. Stateless. Malformed bytes are rejected with
+ * {@link IllegalArgumentException}.
+ */
 final class StoreCodec {
 
+    /** Bytes of an entry beside its key and value: the sequence number and two lengths. */
+    private static final int HEADER_BYTES = 16;
+    /** In place of the length of a value that is absent. */
+    private static final int NO_VALUE = -1;
+
     private StoreCodec() {}
 
-    /** All keys with their values as of one place in the log, and of which log. */
+    /**
+     * All keys with their values as of one entry.
+     *
+     * @param lineage of the log that the sequence number belongs to
+     * @param seq of the last entry that it covers
+     */
     record Snapshot(String lineage, long seq, Map<String, byte[]> values) {}
 
-    static byte[] entry(StoreEntry e) {
-        byte[] key = e.key().getBytes(StandardCharsets.UTF_8);
-        int length = e.value() == null ? 0 : e.value().length;
-        ByteBuffer b = ByteBuffer.allocate(16 + key.length + length);
-        b.putLong(e.seq()).putInt(key.length).put(key).putInt(e.value() == null ? -1 : length);
-        if (e.value() != null) {
-            b.put(e.value());
+    /** Sequence number, key length, key, value length, value; a removal has {@link #NO_VALUE} for a value's length. */
+    static byte[] entry(StoreEntry entry) {
+        byte[] key = entry.key().getBytes(StandardCharsets.UTF_8);
+        byte[] value = entry.value();
+        int length = value == null ? 0 : value.length;
+        ByteBuffer buffer = ByteBuffer.allocate(HEADER_BYTES + key.length + length);
+        buffer.putLong(entry.seq()).putInt(key.length).put(key).putInt(value == null ? NO_VALUE : length);
+        if (value != null) {
+            buffer.put(value);
         }
-        return b.array();
+        return buffer.array();
     }
 
-    static StoreEntry entry(ByteBuffer b) {
+    /** Reads the next entry. */
+    static StoreEntry entry(ByteBuffer buffer) {
         try {
-            long seq = b.getLong();
-            String key = new String(bytes(b, b.getInt()), StandardCharsets.UTF_8);
-            int length = b.getInt();
-            return new StoreEntry(seq, key, length == -1 ? null : bytes(b, length));
+            long seq = buffer.getLong();
+            String key = new String(bytes(buffer, buffer.getInt()), StandardCharsets.UTF_8);
+            int length = buffer.getInt();
+            return new StoreEntry(seq, key, length == NO_VALUE ? null : bytes(buffer, length));
         } catch (BufferUnderflowException e) {
             throw new IllegalArgumentException("entry cut short", e);
         }
     }
 
+    /** Entries, one after the other. */
     static byte[] entries(List<StoreEntry> all) {
-        List<byte[]> each = all.stream().map(StoreCodec::entry).toList();
-        ByteBuffer b = ByteBuffer.allocate(each.stream().mapToInt(x -> x.length).sum());
-        each.forEach(b::put);
-        return b.array();
+        List<byte[]> encoded = all.stream().map(StoreCodec::entry).toList();
+        ByteBuffer buffer = ByteBuffer.allocate(
+                encoded.stream().mapToInt(entry -> entry.length).sum());
+        encoded.forEach(buffer::put);
+        return buffer.array();
     }
 
+    /** Reads entries to the end of the bytes. */
     static List<StoreEntry> entries(byte[] bytes) {
-        ByteBuffer b = ByteBuffer.wrap(bytes);
+        ByteBuffer buffer = ByteBuffer.wrap(bytes);
         List<StoreEntry> all = new ArrayList<>();
-        while (b.hasRemaining()) {
-            all.add(entry(b));
+        while (buffer.hasRemaining()) {
+            all.add(entry(buffer));
         }
         return all;
     }
 
-    static byte[] snapshot(Snapshot s) {
+    /** A snapshot as entries: the first has its sequence number and lineage, then comes one a key. */
+    static byte[] snapshot(Snapshot snapshot) {
         List<StoreEntry> all = new ArrayList<>();
-        all.add(new StoreEntry(s.seq(), s.lineage(), null));
-        s.values().forEach((key, value) -> all.add(new StoreEntry(0, key, value)));
+        all.add(new StoreEntry(snapshot.seq(), snapshot.lineage(), null));
+        snapshot.values().forEach((key, value) -> all.add(new StoreEntry(0, key, value)));
         return entries(all);
     }
 
+    /** Reads a snapshot. */
     static Snapshot snapshot(byte[] bytes) {
         List<StoreEntry> all = entries(bytes);
         if (all.isEmpty()) {
             throw new IllegalArgumentException("empty snapshot");
         }
         Map<String, byte[]> values = new LinkedHashMap<>();
-        all.subList(1, all.size()).forEach(e -> values.put(e.key(), e.value()));
+        all.subList(1, all.size()).forEach(entry -> values.put(entry.key(), entry.value()));
         return new Snapshot(all.get(0).key(), all.get(0).seq(), values);
     }
 
-    private static byte[] bytes(ByteBuffer b, int length) {
-        if (length < 0 || length > b.remaining()) {
-            throw new IllegalArgumentException("length " + length + " of " + b.remaining());
+    private static byte[] bytes(ByteBuffer buffer, int length) {
+        if (length < 0 || length > buffer.remaining()) {
+            throw new IllegalArgumentException("length " + length + " of " + buffer.remaining());
         }
-        byte[] found = new byte[length];
-        b.get(found);
-        return found;
+        byte[] bytes = new byte[length];
+        buffer.get(bytes);
+        return bytes;
     }
 }
--- a/src/main/java/pepperdock/store/StoreEntry.java
+++ b/src/main/java/pepperdock/store/StoreEntry.java
@@ -1,4 +1,9 @@
 package pepperdock.store;
 
-/** One write: its place in the log, its key and its value; a null value removes the key. */
+/**
+ * One write.
+ *
+ * @param seq its sequence number, one more than that of the entry before
+ * @param value null removes the key; not to be changed by anyone who holds it
+ */
 public record StoreEntry(long seq, String key, byte[] value) {}
--- /dev/null
+++ b/src/main/java/pepperdock/store/StoreFollower.java
@@ -0,0 +1,111 @@
+package pepperdock.store;
+
+import java.io.IOException;
+import java.nio.ByteBuffer;
+import java.nio.charset.StandardCharsets;
+import java.util.function.BiConsumer;
+import pepperdock.codec.frame.Frame;
+import pepperdock.codec.frame.Frames;
+import pepperdock.config.StoreConfig;
+import pepperdock.transport.Connection;
+import pepperdock.transport.Loop;
+
+/**
+ * A follower's role: dials the leader, again after each loss, catches up from it, and says how far it holds the log on disk. On
+ * the loop's thread.
+ */
+final class StoreFollower implements AutoCloseable {
+
+    private static final System.Logger LOG = System.getLogger("pepperdock.store");
+
+    private final StoreConfig config;
+    private final Loop loop;
+    private final Replica replica;
+    private final BiConsumer<String, byte[]> watcher;
+    /** Null while there is none. */
+    private Connection leader;
+
+    private boolean closed;
+
+    /** Dials with the loop's next turn; {@code watcher} is notified of each value that is applied. */
+    StoreFollower(StoreConfig config, Loop loop, Replica replica, BiConsumer<String, byte[]> watcher) {
+        this.config = config;
+        this.loop = loop;
+        this.replica = replica;
+        this.watcher = watcher;
+        loop.execute(this::dial);
+    }
+
+    private void dial() {
+        if (closed) {
+            return;
+        }
+        loop.dial(config.members().get(config.leader()), config.retryS(), new Loop.Dialled() {
+            @Override
+            public void up(Connection connection) {
+                leader = connection;
+                connection.start(new LeaderConnection());
+                connection.write(Frames.frame(StorePeerHandler.HELLO, hello()));
+            }
+
+            @Override
+            public void failed() {
+                loop.after(config.retryS(), StoreFollower.this::dial);
+            }
+        });
+    }
+
+    private byte[] hello() {
+        return (config.self() + ' ' + replica.lineage() + ' ' + replica.seq()).getBytes(StandardCharsets.UTF_8);
+    }
+
+    @Override
+    public void close() {
+        closed = true;
+        if (leader != null) {
+            leader.close();
+        }
+    }
+
+    /** The connection to the leader. */
+    private final class LeaderConnection extends StorePeerHandler {
+
+        @Override
+        void onFrame(Connection connection, Frame frame) throws IOException {
+            if (frame.letter() == SNAPSHOT) {
+                restore(StoreCodec.snapshot(frame.rest()));
+            } else if (frame.letter() == ENTRIES) {
+                for (StoreEntry entry : StoreCodec.entries(frame.rest())) {
+                    append(entry);
+                }
+            } else {
+                throw StoreProtocolException.unexpectedFrame(frame.letter());
+            }
+            byte[] held = ByteBuffer.allocate(Long.BYTES).putLong(replica.seq()).array();
+            connection.write(Frames.frame(HELD, held));
+        }
+
+        private void restore(StoreCodec.Snapshot snapshot) throws IOException {
+            replica.restore(snapshot);
+            LOG.log(System.Logger.Level.INFO, "store: took a snapshot up to {0}", snapshot.seq());
+            snapshot.values().forEach(watcher);
+        }
+
+        private void append(StoreEntry entry) throws IOException {
+            // An entry may come twice when it was written while this member said hello.
+            if (entry.seq() > replica.seq()) {
+                replica.append(entry);
+                watcher.accept(entry.key(), entry.value());
+            }
+        }
+
+        @Override
+        public void ended(Connection connection) {
+            leader = null;
+            if (!closed) {
+                LOG.log(System.Logger.Level.WARNING, "store: leader lost, dialling again");
+                loop.after(config.retryS(), StoreFollower.this::dial);
+            }
+        }
+    }
+}
--- /dev/null
+++ b/src/main/java/pepperdock/store/StorePeerHandler.java
@@ -0,0 +1,53 @@
+package pepperdock.store;
+
+import java.io.IOException;
+import pepperdock.codec.frame.Frame;
+import pepperdock.codec.frame.FrameException;
+import pepperdock.codec.frame.FrameParser;
+import pepperdock.transport.Connection;
+
+/**
+ * Parses the frames of a connection between two members. A malformed or unexpected one ends that connection only. On the loop's
+ * thread.
+ *
+ * <p>A follower opens with {@link #HELLO}, is sent a {@link #SNAPSHOT} or the missing {@link #ENTRIES}, then each new entry, and
+ * answers each with {@link #HELD}.
+ */
+abstract class StorePeerHandler implements Connection.Handler {
+
+    /** A follower's first frame: its name, its log's lineage and its last sequence number, as text. */
+    static final char HELLO = 'h';
+    /** All values as of a sequence number. */
+    static final char SNAPSHOT = 's';
+    /** Entries that follow the last one sent. */
+    static final char ENTRIES = 'e';
+    /** The sequence number up to which a follower holds the log on disk, in eight bytes. */
+    static final char HELD = 'a';
+
+    private static final System.Logger LOG = System.getLogger("pepperdock.store");
+    private static final int MAX_FRAME_BYTES = 16 << 20;
+    private static final String LETTERS = "" + HELLO + SNAPSHOT + ENTRIES + HELD;
+
+    private final FrameParser parser = new FrameParser(MAX_FRAME_BYTES, LETTERS);
+
+    /** Handles one frame; an exception ends the connection. */
+    abstract void onFrame(Connection connection, Frame frame) throws IOException;
+
+    @Override
+    public void received(Connection connection) {
+        try {
+            while (!connection.closed()) {
+                int used = parser.feed(connection.bytes(), connection.from(), connection.to());
+                if (used == 0) {
+                    return;
+                }
+                connection.consume(used);
+                onFrame(connection, parser.take());
+            }
+        } catch (FrameException | IOException | IllegalArgumentException e) {
+            LOG.log(System.Logger.Level.WARNING, "store: peer cut off: {0}", e.getMessage());
+            connection.close();
+            ended(connection);
+        }
+    }
+}
--- a/src/main/java/pepperdock/store/raft/Candidate.java
+++ b/src/main/java/pepperdock/store/raft/Candidate.java
@@ -4,8 +4,8 @@
 import java.util.Map;
 
 /**
- * Asks for votes: first whether it would get them, so that one that is cut off, or that all others hear a leader beside,
- * disturbs nobody with ever newer terms; then in a term of its own.
+ * Runs an election (thesis, 3.4): first a pre-vote (9.6), so that a server that is partitioned, or the only one not to hear
+ * from the leader, does not disrupt the others with ever newer terms; then a vote in a term of its own.
  */
 final class Candidate extends Role {
 
@@ -13,7 +13,12 @@
     private final boolean told;
     private final Map<Long, Boolean> votes = new HashMap<>();
 
-    /** {@code told}: by the leader, whom it is to follow. */
+    /**
+     * Begins with the next change of role.
+     *
+     * @param pre whether this is a pre-vote
+     * @param told whether the leader asked for this election, to transfer its leadership (thesis, 3.10)
+     */
     Candidate(Raft raft, boolean pre, boolean told) {
         super(raft);
         this.pre = pre;
@@ -38,7 +43,7 @@
                         new Message.RequestVote(raft.id, term, raft.log.lastIndex(), raft.log.lastTerm(), pre, told));
             }
         }
-        // One's own vote counts like all others: once it is on disk.
+        // The vote for itself counts like all others: once it is on disk.
         raft.onceSynced(() -> {
             if (raft.isCurrent(this)) {
                 countVote(raft.id, true);
@@ -54,21 +59,21 @@
     }
 
     @Override
-    void received(Message m) {
-        if (m instanceof Message.VoteResponse v
-                && v.pre() == pre
-                && v.term() == raft.term() + (pre && v.granted() ? 1 : 0)) {
-            countVote(v.from(), v.granted());
+    void received(Message message) {
+        if (message instanceof Message.VoteResponse response
+                && response.pre() == pre
+                && response.term() == raft.term() + (pre && response.granted() ? 1 : 0)) {
+            countVote(response.from(), response.granted());
         }
     }
 
     private void countVote(long from, boolean granted) {
         votes.putIfAbsent(from, granted);
         Configuration configuration = raft.log.configuration();
-        if (configuration.hasMajority(p -> votes.getOrDefault(p, false))) {
+        if (configuration.hasMajority(voter -> votes.getOrDefault(voter, false))) {
             raft.become(pre ? new Candidate(raft, false, false) : new Leader(raft));
-        } else if (configuration.hasMajority(p -> !votes.getOrDefault(p, true))) {
-            raft.becomeFollower(raft.term(), 0);
+        } else if (configuration.hasMajority(voter -> !votes.getOrDefault(voter, true))) {
+            raft.becomeFollower(raft.term(), ServerState.NO_SERVER);
         }
     }
 }
--- a/src/main/java/pepperdock/store/raft/Configuration.java
+++ b/src/main/java/pepperdock/store/raft/Configuration.java
@@ -7,53 +7,63 @@
 import java.util.function.LongPredicate;
 import java.util.function.LongUnaryOperator;
 
-/** Who takes part as of one place in the log. Held as a list, in the order in which they came. */
+/**
+ * The members of the group as of one index of the log (thesis, chapter 4): voters, and learners, which only receive the log.
+ *
+ * @param peers in the order in which they were added
+ */
 public record Configuration(List<Peer> peers) {
 
+    /** Of no members: what there is before the first entry. */
     public static final Configuration NONE = new Configuration(List.of());
 
+    /** Copies the list. */
     public Configuration {
         peers = List.copyOf(peers);
     }
 
+    /** The member of that id; null where there is none. */
     public Peer peer(long id) {
-        return peers.stream().filter(p -> p.id() == id).findFirst().orElse(null);
+        return peers.stream().filter(peer -> peer.id() == id).findFirst().orElse(null);
     }
 
+    /** Whether that id is a voter's. */
     public boolean votes(long id) {
-        Peer p = peer(id);
-        return p != null && p.votes();
+        Peer peer = peer(id);
+        return peer != null && peer.votes();
     }
 
+    /** The voters' ids, in the members' order. */
     public List<Long> voters() {
         return peers.stream().filter(Peer::votes).map(Peer::id).toList();
     }
 
-    /** Whether a majority of those who vote say so; never of nobody. */
-    public boolean hasMajority(LongPredicate says) {
+    /** Whether the predicate holds for a majority of the voters; never where there are none. */
+    public boolean hasMajority(LongPredicate predicate) {
         List<Long> voters = voters();
-        return 2 * voters.stream().filter(says::test).count() > voters.size();
+        return 2 * voters.stream().filter(predicate::test).count() > voters.size();
     }
 
-    /** The highest value that a majority of those who vote have reached. */
+    /** The highest value that a majority of the voters has reached; 0 where there are none. */
     long majorityIndex(LongUnaryOperator value) {
         List<Long> values = voters().stream().map(value::applyAsLong).sorted().toList();
         return values.isEmpty() ? 0 : values.get((values.size() - 1) / 2);
     }
 
-    /** With this one in place of the one of its id, or added. */
+    /** With this member added, in place of the one of its id if there is one. */
     public Configuration with(Peer peer) {
         List<Peer> next = new ArrayList<>(peers);
-        next.removeIf(p -> p.id() == peer.id());
+        next.removeIf(member -> member.id() == peer.id());
         next.add(peer);
         return new Configuration(next);
     }
 
+    /** Without the member of that id. */
     public Configuration without(long id) {
-        return new Configuration(peers.stream().filter(p -> p.id() != id).toList());
+        return new Configuration(peers.stream().filter(peer -> peer.id() != id).toList());
     }
 
-    /** How many vote in one and not in the other. Majorities of two that are one apart have a member in common. */
+    /** How many vote in one and not in the other. Majorities of two that are one apart overlap (thesis, 4.1). */
     int votersChanged(Configuration other) {
         Set<Long> mine = new HashSet<>(voters());
         Set<Long> theirs = new HashSet<>(other.voters());
--- a/src/main/java/pepperdock/store/raft/Follower.java
+++ b/src/main/java/pepperdock/store/raft/Follower.java
@@ -1,6 +1,9 @@
 package pepperdock.store.raft;
 
-/** Follows a leader, or waits for one. Without signs of one for long enough it asks whether it would be voted for. */
+/**
+ * Follows a leader, or waits for one (thesis, 3.4). When the election timeout passes without a sign of a leader, a voter
+ * begins a pre-vote; a learner goes on waiting.
+ */
 final class Follower extends Role {
 
     Follower(Raft raft) {
--- a/src/main/java/pepperdock/store/raft/Leader.java
+++ b/src/main/java/pepperdock/store/raft/Leader.java
@@ -1,26 +1,21 @@
 package pepperdock.store.raft;
 
-import java.util.ArrayDeque;
-import java.util.Arrays;
-import java.util.Deque;
-import java.util.List;
 import java.util.Map;
 import java.util.TreeMap;
 
 /**
- * Leads a term: takes entries, sends them to all that take part, and commits what a majority has on disk. Its own disk is one
- * among others: what the rest has committed does not wait for it. It gives up when a majority is not heard from for an
- * election's time, and when it is not among those who vote any more and that is committed.
+ * The leader of a term: appends entries, has a {@link LogAppender} a follower send them, and commits what a majority has on
+ * disk (thesis, 3.5 and 3.6.2). Its own disk is one among others: what the rest has committed does not wait for it (10.2.1). It
+ * steps down when it hears from no majority for an election timeout (6.2), and when it is no voter any more and that is
+ * committed (4.2.2).
  */
 final class Leader extends Role {
 
-    private record PendingRead(long token, long index, long round) {}
-
-    private final Map<Long, Progress> peers = new TreeMap<>();
-    private final Deque<PendingRead> reads = new ArrayDeque<>();
-    /** Reads that wait for the first entry of this term to be committed: before, what is committed is not known. */
-    private final Deque<Long> readsBeforeFirstCommit = new ArrayDeque<>();
+    private final Map<Long, LogAppender> appenders = new TreeMap<>();
+    private final PendingReads reads;
+    private final LeadershipTransfer leadershipTransfer = new LeadershipTransfer();
 
+    /** Counts the heartbeat rounds: a follower that answers one has followed this leader since it began. */
     private long round;
     /** A read has come since the last round began. */
     private boolean readRoundDue;
@@ -28,14 +23,10 @@
     private boolean heartbeatDue;
     private int ticksSinceHeartbeat;
     private int ticksSinceQuorumCheck;
-    /** Who is to lead next; 0 for nobody. */
-    private long transferTarget;
-
-    private int transferTicks;
-    private boolean transferSent;
 
     Leader(Raft raft) {
         super(raft);
+        reads = new PendingReads(raft);
     }
 
     @Override
@@ -46,47 +37,48 @@
     @Override
     void begins() {
         raft.setLeaderToSelf();
-        trackPeers();
-        add(LogEntry.EMPTY, null);
+        updateAppenders();
+        // An entry of the new term lets those before it be committed (thesis, 3.6.2 and 6.4).
+        append(LogEntry.EMPTY, null);
         heartbeatDue = true;
     }
 
     @Override
     void ends() {
-        reads.forEach(a -> raft.output(new Output.ReadRejected(a.token())));
-        readsBeforeFirstCommit.forEach(t -> raft.output(new Output.ReadRejected(t)));
-        reads.clear();
-        readsBeforeFirstCommit.clear();
+        reads.rejectAll();
     }
 
     long matchIndex(long peer) {
-        return peer == raft.id ? raft.log.durableIndex() : peers.containsKey(peer) ? peers.get(peer).match : -1;
+        if (peer == raft.id) {
+            return raft.log.durableIndex();
+        }
+        LogAppender appender = appenders.get(peer);
+        return appender == null ? -1 : appender.progress().match;
     }
 
-    /** Those that take part now, no others. */
-    private void trackPeers() {
-        peers.keySet().removeIf(p -> raft.log.configuration().peer(p) == null);
-        for (Peer p : raft.log.configuration().peers()) {
-            if (p.id() != raft.id) {
-                peers.computeIfAbsent(p.id(), x -> new Progress(raft.log.lastIndex() + 1));
+    /** One appender for each other member of the newest configuration, voter or learner. */
+    private void updateAppenders() {
+        appenders.keySet().removeIf(id -> raft.log.configuration().peer(id) == null);
+        for (Peer peer : raft.log.configuration().peers()) {
+            if (peer.id() != raft.id) {
+                appenders.computeIfAbsent(peer.id(), id -> new LogAppender(raft, id));
             }
         }
     }
 
-    private long add(byte[] data, Configuration configuration) {
+    private long append(byte[] data, Configuration configuration) {
         long index = raft.log.lastIndex() + 1;
         raft.log.add(new LogEntry(index, raft.term(), data, configuration));
         if (configuration != null) {
-            trackPeers();
+            updateAppenders();
         }
         return index;
     }
 
     @Override
     long propose(byte[] data, Configuration configuration) {
-        return transferTarget != 0 || raft.log.uncommittedBytes() + data.length > raft.settings.uncommittedBytes()
-                ? 0
-                : add(data, configuration);
+        boolean full = raft.log.uncommittedBytes() + data.length > raft.settings.uncommittedBytes();
+        return leadershipTransfer.inProgress() || full ? 0 : append(data, configuration);
     }
 
     // ---- Time ------------------------------------------------------------
@@ -96,60 +88,47 @@
         if (++ticksSinceHeartbeat >= raft.settings.heartbeatTicks()) {
             heartbeatDue = true;
         }
-        if (transferTarget != 0 && ++transferTicks >= raft.settings.electionTicks()) {
-            transferTarget = 0;
-        }
+        leadershipTransfer.tick(raft.settings.electionTicks());
         if (++ticksSinceQuorumCheck >= raft.settings.electionTicks()) {
             ticksSinceQuorumCheck = 0;
-            if (!raft.log.configuration().hasMajority(p -> p == raft.id || peers.get(p).active)) {
-                raft.becomeFollower(raft.term(), 0);
+            if (!raft.log.configuration().hasMajority(this::isActive)) {
+                raft.becomeFollower(raft.term(), ServerState.NO_SERVER);
                 return;
             }
-            peers.values().forEach(p -> p.active = false);
+            appenders.values().forEach(appender -> appender.progress().active = false);
         }
         raft.resetElectionTimer();
     }
 
+    private boolean isActive(long voter) {
+        return voter == raft.id || appenders.get(voter).progress().active;
+    }
+
     // ---- Answers ------------------------------------------------------------
 
     @Override
-    void received(Message m) {
-        Progress p = peers.get(m.from());
-        if (p == null) {
+    void received(Message message) {
+        LogAppender appender = appenders.get(message.from());
+        if (appender == null) {
             return;
         }
-        p.active = true;
-        if (m instanceof Message.AppendResponse a) {
-            p.round = Math.max(p.round, a.round());
-            if (a.ok()) {
-                p.holds(a.index());
+        Progress progress = appender.progress();
+        progress.active = true;
+        if (message instanceof Message.AppendResponse response) {
+            progress.round = Math.max(progress.round, response.round());
+            if (response.ok()) {
+                progress.holds(response.index());
                 advanceCommit();
             } else {
-                onMismatch(p, a);
-            }
-        } else if (m instanceof Message.InstallResponse i) {
-            p.round = Math.max(p.round, i.round());
-            if (p.mode == Progress.Mode.SNAPSHOT && p.snapshot.index() == i.index()) {
-                p.offset = (int) Math.min(i.held(), p.snapshot.state().length);
-                p.waiting = false;
+                appender.onMismatch(response);
             }
+        } else if (message instanceof Message.InstallResponse response) {
+            progress.round = Math.max(progress.round, response.round());
+            appender.onInstallResponse(response);
         }
         answerConfirmedReads();
     }
 
-    /** Its log is another one at that index. */
-    private void onMismatch(Progress p, Message.AppendResponse a) {
-        if (p.mode == Progress.Mode.REPLICATE) {
-            if (a.index() > p.match) {
-                p.probe();
-            }
-        } else if (p.mode == Progress.Mode.PROBE && p.next - 1 == a.index()) {
-            long same = raft.log.lastIndexNotAfterTerm(a.hint(), a.hintTerm());
-            p.next = Math.max(p.match, Math.min(a.index() - 1, same)) + 1;
-            p.waiting = false;
-        }
-    }
-
     @Override
     void written() {
         advanceCommit();
@@ -157,25 +136,23 @@
     }
 
     private void advanceCommit() {
-        long reached = raft.log.configuration().majorityIndex(this::matchIndex);
-        if (reached > raft.log.commitIndex() && raft.mayCommit(reached) && raft.log.commitTo(reached)) {
-            List<Long> waited = List.copyOf(readsBeforeFirstCommit);
-            readsBeforeFirstCommit.clear();
-            waited.forEach(this::read);
+        long replicated = raft.log.configuration().majorityIndex(this::matchIndex);
+        if (replicated > raft.log.commitIndex() && raft.mayCommit(replicated) && raft.log.commitTo(replicated)) {
+            reads.takeBeforeFirstCommit().forEach(this::read);
             if (!raft.log.configuration().votes(raft.id) && raft.configurationCommitted()) {
                 stepDown();
             }
         }
     }
 
-    /** Those who vote from now on have one that holds all: it is told to lead, and this one leads no more. */
+    /** Steps down after its own removal; a voter that holds all committed entries is told to start an election. */
     private void stepDown() {
         flush();
         raft.log.configuration().voters().stream()
-                .filter(v -> matchIndex(v) >= raft.log.commitIndex())
+                .filter(voter -> matchIndex(voter) >= raft.log.commitIndex())
                 .findFirst()
-                .ifPresent(v -> raft.send(v, new Message.TimeoutNow(raft.id, raft.term())));
-        raft.becomeFollower(raft.term(), 0);
+                .ifPresent(voter -> raft.send(voter, new Message.TimeoutNow(raft.id, raft.term())));
+        raft.becomeFollower(raft.term(), ServerState.NO_SERVER);
     }
 
     // ---- Reads ------------------------------------------------------------
@@ -183,39 +160,42 @@
     @Override
     void read(long token) {
         if (raft.log.term(raft.log.commitIndex()) != raft.term()) {
-            readsBeforeFirstCommit.add(token);
+            reads.addBeforeFirstCommit(token);
             return;
         }
         readRoundDue = true;
-        reads.add(new PendingRead(token, raft.log.commitIndex(), round + 1));
+        reads.add(token, round + 1);
     }
 
-    /** Those whose round a majority has answered: nobody else led when they came. */
     private void answerConfirmedReads() {
-        while (!reads.isEmpty()
-                && raft.log
-                        .configuration()
-                        .hasMajority(v -> v == raft.id
-                                ? reads.peek().round() <= round
-                                : peers.get(v).round >= reads.peek().round())) {
-            PendingRead a = reads.poll();
-            raft.output(new Output.ReadReady(a.token(), a.index()));
-        }
+        reads.answerConfirmed(
+                readRound -> raft.log.configuration().hasMajority(voter -> confirmedRound(voter) >= readRound));
+    }
+
+    /** The newest round that a voter has taken part in. */
+    private long confirmedRound(long voter) {
+        return voter == raft.id ? round : appenders.get(voter).progress().round;
     }
 
-    // ---- Another leader ------------------------------------------------------------
+    // ---- Leadership transfer ------------------------------------------------------------
 
     @Override
     boolean transfer(long to) {
         if (to == raft.id || !raft.log.configuration().votes(to)) {
             return false;
         }
-        transferTarget = to;
-        transferTicks = 0;
-        transferSent = false;
+        leadershipTransfer.start(to);
         return true;
     }
 
+    private void requestElectionOfCaughtUpTarget() {
+        LogAppender target = appenders.get(leadershipTransfer.target());
+        if (target != null && leadershipTransfer.requestDue() && target.progress().match == raft.log.lastIndex()) {
+            leadershipTransfer.requestSent();
+            raft.send(leadershipTransfer.target(), new Message.TimeoutNow(raft.id, raft.term()));
+        }
+    }
+
     // ---- Sending ------------------------------------------------------------
 
     @Override
@@ -225,79 +205,9 @@
             ticksSinceHeartbeat = heartbeatDue ? 0 : ticksSinceHeartbeat;
             readRoundDue = false;
         }
-        peers.forEach((id, p) -> send(id, p));
+        appenders.values().forEach(appender -> appender.send(round, heartbeatDue));
         heartbeatDue = false;
-        Progress next = peers.get(transferTarget);
-        if (next != null && !transferSent && next.match == raft.log.lastIndex()) {
-            transferSent = true;
-            raft.send(transferTarget, new Message.TimeoutNow(raft.id, raft.term()));
-        }
+        requestElectionOfCaughtUpTarget();
         answerConfirmedReads();
     }
-
-    private void send(long to, Progress p) {
-        if (heartbeatDue) {
-            // What was on its way may be lost.
-            p.waiting = false;
-        }
-        if (p.mode != Progress.Mode.SNAPSHOT && p.next < raft.log.firstIndex()) {
-            p.send(raft.log.snapshot());
-        }
-        if (p.mode == Progress.Mode.SNAPSHOT) {
-            sendSnapshot(to, p);
-            return;
-        }
-        boolean sent = false;
-        while (!p.waiting && p.inFlight.size() < raft.settings.inFlight() && p.next <= raft.log.lastIndex()) {
-            List<LogEntry> entries = raft.log.entriesFrom(p.next, raft.settings.messageBytes());
-            sendEntries(to, p, entries);
-            sent = true;
-            if (p.mode == Progress.Mode.REPLICATE) {
-                p.next += entries.size();
-                p.inFlight.add(p.next - 1);
-            } else {
-                p.waiting = true;
-            }
-        }
-        if (!sent && (p.roundSent < round || p.commitSent < Math.min(raft.log.commitIndex(), p.match))) {
-            sendEntries(to, p, List.of());
-        }
-    }
-
-    private void sendEntries(long to, Progress p, List<LogEntry> entries) {
-        p.roundSent = round;
-        p.commitSent = raft.log.commitIndex();
-        raft.send(
-                to,
-                new Message.AppendEntries(
-                        raft.id,
-                        raft.term(),
-                        p.next - 1,
-                        raft.log.term(p.next - 1),
-                        entries,
-                        raft.log.commitIndex(),
-                        round));
-    }
-
-    private void sendSnapshot(long to, Progress p) {
-        if (p.waiting && p.roundSent == round) {
-            return;
-        }
-        byte[] state = p.snapshot.state();
-        int end = Math.min(state.length, p.offset + raft.settings.messageBytes());
-        raft.send(
-                to,
-                new Message.InstallSnapshot(
-                        raft.id,
-                        raft.term(),
-                        p.snapshot.index(),
-                        p.snapshot.term(),
-                        p.snapshot.configuration(),
-                        state.length,
-                        p.offset,
-                        Arrays.copyOfRange(state, p.offset, end),
-                        round));
-        p.waiting = true;
-        p.roundSent = round;
-    }
 }
--- /dev/null
+++ b/src/main/java/pepperdock/store/raft/LeaderRequestHandler.java
@@ -0,0 +1,68 @@
+package pepperdock.store.raft;
+
+/**
+ * Handles what the leader of the current term sends: entries and snapshots (thesis, 3.5 and 5.1). Every answer waits until
+ * what it speaks of is synced. Owned by the thread that calls {@link Raft}.
+ */
+final class LeaderRequestHandler {
+
+    private final Raft raft;
+    private final SnapshotReceiver snapshotReceiver = new SnapshotReceiver();
+
+    LeaderRequestHandler(Raft raft) {
+        this.raft = raft;
+    }
+
+    void onAppendEntries(Message.AppendEntries request) {
+        Log log = raft.log;
+        if (request.prevIndex() < log.commitIndex() && request.prevIndex() < log.firstIndex() - 1) {
+            // Older than what is held: all of that is committed, so it is the same (thesis, 3.6.3).
+            accept(request.from(), log.commitIndex(), request.round());
+            return;
+        }
+        if (log.term(request.prevIndex()) != request.prevTerm()) {
+            rejectMismatch(request);
+            return;
+        }
+        log.merge(request.entries());
+        long lastCommonIndex = request.prevIndex() + request.entries().size();
+        log.commitTo(Math.min(request.leaderCommit(), lastCommonIndex));
+        accept(request.from(), lastCommonIndex, request.round());
+    }
+
+    /** The consistency check has failed; the hint lets the leader skip a term's entries at a time (thesis, 3.5). */
+    private void rejectMismatch(Message.AppendEntries request) {
+        Log log = raft.log;
+        long hint = log.lastIndexNotAfterTerm(Math.min(request.prevIndex() - 1, log.lastIndex()), request.prevTerm());
+        raft.sendOnceSynced(
+                request.from(),
+                new Message.AppendResponse(
+                        raft.id, raft.term(), false, request.prevIndex(), hint, log.term(hint), request.round()));
+    }
+
+    void onInstallSnapshot(Message.InstallSnapshot request) {
+        Log log = raft.log;
+        if (raft.coversSnapshot(request.index(), request.indexTerm())) {
+            log.commitTo(request.index());
+            snapshotReceiver.clear();
+            accept(request.from(), Math.max(log.commitIndex(), request.index()), request.round());
+            return;
+        }
+        Snapshot snapshot = snapshotReceiver.receive(request);
+        if (snapshot == null) {
+            raft.sendOnceSynced(
+                    request.from(),
+                    new Message.InstallResponse(
+                            raft.id, raft.term(), request.index(), snapshotReceiver.received(), request.round()));
+            return;
+        }
+        log.restore(snapshot);
+        raft.output(new Output.Restore(snapshot));
+        accept(request.from(), snapshot.index(), request.round());
+    }
+
+    /** Confirms that this log is the leader's up to an index. */
+    private void accept(long leader, long index, long round) {
+        raft.sendOnceSynced(leader, new Message.AppendResponse(raft.id, raft.term(), true, index, 0, 0, round));
+    }
+}
--- a/src/main/java/pepperdock/store/raft/Log.java
+++ b/src/main/java/pepperdock/store/raft/Log.java
@@ -6,12 +6,13 @@
 import java.util.TreeMap;
 
 /**
- * The entries that are held in memory, from a little before the snapshot on; what of them is on disk, committed and applied;
- * and who takes part as of each place. What was handed to the disk and not confirmed yet is remembered by its write, since a
- * later write may replace it.
+ * The log in memory, from a little before the snapshot on; how much of it is on disk, committed and applied; and the members as
+ * of each index. What was handed to the disk and not confirmed yet is remembered by its write, since a later write may replace
+ * it. Owned by the thread that calls {@link Raft}.
  */
 final class Log {
 
+    /** Entries up to {@code to} that were handed to the disk with a write. */
     private static final class PendingWrite {
         private final long write;
         private long to;
@@ -22,7 +23,7 @@
         }
     }
 
-    /** The entry before the first that is held, and its term. */
+    /** The index of the entry before the first one in memory, and its term. */
     private long base;
 
     private long baseTerm;
@@ -33,26 +34,26 @@
     private long appliedIndex;
     private long durableIndex;
     private final List<PendingWrite> pendingWrites = new ArrayList<>();
-    /** The first entry that was not handed to the disk; and what it has to cut off first, 0 for nothing. */
+    /** The first entry that was not handed to the disk; and from where it has to truncate first, 0 for nowhere. */
     private long firstUnwritten;
 
     private long truncateFrom;
     private boolean snapshotUnwritten;
-    /** Bytes of what is not committed. */
+    /** Estimated bytes of the uncommitted entries. */
     private int uncommittedBytes;
 
     Log(Snapshot snapshot, List<LogEntry> kept) {
         this.snapshot = snapshot;
         configurations.put(snapshot.index(), snapshot.configuration());
-        boolean whole = kept.isEmpty() || kept.get(0).index() <= snapshot.index() + 1;
-        if (!whole) {
+        boolean contiguous = kept.isEmpty() || kept.get(0).index() <= snapshot.index() + 1;
+        if (!contiguous) {
             throw new IllegalArgumentException(
                     "entries from " + kept.get(0).index() + " on, after a snapshot of " + snapshot.index());
         }
         base = snapshot.index();
         baseTerm = snapshot.term();
         for (LogEntry e : kept) {
-            // Older ones are left behind by a crash between a snapshot and the end of its clearing up.
+            // A crash between writing a snapshot and truncating the log leaves older entries behind.
             if (e.index() == lastIndex() + 1) {
                 add(e);
             }
@@ -71,12 +72,12 @@
         return entries.isEmpty() ? baseTerm : entries.get(entries.size() - 1).term();
     }
 
-    /** The first entry that can still be sent. */
+    /** The first index whose entry is in memory. */
     long firstIndex() {
         return base + 1;
     }
 
-    /** The term at an index; -1 where it is not held any more, or not yet. */
+    /** The term at an index; -1 where it is compacted or beyond the end. */
     long term(long index) {
         return index == base
                 ? baseTerm
@@ -103,7 +104,7 @@
         return snapshot;
     }
 
-    /** Those of the newest entry that names any, committed or not. */
+    /** The members by the newest entry that names any, committed or not (thesis, 4.1). */
     Configuration configuration() {
         return configurations.lastEntry().getValue();
     }
@@ -113,7 +114,7 @@
         return configurations.lastKey();
     }
 
-    /** Those as of an index. */
+    /** The members as of an index. */
     private Configuration configurationAt(long index) {
         Map.Entry<Long, Configuration> e = configurations.floorEntry(index);
         return e == null ? Configuration.NONE : e.getValue();
@@ -129,16 +130,16 @@
 
     /** The largest index up to {@code from} whose term is no later than that one. */
     long lastIndexNotAfterTerm(long from, long term) {
-        long i = Math.min(from, lastIndex());
-        while (i > base && term(i) > term) {
-            i--;
+        long index = Math.min(from, lastIndex());
+        while (index > base && term(index) > term) {
+            index--;
         }
-        return i;
+        return index;
     }
 
     /**
-     * Takes entries in that follow on one held here. Those that are here already stay, with all that follows them: the message
-     * may be an old one. At the first that differs the rest is replaced.
+     * Merges a leader's entries, which follow one in this log (thesis, 3.5). Those that are here already stay, with all that
+     * follows them, as the message may be an old one; from the first that differs on, the rest is replaced.
      */
     void merge(List<LogEntry> all) {
         for (LogEntry e : all) {
@@ -147,10 +148,10 @@
             }
             if (e.index() <= lastIndex()) {
                 if (e.index() <= commitIndex) {
-                    throw new IllegalStateException("entry " + e.index() + " is committed, and another is sent for it");
+                    throw new CommittedEntryConflictException(e.index());
                 }
                 List<LogEntry> rest = entries.subList((int) (e.index() - base - 1), entries.size());
-                rest.forEach(x -> uncommittedBytes -= x.size());
+                rest.forEach(dropped -> uncommittedBytes -= dropped.size());
                 rest.clear();
                 configurations.tailMap(e.index(), true).clear();
                 replacedFrom(e.index());
@@ -159,16 +160,17 @@
         }
     }
 
+    /** Entries from this index on were dropped: what the disk has of them is void. */
     private void replacedFrom(long from) {
         durableIndex = Math.min(durableIndex, from - 1);
-        pendingWrites.forEach(h -> h.to = Math.min(h.to, from - 1));
+        pendingWrites.forEach(pending -> pending.to = Math.min(pending.to, from - 1));
         if (from < firstUnwritten) {
             truncateFrom = truncateFrom == 0 ? from : Math.min(truncateFrom, from);
             firstUnwritten = from;
         }
     }
 
-    /** Entries from an index on, of so many bytes, but one at least where there is one. */
+    /** Entries from an index on, of so many bytes at most, but one at least where there is one. */
     List<LogEntry> entriesFrom(long index, int bytes) {
         List<LogEntry> some = new ArrayList<>();
         int sum = 0;
@@ -187,7 +189,7 @@
         return uncommittedBytes;
     }
 
-    /** Nothing is ever taken back from what is committed. Returns whether there is more of it now. */
+    /** Advances the commit index, which never goes back; returns whether it has advanced. */
     boolean commitTo(long index) {
         long to = Math.min(index, lastIndex());
         if (to <= commitIndex) {
@@ -200,7 +202,7 @@
         return true;
     }
 
-    /** What is to be applied now: committed, and on this disk. */
+    /** The entries to apply now: committed, on this disk, and not applied before. */
     List<LogEntry> toApply() {
         long to = Math.min(commitIndex, durableIndex);
         if (to <= appliedIndex) {
@@ -217,7 +219,7 @@
         return firstUnwritten <= lastIndex() || truncateFrom > 0 || snapshotUnwritten;
     }
 
-    /** What is not handed to the disk yet, handed to it with this write. */
+    /** All that was not handed to the disk yet, as one write. */
     Output.Write nextWrite(long write, HardState hardState) {
         List<LogEntry> some = firstUnwritten > lastIndex()
                 ? List.of()
@@ -241,7 +243,7 @@
 
     // ---- Snapshots ------------------------------------------------------------
 
-    /** What was applied up to an index has come to this; entries well before it are let go. */
+    /** Takes a snapshot of the applied entries (thesis, 5.1); entries well before its index are dropped from memory. */
     void compact(long index, byte[] state, int kept) {
         if (index <= snapshot.index() || index > appliedIndex) {
             throw new IllegalArgumentException(
@@ -256,12 +258,12 @@
             base = to;
             baseTerm = term;
         }
-        Configuration then = configurationAt(index);
+        Configuration current = configurationAt(index);
         configurations.headMap(index, true).clear();
-        configurations.put(index, then);
+        configurations.put(index, current);
     }
 
-    /** Puts another's snapshot in place of all there is. */
+    /** Replaces the whole log by a leader's snapshot (thesis, 5.1). */
     void restore(Snapshot s) {
         entries.clear();
         configurations.clear();
--- a/src/main/java/pepperdock/store/raft/LogEntry.java
+++ b/src/main/java/pepperdock/store/raft/LogEntry.java
@@ -1,21 +1,25 @@
 package pepperdock.store.raft;
 
 /**
- * One place in the log. Either {@code data}, or who takes part from here on, or neither: a leader's first entry.
+ * One entry of the log. Either it has {@code data}, or the members from here on, or neither: a leader's first entry.
  *
  * @param index counted from 1
- * @param configuration in force as soon as a log has it, committed or not; null in all other entries
+ * @param configuration in force as soon as a log has it, committed or not (thesis, 4.1); null in all other entries
  */
 public record LogEntry(long index, long term, byte[] data, Configuration configuration) {
 
     static final byte[] EMPTY = new byte[0];
-    private static final int HEAD = 32;
-    private static final int PEER = 96;
+    /** Estimates of the bytes in memory, for limits only. */
+    private static final int HEADER_BYTES = 32;
 
-    /** Bytes that it takes up, about. */
+    private static final int PEER_BYTES = 96;
+
+    /** Estimated bytes that it takes up. */
     public int size() {
-        return HEAD
+        return HEADER_BYTES
                 + data.length
-                + (configuration == null ? 0 : PEER * configuration.peers().size());
+                + (configuration == null
+                        ? 0
+                        : PEER_BYTES * configuration.peers().size());
     }
 }
--- a/src/main/java/pepperdock/store/raft/Message.java
+++ b/src/main/java/pepperdock/store/raft/Message.java
@@ -2,7 +2,10 @@
 
 import java.util.List;
 
-/** What peers say to each other. Any of it may come late, twice, out of order, or never. */
+/**
+ * The messages between servers (thesis, figures 3.1 and 5.3). Any of them may be delayed, duplicated, reordered or lost:
+ * the protocol does not depend on the transport.
+ */
 public sealed interface Message {
 
     /** The sender's id. */
@@ -12,36 +15,37 @@
     long term();
 
     /**
-     * Vote for me.
+     * RequestVote (thesis, 3.4).
      *
-     * @param pre would you? Nobody's term changes by it.
-     * @param told by the leader itself, whom it is to follow: then nobody waits for that leader to fall silent
+     * @param pre whether this is a pre-vote, which changes nobody's term (9.6)
+     * @param told whether the leader itself asked for the election: then nobody waits for it to fall silent (4.2.3)
      */
     record RequestVote(long from, long term, long lastIndex, long lastTerm, boolean pre, boolean told)
             implements Message {}
 
-    /** The answer to a request for a vote. */
+    /** The response to {@link RequestVote}. */
     record VoteResponse(long from, long term, boolean pre, boolean granted) implements Message {}
 
     /**
-     * Entries that follow on one that the receiver is thought to have; without entries a sign of life.
+     * AppendEntries (thesis, 3.5): entries that follow one that the receiver is expected to have; without entries a heartbeat.
      *
-     * @param round to be said back: whoever does has followed this leader since that round began
+     * @param round to be echoed: whoever does has followed this leader since that heartbeat round began (6.4)
      */
     record AppendEntries(
             long from, long term, long prevIndex, long prevTerm, List<LogEntry> entries, long leaderCommit, long round)
             implements Message {}
 
     /**
-     * The answer to entries.
+     * The response to {@link AppendEntries}.
      *
-     * @param ok the log is the sender's up to {@code index}; otherwise it isn't at {@code index}, the one before the entries
-     * @param hint where not ok: the last index at which the two may still agree, and {@code hintTerm} its term here
+     * @param ok whether the log matches the leader's up to {@code index}; if not, it differs at {@code index}, right before the
+     *     entries
+     * @param hint where not ok: the last index at which the logs may still agree, and {@code hintTerm} its term here
      */
     record AppendResponse(long from, long term, boolean ok, long index, long hint, long hintTerm, long round)
             implements Message {}
 
-    /** A piece of a snapshot, of so many bytes in all. */
+    /** InstallSnapshot (thesis, 5.1 and figure 5.3): a chunk of a snapshot of {@code total} bytes. */
     record InstallSnapshot(
             long from,
             long term,
@@ -54,9 +58,9 @@
             long round)
             implements Message {}
 
-    /** So many bytes of the snapshot are held; when it is whole, {@link AppendResponse} is said in place of this. */
+    /** So many bytes of the snapshot are received; when it is complete, {@link AppendResponse} is sent in place of this. */
     record InstallResponse(long from, long term, long index, long held, long round) implements Message {}
 
-    /** Ask for votes at once: the leader wants this one to follow it. */
+    /** TimeoutNow (thesis, 3.10): start an election at once, as the leader transfers its leadership. */
     record TimeoutNow(long from, long term) implements Message {}
 }
--- a/src/main/java/pepperdock/store/raft/Output.java
+++ b/src/main/java/pepperdock/store/raft/Output.java
@@ -2,14 +2,14 @@
 
 import java.util.List;
 
-/** What the machine wants done, in this order. */
+/** What the caller is to do for a {@link Raft}, in the order given. */
 public sealed interface Output {
 
-    /** A message to a peer. */
+    /** Send a message to a peer; it may be lost. */
     record Send(long to, Message message) implements Output {}
 
     /**
-     * To be written after all writes of lower numbers, and {@link Raft#written} to be called once it is synced. Each part may
+     * Write this after all writes of lower numbers, and {@link Raft#written} to be called once it is synced. Each part may
      * be absent. A snapshot stands for all before and including its index. Entries replace whatever was held from the first
      * one's index on.
      *
@@ -18,18 +18,18 @@
     record Write(long number, HardState hardState, Snapshot snapshot, long cut, List<LogEntry> entries)
             implements Output {}
 
-    /** Committed, and on this disk: to be applied, once each and in this order. */
+    /** Apply these entries, once each and in this order: they are committed, and on this disk. */
     record Apply(List<LogEntry> entries) implements Output {}
 
-    /** Takes the place of all that was applied. */
+    /** Replace all that was applied by this snapshot. */
     record Restore(Snapshot snapshot) implements Output {}
 
-    /** This peer's part, its term and its leader (0 where it knows none) have changed. */
+    /** The role, the term or the leader (0 where none is known) has changed; for the caller's information. */
     record StateChange(PeerState state, long term, long leader) implements Output {}
 
-    /** A read asked for may be answered once entries up to this index are applied. */
+    /** The read may be answered once entries up to this index are applied (thesis, 6.4). */
     record ReadReady(long token, long index) implements Output {}
 
-    /** It can't be answered here: this peer does not lead, or no longer. */
+    /** The read can't be answered here: this server does not lead, or no longer. */
     record ReadRejected(long token) implements Output {}
 }
--- a/src/main/java/pepperdock/store/raft/Peer.java
+++ b/src/main/java/pepperdock/store/raft/Peer.java
@@ -1,10 +1,10 @@
 package pepperdock.store.raft;
 
 /**
- * One disk that takes part. Its id was drawn when the disk was new: a process that comes back without its disk is another
- * peer, which has promised nothing.
+ * A member of the group, identified by its disk. The id was drawn when the disk was new: a process that comes back without its
+ * disk is another member, which has not promised anything.
  *
  * @param name of the gatherer that has the disk
- * @param votes false for a learner: it gets the log, and counts for nothing
+ * @param votes false for a learner: it receives the log, and does not count for majorities (4.2.1)
  */
 public record Peer(long id, String name, String address, boolean votes) {}
--- /dev/null
+++ b/src/main/java/pepperdock/store/raft/PendingReads.java
@@ -0,0 +1,57 @@
+package pepperdock.store.raft;
+
+import java.util.ArrayDeque;
+import java.util.Deque;
+import java.util.List;
+import java.util.function.LongPredicate;
+
+/**
+ * The linearizable reads that a leader has not answered yet (thesis, 6.4). A read waits for the first entry of the leader's
+ * term to be committed, as the commit index is not known before, and then for a majority to answer a heartbeat round that
+ * began after it came. Owned by the thread that calls {@link Raft}.
+ */
+final class PendingReads {
+
+    /** A read at a commit index, to be confirmed by a heartbeat round. */
+    private record PendingRead(long token, long readIndex, long round) {}
+
+    private final Raft raft;
+    private final Deque<PendingRead> confirming = new ArrayDeque<>();
+    private final Deque<Long> beforeFirstCommit = new ArrayDeque<>();
+
+    PendingReads(Raft raft) {
+        this.raft = raft;
+    }
+
+    void addBeforeFirstCommit(long token) {
+        beforeFirstCommit.add(token);
+    }
+
+    /** The reads that waited for the first commit, in the order in which they came; they wait no longer. */
+    List<Long> takeBeforeFirstCommit() {
+        List<Long> tokens = List.copyOf(beforeFirstCommit);
+        beforeFirstCommit.clear();
+        return tokens;
+    }
+
+    /** Adds a read at the current commit index, to be confirmed by a round. */
+    void add(long token, long round) {
+        confirming.add(new PendingRead(token, raft.log.commitIndex(), round));
+    }
+
+    /** Answers the reads whose round a majority has confirmed: no other server led when they came. */
+    void answerConfirmed(LongPredicate roundConfirmed) {
+        while (!confirming.isEmpty() && roundConfirmed.test(confirming.peek().round())) {
+            PendingRead read = confirming.poll();
+            raft.output(new Output.ReadReady(read.token(), read.readIndex()));
+        }
+    }
+
+    /** The leader has stepped down. */
+    void rejectAll() {
+        confirming.forEach(read -> raft.output(new Output.ReadRejected(read.token())));
+        beforeFirstCommit.forEach(token -> raft.output(new Output.ReadRejected(token)));
+        confirming.clear();
+        beforeFirstCommit.clear();
+    }
+}
--- a/src/main/java/pepperdock/store/raft/Progress.java
+++ b/src/main/java/pepperdock/store/raft/Progress.java
@@ -3,42 +3,54 @@
 import java.util.ArrayDeque;
 import java.util.Deque;
 
-/** What a leader knows of one peer's log, and how it sends to it. */
+/**
+ * What a leader knows of one follower's log, and how it sends to it (thesis, 3.5 and 10.2.2, pipelining). Owned by the thread
+ * that calls {@link Raft}; changed by the leader and its {@link LogAppender} alone.
+ */
 final class Progress {
 
-    /** How a leader sends to a peer. */
+    /** How a leader sends to a follower. */
     enum Mode {
-        /** Where the logs part is not known: one message at a time. */
+        /** The last common index is not known: one message at a time. */
         PROBE,
-        /** Message after message, without waiting. */
+        /** The logs agree: message after message, without waiting for answers. */
         REPLICATE,
-        /** It lacks what is not kept any more: pieces of a snapshot. */
+        /** It lacks entries that are compacted: chunks of a snapshot. */
         SNAPSHOT
     }
 
     Mode mode = Mode.PROBE;
-    /** Known to be held, and the next to be sent. */
+    /** The highest index known to be replicated, "matchIndex" of the thesis. */
     long match;
 
+    /** The next index to be sent, "nextIndex" of the thesis. */
     long next;
-    /** A probe or a piece is on its way. */
+    /** A probe or a chunk is in flight. */
     boolean waiting;
-    /** The last entries of messages that are not answered. */
+    /** The last indexes of messages that are not answered. */
     final Deque<Long> inFlight = new ArrayDeque<>();
-    /** Answered since the leader last looked. */
+    /** Has answered since the leader last checked its quorum. */
     boolean active;
-    /** The newest round that it has answered, and that was sent to it. */
+    /** The newest heartbeat round that it has answered. */
     long round;
 
+    /** The newest heartbeat round that was sent to it. */
     long roundSent;
+
+    /** The commit index that was last sent to it. */
     long commitSent;
+
+    /** The snapshot that is being sent; null in other modes. */
     Snapshot snapshot;
+
+    /** Where the next chunk of the snapshot begins. */
     int offset;
 
     Progress(long next) {
         this.next = next;
     }
 
+    /** Goes back to one message at a time, from the last index that is known to be common. */
     void probe() {
         mode = Mode.PROBE;
         next = match + 1;
@@ -47,15 +59,16 @@
         snapshot = null;
     }
 
-    void send(Snapshot s) {
+    /** Goes over to sending a snapshot, from its beginning. */
+    void send(Snapshot toSend) {
         mode = Mode.SNAPSHOT;
-        snapshot = s;
+        snapshot = toSend;
         offset = 0;
         waiting = false;
         inFlight.clear();
     }
 
-    /** It holds all up to here. */
+    /** Its log is the leader's up to here. */
     void holds(long index) {
         if (index > match) {
             match = index;
--- a/src/main/java/pepperdock/store/raft/Raft.java
+++ b/src/main/java/pepperdock/store/raft/Raft.java
@@ -5,161 +5,194 @@
 import java.util.Random;
 
 /**
- * One peer's half of the agreement on a log. Messages, ticks, what the disk has done and what clients want come in;
- * {@link Output} goes out; no clock, no sockets, no files, no threads, and chance only from the seed: the same inputs give the
- * same outputs.
+ * One server of a Raft group, as a pure state machine (Ongaro, "Consensus: Bridging Theory and Practice", 2014; "thesis"
+ * below). Messages, ticks, finished disk writes and clients' requests come in, and {@link Output} goes out. It has no clock,
+ * sockets, files or threads, and random numbers come from a seed alone: the same inputs give the same outputs.
  *
- * <p>The caller hands every message to {@link #received}, calls {@link #tick} at even intervals (a late one counts once), and
- * after each call carries out what {@link #taken} returns, in its order. Writes go to the disk in the order of their numbers,
- * and {@link #written} says which are synced; it may be called much later, from the same thread as all the rest. A write or
- * sync that failed is told by {@link #failed}, after which this peer promises nothing any more.
+ * <p>All of its state belongs to one thread, the caller's; no method may be called from another. The caller passes every
+ * message to {@link #received}, calls {@link #tick} at even intervals (a late one counts once), and after each call carries out
+ * what {@link #takeOutputs} returns, in its order. Writes go to the disk in the order of their numbers, and {@link #written}
+ * says which are synced; it may be called much later. A write or sync that failed is reported by {@link #failed}, after which
+ * this server promises nothing any more.
  *
- * <p>Promised, whatever is lost, late or repeated, as long as no disk forgets what it has synced: one leader a term; what is
- * committed stays, at its index, on every peer; it is applied once and in order by each life of a process; a read is answered
- * no older than what was committed when it was asked for. A term, a vote or an entry is told to others only once it is synced
- * here. No entry of an older term is committed by counting copies. One change of members at a time, of one vote at most. A
- * leader that hears no majority for an election's time gives up.
+ * <p>Guaranteed under loss, delay and duplication of messages, as long as no disk forgets what it has synced (thesis, figure
+ * 3.2): one leader a term; a committed entry stays, at its index, on every server; it is applied once and in order by each
+ * process; a read is answered no older than what was committed when it was requested (6.4). A term, a vote or an entry is sent
+ * to others only once it is synced here. No entry of an older term is committed by counting replicas (3.6.2). Membership
+ * changes by one voter at a time (4.1). A leader that hears from no majority for an election timeout steps down (6.2).
+ *
+ * <p>What all roles have in common stands here; what only one role does is in {@link Follower}, {@link Candidate} and
+ * {@link Leader}.
  */
 public class Raft {
 
     final RaftSettings settings;
     final Log log;
-    final Random chance;
     final long id;
-    private Role role;
-    private long term;
-    private long votedFor;
-    private long leader;
-    /** Ticks since there was last a sign of a leader, or a vote was given. */
-    private int ticksSinceLeader;
-
-    private int electionTimeoutTicks;
-    private boolean hardStateDirty;
+    private final ServerState serverState;
+    private final ElectionTimer electionTimer;
+    private final VoteRequestHandler voteRequests;
+    private final LeaderRequestHandler leaderRequests;
     private final SyncQueue syncQueue = new SyncQueue();
     private final List<Output> outputs = new ArrayList<>();
+    private Role role;
     private Output.StateChange lastStateChange;
-    private final SnapshotReceiver snapshotReceiver = new SnapshotReceiver();
 
-    /** {@code saved} is what this peer's disk holds, and {@code id} the disk's. */
+    /**
+     * Starts as a follower.
+     *
+     * @param id of this server's disk; not 0
+     * @param saved what that disk holds
+     * @param seed of the election timeouts
+     */
     public Raft(long id, RaftSettings settings, PersistedState saved, long seed) {
-        if (id == 0) {
+        if (id == ServerState.NO_SERVER) {
             throw new IllegalArgumentException("0 is nobody's id");
         }
         this.id = id;
         this.settings = settings;
-        chance = new Random(seed);
-        term = saved.hardState().term();
-        votedFor = saved.hardState().votedFor();
+        serverState = new ServerState(saved.hardState());
+        electionTimer = new ElectionTimer(settings.electionTicks(), new Random(seed));
         log = new Log(saved.snapshot(), saved.entries());
-        lastStateChange = new Output.StateChange(PeerState.FOLLOWER, term, 0);
+        voteRequests = new VoteRequestHandler(this, serverState, electionTimer);
+        leaderRequests = new LeaderRequestHandler(this);
+        lastStateChange = new Output.StateChange(PeerState.FOLLOWER, term(), ServerState.NO_SERVER);
         become(new Follower(this));
     }
 
-    // ---- What the caller sees ------------------------------------------------------------
+    // ---- State, for the caller ------------------------------------------------------------
 
+    /** This server's id. */
     public long id() {
         return id;
     }
 
+    /** The role that it has now. */
     public PeerState state() {
         return role.state();
     }
 
+    /** The current term. */
     public long term() {
-        return term;
+        return serverState.term();
     }
 
     /** The leader's id; 0 where none is known. */
     public long leader() {
-        return leader;
+        return serverState.leader();
     }
 
-    /** Who takes part, as of the newest entry here that says so. */
+    /** The members as of the newest entry in this log that names them, committed or not (thesis, 4.1). */
     public Configuration configuration() {
         return log.configuration();
     }
 
-    /** Whether that entry is committed. */
+    /** Whether the entry that names the members is committed. */
     public boolean configurationCommitted() {
         return log.configurationIndex() <= log.commitIndex();
     }
 
+    /** The index of the newest entry known to be committed. */
     public long commitIndex() {
         return log.commitIndex();
     }
 
+    /** The index of the newest entry handed out to be applied. */
     public long appliedIndex() {
         return log.appliedIndex();
     }
 
+    /** The index of the last entry of the log. */
     public long lastIndex() {
         return log.lastIndex();
     }
 
+    /** The term of the last entry of the log. */
     public long lastTerm() {
         return log.lastTerm();
     }
 
-    /** The term of an entry that is held here; -1 where it isn't. */
+    /** The term of an entry in memory; -1 where the index is compacted or beyond the end of the log. */
     public long termAt(long index) {
         return log.term(index);
     }
 
-    /** Of a peer, what the leader knows that it holds; -1 where this one does not lead or does not know the peer. */
+    /** The highest index known to be replicated to a peer; -1 where this server does not lead or does not know the peer. */
     public long matchIndex(long peer) {
-        return role instanceof Leader l ? l.matchIndex(peer) : -1;
+        return role instanceof Leader leader ? leader.matchIndex(peer) : -1;
     }
 
-    // ---- What the caller does ------------------------------------------------------------
+    // ---- Inputs ------------------------------------------------------------
 
+    /** A tick of the caller's clock has passed. */
     public void tick() {
-        ticksSinceLeader++;
+        electionTimer.tick();
         role.tick();
     }
 
-    public void received(Message m) {
+    /** A message has come from a peer. */
+    public void received(Message message) {
         if (role.state() == PeerState.STORAGE_FAILED) {
             return;
         }
-        if (m.term() > term) {
-            if (m instanceof Message.RequestVote a
-                    && !a.told()
-                    && leader != 0
-                    && ticksSinceLeader < settings.electionTicks()) {
-                // Whoever hears a leader helps nobody to another one.
+        if (message.term() > term()) {
+            if (message instanceof Message.RequestVote request && voteRequests.ignores(request)) {
                 return;
             }
-            boolean hypothetical = m instanceof Message.RequestVote a && a.pre()
-                    || m instanceof Message.VoteResponse v && v.pre() && v.granted();
-            if (!hypothetical) {
-                becomeFollower(
-                        m.term(),
-                        m instanceof Message.AppendEntries || m instanceof Message.InstallSnapshot ? m.from() : 0);
-            }
-        } else if (m.term() < term) {
-            if (m instanceof Message.AppendEntries || m instanceof Message.InstallSnapshot) {
-                // A leader that was away gives up when it hears of the newer term.
-                sendOnceSynced(m.from(), new Message.AppendResponse(id, term, false, 0, 0, 0, 0));
-            } else if (m instanceof Message.RequestVote a && a.pre()) {
-                sendOnceSynced(m.from(), new Message.VoteResponse(id, term, true, false));
+            if (!isHypothetical(message)) {
+                becomeFollower(message.term(), isFromLeader(message) ? message.from() : ServerState.NO_SERVER);
             }
+        } else if (message.term() < term()) {
+            rejectOlderTerm(message);
             return;
         }
-        if (m instanceof Message.RequestVote a) {
-            onRequestVote(a);
-        } else if (m instanceof Message.AppendEntries a) {
-            onLeader(a.from());
-            onAppendEntries(a);
-        } else if (m instanceof Message.InstallSnapshot i) {
-            onLeader(i.from());
-            onInstallSnapshot(i);
-        } else if (m instanceof Message.TimeoutNow) {
+        handle(message);
+    }
+
+    private static boolean isFromLeader(Message message) {
+        return message instanceof Message.AppendEntries || message instanceof Message.InstallSnapshot;
+    }
+
+    /** Whether the message's term is only the one that a pre-vote would lead to (thesis, 9.6). */
+    private static boolean isHypothetical(Message message) {
+        return message instanceof Message.RequestVote request && request.pre()
+                || message instanceof Message.VoteResponse response && response.pre() && response.granted();
+    }
+
+    private void rejectOlderTerm(Message message) {
+        if (isFromLeader(message)) {
+            // A leader that was away steps down when it hears of the newer term.
+            sendOnceSynced(message.from(), new Message.AppendResponse(id, term(), false, 0, 0, 0, 0));
+        } else if (message instanceof Message.RequestVote request && request.pre()) {
+            sendOnceSynced(message.from(), new Message.VoteResponse(id, term(), true, false));
+        }
+    }
+
+    private void handle(Message message) {
+        if (message instanceof Message.RequestVote request) {
+            voteRequests.onRequestVote(request);
+        } else if (message instanceof Message.AppendEntries request) {
+            followLeader(request.from());
+            leaderRequests.onAppendEntries(request);
+        } else if (message instanceof Message.InstallSnapshot request) {
+            followLeader(request.from());
+            leaderRequests.onInstallSnapshot(request);
+        } else if (message instanceof Message.TimeoutNow) {
             if (log.configuration().votes(id)) {
                 become(new Candidate(this, false, true));
             }
         } else {
-            role.received(m);
+            role.received(message);
+        }
+    }
+
+    /** A server has sent a request as the current term's leader. */
+    private void followLeader(long from) {
+        if (role.state() != PeerState.FOLLOWER) {
+            become(new Follower(this));
         }
+        serverState.setLeader(from);
+        resetElectionTimer();
     }
 
     /** All writes up to this one are synced. */
@@ -172,37 +205,37 @@
         role.written();
     }
 
-    /** A write or a sync failed: what is on the disk is not known, so nothing is promised from here on. */
+    /** A write or a sync failed: what the disk holds is not known, so nothing is promised from here on. */
     public void failed() {
         syncQueue.clear();
-        leader = 0;
+        clearLeader();
         become(new StorageFailed(this));
     }
 
-    /** Adds an entry; returns its index, or 0 where this peer does not lead or has too much open already. */
+    /** Appends an entry; returns its index, or 0 where this server does not lead or has too many uncommitted bytes. */
     public long propose(byte[] data) {
         return role.propose(data, null);
     }
 
     /**
-     * Changes who takes part; returns the entry's index, or 0 where this peer does not lead, the change before is not committed
-     * yet, or more than one vote would change.
+     * Changes the members; returns the entry's index, or 0 where this server does not lead, the change before is not committed
+     * yet, or more than one voter would change (thesis, 4.1).
      */
     public long change(Configuration to) {
         return mayChangeTo(to) ? role.propose(LogEntry.EMPTY, to) : 0;
     }
 
-    /** Answered by {@link Output.ReadReady} or {@link Output.ReadRejected} with the same token. */
+    /** Requests a linearizable read (thesis, 6.4), answered by {@link Output.ReadReady} or {@link Output.ReadRejected}. */
     public void read(long token) {
         role.read(token);
     }
 
-    /** Has another peer lead, once it holds all that this one does. False where that can't be. */
+    /** Transfers leadership to another voter once it is caught up (thesis, 3.10); false where that can't be. */
     public boolean transfer(long to) {
         return role.transfer(to);
     }
 
-    /** What was applied up to here has come to this; peers that lack more than is kept will get it in place of entries. */
+    /** Replaces the applied entries up to an index by the state that they led to (thesis, 5.1). */
     public void compact(long index, byte[] state) {
         if (role.state() != PeerState.STORAGE_FAILED) {
             log.compact(index, state, settings.kept());
@@ -213,25 +246,24 @@
     public List<Output> takeOutputs() {
         do {
             role.flush();
-            if (role.state() != PeerState.STORAGE_FAILED && (hardStateDirty || log.hasUnwritten())) {
-                outputs.add(
-                        log.nextWrite(syncQueue.nextWrite(), hardStateDirty ? new HardState(term, votedFor) : null));
-                hardStateDirty = false;
+            if (role.state() != PeerState.STORAGE_FAILED
+                    && (serverState.hasUnwrittenHardState() || log.hasUnwritten())) {
+                outputs.add(log.nextWrite(syncQueue.nextWrite(), serverState.takeUnwrittenHardState()));
             }
             syncQueue.release();
         } while (syncQueue.hasDeferred());
-        List<LogEntry> apply = log.toApply();
-        if (!apply.isEmpty()) {
-            outputs.add(new Output.Apply(apply));
+        List<LogEntry> committed = log.toApply();
+        if (!committed.isEmpty()) {
+            outputs.add(new Output.Apply(committed));
         }
-        Output.StateChange is = new Output.StateChange(role.state(), term, leader);
-        if (!is.equals(lastStateChange)) {
-            lastStateChange = is;
-            outputs.add(is);
+        Output.StateChange current = new Output.StateChange(role.state(), term(), leader());
+        if (!current.equals(lastStateChange)) {
+            lastStateChange = current;
+            outputs.add(current);
         }
-        List<Output> all = List.copyOf(outputs);
+        List<Output> taken = List.copyOf(outputs);
         outputs.clear();
-        return all;
+        return taken;
     }
 
     // ---- For the roles ------------------------------------------------------------
@@ -241,157 +273,87 @@
             role.ends();
         }
         role = next;
-        ticksSinceLeader = 0;
-        electionTimeoutTicks = settings.electionTicks() + chance.nextInt(settings.electionTicks());
+        electionTimer.restart();
         next.begins();
     }
 
-    /** A newer term begins, or the present one goes on under a leader. */
+    /** Becomes a follower in a newer term, or in the current one. */
     final void becomeFollower(long newTerm, long newLeader) {
-        if (newTerm > term) {
-            term = newTerm;
-            votedFor = 0;
-            hardStateDirty = true;
-        }
-        leader = newLeader;
+        serverState.advanceTo(newTerm);
+        serverState.setLeader(newLeader);
         become(new Follower(this));
     }
 
-    /** Opens a new term with a vote for oneself. */
+    /** Opens a new term with a vote for itself. */
     final void startNewTerm() {
-        term++;
-        votedFor = id;
-        leader = 0;
-        hardStateDirty = true;
+        serverState.startElection(id);
     }
 
     final void setLeaderToSelf() {
-        leader = id;
+        serverState.setLeader(id);
     }
 
-    final boolean isCurrent(Role r) {
-        return role == r;
+    final void clearLeader() {
+        serverState.setLeader(ServerState.NO_SERVER);
     }
 
-    final boolean electionTimedOut() {
-        return ticksSinceLeader >= electionTimeoutTicks;
+    final boolean isCurrent(Role other) {
+        return role == other;
     }
 
-    final void clearLeader() {
-        leader = 0;
+    final boolean electionTimedOut() {
+        return electionTimer.timedOut();
     }
 
     final void resetElectionTimer() {
-        ticksSinceLeader = 0;
+        electionTimer.reset();
     }
 
-    /** To be sent at once: it speaks of nothing that this disk has to hold. */
-    final void send(long to, Message m) {
-        outputs.add(new Output.Send(to, m));
+    /** Sends at once: the message speaks of nothing that this disk has to hold. */
+    final void send(long to, Message message) {
+        outputs.add(new Output.Send(to, message));
     }
 
-    /** To be sent, or done, once all that holds now is synced. */
-    final void sendOnceSynced(long to, Message m) {
-        onceSynced(() -> send(to, m));
+    /** Sends once all that holds now is synced. */
+    final void sendOnceSynced(long to, Message message) {
+        onceSynced(() -> send(to, message));
     }
 
-    final void onceSynced(Runnable r) {
-        syncQueue.defer(r);
+    final void onceSynced(Runnable action) {
+        syncQueue.defer(action);
     }
 
-    final void output(Output o) {
-        outputs.add(o);
+    final void output(Output output) {
+        outputs.add(output);
     }
 
-    // ---- The rules that everything else rests on ------------------------------------------------------------
+    // ---- Safety rules; tests plant faults by overriding them
+    // ------------------------------------------------------------
 
     /**
-     * Whether a leader may take an index for committed that a majority holds: only an entry of its own term (thesis, 3.6.2);
-     * those before it are committed with it.
+     * Whether a leader may commit an index that is replicated to a majority: only one of its own term, which commits those
+     * before it with it (thesis, 3.6.2).
      */
     protected boolean mayCommit(long index) {
-        return log.term(index) == term;
+        return log.term(index) == term();
     }
 
-    /** Whether the members may change to these now (thesis, 4.1, and the correction of 2015: not before an entry of this term). */
+    /**
+     * Whether the members may be changed to these now: one voter at a time, after the change before is committed (thesis, 4.1),
+     * and not before an entry of the current term is (Ongaro's correction of 2015 to the same section).
+     */
     protected boolean mayChangeTo(Configuration to) {
         return configurationCommitted()
-                && log.term(log.commitIndex()) == term
+                && log.term(log.commitIndex()) == term()
                 && log.configuration().votersChanged(to) <= 1
                 && !to.voters().isEmpty();
     }
 
     /**
-     * Whether all that a snapshot stands for is here already: then what follows it here stays. It may be newer than the
-     * snapshot, and promised to be held.
+     * Whether this log holds all that a snapshot stands for: then the entries that follow it stay (thesis, 5.1), as they may
+     * be newer than the snapshot, and acknowledged.
      */
     protected boolean coversSnapshot(long index, long indexTerm) {
         return index <= log.commitIndex() || log.term(index) == indexTerm;
     }
-
-    // ---- A follower's side, whatever the role was ------------------------------------------------------------
-
-    private void onRequestVote(Message.RequestVote a) {
-        boolean may = votedFor == a.from() || votedFor == 0 && leader == 0 || a.pre() && a.term() > term;
-        boolean upToDate =
-                a.lastTerm() > log.lastTerm() || a.lastTerm() == log.lastTerm() && a.lastIndex() >= log.lastIndex();
-        boolean granted = may && upToDate;
-        if (granted && !a.pre()) {
-            resetElectionTimer();
-            if (votedFor == 0) {
-                votedFor = a.from();
-                hardStateDirty = true;
-            }
-        }
-        sendOnceSynced(a.from(), new Message.VoteResponse(id, granted && a.pre() ? a.term() : term, a.pre(), granted));
-    }
-
-    /** Someone speaks as this term's leader. */
-    private void onLeader(long from) {
-        if (role.state() != PeerState.FOLLOWER) {
-            become(new Follower(this));
-        }
-        leader = from;
-        resetElectionTimer();
-    }
-
-    private void onAppendEntries(Message.AppendEntries a) {
-        if (a.prevIndex() < log.commitIndex() && a.prevIndex() < log.firstIndex() - 1) {
-            // Older than what is held: all of that is committed, so it is the same.
-            sendOnceSynced(a.from(), new Message.AppendResponse(id, term, true, log.commitIndex(), 0, 0, a.round()));
-            return;
-        }
-        if (log.term(a.prevIndex()) != a.prevTerm()) {
-            long hint = log.lastIndexNotAfterTerm(Math.min(a.prevIndex() - 1, log.lastIndex()), a.prevTerm());
-            sendOnceSynced(
-                    a.from(),
-                    new Message.AppendResponse(id, term, false, a.prevIndex(), hint, log.term(hint), a.round()));
-            return;
-        }
-        log.merge(a.entries());
-        long same = a.prevIndex() + a.entries().size();
-        log.commitTo(Math.min(a.leaderCommit(), same));
-        sendOnceSynced(a.from(), new Message.AppendResponse(id, term, true, same, 0, 0, a.round()));
-    }
-
-    private void onInstallSnapshot(Message.InstallSnapshot i) {
-        if (coversSnapshot(i.index(), i.indexTerm())) {
-            log.commitTo(i.index());
-            snapshotReceiver.clear();
-            sendOnceSynced(
-                    i.from(),
-                    new Message.AppendResponse(
-                            id, term, true, Math.max(log.commitIndex(), i.index()), 0, 0, i.round()));
-            return;
-        }
-        Snapshot s = snapshotReceiver.receive(i);
-        if (s == null) {
-            sendOnceSynced(
-                    i.from(), new Message.InstallResponse(id, term, i.index(), snapshotReceiver.received(), i.round()));
-            return;
-        }
-        log.restore(s);
-        output(new Output.Restore(s));
-        sendOnceSynced(i.from(), new Message.AppendResponse(id, term, true, s.index(), 0, 0, i.round()));
-    }
 }
--- a/src/main/java/pepperdock/store/raft/RaftSettings.java
+++ b/src/main/java/pepperdock/store/raft/RaftSettings.java
@@ -1,19 +1,20 @@
 package pepperdock.store.raft;
 
 /**
- * What consensus goes by: counts of ticks, entries and bytes.
+ * The limits and timeouts of consensus, in ticks, entries and bytes.
  *
- * @param electionTicks after so many ticks without a sign of a leader, up to twice as many by chance, another is elected; as
- *     many without signs of a majority, and a leader gives up
- * @param heartbeatTicks between two signs of life of a leader
+ * @param electionTicks the minimum election timeout (thesis, 3.4): the timeout is drawn from here to twice as many ticks; a
+ *     leader that hears from no majority for so long steps down (6.2)
+ * @param heartbeatTicks between two heartbeats of a leader
  * @param messageBytes of entries or of a snapshot in one message, at most, but for a single larger entry
- * @param inFlight messages with entries to one peer that it has not answered
- * @param uncommittedBytes of entries that are not committed, at most; more are turned away
- * @param kept entries kept behind a snapshot, for peers that are a little late
+ * @param inFlight messages with entries to one peer that it has not answered (10.2.2)
+ * @param uncommittedBytes of uncommitted entries, at most; more are rejected
+ * @param kept entries retained behind a snapshot, for followers that are a little behind (5.1)
  */
 public record RaftSettings(
         int electionTicks, int heartbeatTicks, int messageBytes, int inFlight, int uncommittedBytes, int kept) {
 
+    /** For a tick of 100 ms or so, and small entries. */
     public static RaftSettings defaults() {
         return new RaftSettings(10, 2, 64 << 10, 32, 4 << 20, 1000);
     }
--- a/src/main/java/pepperdock/store/raft/SnapshotReceiver.java
+++ b/src/main/java/pepperdock/store/raft/SnapshotReceiver.java
@@ -1,13 +1,16 @@
 package pepperdock.store.raft;
 
-/** Puts a snapshot together that comes in pieces; a piece of another one begins anew. */
+/**
+ * Assembles a snapshot from its chunks (thesis, 5.1); a chunk of another one begins anew. Owned by the thread that calls
+ * {@link Raft}.
+ */
 final class SnapshotReceiver {
 
     private Message.InstallSnapshot incoming;
     private byte[] bytes;
     private int received;
 
-    /** Takes a piece; returns the snapshot where that was the last one lacking, else null. */
+    /** Takes a chunk; returns the snapshot where that was the last one missing, else null. */
     Snapshot receive(Message.InstallSnapshot piece) {
         if (!continues(piece)) {
             incoming = piece;
@@ -21,9 +24,9 @@
         if (received < piece.total()) {
             return null;
         }
-        Snapshot whole = new Snapshot(piece.index(), piece.indexTerm(), piece.configuration(), bytes);
+        Snapshot complete = new Snapshot(piece.index(), piece.indexTerm(), piece.configuration(), bytes);
         clear();
-        return whole;
+        return complete;
     }
 
     private boolean continues(Message.InstallSnapshot piece) {
@@ -34,12 +37,12 @@
                 && incoming.term() == piece.term();
     }
 
-    /** Bytes of the snapshot that have come so far, without a gap. */
+    /** Bytes of the snapshot received so far, without a gap. */
     int received() {
         return received;
     }
 
-    /** Lets go of what has come. */
+    /** Discards what was received. */
     void clear() {
         incoming = null;
         bytes = null;
--- a/src/main/java/pepperdock/store/raft/StorageFailed.java
+++ b/src/main/java/pepperdock/store/raft/StorageFailed.java
@@ -1,6 +1,6 @@
 package pepperdock.store.raft;
 
-/** Its disk has failed. */
+/** The role of a server whose disk has failed: it neither sends nor accepts anything any more. */
 final class StorageFailed extends Role {
 
     StorageFailed(Raft raft) {
--- a/src/main/java/pepperdock/store/raft/SyncQueue.java
+++ b/src/main/java/pepperdock/store/raft/SyncQueue.java
@@ -5,19 +5,23 @@
 import java.util.Deque;
 import java.util.List;
 
-/** What may be said or done only once the state that it speaks of is synced, by the number of the write that holds it. */
+/**
+ * Actions that must wait until the state that they speak of is synced (thesis, 3.8), by the number of the write that holds it.
+ * Owned by the thread that calls {@link Raft}.
+ */
 final class SyncQueue {
 
+    /** An action, and the write that it waits for. */
     private record AfterSync(long write, Runnable then) {}
 
     private long lastWrite;
     private long lastSynced;
-    /** Speaks of the write to come, or of none where nothing is to be written. */
+    /** Wait for the next write, or for none where nothing is to be written. */
     private final List<Runnable> deferred = new ArrayList<>();
 
     private final Deque<AfterSync> awaitingSync = new ArrayDeque<>();
 
-    /** The number of a further write. */
+    /** Numbers the next write. */
     long nextWrite() {
         return ++lastWrite;
     }
@@ -26,6 +30,7 @@
         return lastSynced;
     }
 
+    /** Has an action run once all that holds now is synced. */
     void defer(Runnable then) {
         deferred.add(then);
     }
@@ -34,15 +39,15 @@
         return !deferred.isEmpty();
     }
 
-    /** The write that the deferred ones speak of is handed out: they run once it is synced, at once where it is. */
+    /** The write that the deferred actions wait for is handed out: they run once it is synced, at once where it is. */
     void release() {
         List<Runnable> now = List.copyOf(deferred);
         deferred.clear();
-        for (Runnable r : now) {
+        for (Runnable action : now) {
             if (lastWrite <= lastSynced) {
-                r.run();
+                action.run();
             } else {
-                awaitingSync.add(new AfterSync(lastWrite, r));
+                awaitingSync.add(new AfterSync(lastWrite, action));
             }
         }
     }
@@ -55,7 +60,7 @@
         }
     }
 
-    /** A write failed: nothing of what waits is ever said. */
+    /** A write failed: none of the waiting actions ever runs. */
     void clear() {
         awaitingSync.clear();
         deferred.clear();
--- a/src/main/java/pepperdock/store/raft/package-info.java
+++ b/src/main/java/pepperdock/store/raft/package-info.java
@@ -1,5 +1,7 @@
 /**
- * Consensus of a few voters on one log, after Raft (Ongaro's thesis, 2014): a pure machine that is told messages, ticks and
- * what the disk has done, and says what to send, to write and to apply. No I/O, no clock, no threads; chance from a seed.
+ * Raft consensus (Diego Ongaro, "Consensus: Bridging Theory and Practice", 2014; cited as "thesis" with its sections) as a pure
+ * state machine. {@link pepperdock.store.raft.Raft} takes messages, ticks and finished disk writes, and returns what to send,
+ * to write and to apply. It does no I/O, reads no clock and starts no thread; random numbers come from a seed. All state of one
+ * server belongs to the one thread that calls it.
  */
 package pepperdock.store.raft;
--- a/src/test/java/pepperdock/config/Sites.java
+++ b/src/test/java/pepperdock/config/Sites.java
@@ -26,6 +26,6 @@
     }
 
     public static Site with(String settings) {
-        return Site.read(Keys.of("settings", JsonParser.parseString(settings)));
+        return DeploymentSettingsReader.read(Keys.of("settings", JsonParser.parseString(settings)));
     }
 }
--- a/src/test/java/pepperdock/distribution/PublisherTest.java
+++ b/src/test/java/pepperdock/distribution/PublisherTest.java
@@ -103,6 +103,7 @@
         assertEquals(0, publisher.snapshotsUnderWay());
     }
 
+    /** This control machine has come back with an old disk. It offers nothing to a subscriber that has a newer version. */
     @Test
     void aPublisherWithAnOldDiskOffersNothingToWhoIsAhead() {
         pair.settled.add(Pair.version(4));
@@ -115,6 +116,7 @@
         assertTrue(publisher.subscribers(100).get(0).ahead());
     }
 
+    /** A subscriber has a newer version than this control machine. It must not claim to be up to date, also to others. */
     @Test
     void aPublisherThatHasHeardOfANewerVersionDoesNotPassForConfirmed() {
         pair.settled.add(Pair.version(4));
@@ -217,6 +219,7 @@
         assertFalse(state.lagging());
     }
 
+    /** One subscriber does not react to a delta, the other refuses it. Only the first one is reported as lagging. */
     @Test
     void whoDoesNotPutInForceWhatWasSentLagsAndWhoRefusedDoesNot() {
         Configuration one = Pair.version(1);
@@ -237,6 +240,7 @@
         assertTrue(pair.toSubscriber.stream().allMatch(Message.Heartbeat.class::isInstance));
     }
 
+    /** A subscriber opens a connection and sends nothing. The connection is closed after the silence timeout. */
     @Test
     void whoSaysNothingIsClosed() {
         Publisher publisher = pair.publisher(settings(1), 0);
--- a/src/test/java/pepperdock/distribution/SubscriberTest.java
+++ b/src/test/java/pepperdock/distribution/SubscriberTest.java
@@ -54,6 +54,7 @@
         assertEquals(five.digest(), pair.saved.configuration().digest());
     }
 
+    /** A chunk of a snapshot is lost on the way. What is left of it must not be put in force. */
     @Test
     void aSnapshotWithAPieceMissingIsNeverInForce() {
         Subscriber subscriber = connected(0);
@@ -67,6 +68,7 @@
         assertEquals(List.of(), pair.inForce);
     }
 
+    /** A delta comes for another content of the version in force. It must not be applied; a snapshot is requested. */
     @Test
     void aDeltaThatDoesNotFitAsksForASnapshotAndChangesNothing() {
         Subscriber subscriber = connected(0);
@@ -78,6 +80,7 @@
         assertEquals(five.digest(), subscriber.inForce().digest());
     }
 
+    /** A delta has lost one of its changes. Its result is not what was settled, so a snapshot is requested. */
     @Test
     void aDeltaWhoseResultHasAnotherDigestAsksForASnapshotAndChangesNothing() {
         Subscriber subscriber = connected(0);
@@ -97,6 +100,7 @@
         assertEquals(five.digest(), subscriber.inForce().digest());
     }
 
+    /** A control machine that is behind sends an older version, before and after a restart. It is never put in force. */
     @Test
     void anOlderVersionIsNotTakenAsDeltaNorAsSnapshotNorAfterARestart() {
         Subscriber subscriber = connected(0);
@@ -121,6 +125,7 @@
         assertEquals(anew.version(), subscriber.inForce().version());
     }
 
+    /** The disk is full when version 6 comes. It is in force all the same, and after a restart version 5 must not come back. */
     @Test
     void withAFullDiskItGoesOnInMemorySaysSoAndIsHeldBackAfterARestart() {
         Subscriber subscriber = connected(0);
@@ -145,6 +150,7 @@
         assertEquals(six.digest(), subscriber.inForce().digest());
     }
 
+    /** The disk fails while a version comes, and works again later. The version is saved then, and that is reported. */
     @Test
     void onceTheDiskHasSpaceTheVersionInForceIsSavedAndSaidSo() {
         pair.diskFails = true;
@@ -160,6 +166,7 @@
         assertEquals(five.digest(), pair.saved.configuration().digest());
     }
 
+    /** A newer control machine sends a format that this program does not read. It is refused, and the next readable one taken. */
     @Test
     void aFormatThatItDoesNotReadIsRefusedByNameAndTheOldVersionStays() {
         Subscriber subscriber = connected(0);
@@ -180,6 +187,7 @@
         assertEquals(7, subscriber.inForce().version().number());
     }
 
+    /** A settled version turns out to be invalid here. It is refused, with the reason for the operator. */
     @Test
     void whatTheValidatorComplainsOfIsRefused() {
         Subscriber subscriber = connected(0);
@@ -191,6 +199,7 @@
                 List.copyOf(pair.toPublisher));
     }
 
+    /** Two control machines hold the same version with different contents. That is reported once, and nothing changes. */
     @Test
     void theSameVersionWithAnotherContentIsAConflictAndSaidOnce() {
         Subscriber subscriber = connected(0);
@@ -204,6 +213,7 @@
         assertEquals(five.digest(), subscriber.inForce().digest());
     }
 
+    /** A control machine stops sending while its connection stays open. Another one is tried. */
     @Test
     void aSilentControlMachineIsLeftForAnother() {
         Subscriber subscriber = connected(0);
@@ -216,6 +226,7 @@
         assertEquals(List.of(Pair.NEAR, Pair.FAR), pair.tried);
     }
 
+    /** A control machine is cut off from its majority. It is left, and used again only while all others fail. */
     @Test
     void aControlMachineThatIsNotConfirmedIsLeftAndKeptOnlyWhereAllOthersFail() {
         Subscriber subscriber = connected(0);
@@ -241,6 +252,7 @@
         assertEquals(36_000, subscriber.age(37_000).millis(), "known to be the newest at 1000");
     }
 
+    /** A control machine comes back with an old disk, and offers less than is in force here. It is left. */
     @Test
     void aControlMachineWithAnOldDiskIsLeftForAnother() {
         Subscriber subscriber = connected(0);
@@ -253,6 +265,7 @@
         assertEquals(5, subscriber.inForce().version().number());
     }
 
+    /** A heartbeat names a newer version, but the version itself is lost. It is requested. */
     @Test
     void aHeartbeatOfANewerVersionIsFollowedByAQuestionOnceNothingComes() {
         Subscriber subscriber = connected(0);
@@ -266,6 +279,7 @@
         assertEquals(List.of(new Message.Ask(five.version(), five.digest(), false)), List.copyOf(pair.toPublisher));
     }
 
+    /** A control machine sends heartbeats, but does not hear requests. After two of them it is left. */
     @Test
     void aControlMachineThatDoesNotAnswerTwoQuestionsIsLeft() {
         Subscriber subscriber = connected(0);
--- a/src/test/java/pepperdock/distribution/wire/WireTest.java
+++ b/src/test/java/pepperdock/distribution/wire/WireTest.java
@@ -153,6 +153,7 @@
         assertEquals(second.digest(), next().digest());
     }
 
+    /** A control machine accepts the connection and all bytes, and never sends. The subscriber goes to the other one. */
     @Test
     void aControlMachineThatTakesBytesAndPassesNoneOnIsLeftForAnother() throws Exception {
         PublisherServer server = server();
@@ -166,6 +167,7 @@
         }
     }
 
+    /** A control machine ends in the middle of a snapshot. Nothing of it is in force; the other machine is used. */
     @Test
     void aSnapshotWithoutItsLastByteIsNotInForceAndTheEndOfTheConnectionLeadsToAnother() throws Exception {
         Configuration other = Configuration.of(new Version(1, 5), 1, List.of(new Item("x", new byte[10])));
@@ -183,6 +185,7 @@
         assertEquals(new Version(1, 1), next().version(), "from the other one, and nothing before");
     }
 
+    /** Either side gets bytes that are no message. It closes the connection, and nothing else suffers. */
     @Test
     void bytesThatAreNoMessageEndTheConnectionOnEitherSide() throws Exception {
         PublisherServer server = server();
--- a/src/test/java/pepperdock/operator/BansTest.java
+++ b/src/test/java/pepperdock/operator/BansTest.java
@@ -60,6 +60,7 @@
         assertEquals(Set.of("a", "b"), new BanFile(folder).change("b", true));
     }
 
+    /** Something else has damaged the file. It must not stop the gatherer, and is kept for whoever looks into it. */
     @ParameterizedTest
     @ValueSource(
             strings = {
@@ -78,6 +79,7 @@
         assertEquals(Set.of("a"), new BanFile(folder).change("a", true));
     }
 
+    /** The ban file has bytes that are no UTF-8. It is moved aside like any damaged file. */
     @Test
     void aFileThatIsNoTextIsDamagedToo() throws Exception {
         Files.write(folder.resolve("bans.json"), new byte[] {-1, -2, -3});
--- a/src/test/java/pepperdock/plan/UpkeepTest.java
+++ b/src/test/java/pepperdock/plan/UpkeepTest.java
@@ -53,6 +53,7 @@
         assertEquals(1.0 / 3, drained.of(0, "n1"), 1e-6, "so that three nodes have four ranges' work each");
     }
 
+    /** The endpoint list changes while a plan is being solved. The plan is dropped, and a new one made. */
     @Test
     void aPlanThatComesLateForItsListIsThrownAway() {
         upkeep.listed(nodes());
@@ -96,6 +97,7 @@
         assertTrue(wrong.problem().nodes().get(1).capacity() > 500_000_000L);
     }
 
+    /** All replicas of one range drain. The other ranges are still planned for. */
     @Test
     void withAllHoldersOfARangeAwayTheOthersAreStillPlannedFor() {
         upkeep.listed(nodes(1, 2));
--- a/src/test/java/pepperdock/plan/background/PlannerThreadTest.java
+++ b/src/test/java/pepperdock/plan/background/PlannerThreadTest.java
@@ -36,6 +36,7 @@
         assertEquals("new plan for 4 nodes", outcome(ring(4, 1_000_000, 500_000)));
     }
 
+    /** No replica of a range is in service. The log names the range. */
     @Test
     void aRangeWithoutAHolderInServiceIsNamed() {
         assertEquals(
@@ -54,6 +55,7 @@
                 outcome(ring(20, 1_000_000, 1_010_000)));
     }
 
+    /** The solver fails. The log must not look as if there were a plan. */
     @Test
     void aFailureOfTheSolverIsNoPlan() {
         assertEquals(
--- a/src/test/java/pepperdock/service/ReadyTest.java
+++ b/src/test/java/pepperdock/service/ReadyTest.java
@@ -106,7 +106,9 @@
                     new BufferedReader(new InputStreamReader(agent.getInputStream(), StandardCharsets.US_ASCII));
             passHead(in);
             boolean early = readiness(at) == 200;
-            assertTrue(!early || loop.now() - startedAt >= Service.UNASKED_LIST_S, "ready before the list was told");
+            assertTrue(
+                    !early || loop.now() - startedAt >= Service.PUSHED_LIST_TIMEOUT_S,
+                    "ready before the list was told");
             answer(agent, LIST);
             // The next call is armed once the answer has been taken.
             passHead(in);
@@ -114,6 +116,7 @@
         }
     }
 
+    /** The agent that pushes the endpoint list never sends. The gatherer is ready after the timeout all the same. */
     @Test
     void anAgentThatIsSilentDoesNotKeepAGathererFromBeingReady() throws Exception {
         InetSocketAddress at = start(UNASKED);
--- a/src/test/java/pepperdock/service/ReloadTest.java
+++ b/src/test/java/pepperdock/service/ReloadTest.java
@@ -101,6 +101,7 @@
                 all.substring(0, all.length() - 40));
     }
 
+    /** A file with one faulty setting also changes other keys. Nothing of it may be put in use. */
     @ParameterizedTest
     @MethodSource("faults")
     void settingsWithAFaultAreTurnedDownWholeWithAllElseInTheirFile(String settings) throws Exception {
@@ -125,6 +126,7 @@
         assertEquals(List.of(false), told);
     }
 
+    /** Empty, truncated and otherwise faulty files come, then none at all; the next sound file is put in use all the same. */
     @Test
     void aFaultyFileLeavesAllAsItWas() throws Exception {
         Reload reload = begin(FILE.formatted(1, 256, Sites.SETTINGS));
--- a/src/test/java/pepperdock/store/StoreTest.java
+++ b/src/test/java/pepperdock/store/StoreTest.java
@@ -103,6 +103,7 @@
         assertFalse(put(b, "k", "w").get(30, TimeUnit.SECONDS));
     }
 
+    /** A follower is away for one write, and another one for all: the first gets the entry, the second a snapshot. */
     @Test
     void aFollowerCatchesUpBySequenceNumberOrSnapshot() throws Exception {
         Store a = open("a");
@@ -126,6 +127,7 @@
         assertEquals(20L, on(c::version));
     }
 
+    /** The leader's process ends and starts again from its folder, while a follower goes on dialling it. */
     @Test
     void aLeaderThatStartsAgainHasAllItWroteAndFollowersComeBack() throws Exception {
         Store a = open("a");
@@ -146,6 +148,7 @@
         await(b, "more", "x");
     }
 
+    /** A crash cuts the last record short: it was never acknowledged, and goes. A bit flips in the middle: the store must not open. */
     @Test
     void aTornTailIsCutAndDamageElsewhereIsNotPassedOver() throws Exception {
         try (Replica r = new Replica(folder, 100, true)) {
@@ -174,6 +177,7 @@
         assertEquals("v", on(() -> s.get("k")));
     }
 
+    /** A peer sends random bytes. They are decoded or rejected by one kind of exception, and never run out of memory. */
     @Property(seed = "51", tries = 300)
     void garbageFromAPeerIsRefusedAndNothingElse(@ForAll long seed) {
         try {
--- a/tools/ListCalls.java
+++ b/tools/ListCalls.java
@@ -10,6 +10,7 @@
 import pepperdock.scheduler.EndpointListKind;
 import pepperdock.config.Config;
 import pepperdock.config.Keys;
+import pepperdock.config.DeploymentSettingsReader;
 import pepperdock.config.Site;
 import pepperdock.core.Attempt;
 import pepperdock.core.Backend;
@@ -180,7 +181,7 @@
         try (InputStream in = Files.newInputStream(Path.of("src/main/resources/pepperdock/rehearsal.json"))) {
             whole = Keys.of("", Config.parse(new String(in.readAllBytes(), StandardCharsets.UTF_8), "rehearsal"));
         }
-        Site site = Site.read(whole.needed("settings"));
+        Site site = DeploymentSettingsReader.read(whole.needed("settings"));
         for (Down how : Down.values()) {
             List<Round> all = new ArrayList<>();
             for (int i = 0; i < rounds; i++) {
