--- a/src/main/java/pepperdock/simulator/SimulatorProtocol.java
+++ b/src/main/java/pepperdock/simulator/SimulatorProtocol.java
@@ -11,8 +11,8 @@
 import java.util.Locale;
 import java.util.Map;
 import java.util.function.Consumer;
+import pepperdock.config.DeploymentSettingsReader;
 import pepperdock.config.Keys;
-import pepperdock.config.Site;
 import pepperdock.scheduler.AttemptOutcome;
 import pepperdock.scheduler.AttemptResult;
 import pepperdock.scheduler.Endpoint;
@@ -193,7 +193,8 @@
 
     /** Settings of a gatherer that starts. */
     SchedulerSettings settings() {
-        return Site.read(Keys.of(SETTINGS, line.element(SETTINGS))).module();
+        return DeploymentSettingsReader.read(Keys.of(SETTINGS, line.element(SETTINGS)))
+                .module();
     }
 
     /** A query that has arrived, or, where the line names a shard, a part of one. */
