--- a/src/main/java/pepperdock/platform/ClientProtocol.java
+++ b/src/main/java/pepperdock/platform/ClientProtocol.java
@@ -18,7 +18,7 @@
 import java.util.regex.Pattern;
 import pepperdock.codec.http.HttpException;
 import pepperdock.codec.http.HttpMessage;
-import pepperdock.config.Site;
+import pepperdock.config.DeploymentSettings;
 import pepperdock.core.Part;
 import pepperdock.core.Query;
 import pepperdock.core.QueryRequest;
@@ -67,7 +67,7 @@
     record QueryBody(List<QueryRequest.RequestedPart> parts, byte[] text) {}
 
     /** Parses the headers of a query. */
-    static QueryHeaders parseQueryHeaders(HttpMessage message, Site site) throws HttpException {
+    static QueryHeaders parseQueryHeaders(HttpMessage message, DeploymentSettings site) throws HttpException {
         String id = requiredHeader(message, REQUEST_ID);
         int queryClass = site.classes().indexOf(requiredHeader(message, REQUEST_CLASS));
         check(queryClass >= 0, "Request-Class: unknown");
--- a/src/main/java/pepperdock/platform/DiscoveryProtocol.java
+++ b/src/main/java/pepperdock/platform/DiscoveryProtocol.java
@@ -3,8 +3,8 @@
 import java.nio.charset.StandardCharsets;
 import pepperdock.codec.http.HttpMessage;
 import pepperdock.config.ConfigException;
+import pepperdock.config.DeploymentSettings;
 import pepperdock.config.HostList;
-import pepperdock.config.Site;
 
 /**
  * The calls of the discovery protocol (protocol, section "Discovery") and their answers. The entries of a list are parsed by
@@ -27,7 +27,7 @@
     }
 
     /** Parses the answer to either request; throws {@link ConfigException} where it is an error or malformed. */
-    static HostList parseList(HttpMessage response, Site site) {
+    static HostList parseList(HttpMessage response, DeploymentSettings site) {
         if (response.status() != 200) {
             throw new ConfigException("answer", "status " + response.status());
         }
--- a/src/main/java/pepperdock/platform/EndpointWatch.java
+++ b/src/main/java/pepperdock/platform/EndpointWatch.java
@@ -6,8 +6,8 @@
 import pepperdock.codec.http.HttpMessage;
 import pepperdock.codec.http.HttpWriter;
 import pepperdock.config.ConfigException;
+import pepperdock.config.DeploymentSettings;
 import pepperdock.config.HostList;
-import pepperdock.config.Site;
 import pepperdock.core.Clock;
 import pepperdock.core.EndpointDiscovery;
 import pepperdock.core.Gatherer;
@@ -66,7 +66,7 @@
     private static final int MAX_LIST_BYTES = 1 << 20;
 
     private final Loop loop;
-    private final Site site;
+    private final DeploymentSettings site;
     private final SplittableRandom random = new SplittableRandom();
     private InetSocketAddress address;
     /** Carries the current poll. */
@@ -92,7 +92,7 @@
     private double agentBackoffS = MIN_AGENT_BACKOFF_S;
 
     /** {@code knownVersion} is that of the list with which the gatherer starts. */
-    public EndpointWatch(Loop loop, InetSocketAddress address, Site site, long knownVersion) {
+    public EndpointWatch(Loop loop, InetSocketAddress address, DeploymentSettings site, long knownVersion) {
         this.loop = loop;
         this.site = site;
         version = knownVersion;
--- a/src/main/java/pepperdock/platform/Front.java
+++ b/src/main/java/pepperdock/platform/Front.java
@@ -3,7 +3,7 @@
 import java.util.function.BooleanSupplier;
 import pepperdock.codec.http.HttpException;
 import pepperdock.codec.http.HttpMessage;
-import pepperdock.config.Site;
+import pepperdock.config.DeploymentSettings;
 import pepperdock.core.Gatherer;
 import pepperdock.core.Query;
 import pepperdock.core.QueryListener;
@@ -24,19 +24,19 @@
     private static final int UNAVAILABLE = 503;
     private static final int GATEWAY_TIMEOUT = 504;
 
-    private Site site;
+    private DeploymentSettings site;
     private final Gatherer core;
     private final BooleanSupplier ready;
 
     /** {@code ready} says whether this gatherer takes queries, for the readiness check. */
-    public Front(Site site, Gatherer core, BooleanSupplier ready) {
+    public Front(DeploymentSettings site, Gatherer core, BooleanSupplier ready) {
         this.site = site;
         this.core = core;
         this.ready = ready;
     }
 
     /** Replaces the settings, for queries from now on. */
-    public void updateSettings(Site newSite) {
+    public void updateSettings(DeploymentSettings newSite) {
         site = newSite;
     }
 
--- a/src/main/java/pepperdock/platform/JvmWarmup.java
+++ b/src/main/java/pepperdock/platform/JvmWarmup.java
@@ -10,7 +10,7 @@
 import pepperdock.codec.frame.Frames;
 import pepperdock.codec.http.HttpException;
 import pepperdock.codec.http.HttpParser;
-import pepperdock.config.Site;
+import pepperdock.config.DeploymentSettings;
 import pepperdock.core.Attempt;
 import pepperdock.core.Backend;
 import pepperdock.core.Clock;
@@ -54,7 +54,7 @@
 
     private static final String VALUE = "value";
 
-    private final Site site;
+    private final DeploymentSettings site;
     private final ManualClock clock = new ManualClock(1000);
     private final Front front;
     private final HttpParser parser = HttpParser.ofRequests(MAX_MESSAGE_BYTES);
@@ -62,7 +62,7 @@
     private int queriesAnswered;
 
     /** Sets up a gatherer with one worker for each cell of the site's layout. */
-    public JvmWarmup(Site site) {
+    public JvmWarmup(DeploymentSettings site) {
         this.site = site;
         EchoBackend backend = new EchoBackend(clock);
         Gatherer core = new Gatherer(site.module(), 1, clock, backend, () -> {});
--- a/src/main/java/pepperdock/platform/WorkerContext.java
+++ b/src/main/java/pepperdock/platform/WorkerContext.java
@@ -1,7 +1,7 @@
 package pepperdock.platform;
 
 import java.util.List;
-import pepperdock.config.Site;
+import pepperdock.config.DeploymentSettings;
 import pepperdock.core.Attempt;
 import pepperdock.core.Gatherer;
 import pepperdock.core.LogRateLimiter;
@@ -18,7 +18,7 @@
  * @param core receives the outcomes of attempts and health checks
  * @param log for frames that are malformed or rejected
  */
-record WorkerContext(String workerId, Loop loop, Site site, Gatherer core, LogRateLimiter log) {
+record WorkerContext(String workerId, Loop loop, DeploymentSettings site, Gatherer core, LogRateLimiter log) {
 
     /** Ends each attempt of a call with an outcome that no worker reported. */
     void endAttempts(List<Attempt> call, AttemptOutcome outcome) {
--- a/src/main/java/pepperdock/platform/WorkerPool.java
+++ b/src/main/java/pepperdock/platform/WorkerPool.java
@@ -1,6 +1,6 @@
 package pepperdock.platform;
 
-import pepperdock.config.Site;
+import pepperdock.config.DeploymentSettings;
 import pepperdock.core.Gatherer;
 import pepperdock.core.LogRateLimiter;
 import pepperdock.core.PooledBackend;
@@ -16,12 +16,12 @@
 public final class WorkerPool extends PooledBackend<WorkerConnectionPool> {
 
     private final Loop loop;
-    private final Site site;
+    private final DeploymentSettings site;
     /** One for all workers: a hundred of them may fail in the same second. */
     private final LogRateLimiter log;
 
     /** The site's settings give the limits of connections and the form of load reports. */
-    public WorkerPool(Loop loop, Site site) {
+    public WorkerPool(Loop loop, DeploymentSettings site) {
         this.loop = loop;
         this.site = site;
         log = new LogRateLimiter(System.getLogger("pepperdock.platform"), loop, "malformed or rejected frames");
--- a/src/main/java/pepperdock/simulator/SimulatorProtocol.java
+++ b/src/main/java/pepperdock/simulator/SimulatorProtocol.java
@@ -11,8 +11,8 @@
 import java.util.Locale;
 import java.util.Map;
 import java.util.function.Consumer;
+import pepperdock.config.ConfigReader;
 import pepperdock.config.DeploymentSettingsReader;
-import pepperdock.config.Keys;
 import pepperdock.scheduler.AttemptOutcome;
 import pepperdock.scheduler.AttemptResult;
 import pepperdock.scheduler.Endpoint;
@@ -165,12 +165,12 @@
         }
         List<Endpoint> endpoints = new ArrayList<>();
         for (JsonElement element : array.getAsJsonArray()) {
-            endpoints.add(endpoint(Keys.of(ENDPOINTS, element)));
+            endpoints.add(endpoint(ConfigReader.of(ENDPOINTS, element)));
         }
         return List.copyOf(endpoints);
     }
 
-    private static Endpoint endpoint(Keys keys) {
+    private static Endpoint endpoint(ConfigReader keys) {
         return new Endpoint(
                 keys.text(ENDPOINT),
                 (int) keys.number("Campus", 0),
@@ -193,7 +193,7 @@
 
     /** Settings of a gatherer that starts. */
     SchedulerSettings settings() {
-        return DeploymentSettingsReader.read(Keys.of(SETTINGS, line.element(SETTINGS)))
+        return DeploymentSettingsReader.read(ConfigReader.of(SETTINGS, line.element(SETTINGS)))
                 .module();
     }
 
--- a/src/test/java/pepperdock/core/GathererTest.java
+++ b/src/test/java/pepperdock/core/GathererTest.java
@@ -9,7 +9,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
-import pepperdock.config.Site;
+import pepperdock.config.DeploymentSettings;
 import pepperdock.config.Sites;
 import pepperdock.scheduler.AttemptOutcome;
 import pepperdock.scheduler.EndpointListKind;
@@ -154,7 +154,7 @@
     void queryInFlightKeepsTheRulesOfItsArrival() {
         Query old = fixture.submit(0, 3, 1);
         fixture.clock.advance(0.01);
-        Site other = Sites.with(Sites.SETTINGS
+        DeploymentSettings other = Sites.with(Sites.SETTINGS
                 .replace("\"Name\":\"history-search\"", "\"Name\":\"new\"")
                 .replace("\"DeadlineS\":3,\"Effect\":\"read_like\"", "\"DeadlineS\":3,\"Effect\":\"non_idempotent\"")
                 .replace("\"MaxAttempts\":4", "\"MaxAttempts\":1"));
--- a/src/test/java/pepperdock/platform/ClientGoneWhileConnectingTest.java
+++ b/src/test/java/pepperdock/platform/ClientGoneWhileConnectingTest.java
@@ -11,7 +11,7 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
-import pepperdock.config.Site;
+import pepperdock.config.DeploymentSettings;
 import pepperdock.config.Sites;
 import pepperdock.core.Gatherer;
 import pepperdock.core.Metrics;
@@ -26,7 +26,7 @@
     private static final int LEAVING_CLIENTS = 50;
     private static final int TIMEOUT_MS = 60_000;
 
-    private static final Site PATIENT = Sites.with(Sites.SETTINGS
+    private static final DeploymentSettings PATIENT = Sites.with(Sites.SETTINGS
             .replace("\"DialTimeoutS\":0.25", "\"DialTimeoutS\":60")
             .replace("\"MostHeld\":40", "\"MostHeld\":400")
             .replace("\"GoalTimeS\":2.5,\"DeadlineS\":6", "\"GoalTimeS\":60,\"DeadlineS\":60"));
--- a/src/test/java/pepperdock/platform/EdgeSettingsTest.java
+++ b/src/test/java/pepperdock/platform/EdgeSettingsTest.java
@@ -15,7 +15,7 @@
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.MethodSource;
-import pepperdock.config.Site;
+import pepperdock.config.DeploymentSettings;
 import pepperdock.config.Sites;
 import pepperdock.core.Gatherer;
 import pepperdock.core.WorkerEndpoint;
@@ -82,7 +82,7 @@
     /** Sends a query for the first shards to a gatherer with these settings, and reads the one answer. */
     private String query(JsonObject settings, String queryClass, String text, int shards, int timeoutMs)
             throws Exception {
-        Site site = Sites.with(settings.toString());
+        DeploymentSettings site = Sites.with(settings.toString());
         List<FakeWorker> workers = new ArrayList<>();
         try (Loop loop = new Loop(200, 1 << 18)) {
             List<WorkerEndpoint> endpoints = new ArrayList<>();
@@ -119,7 +119,7 @@
     @ParameterizedTest
     @MethodSource("edges")
     void everyClassIsServedCompletely(JsonObject settings) throws Exception {
-        Site site = Sites.with(settings.toString());
+        DeploymentSettings site = Sites.with(settings.toString());
         int shards = Math.min(4, site.module().layout().shards());
         for (int c = 0; c < site.classes().size(); c++) {
             double deadlineS = site.module().classes().get(c).deadlineS();
--- a/src/test/java/pepperdock/platform/EndpointWatchTest.java
+++ b/src/test/java/pepperdock/platform/EndpointWatchTest.java
@@ -20,7 +20,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.EnumSource;
 import org.junit.jupiter.params.provider.ValueSource;
-import pepperdock.config.Site;
+import pepperdock.config.DeploymentSettings;
 import pepperdock.config.Sites;
 import pepperdock.core.Gatherer;
 import pepperdock.core.WorkerEndpoint;
@@ -38,7 +38,7 @@
 
     private static final long KNOWN_VERSION = 41;
 
-    private final Site site = Sites.small();
+    private final DeploymentSettings site = Sites.small();
     private final Loop loop = new Loop(100, 1 << 16);
     private final ServerSocket server = new ServerSocket(0, 50, InetAddress.getLoopbackAddress());
     private final BlockingQueue<Collection<WorkerEndpoint>> lists = new LinkedBlockingQueue<>();
@@ -315,7 +315,8 @@
     /** Where lists are pushed the core never polls. Found by reading: no watch was ever opened. */
     @Test
     void whereListsArePushedTheWatchStartsAndRetriesByItself() throws Exception {
-        Site pushed = Sites.with(Sites.SETTINGS.replace("\"Discovery\":\"subscribe\"", "\"Discovery\":\"automatic\""));
+        DeploymentSettings pushed =
+                Sites.with(Sites.SETTINGS.replace("\"Discovery\":\"subscribe\"", "\"Discovery\":\"automatic\""));
         try (ServerSocket agent = listen()) {
             EndpointWatch agentWatch = new EndpointWatch(loop, addressOf(agent), pushed, KNOWN_VERSION);
             agentWatch.start(new Gatherer(pushed.module(), 3, loop, new WorkerPool(loop, pushed), agentWatch));
--- a/src/test/java/pepperdock/platform/FrontTest.java
+++ b/src/test/java/pepperdock/platform/FrontTest.java
@@ -14,7 +14,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
-import pepperdock.config.Site;
+import pepperdock.config.DeploymentSettings;
 import pepperdock.config.Sites;
 import pepperdock.core.Gatherer;
 import pepperdock.core.WorkerEndpoint;
@@ -33,7 +33,7 @@
 
     /** Serves at most eight clients, with these workers, while the conversation lasts. */
     private static void serve(List<WorkerEndpoint> workers, Conversation conversation) throws Exception {
-        Site site = Sites.small();
+        DeploymentSettings site = Sites.small();
         try (Loop loop = new Loop(100, 1 << 16)) {
             WorkerPool pool = new WorkerPool(loop, site);
             Gatherer core = new Gatherer(site.module(), 3, loop, pool, () -> {});
--- a/src/test/java/pepperdock/platform/OneWorkerFixture.java
+++ b/src/test/java/pepperdock/platform/OneWorkerFixture.java
@@ -14,7 +14,7 @@
 import java.util.concurrent.TimeUnit;
 import java.util.function.Supplier;
 import pepperdock.codec.frame.Frames;
-import pepperdock.config.Site;
+import pepperdock.config.DeploymentSettings;
 import pepperdock.core.Gatherer;
 import pepperdock.core.Query;
 import pepperdock.core.QueryListener;
@@ -42,7 +42,7 @@
     final ServerSocket server = new ServerSocket(0, 50, InetAddress.getLoopbackAddress());
     private final BlockingQueue<String> outcomes = new LinkedBlockingQueue<>();
 
-    OneWorkerFixture(Site site, int maxBufferBytes) throws IOException {
+    OneWorkerFixture(DeploymentSettings site, int maxBufferBytes) throws IOException {
         server.setSoTimeout(PATIENCE_MS);
         loop = new Loop(100, maxBufferBytes);
         pool = new WorkerPool(loop, site);
--- a/src/test/java/pepperdock/platform/WorkerConnectionTest.java
+++ b/src/test/java/pepperdock/platform/WorkerConnectionTest.java
@@ -20,7 +20,7 @@
 import org.junit.jupiter.params.provider.EnumSource;
 import org.junit.jupiter.params.provider.ValueSource;
 import pepperdock.codec.frame.Frames;
-import pepperdock.config.Site;
+import pepperdock.config.DeploymentSettings;
 import pepperdock.config.Sites;
 import pepperdock.core.Query;
 import pepperdock.scheduler.AttemptOutcome;
@@ -30,7 +30,7 @@
 /** Frames and calls on one connection to a worker, each in the order or the form that is hardest. */
 class WorkerConnectionTest {
 
-    private static final Site ONE_ATTEMPT = Sites.with(Sites.SETTINGS
+    private static final DeploymentSettings ONE_ATTEMPT = Sites.with(Sites.SETTINGS
             .replace("\"MaxAttempts\":4", "\"MaxAttempts\":1")
             .replace("\"DialTimeoutS\":0.25", "\"DialTimeoutS\":20"));
 
@@ -225,7 +225,7 @@
      */
     @Test
     void anIdleConnectionIsClosedWithHalfALateResult() throws Exception {
-        Site shortIdle =
+        DeploymentSettings shortIdle =
                 Sites.with(Sites.SETTINGS.replace("\"DialTimeoutS\":0.25", "\"DialTimeoutS\":20,\"ConnIdleS\":0.2"));
         try (OneWorkerFixture worker = new OneWorkerFixture(shortIdle, SMALL_BUFFER)) {
             worker.listWorker();
@@ -266,7 +266,8 @@
      */
     @Test
     void aFrameThatArrivesByteByByteTimesOut() throws Exception {
-        Site shortTimeout = Sites.with(Sites.SETTINGS.replace("\"DialTimeoutS\":0.25", "\"DialTimeoutS\":0.1"));
+        DeploymentSettings shortTimeout =
+                Sites.with(Sites.SETTINGS.replace("\"DialTimeoutS\":0.25", "\"DialTimeoutS\":0.1"));
         try (OneWorkerFixture worker = new OneWorkerFixture(shortTimeout, SMALL_BUFFER)) {
             worker.listWorker();
             worker.submit(OneWorkerFixture.request("q", OneWorkerFixture.IDEMPOTENT_CLASS, 600, new byte[] {'t'}));
