--- a/src/main/java/pepperdock/ClassArchiveTraining.java
+++ b/src/main/java/pepperdock/ClassArchiveTraining.java
@@ -14,9 +14,9 @@
 import java.util.Map;
 import pepperdock.codec.frame.Frames;
 import pepperdock.config.Config;
-import pepperdock.config.Keys;
+import pepperdock.config.ConfigReader;
 import pepperdock.events.Events;
-import pepperdock.service.Service;
+import pepperdock.service.GathererService;
 import pepperdock.service.Startup;
 import pepperdock.simulator.SimulatorAdapter;
 import pepperdock.store.Store;
@@ -54,7 +54,7 @@
         try (InputStream in = ClassArchiveTraining.class.getResourceAsStream(FILE)) {
             file = in.readAllBytes();
         }
-        Keys whole = Keys.of("", Config.parse(new String(file, StandardCharsets.UTF_8), FILE));
+        ConfigReader whole = ConfigReader.of("", Config.parse(new String(file, StandardCharsets.UTF_8), FILE));
         attachInstance(whole);
         StringBuilder hosts = new StringBuilder();
         for (int i = 0; i < WORKERS; i++) {
@@ -70,10 +70,10 @@
         }
         String list = "{\"seq\":1,\"whole\":true,\"hosts\":[" + hosts + "]}";
         int discovery = listen(s -> tell(s, list));
-        Keys served = whole.with("discovery", Config.parse("\"127.0.0.1:" + discovery + '"', "discovery"))
+        ConfigReader served = whole.with("discovery", Config.parse("\"127.0.0.1:" + discovery + '"', "discovery"))
                 .with("known", Config.parse(list, "known"));
         Loop loop = new Loop(200, 1 << 18);
-        InetSocketAddress at = Service.start(
+        InetSocketAddress at = GathererService.start(
                         served, false, new Startup.Base(Map.of(), loop, new Store(null, loop), Events.of(false), null))
                 .get(0)
                 .address();
@@ -81,7 +81,7 @@
     }
 
     /** The simulator's wire: one instance attached, nothing asked. */
-    private static void attachInstance(Keys whole) {
+    private static void attachInstance(ConfigReader whole) {
         PrintStream nowhere = new PrintStream(new ByteArrayOutputStream(), false, StandardCharsets.UTF_8);
         new SimulatorAdapter(
                         new ByteArrayInputStream(SIMULATOR_INPUT
--- a/src/main/java/pepperdock/Main.java
+++ b/src/main/java/pepperdock/Main.java
@@ -6,8 +6,8 @@
 import java.nio.charset.Charset;
 import pepperdock.cli.Cli;
 import pepperdock.config.ConfigException;
-import pepperdock.service.Exit;
 import pepperdock.service.Startup;
+import pepperdock.service.StartupFailure;
 import pepperdock.simulator.SimulatorAdapter;
 
 /** The command line: {@code serve} is one gatherer, {@code drill} the simulator's wire. */
@@ -30,9 +30,9 @@
                 try {
                     Startup.open(System.getenv());
                 } catch (ConfigException e) {
-                    Exit.because("configuration: " + e.getMessage(), 2);
+                    StartupFailure.exit("configuration: " + e.getMessage(), 2);
                 } catch (IOException e) {
-                    Exit.because("can't start: " + e.getMessage(), 1);
+                    StartupFailure.exit("can't start: " + e.getMessage(), 1);
                 } catch (RuntimeException e) {
                     // The loop's thread would otherwise keep a program going that serves nobody.
                     LOG.log(System.Logger.Level.ERROR, "can't start", e);
@@ -44,7 +44,7 @@
                     ClassArchiveTraining.run();
                 } catch (IOException | RuntimeException e) {
                     // Without the archive of this run the program starts more slowly, and that is all.
-                    Exit.because("class archive training: " + e, 1);
+                    StartupFailure.exit("class archive training: " + e, 1);
                 }
                 System.exit(0);
             }
--- a/src/main/java/pepperdock/benchmark/Deployment.java
+++ b/src/main/java/pepperdock/benchmark/Deployment.java
@@ -6,9 +6,9 @@
 import java.util.ArrayList;
 import java.util.List;
 import pepperdock.config.Config;
+import pepperdock.config.ConfigReader;
+import pepperdock.config.DeploymentSettings;
 import pepperdock.config.DeploymentSettingsReader;
-import pepperdock.config.Keys;
-import pepperdock.config.Site;
 import pepperdock.core.QueryRequest;
 import pepperdock.core.WorkerEndpoint;
 
@@ -84,8 +84,8 @@
                 .getAsJsonObject();
     }
 
-    Site site() {
-        return DeploymentSettingsReader.read(Keys.of("settings", settings()));
+    DeploymentSettings site() {
+        return DeploymentSettingsReader.read(ConfigReader.of("settings", settings()));
     }
 
     /** The gatherer's file; all addresses are in 127.{@code block}.0.0/16. */
@@ -119,7 +119,7 @@
 
     /** The workers, as the list has them. */
     List<WorkerEndpoint> hosts(int block) {
-        return Config.read(Keys.of("", config(block)), java.util.Map.of())
+        return Config.read(ConfigReader.of("", config(block)), java.util.Map.of())
                 .known()
                 .hosts();
     }
--- a/src/main/java/pepperdock/benchmark/NodeListCost.java
+++ b/src/main/java/pepperdock/benchmark/NodeListCost.java
@@ -6,8 +6,8 @@
 import java.util.ArrayList;
 import java.util.List;
 import java.util.function.Consumer;
+import pepperdock.config.DeploymentSettings;
 import pepperdock.config.HostList;
-import pepperdock.config.Site;
 import pepperdock.core.Gatherer;
 import pepperdock.core.InertBackend;
 import pepperdock.core.ManualClock;
@@ -45,7 +45,7 @@
             double changeUs,
             long allocated) {}
 
-    private final Site site;
+    private final DeploymentSettings site;
     private final ManualClock clock = new ManualClock(1000);
     private final Gatherer core;
     private int known;
--- a/src/main/java/pepperdock/cli/Cli.java
+++ b/src/main/java/pepperdock/cli/Cli.java
@@ -5,7 +5,7 @@
 import java.util.concurrent.Callable;
 import pepperdock.config.Config;
 import pepperdock.config.ConfigException;
-import pepperdock.config.Keys;
+import pepperdock.config.ConfigReader;
 import pepperdock.config.StoreConfig;
 import picocli.AutoComplete.GenerateCompletion;
 import picocli.CommandLine;
@@ -108,7 +108,7 @@
 
             @Override
             public Integer call() {
-                Keys all = Config.file(Map.of("EDGE_CONFIG", file));
+                ConfigReader all = Config.file(Map.of("EDGE_CONFIG", file));
                 StoreConfig store = Config.store(all);
                 if (all.has("settings") || store == null) {
                     Config.read(all, Map.of());
--- a/src/main/java/pepperdock/cli/MembersCommand.java
+++ b/src/main/java/pepperdock/cli/MembersCommand.java
@@ -15,7 +15,7 @@
 import java.util.concurrent.Callable;
 import pepperdock.config.Config;
 import pepperdock.config.ConfigException;
-import pepperdock.config.Keys;
+import pepperdock.config.ConfigReader;
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Model.CommandSpec;
 import picocli.CommandLine.Option;
@@ -63,7 +63,7 @@
                                         .build(),
                                 HttpResponse.BodyHandlers.ofString(StandardCharsets.UTF_8))
                         .body();
-                Keys view = Keys.of("answer", Config.parse(answer, "answer"));
+                ConfigReader view = ConfigReader.of("answer", Config.parse(answer, "answer"));
                 if (json) {
                     out.println(new GsonBuilder().setPrettyPrinting().create().toJson(Config.parse(answer, "answer")));
                 } else {
@@ -90,7 +90,7 @@
         }
     }
 
-    private static void print(PrintWriter out, Keys v) {
+    private static void print(PrintWriter out, ConfigReader v) {
         out.printf(
                 Locale.ROOT,
                 "fleet %s as %s sees it, view %d: reaching %d of %d%s%n",
@@ -114,8 +114,8 @@
                 "machine",
                 "address",
                 "said by observers");
-        for (Keys m : v.objects("members")) {
-            Keys said = m.within("said_by");
+        for (ConfigReader m : v.objects("members")) {
+            ConfigReader said = m.within("said_by");
             StringBuilder words = new StringBuilder();
             said.names()
                     .forEach(n -> words.append(words.length() == 0 ? "" : ", ")
--- a/src/main/java/pepperdock/cli/PlanCommand.java
+++ b/src/main/java/pepperdock/cli/PlanCommand.java
@@ -18,7 +18,7 @@
 import java.util.stream.Collectors;
 import pepperdock.config.Config;
 import pepperdock.config.ConfigException;
-import pepperdock.config.Keys;
+import pepperdock.config.ConfigReader;
 import pepperdock.config.PlanFile;
 import pepperdock.plan.Conflict;
 import pepperdock.plan.Plan;
@@ -87,9 +87,9 @@
         return 0;
     }
 
-    private static Keys read(String file) {
+    private static ConfigReader read(String file) {
         try {
-            return Keys.of("", Config.parse(Files.readString(Path.of(file)), file));
+            return ConfigReader.of("", Config.parse(Files.readString(Path.of(file)), file));
         } catch (IOException e) {
             throw new ConfigException(file, "can't be read");
         }
@@ -290,10 +290,10 @@
     }
 
     /** A plan put out earlier: share by range, zone and node. */
-    private static Map<String, Double> shares(Keys all) {
+    private static Map<String, Double> shares(ConfigReader all) {
         Map<String, Double> shares = new TreeMap<>();
-        for (Keys one : all.objects("shares")) {
-            Keys to = one.needed("to");
+        for (ConfigReader one : all.objects("shares")) {
+            ConfigReader to = one.needed("to");
             for (String node : to.names()) {
                 shares.put(label(one.whole("range", 0, 1 << 24), one.text("zone"), node), to.number(node));
             }
--- a/src/main/java/pepperdock/config/AddressTranslation.java
+++ b/src/main/java/pepperdock/config/AddressTranslation.java
@@ -17,9 +17,9 @@
     /** Makes a host an address that {@link Config#address} reads; the port is not used. */
     private static final String ANY_PORT = ":1";
 
-    static AddressTranslation read(Keys file) {
+    static AddressTranslation read(ConfigReader file) {
         Map<InetAddress, InetAddress> hosts = new HashMap<>();
-        Keys reach = file.within(REACH);
+        ConfigReader reach = file.within(REACH);
         for (String announced : reach.names()) {
             InetAddress from =
                     Config.address(reach.key(announced), announced + ANY_PORT).getAddress();
--- a/src/main/java/pepperdock/config/Config.java
+++ b/src/main/java/pepperdock/config/Config.java
@@ -29,7 +29,7 @@
         InetSocketAddress discovery,
         long seed,
         HostList known,
-        Site site,
+        DeploymentSettings site,
         OpenSearchConfig openSearch,
         DnsSdConfig dnsSd,
         PlanConfig plan,
@@ -64,41 +64,41 @@
     private static final int DEFAULT_SOCKETS = 1024;
 
     /** The file that {@code EDGE_CONFIG} names. */
-    public static Keys file(Map<String, String> env) {
+    public static ConfigReader file(Map<String, String> env) {
         String file = env.get(FILE_VARIABLE);
         if (file == null) {
             throw new ConfigException(FILE_VARIABLE, "not set");
         }
         try {
-            return Keys.of("", parse(Files.readString(Path.of(file)), FILE_VARIABLE));
+            return ConfigReader.of("", parse(Files.readString(Path.of(file)), FILE_VARIABLE));
         } catch (IOException e) {
             throw new ConfigException(FILE_VARIABLE, "can't read " + file);
         }
     }
 
     /** The store's part of a file, which is needed before the rest; null where there is none. */
-    public static StoreConfig store(Keys file) {
+    public static StoreConfig store(ConfigReader file) {
         return file.has(STORE) ? StoreConfig.read(file.needed(STORE), AddressTranslation.read(file)) : null;
     }
 
     /** Whether events are written, for tests that judge several gatherers together. */
-    public static boolean events(Keys file) {
+    public static boolean events(ConfigReader file) {
         return file.flag(EVENTS, false);
     }
 
     /** How many descriptors this process may have open. */
-    public static int sockets(Keys file) {
+    public static int sockets(ConfigReader file) {
         return file.within(LIMITS).whole(SOCKETS, MIN_SOCKETS, MAX_SOCKETS, DEFAULT_SOCKETS);
     }
 
     /** Reads and checks a whole file; the environment's variables take precedence over what stands in it. */
-    public static Config read(Keys file, Map<String, String> env) {
+    public static Config read(ConfigReader file, Map<String, String> env) {
         sockets(file);
         events(file);
         if (file.has(MEMBERS)) {
             MembersConfig.read(file);
         }
-        Site site = DeploymentSettingsReader.read(file.needed(SETTINGS));
+        DeploymentSettings site = DeploymentSettingsReader.read(file.needed(SETTINGS));
         HostList known = file.has(KNOWN) ? HostList.read(file.needed(KNOWN), site) : HostList.none();
         OpenSearchConfig openSearch =
                 file.has(OPEN_SEARCH) ? OpenSearchConfig.read(file.needed(OPEN_SEARCH), site) : null;
@@ -109,7 +109,7 @@
                 addressOf(env, DISCOVERY_VARIABLE, file, DISCOVERY, file.has(DISCOVERY)),
                 seed(file),
                 known,
-                openSearch != null && openSearch.backend() ? site.withoutRepeats() : site,
+                openSearch != null && openSearch.backend() ? site.withoutIdempotencyKeys() : site,
                 openSearch,
                 file.has(DNS_SD) ? DnsSdConfig.read(file.needed(DNS_SD)) : null,
                 file.has(PLAN) ? PlanConfig.read(file.needed(PLAN)) : null,
@@ -118,7 +118,7 @@
 
     /** The variable's address where it is set, else the file's where it is wanted, else null. */
     private static InetSocketAddress addressOf(
-            Map<String, String> env, String variable, Keys file, String key, boolean wanted) {
+            Map<String, String> env, String variable, ConfigReader file, String key, boolean wanted) {
         if (env.containsKey(variable)) {
             return address(variable, env.get(variable));
         }
@@ -134,7 +134,7 @@
         }
     }
 
-    private static long seed(Keys file) {
+    private static long seed(ConfigReader file) {
         if (!file.has(SEED)) {
             return System.nanoTime();
         }
--- a/src/main/java/pepperdock/config/Keys.java
+++ b/src/main/java/pepperdock/config/ConfigReader.java
@@ -14,40 +14,40 @@
  * Reads the values of a JSON object, and knows where the object stands in the file, so that every {@link ConfigException} names
  * the whole key. Immutable but for the JSON object, which nobody changes.
  */
-public final class Keys {
+public final class ConfigReader {
 
     private final String path;
     private final JsonObject object;
-    private final Consumer<String> assumed;
+    private final Consumer<String> defaultListener;
 
     /** Of an object at a place; an empty path is the top of the file. */
-    public Keys(String path, JsonObject object) {
+    public ConfigReader(String path, JsonObject object) {
         this(path, object, defaultUsed -> {});
     }
 
-    private Keys(String path, JsonObject object, Consumer<String> assumed) {
+    private ConfigReader(String path, JsonObject object, Consumer<String> defaultListener) {
         this.path = path;
         this.object = object;
-        this.assumed = assumed;
+        this.defaultListener = defaultListener;
     }
 
     /** The same object; each default that is used of it, or of an object within, is reported as KEY=VALUE. */
-    public Keys assuming(Consumer<String> assumed) {
-        return new Keys(path, object, assumed);
+    public ConfigReader reportingDefaultsTo(Consumer<String> defaultListener) {
+        return new ConfigReader(path, object, defaultListener);
     }
 
     /** Reports a default, and returns it. */
-    private <T> T instead(String name, T defaultValue) {
-        assumed.accept(key(name) + '=' + defaultValue);
+    private <T> T useDefault(String name, T defaultValue) {
+        defaultListener.accept(key(name) + '=' + defaultValue);
         return defaultValue;
     }
 
     /** Of an element that must be an object. */
-    public static Keys of(String path, JsonElement element) {
+    public static ConfigReader of(String path, JsonElement element) {
         if (element == null || !element.isJsonObject()) {
             throw new ConfigException(path.isEmpty() ? "configuration" : path, "not an object");
         }
-        return new Keys(path, element.getAsJsonObject());
+        return new ConfigReader(path, element.getAsJsonObject());
     }
 
     /** The whole key of a name here. */
@@ -76,22 +76,22 @@
     }
 
     /** A copy with the value that another object has for a name. */
-    public Keys with(String name, Keys other) {
+    public ConfigReader with(String name, ConfigReader other) {
         return with(name, other.need(name));
     }
 
     /** A copy with a value for a name. */
-    public Keys with(String name, JsonElement value) {
+    public ConfigReader with(String name, JsonElement value) {
         JsonObject copy = object.deepCopy();
         copy.add(name, value);
-        return new Keys(path, copy);
+        return new ConfigReader(path, copy);
     }
 
     /** The names whose values differ between two objects, those that only one of them has included. */
-    public List<String> differing(Keys other) {
+    public List<String> differingNames(ConfigReader other) {
         Set<String> names = new TreeSet<>(object.keySet());
         names.addAll(other.object.keySet());
-        names.removeIf(n -> Objects.equals(object.get(n), other.object.get(n)));
+        names.removeIf(name -> Objects.equals(object.get(name), other.object.get(name)));
         return List.copyOf(names);
     }
 
@@ -99,11 +99,11 @@
      * The first key that stands here, or in an object within, and is missing there; null where none is. Of a list of objects,
      * the keys that all of them have count: each object there must have them too.
      */
-    public String lost(Keys there) {
-        return lost(path, object, there.object);
+    public String firstMissingKey(ConfigReader there) {
+        return firstMissingKey(path, object, there.object);
     }
 
-    private static String lost(String path, JsonObject here, JsonObject there) {
+    private static String firstMissingKey(String path, JsonObject here, JsonObject there) {
         for (String name : here.keySet()) {
             String key = path.isEmpty() ? name : path + '.' + name;
             JsonElement old = here.get(name);
@@ -115,9 +115,9 @@
                 return key;
             }
             String within = old.isJsonObject() && now.isJsonObject()
-                    ? lost(key, old.getAsJsonObject(), now.getAsJsonObject())
+                    ? firstMissingKey(key, old.getAsJsonObject(), now.getAsJsonObject())
                     : old.isJsonArray() && now.isJsonArray()
-                            ? lost(key, old.getAsJsonArray(), now.getAsJsonArray())
+                            ? firstMissingKey(key, old.getAsJsonArray(), now.getAsJsonArray())
                             : null;
             if (within != null) {
                 return within;
@@ -126,16 +126,16 @@
         return null;
     }
 
-    private static String lost(String key, JsonArray here, JsonArray there) {
+    private static String firstMissingKey(String key, JsonArray here, JsonArray there) {
         Set<String> common = null;
-        for (JsonElement e : here) {
-            if (!e.isJsonObject()) {
+        for (JsonElement element : here) {
+            if (!element.isJsonObject()) {
                 return null;
             }
             if (common == null) {
-                common = new TreeSet<>(e.getAsJsonObject().keySet());
+                common = new TreeSet<>(element.getAsJsonObject().keySet());
             } else {
-                common.retainAll(e.getAsJsonObject().keySet());
+                common.retainAll(element.getAsJsonObject().keySet());
             }
         }
         for (int i = 0; common != null && i < there.size(); i++) {
@@ -162,29 +162,29 @@
     }
 
     /** An object within; an empty one where it is absent. */
-    public Keys within(String name) {
+    public ConfigReader within(String name) {
         return has(name)
-                ? of(key(name), object.get(name)).assuming(assumed)
-                : new Keys(key(name), new JsonObject(), assumed);
+                ? of(key(name), object.get(name)).reportingDefaultsTo(defaultListener)
+                : new ConfigReader(key(name), new JsonObject(), defaultListener);
     }
 
     /** An object within, which must be there. */
-    public Keys needed(String name) {
-        return of(key(name), need(name)).assuming(assumed);
+    public ConfigReader needed(String name) {
+        return of(key(name), need(name)).reportingDefaultsTo(defaultListener);
     }
 
     /** A string, which must be there. */
     public String text(String name) {
-        JsonElement e = need(name);
-        if (!e.isJsonPrimitive() || !e.getAsJsonPrimitive().isString()) {
+        JsonElement element = need(name);
+        if (!element.isJsonPrimitive() || !element.getAsJsonPrimitive().isString()) {
             throw new ConfigException(key(name), "not a text");
         }
-        return e.getAsString();
+        return element.getAsString();
     }
 
     /** A string, or the default. */
     public String text(String name, String defaultValue) {
-        return has(name) ? text(name) : instead(name, defaultValue);
+        return has(name) ? text(name) : useDefault(name, defaultValue);
     }
 
     /** A finite number, which must be there. */
@@ -194,7 +194,7 @@
 
     /** A finite number, or the default. */
     public double number(String name, double defaultValue) {
-        return has(name) ? number(name) : instead(name, defaultValue);
+        return has(name) ? number(name) : useDefault(name, defaultValue);
     }
 
     /** An integer within bounds, which must be there. */
@@ -208,26 +208,26 @@
 
     /** An integer within bounds, or the default. */
     public int whole(String name, int least, int most, int defaultValue) {
-        return has(name) ? whole(name, least, most) : instead(name, defaultValue);
+        return has(name) ? whole(name, least, most) : useDefault(name, defaultValue);
     }
 
     /** A boolean, or the default. */
     public boolean flag(String name, boolean defaultValue) {
         if (!has(name)) {
-            return instead(name, defaultValue);
+            return useDefault(name, defaultValue);
         }
-        JsonElement e = object.get(name);
-        if (!e.isJsonPrimitive() || !e.getAsJsonPrimitive().isBoolean()) {
+        JsonElement element = object.get(name);
+        if (!element.isJsonPrimitive() || !element.getAsJsonPrimitive().isBoolean()) {
             throw new ConfigException(key(name), "neither true nor false");
         }
-        return e.getAsBoolean();
+        return element.getAsBoolean();
     }
 
     /** A list of objects; empty where it is absent. */
-    public List<Keys> objects(String name) {
-        List<Keys> all = new ArrayList<>();
-        for (JsonElement e : array(name)) {
-            all.add(of(key(name) + '[' + all.size() + ']', e).assuming(assumed));
+    public List<ConfigReader> objects(String name) {
+        List<ConfigReader> all = new ArrayList<>();
+        for (JsonElement element : array(name)) {
+            all.add(of(key(name) + '[' + all.size() + ']', element).reportingDefaultsTo(defaultListener));
         }
         return all;
     }
@@ -235,11 +235,11 @@
     /** A list of strings; empty where it is absent. */
     public List<String> texts(String name) {
         List<String> all = new ArrayList<>();
-        for (JsonElement e : array(name)) {
-            if (!e.isJsonPrimitive()) {
+        for (JsonElement element : array(name)) {
+            if (!element.isJsonPrimitive()) {
                 throw new ConfigException(key(name), "not a list of texts");
             }
-            all.add(e.getAsString());
+            all.add(element.getAsString());
         }
         return all;
     }
@@ -249,7 +249,7 @@
         JsonArray all = array(name);
         return at < all.size()
                 ? number(key(name) + '[' + at + ']', all.get(at))
-                : instead(name + '[' + at + ']', defaultValue);
+                : useDefault(name + '[' + at + ']', defaultValue);
     }
 
     private JsonArray array(String name) {
@@ -262,12 +262,12 @@
         return object.getAsJsonArray(name);
     }
 
-    private static double number(String key, JsonElement e) {
-        if (!e.isJsonPrimitive() || !e.getAsJsonPrimitive().isNumber()) {
+    private static double number(String key, JsonElement element) {
+        if (!element.isJsonPrimitive() || !element.getAsJsonPrimitive().isNumber()) {
             throw new ConfigException(key, "not a number");
         }
         try {
-            double value = e.getAsDouble();
+            double value = element.getAsDouble();
             if (!Double.isFinite(value)) {
                 throw new ConfigException(key, "out of range");
             }
--- a/src/main/java/pepperdock/config/Site.java
+++ b/src/main/java/pepperdock/config/DeploymentSettings.java
@@ -19,7 +19,7 @@
  * @param multiplex how many parts one connection carries at a time
  * @param assumed each key that is absent, with the default that is used, as KEY=VALUE
  */
-public record Site(
+public record DeploymentSettings(
         SchedulerSettings module,
         List<String> classes,
         List<String> zones,
@@ -33,7 +33,7 @@
      * The same settings without idempotency keys: where workers don't drop a repeat by its key, a part that may have been
      * executed must not be sent again.
      */
-    public Site withoutRepeats() {
+    public DeploymentSettings withoutIdempotencyKeys() {
         SchedulerSettings current = module;
         List<QueryClass> strict = current.classes().stream()
                 .map(queryClass -> queryClass.retrySafety() != RetrySafety.IDEMPOTENCY_KEY
@@ -50,7 +50,7 @@
                                 queryClass.partialAnswerWeight(),
                                 queryClass.secondStageParts()))
                 .toList();
-        return new Site(
+        return new DeploymentSettings(
                 new SchedulerSettings(
                         current.instances(),
                         current.zone(),
@@ -76,11 +76,11 @@
      * These settings with what another file says of query classes, limits and rules, which can change while the program runs;
      * layout, instances, how the endpoint list comes and the connections' limits stay.
      */
-    public Site changed(Site to) {
+    public DeploymentSettings reloadedFrom(DeploymentSettings to) {
         SchedulerSettings current = module;
         SchedulerSettings changed = to.module;
         ProtocolRules rules = changed.rules();
-        return new Site(
+        return new DeploymentSettings(
                 new SchedulerSettings(
                         current.instances(),
                         current.zone(),
--- a/src/main/java/pepperdock/config/DeploymentSettingsReader.java
+++ b/src/main/java/pepperdock/config/DeploymentSettingsReader.java
@@ -15,7 +15,7 @@
 /**
  * Reads the settings of a deployment as the platform writes them: the one class that knows their keys, defaults and bounds, and
  * which of the scheduler's terms each of them stands for. Keys that end in {@code S} are in seconds. Each default that is used
- * is recorded in {@link Site#assumed}. Stateless but for one reading; a {@link ConfigException} names the faulty key.
+ * is recorded in {@link DeploymentSettings#assumed}. Stateless but for one reading; a {@link ConfigException} names the faulty key.
  */
 public final class DeploymentSettingsReader {
 
@@ -105,12 +105,12 @@
     private static final int MAX_INSTANCES = 1 << 20;
     private static final int MAX_ATTEMPTS_BOUND = 1 << 16;
 
-    private final Keys settings;
-    private final Keys layout;
-    private final Keys limits;
-    private final Keys rules;
+    private final ConfigReader settings;
+    private final ConfigReader layout;
+    private final ConfigReader limits;
+    private final ConfigReader rules;
 
-    private DeploymentSettingsReader(Keys settings) {
+    private DeploymentSettingsReader(ConfigReader settings) {
         this.settings = settings;
         layout = settings.needed(LAYOUT);
         limits = settings.needed(LIMITS);
@@ -122,12 +122,12 @@
      *
      * @throws ConfigException where a key is missing or its value can't be used
      */
-    public static Site read(Keys settings) {
+    public static DeploymentSettings read(ConfigReader settings) {
         Set<String> defaultsUsed = new LinkedHashSet<>();
-        Keys recorded = settings.assuming(defaultsUsed::add);
-        Keys limits = recorded.needed(LIMITS);
+        ConfigReader recorded = settings.reportingDefaultsTo(defaultsUsed::add);
+        ConfigReader limits = recorded.needed(LIMITS);
         List<String> classNames = readClassNames(recorded);
-        return new Site(
+        return new DeploymentSettings(
                 new DeploymentSettingsReader(recorded).readSchedulerSettings(),
                 classNames,
                 recorded.texts(ZONE_NAMES),
@@ -138,10 +138,10 @@
                 List.copyOf(defaultsUsed));
     }
 
-    /** Of two files' settings, the keys that differ and that {@link Site#changed} leaves for a restart. */
-    public static List<String> keysForRestart(Keys from, Keys to) {
+    /** Of two files' settings, the keys that differ and that {@link DeploymentSettings#reloadedFrom} leaves for a restart. */
+    public static List<String> keysForRestart(ConfigReader from, ConfigReader to) {
         List<String> keys = new ArrayList<>();
-        for (String section : from.differing(to)) {
+        for (String section : from.differingNames(to)) {
             switch (section) {
                 case QUERY_CLASSES, RULES -> {}
                 case LIMITS -> addDiffering(keys, from.within(section), to.within(section), RELOADABLE_LIMITS);
@@ -152,15 +152,15 @@
         return keys;
     }
 
-    private static void addDiffering(List<String> keys, Keys from, Keys to, Set<String> reloadable) {
-        from.differing(to).stream()
+    private static void addDiffering(List<String> keys, ConfigReader from, ConfigReader to, Set<String> reloadable) {
+        from.differingNames(to).stream()
                 .filter(name -> !reloadable.contains(name))
                 .forEach(name -> keys.add(from.key(name)));
     }
 
-    private static List<String> readClassNames(Keys settings) {
+    private static List<String> readClassNames(ConfigReader settings) {
         List<String> names = new ArrayList<>();
-        for (Keys queryClass : settings.objects(QUERY_CLASSES)) {
+        for (ConfigReader queryClass : settings.objects(QUERY_CLASSES)) {
             // The simulator speaks of classes by their number alone; a front's clients by name.
             String name = queryClass.text(CLASS_NAME, "class-" + names.size());
             check(queryClass, CLASS_NAME, !names.contains(name) && !name.isEmpty(), "empty, or of another class");
@@ -172,7 +172,7 @@
 
     private SchedulerSettings readSchedulerSettings() {
         List<QueryClass> classes = new ArrayList<>();
-        for (Keys queryClass : settings.objects(QUERY_CLASSES)) {
+        for (ConfigReader queryClass : settings.objects(QUERY_CLASSES)) {
             classes.add(readQueryClass(queryClass, classes.size()));
         }
         int cells = layout.whole(CELLS, 1, MAX_CELLS);
@@ -205,7 +205,7 @@
     }
 
     /** One class; checked here by the platform's keys, as the scheduler's own checks know other names. */
-    private QueryClass readQueryClass(Keys queryClass, int index) {
+    private QueryClass readQueryClass(ConfigReader queryClass, int index) {
         RetrySafety retrySafety = RETRY_SAFETIES.get(queryClass.text(RETRY_SAFETY));
         check(queryClass, RETRY_SAFETY, retrySafety != null, "unknown effect " + queryClass.text(RETRY_SAFETY));
         double objectiveS = queryClass.number(LATENCY_OBJECTIVE_S);
@@ -306,13 +306,13 @@
                 pollsEndpointList ? rules.number(LIST_POLL_INTERVAL_S, 0) : 0);
     }
 
-    private static double readPositive(Keys keys, String name, double defaultValue) {
+    private static double readPositive(ConfigReader keys, String name, double defaultValue) {
         double value = keys.number(name, defaultValue);
         check(keys, name, value > 0, "not above 0");
         return value;
     }
 
-    private static void check(Keys keys, String name, boolean valid, String complaint) {
+    private static void check(ConfigReader keys, String name, boolean valid, String complaint) {
         if (!valid) {
             throw new ConfigException(keys.key(name), complaint);
         }
--- a/src/main/java/pepperdock/config/DnsSdConfig.java
+++ b/src/main/java/pepperdock/config/DnsSdConfig.java
@@ -24,7 +24,7 @@
     private static final String LEAST_S = "least_s";
     private static final double DEFAULT_LEAST_S = 1;
 
-    static DnsSdConfig read(Keys keys) {
+    static DnsSdConfig read(ConfigReader keys) {
         String service = keys.text(SERVICE);
         if (!service.toLowerCase(Locale.ROOT).matches(SERVICE_PATTERN)) {
             throw new ConfigException(keys.key(SERVICE), "not of the form _name._tcp");
--- a/src/main/java/pepperdock/config/HostList.java
+++ b/src/main/java/pepperdock/config/HostList.java
@@ -47,18 +47,18 @@
      *
      * @throws ConfigException where it is no endpoint list
      */
-    public static HostList parse(String json, Site site) {
+    public static HostList parse(String json, DeploymentSettings site) {
         try {
-            return read(Keys.of("list", JsonParser.parseString(json)), site);
+            return read(ConfigReader.of("list", JsonParser.parseString(json)), site);
         } catch (JsonParseException e) {
             throw new ConfigException("list", "not JSON");
         }
     }
 
     /** Reads a list from its JSON object. */
-    public static HostList read(Keys list, Site site) {
+    public static HostList read(ConfigReader list, DeploymentSettings site) {
         List<WorkerEndpoint> hosts = new ArrayList<>();
-        for (Keys entry : list.objects(ENTRIES)) {
+        for (ConfigReader entry : list.objects(ENTRIES)) {
             EndpointState state = STATES.get(entry.text(STATE));
             if (state == null) {
                 throw new ConfigException(entry.key(STATE), "unknown state " + entry.text(STATE));
@@ -78,11 +78,11 @@
 
     /** The empty list: what is known before the first one has come. */
     public static HostList none() {
-        return read(new Keys("known", new JsonObject()), null);
+        return read(new ConfigReader("known", new JsonObject()), null);
     }
 
     /** Writes a complete list in the same form, for the store; {@link #parse} reads it. */
-    public static String write(Collection<WorkerEndpoint> hosts, Site site) {
+    public static String write(Collection<WorkerEndpoint> hosts, DeploymentSettings site) {
         JsonArray entries = new JsonArray();
         for (WorkerEndpoint host : hosts) {
             JsonObject entry = new JsonObject();
--- a/src/main/java/pepperdock/config/MembersConfig.java
+++ b/src/main/java/pepperdock/config/MembersConfig.java
@@ -25,11 +25,11 @@
     private static final int BYTES_LEAST = 170;
 
     /** Null where the file has no {@code members}. */
-    public static MembersConfig read(Keys all) {
+    public static MembersConfig read(ConfigReader all) {
         if (!all.has("members")) {
             return null;
         }
-        Keys k = all.needed("members");
+        ConfigReader k = all.needed("members");
         k.only(
                 "fleet",
                 "address",
@@ -77,7 +77,7 @@
     }
 
     /** The timings and bounds alone, checked. */
-    public static Settings timings(Keys k) {
+    public static Settings timings(ConfigReader k) {
         Settings d = Settings.defaults();
         double probe = seconds(k, "probe_s", d.probeS(), 0.02);
         double doubt = seconds(k, "doubt_s", 6 * probe, probe);
@@ -122,7 +122,7 @@
                 true);
     }
 
-    private static double seconds(Keys k, String name, double otherwise, double least) {
+    private static double seconds(ConfigReader k, String name, double otherwise, double least) {
         double s = k.number(name, otherwise);
         if (!(s >= least && s <= SECONDS_MOST)) {
             throw new ConfigException(k.key(name), "not a number of seconds from " + least + " to " + SECONDS_MOST);
@@ -130,7 +130,7 @@
         return s;
     }
 
-    private static String word(Keys k, String name, String given) {
+    private static String word(ConfigReader k, String name, String given) {
         if (!given.matches(Card.NAME)) {
             throw new ConfigException(
                     k.key(name), "not 1 to 64 of letters, digits, dot, line and underscore: " + given);
--- a/src/main/java/pepperdock/config/OpenSearchConfig.java
+++ b/src/main/java/pepperdock/config/OpenSearchConfig.java
@@ -41,7 +41,7 @@
     private static final int MAX_SCROLL_MOST_S = 86_400;
     private static final int DEFAULT_SCROLL_MOST_S = 300;
 
-    static OpenSearchConfig read(Keys keys, Site site) {
+    static OpenSearchConfig read(ConfigReader keys, DeploymentSettings site) {
         Map<String, Integer> indices = readIndices(keys, site);
         String backend = keys.text(BACKEND, BACKEND_OPENSEARCH);
         if (!List.of(BACKEND_OPENSEARCH, BACKEND_FRAMES).contains(backend)) {
@@ -56,9 +56,9 @@
                 keys.whole(SCROLL_MOST_S, 1, MAX_SCROLL_MOST_S, DEFAULT_SCROLL_MOST_S));
     }
 
-    private static Map<String, Integer> readIndices(Keys keys, Site site) {
+    private static Map<String, Integer> readIndices(ConfigReader keys, DeploymentSettings site) {
         Map<String, Integer> indices = new LinkedHashMap<>();
-        for (Keys index : keys.objects(INDICES)) {
+        for (ConfigReader index : keys.objects(INDICES)) {
             int queryClass = site.classes().indexOf(index.text(INDEX_CLASS));
             if (queryClass < 0) {
                 throw new ConfigException(index.key(INDEX_CLASS), "unknown class " + index.text(INDEX_CLASS));
--- a/src/main/java/pepperdock/config/PlanConfig.java
+++ b/src/main/java/pepperdock/config/PlanConfig.java
@@ -16,7 +16,7 @@
     private static final String SHARE_LEAST = "share_least";
     private static final double DEFAULT_SHARE_LEAST = 0.1;
 
-    static PlanConfig read(Keys keys) {
+    static PlanConfig read(ConfigReader keys) {
         keys.only(EVERY_S, LEAST_CHANGE, SHARE_LEAST);
         return new PlanConfig(
                 within(keys, EVERY_S, 0.1, 3600, DEFAULT_EVERY_S),
@@ -24,7 +24,7 @@
                 within(keys, SHARE_LEAST, 0.01, 0.5, DEFAULT_SHARE_LEAST));
     }
 
-    private static double within(Keys keys, String name, double least, double most, double defaultValue) {
+    private static double within(ConfigReader keys, String name, double least, double most, double defaultValue) {
         double value = keys.number(name, defaultValue);
         if (!(value >= least && value <= most)) {
             throw new ConfigException(keys.key(name), "not from " + least + " to " + most);
--- a/src/main/java/pepperdock/config/PlanFile.java
+++ b/src/main/java/pepperdock/config/PlanFile.java
@@ -26,7 +26,7 @@
      *
      * @throws ConfigException where a key is missing or unknown, or its value can't be used
      */
-    public static Problem read(Keys all) {
+    public static Problem read(ConfigReader all) {
         all.only("zones", "crossings", "gatherers", "nodes", "ranges", "spare_node");
         List<String> zones = all.has("zones") ? distinct(all, "zones") : List.of("all");
         if (zones.isEmpty()) {
@@ -34,22 +34,22 @@
         }
         Map<String, Integer> places = new HashMap<>();
         List<Problem.Node> nodes = new ArrayList<>();
-        for (Keys n : all.objects("nodes")) {
-            n.only("name", "zone", "capacity", "slow", "state");
-            String name = n.text("name");
+        for (ConfigReader node : all.objects("nodes")) {
+            node.only("name", "zone", "capacity", "slow", "state");
+            String name = node.text("name");
             if (places.putIfAbsent(name, nodes.size()) != null) {
-                throw new ConfigException(n.key("name"), "a second " + name);
+                throw new ConfigException(node.key("name"), "a second " + name);
             }
-            String state = n.text("state", "in_service");
+            String state = node.text("state", "in_service");
             if (!Set.of("in_service", "draining", "gone").contains(state)) {
-                throw new ConfigException(n.key("state"), "none of in_service, draining, gone: " + state);
+                throw new ConfigException(node.key("state"), "none of in_service, draining, gone: " + state);
             }
-            double slow = n.number("slow", 1);
+            double slow = node.number("slow", 1);
             if (slow < 0.01 || slow > 1000) {
-                throw new ConfigException(n.key("slow"), "not a factor from 0.01 to 1000");
+                throw new ConfigException(node.key("slow"), "not a factor from 0.01 to 1000");
             }
             nodes.add(new Problem.Node(
-                    name, zone(n, zones), (long) (micros(n, "capacity") / slow), state.equals("in_service")));
+                    name, zone(node, zones), (long) (micros(node, "capacity") / slow), state.equals("in_service")));
         }
         if (nodes.isEmpty()) {
             throw new ConfigException(all.key("nodes"), "empty or missing");
@@ -63,26 +63,26 @@
                 all.flag("spare_node", false));
     }
 
-    private static List<Problem.Range> ranges(Keys all, Map<String, Integer> places) {
+    private static List<Problem.Range> ranges(ConfigReader all, Map<String, Integer> places) {
         List<Problem.Range> ranges = new ArrayList<>();
         Set<Integer> numbers = new HashSet<>();
-        for (Keys r : all.objects("ranges")) {
-            r.only("range", "work", "holders");
-            int number = r.whole("range", 0, 1 << 24);
+        for (ConfigReader range : all.objects("ranges")) {
+            range.only("range", "work", "holders");
+            int number = range.whole("range", 0, 1 << 24);
             if (!numbers.add(number)) {
-                throw new ConfigException(r.key("range"), "a second " + number);
+                throw new ConfigException(range.key("range"), "a second " + number);
             }
             List<Integer> holders = new ArrayList<>();
-            for (String holder : distinct(r, "holders")) {
+            for (String holder : distinct(range, "holders")) {
                 if (!places.containsKey(holder)) {
-                    throw new ConfigException(r.key("holders"), "no such node: " + holder);
+                    throw new ConfigException(range.key("holders"), "no such node: " + holder);
                 }
                 holders.add(places.get(holder));
             }
             if (holders.isEmpty()) {
-                throw new ConfigException(r.key("holders"), "empty or missing");
+                throw new ConfigException(range.key("holders"), "empty or missing");
             }
-            ranges.add(new Problem.Range(number, micros(r, "work"), holders));
+            ranges.add(new Problem.Range(number, micros(range, "work"), holders));
         }
         if (ranges.isEmpty()) {
             throw new ConfigException(all.key("ranges"), "empty or missing");
@@ -91,29 +91,29 @@
     }
 
     /** Between zones 1 and within none, where nothing else is said; barred ones are infinite. */
-    private static double[][] crossings(Keys all, List<String> zones) {
+    private static double[][] crossings(ConfigReader all, List<String> zones) {
         double[][] cost = new double[zones.size()][zones.size()];
         for (int from = 0; from < cost.length; from++) {
             Arrays.fill(cost[from], 1);
             cost[from][from] = 0;
         }
-        for (Keys c : all.objects("crossings")) {
-            c.only("from", "to", "cost", "barred");
-            double value = c.number("cost", 1);
+        for (ConfigReader crossing : all.objects("crossings")) {
+            crossing.only("from", "to", "cost", "barred");
+            double value = crossing.number("cost", 1);
             if (value < 0 || value > SECONDS_MOST) {
-                throw new ConfigException(c.key("cost"), "not from 0 to " + (long) SECONDS_MOST);
+                throw new ConfigException(crossing.key("cost"), "not from 0 to " + (long) SECONDS_MOST);
             }
-            cost[place(c, "from", zones)][place(c, "to", zones)] =
-                    c.flag("barred", false) ? Double.POSITIVE_INFINITY : value;
+            cost[place(crossing, "from", zones)][place(crossing, "to", zones)] =
+                    crossing.flag("barred", false) ? Double.POSITIVE_INFINITY : value;
         }
         return cost;
     }
 
-    private static long[] rates(Keys all, List<String> zones) {
+    private static long[] rates(ConfigReader all, List<String> zones) {
         long[] rates = new long[zones.size()];
-        for (Keys g : all.objects("gatherers")) {
-            g.only("name", "zone", "rate");
-            rates[zone(g, zones)] += g.whole("rate", 0, RATE_MOST, 1);
+        for (ConfigReader gatherer : all.objects("gatherers")) {
+            gatherer.only("name", "zone", "rate");
+            rates[zone(gatherer, zones)] += gatherer.whole("rate", 0, RATE_MOST, 1);
         }
         if (Arrays.stream(rates).sum() == 0) {
             if (all.has("gatherers")) {
@@ -124,11 +124,11 @@
         return rates;
     }
 
-    private static int zone(Keys keys, List<String> zones) {
+    private static int zone(ConfigReader keys, List<String> zones) {
         return keys.has("zone") || zones.size() > 1 ? place(keys, "zone", zones) : 0;
     }
 
-    private static int place(Keys keys, String name, List<String> zones) {
+    private static int place(ConfigReader keys, String name, List<String> zones) {
         int at = zones.indexOf(keys.text(name));
         if (at < 0) {
             throw new ConfigException(keys.key(name), "no such zone: " + keys.text(name));
@@ -136,7 +136,7 @@
         return at;
     }
 
-    private static long micros(Keys keys, String name) {
+    private static long micros(ConfigReader keys, String name) {
         double seconds = keys.number(name);
         if (!(seconds >= 0 && seconds <= SECONDS_MOST)) {
             throw new ConfigException(keys.key(name), "not from 0 to " + (long) SECONDS_MOST);
@@ -144,7 +144,7 @@
         return Math.round(seconds * MICRO);
     }
 
-    private static List<String> distinct(Keys keys, String name) {
+    private static List<String> distinct(ConfigReader keys, String name) {
         List<String> all = keys.texts(name);
         if (new HashSet<>(all).size() < all.size()) {
             throw new ConfigException(keys.key(name), "one of them twice");
--- a/src/main/java/pepperdock/config/StoreConfig.java
+++ b/src/main/java/pepperdock/config/StoreConfig.java
@@ -36,7 +36,7 @@
     private static final double DEFAULT_RETRY_S = 1;
     private static final String SNAPSHOT_EVERY = "snapshot_every";
 
-    static StoreConfig read(Keys keys, AddressTranslation reach) {
+    static StoreConfig read(ConfigReader keys, AddressTranslation reach) {
         Map<String, InetSocketAddress> members = readMembers(keys);
         String self = keys.text(SELF);
         members.replaceAll((name, announced) -> name.equals(self) ? announced : reach.of(announced));
@@ -60,9 +60,9 @@
                 keys.whole(SNAPSHOT_EVERY, 1, Integer.MAX_VALUE, DEFAULT_SNAPSHOT_EVERY));
     }
 
-    private static Map<String, InetSocketAddress> readMembers(Keys keys) {
+    private static Map<String, InetSocketAddress> readMembers(ConfigReader keys) {
         Map<String, InetSocketAddress> members = new LinkedHashMap<>();
-        for (Keys member : keys.objects(MEMBERS)) {
+        for (ConfigReader member : keys.objects(MEMBERS)) {
             String name = member.text(MEMBER_NAME);
             InetSocketAddress address = Config.address(member.key(MEMBER_ADDRESS), member.text(MEMBER_ADDRESS));
             if (members.put(name, address) != null) {
--- a/src/main/java/pepperdock/distribution/Change.java
+++ b/src/main/java/pepperdock/distribution/Change.java
@@ -10,7 +10,7 @@
     int bytes();
 
     /** The key gets this value. */
-    record Put(Item item) implements Change {
+    record Put(ConfigurationItem item) implements Change {
         @Override
         public String key() {
             return item.key();
@@ -26,7 +26,7 @@
     record Remove(String key) implements Change {
         @Override
         public int bytes() {
-            return 1 + Encoding.textBytes(key);
+            return 1 + ConfigurationCodec.textBytes(key);
         }
     }
 }
--- a/src/main/java/pepperdock/distribution/Age.java
+++ b/src/main/java/pepperdock/distribution/ConfigurationAge.java
@@ -6,4 +6,4 @@
  * @param millis that long
  * @param atLeast it was never known to be since the subscriber's start, so it may be older
  */
-public record Age(long millis, boolean atLeast) {}
+public record ConfigurationAge(long millis, boolean atLeast) {}
--- a/src/main/java/pepperdock/distribution/Encoding.java
+++ b/src/main/java/pepperdock/distribution/ConfigurationCodec.java
@@ -10,11 +10,11 @@
 /**
  * Encodes a configuration: version, format, number of items, then each item by key in ascending order. Big-endian. Stateless.
  */
-public final class Encoding {
+public final class ConfigurationCodec {
 
-    private static final int HEADER_BYTES = Version.BYTES + 8;
+    private static final int HEADER_BYTES = ConfigurationVersion.BYTES + 8;
 
-    private Encoding() {}
+    private ConfigurationCodec() {}
 
     /** Bytes of a text and its length. */
     static int textBytes(String text) {
@@ -22,11 +22,12 @@
     }
 
     /** Encodes a configuration; the items must come by key in ascending order. */
-    static byte[] write(Version version, int format, Collection<Item> items) {
-        int bytes = HEADER_BYTES + items.stream().mapToInt(Item::bytes).sum();
+    static byte[] write(ConfigurationVersion version, int format, Collection<ConfigurationItem> items) {
+        int bytes =
+                HEADER_BYTES + items.stream().mapToInt(ConfigurationItem::bytes).sum();
         ByteBuffer to = ByteBuffer.allocate(bytes);
         to.putLong(version.epoch()).putLong(version.number()).putInt(format).putInt(items.size());
-        for (Item item : items) {
+        for (ConfigurationItem item : items) {
             byte[] key = item.key().getBytes(StandardCharsets.UTF_8);
             to.putShort((short) key.length).put(key).putInt(item.value().length).put(item.value());
         }
@@ -38,24 +39,24 @@
      *
      * @throws MalformedConfigurationException where these bytes are not one whole configuration
      */
-    public static Configuration read(byte[] bytes) {
+    public static ConfigurationSnapshot read(byte[] bytes) {
         try {
             ByteBuffer from = ByteBuffer.wrap(bytes);
-            Version version = new Version(from.getLong(), from.getLong());
+            ConfigurationVersion version = new ConfigurationVersion(from.getLong(), from.getLong());
             int format = from.getInt();
             int count = from.getInt();
-            List<Item> items = new ArrayList<>();
+            List<ConfigurationItem> items = new ArrayList<>();
             for (int i = 0; i < count; i++) {
                 byte[] key = new byte[Short.toUnsignedInt(from.getShort())];
                 from.get(key);
                 byte[] value = new byte[from.getInt()];
                 from.get(value);
-                items.add(new Item(new String(key, StandardCharsets.UTF_8), value));
+                items.add(new ConfigurationItem(new String(key, StandardCharsets.UTF_8), value));
             }
             if (from.hasRemaining()) {
                 throw new MalformedConfigurationException(from.remaining() + " bytes follow the configuration");
             }
-            return Configuration.of(version, format, items);
+            return ConfigurationSnapshot.of(version, format, items);
         } catch (BufferUnderflowException | NegativeArraySizeException e) {
             throw new MalformedConfigurationException("configuration cut short", e);
         }
--- a/src/main/java/pepperdock/distribution/Digest.java
+++ b/src/main/java/pepperdock/distribution/ConfigurationDigest.java
@@ -5,17 +5,17 @@
 import java.security.NoSuchAlgorithmException;
 
 /** The first 128 bits of the SHA-256 of a configuration's version, format and items. */
-public record Digest(long high, long low) {
+public record ConfigurationDigest(long high, long low) {
 
     /** Bytes of a digest on the wire. */
     static final int BYTES = 16;
 
     /** The digest of these bytes. */
-    static Digest of(byte[] bytes) {
+    static ConfigurationDigest of(byte[] bytes) {
         try {
             ByteBuffer sum =
                     ByteBuffer.wrap(MessageDigest.getInstance("SHA-256").digest(bytes));
-            return new Digest(sum.getLong(), sum.getLong());
+            return new ConfigurationDigest(sum.getLong(), sum.getLong());
         } catch (NoSuchAlgorithmException e) {
             throw new IllegalStateException("every Java platform has SHA-256", e);
         }
--- a/src/main/java/pepperdock/distribution/Item.java
+++ b/src/main/java/pepperdock/distribution/ConfigurationItem.java
@@ -7,19 +7,19 @@
  *
  * @param value of at most 2^31 - 1 bytes; not to be changed by anyone who holds it
  */
-public record Item(String key, byte[] value) {
+public record ConfigurationItem(String key, byte[] value) {
 
     /** Bytes for the length of the value. */
     private static final int LENGTH = 4;
 
     /** Bytes of this item in an encoded configuration. */
     int bytes() {
-        return Encoding.textBytes(key) + LENGTH + value.length;
+        return ConfigurationCodec.textBytes(key) + LENGTH + value.length;
     }
 
     @Override
     public boolean equals(Object other) {
-        return other instanceof Item o && key.equals(o.key) && Arrays.equals(value, o.value);
+        return other instanceof ConfigurationItem o && key.equals(o.key) && Arrays.equals(value, o.value);
     }
 
     @Override
--- a/src/main/java/pepperdock/distribution/Configuration.java
+++ b/src/main/java/pepperdock/distribution/ConfigurationSnapshot.java
@@ -8,32 +8,34 @@
 import java.util.TreeMap;
 
 /** A complete configuration as of one version. Immutable; two of the same version with equal digests are the same. */
-public final class Configuration {
+public final class ConfigurationSnapshot {
 
     /** What there is before the first version. */
-    public static final Configuration NONE = new Configuration(Version.NONE, 0, new TreeMap<>());
+    public static final ConfigurationSnapshot NONE =
+            new ConfigurationSnapshot(ConfigurationVersion.NONE, 0, new TreeMap<>());
 
-    private final Version version;
+    private final ConfigurationVersion version;
     private final int format;
-    private final TreeMap<String, Item> items;
-    private final Digest digest;
+    private final TreeMap<String, ConfigurationItem> items;
+    private final ConfigurationDigest digest;
 
-    private Configuration(Version version, int format, TreeMap<String, Item> items) {
+    private ConfigurationSnapshot(ConfigurationVersion version, int format, TreeMap<String, ConfigurationItem> items) {
         this.version = version;
         this.format = format;
         this.items = items;
-        digest = Digest.of(encoded());
+        digest = ConfigurationDigest.of(encoded());
     }
 
     /** The configuration of these items; of two with the same key the later one counts. */
-    public static Configuration of(Version version, int format, Collection<Item> items) {
-        TreeMap<String, Item> byKey = new TreeMap<>();
+    public static ConfigurationSnapshot of(
+            ConfigurationVersion version, int format, Collection<ConfigurationItem> items) {
+        TreeMap<String, ConfigurationItem> byKey = new TreeMap<>();
         items.forEach(item -> byKey.put(item.key(), item));
-        return new Configuration(version, format, byKey);
+        return new ConfigurationSnapshot(version, format, byKey);
     }
 
     /** The version as of which this is. */
-    public Version version() {
+    public ConfigurationVersion version() {
         return version;
     }
 
@@ -43,23 +45,23 @@
     }
 
     /** The digest of version, format and items. */
-    public Digest digest() {
+    public ConfigurationDigest digest() {
         return digest;
     }
 
     /** All items, by key in ascending order. */
-    public Collection<Item> items() {
+    public Collection<ConfigurationItem> items() {
         return Collections.unmodifiableCollection(items.values());
     }
 
     /** The item of that key, if there is one. */
-    public Optional<Item> item(String key) {
+    public Optional<ConfigurationItem> item(String key) {
         return Optional.ofNullable(items.get(key));
     }
 
     /** This configuration with the changes made, as of that version and format. */
-    public Configuration with(Version to, int toFormat, List<Change> changes) {
-        TreeMap<String, Item> next = new TreeMap<>(items);
+    public ConfigurationSnapshot with(ConfigurationVersion to, int toFormat, List<Change> changes) {
+        TreeMap<String, ConfigurationItem> next = new TreeMap<>(items);
         for (Change change : changes) {
             if (change instanceof Change.Put put) {
                 next.put(put.key(), put.item());
@@ -67,13 +69,13 @@
                 next.remove(change.key());
             }
         }
-        return new Configuration(to, toFormat, next);
+        return new ConfigurationSnapshot(to, toFormat, next);
     }
 
     /** What has to change to come from this configuration to that one, by key in ascending order. */
-    public List<Change> changesTo(Configuration to) {
+    public List<Change> changesTo(ConfigurationSnapshot to) {
         List<Change> changes = new ArrayList<>();
-        for (Item item : to.items.values()) {
+        for (ConfigurationItem item : to.items.values()) {
             if (!item.equals(items.get(item.key()))) {
                 changes.add(new Change.Put(item));
             }
@@ -88,7 +90,7 @@
 
     /** All of it as bytes, the same ones for the same content. */
     public byte[] encoded() {
-        return Encoding.write(version, format, items.values());
+        return ConfigurationCodec.write(version, format, items.values());
     }
 
     @Override
--- a/src/main/java/pepperdock/distribution/Validator.java
+++ b/src/main/java/pepperdock/distribution/ConfigurationValidator.java
@@ -3,8 +3,8 @@
 import java.util.Optional;
 
 /** Validates a complete configuration before it is put in force. */
-public interface Validator {
+public interface ConfigurationValidator {
 
     /** What is wrong with it; empty where it may be put in force. */
-    Optional<String> complaint(Configuration configuration);
+    Optional<String> complaint(ConfigurationSnapshot configuration);
 }
--- a/src/main/java/pepperdock/distribution/Version.java
+++ b/src/main/java/pepperdock/distribution/ConfigurationVersion.java
@@ -7,22 +7,22 @@
  * @param epoch the incarnation of the log; raised by the operator when a log has to be begun anew from an older disk
  * @param number the index of the committed log entry that made this version; it grows within an epoch, with gaps
  */
-public record Version(long epoch, long number) implements Comparable<Version> {
+public record ConfigurationVersion(long epoch, long number) implements Comparable<ConfigurationVersion> {
 
     /** Older than every version. */
-    public static final Version NONE = new Version(0, 0);
+    public static final ConfigurationVersion NONE = new ConfigurationVersion(0, 0);
 
     /** Bytes of a version on the wire. */
     static final int BYTES = 16;
 
     @Override
-    public int compareTo(Version other) {
+    public int compareTo(ConfigurationVersion other) {
         int byEpoch = Long.compare(epoch, other.epoch);
         return byEpoch != 0 ? byEpoch : Long.compare(number, other.number);
     }
 
     /** Whether this version was settled after the other. */
-    public boolean newerThan(Version other) {
+    public boolean newerThan(ConfigurationVersion other) {
         return compareTo(other) > 0;
     }
 
--- a/src/main/java/pepperdock/distribution/ControlConnection.java
+++ b/src/main/java/pepperdock/distribution/ControlConnection.java
@@ -15,7 +15,7 @@
         CONNECTED
     }
 
-    private final MachineChoice selector;
+    private final ControlMachineSelector selector;
     private final SubscriberOutput output;
     private final int connectMillis;
     private Phase phase = Phase.WAITING;
@@ -24,7 +24,8 @@
     private long phaseEnds;
 
     /** Waits for the first attempt until {@code firstAttemptAt}. */
-    ControlConnection(MachineChoice selector, SubscriberOutput output, int connectMillis, long firstAttemptAt) {
+    ControlConnection(
+            ControlMachineSelector selector, SubscriberOutput output, int connectMillis, long firstAttemptAt) {
         this.selector = selector;
         this.output = output;
         this.connectMillis = connectMillis;
@@ -64,13 +65,13 @@
     /** Leaves a control machine that is of no use, and tries each of the others before it. */
     void leave(long now) {
         output.disconnect();
-        selector.last(machine);
+        selector.startRoundEndingWith(machine);
         backOff(now);
     }
 
     /** Waits before the next attempt: the last one failed, or the connection is gone. */
     void backOff(long now) {
         phase = Phase.WAITING;
-        phaseEnds = now + selector.backOffMillis();
+        phaseEnds = now + selector.nextBackoffMillis();
     }
 }
--- a/src/main/java/pepperdock/distribution/MachineChoice.java
+++ b/src/main/java/pepperdock/distribution/ControlMachineSelector.java
@@ -11,7 +11,7 @@
  * Selects the control machine of the next attempt, and its backoff: those of the subscriber's region first, in random order, with
  * jittered exponential backoff. Owned by the thread that calls {@link Subscriber}.
  */
-final class MachineChoice {
+final class ControlMachineSelector {
 
     /** More doublings than this would not change a backoff. */
     private static final int MAX_DOUBLINGS = 16;
@@ -23,7 +23,7 @@
     private final Deque<ControlMachine> round = new ArrayDeque<>();
     private int failures;
 
-    MachineChoice(List<ControlMachine> all, String region, SubscriberSettings settings, Random random) {
+    ControlMachineSelector(List<ControlMachine> all, String region, SubscriberSettings settings, Random random) {
         this.all = List.copyOf(all);
         this.region = region;
         this.settings = settings;
@@ -39,7 +39,7 @@
     }
 
     /** Begins a round in which this one comes last. */
-    void last(ControlMachine machine) {
+    void startRoundEndingWith(ControlMachine machine) {
         begin();
         round.remove(machine);
         round.addLast(machine);
@@ -51,17 +51,17 @@
     }
 
     /** A control machine has answered: the backoff begins anew. */
-    void worked() {
+    void onAnswer() {
         failures = 0;
     }
 
     /** A control machine is up to date: the next attempt begins a new round. */
-    void settled() {
+    void onUpToDate() {
         round.clear();
     }
 
     /** Milliseconds to wait before the next attempt; the attempt before failed. */
-    int backOffMillis() {
+    int nextBackoffMillis() {
         long maxMillis = Math.min(
                 settings.backOffMostMillis(), (long) settings.backOffMillis() << Math.min(failures, MAX_DOUBLINGS));
         failures++;
--- a/src/main/java/pepperdock/distribution/Delta.java
+++ b/src/main/java/pepperdock/distribution/Delta.java
@@ -9,10 +9,16 @@
  * @param digest of the result
  * @param format of the result
  */
-public record Delta(Version base, Digest baseDigest, Version result, Digest digest, int format, List<Change> changes) {
+public record Delta(
+        ConfigurationVersion base,
+        ConfigurationDigest baseDigest,
+        ConfigurationVersion result,
+        ConfigurationDigest digest,
+        int format,
+        List<Change> changes) {
 
     /** Bytes beside the changes. */
-    static final int HEADER_BYTES = 2 * (Version.BYTES + Digest.BYTES) + 8;
+    static final int HEADER_BYTES = 2 * (ConfigurationVersion.BYTES + ConfigurationDigest.BYTES) + 8;
 
     /** Copies the list. */
     public Delta {
@@ -20,12 +26,12 @@
     }
 
     /** The changes from one configuration to the other. */
-    static Delta between(Configuration from, Configuration to) {
+    static Delta between(ConfigurationSnapshot from, ConfigurationSnapshot to) {
         return new Delta(from.version(), from.digest(), to.version(), to.digest(), to.format(), from.changesTo(to));
     }
 
     /** Whether it may be applied to this configuration. */
-    public boolean fits(Configuration configuration) {
+    public boolean fits(ConfigurationSnapshot configuration) {
         return base.equals(configuration.version()) && baseDigest.equals(configuration.digest());
     }
 
--- a/src/main/java/pepperdock/distribution/Message.java
+++ b/src/main/java/pepperdock/distribution/DistributionMessage.java
@@ -1,7 +1,7 @@
 package pepperdock.distribution;
 
 /** The messages between a subscriber and a publisher, over one connection, in order. Immutable. */
-public sealed interface Message {
+public sealed interface DistributionMessage {
 
     /** Bytes of a message on the wire beside its content: IPv4 and TCP headers with time stamps, length and kind. */
     int OVERHEAD = 52 + 5;
@@ -15,43 +15,53 @@
     }
 
     /** A message of a subscriber. */
-    sealed interface FromSubscriber extends Message {}
+    sealed interface FromSubscriber extends DistributionMessage {}
 
     /** A message of a publisher. */
-    sealed interface FromPublisher extends Message {}
+    sealed interface FromPublisher extends DistributionMessage {}
 
     // ---- From a subscriber ------------------------------------------------------------
 
     /**
      * First on a connection: who this is and what it has in force.
      *
-     * @param reads the highest format that this program version reads
+     * @param highestFormat the highest format that this program version reads
      */
-    record Hello(SubscriberId from, int reads, Version inForce, Digest digest, Durability durability)
+    record Hello(
+            SubscriberId from,
+            int highestFormat,
+            ConfigurationVersion inForce,
+            ConfigurationDigest digest,
+            Durability durability)
             implements FromSubscriber {
         @Override
         public int content() {
-            return Encoding.textBytes(from.name()) + 4 + Version.BYTES + Digest.BYTES + 1;
+            return ConfigurationCodec.textBytes(from.name())
+                    + 4
+                    + ConfigurationVersion.BYTES
+                    + ConfigurationDigest.BYTES
+                    + 1;
         }
     }
 
     /** This is in force from now on, or still; also the subscriber's heartbeat. */
-    record InForce(Version version, Digest digest, Durability durability) implements FromSubscriber {
+    record InForce(ConfigurationVersion version, ConfigurationDigest digest, Durability durability)
+            implements FromSubscriber {
         @Override
         public int content() {
-            return Version.BYTES + Digest.BYTES + 1;
+            return ConfigurationVersion.BYTES + ConfigurationDigest.BYTES + 1;
         }
     }
 
     /**
      * Requests what is newer than this.
      *
-     * @param whole whether as a snapshot, since a delta did not fit
+     * @param asSnapshot whether as a snapshot, since a delta did not fit
      */
-    record Ask(Version inForce, Digest digest, boolean whole) implements FromSubscriber {
+    record Ask(ConfigurationVersion inForce, ConfigurationDigest digest, boolean asSnapshot) implements FromSubscriber {
         @Override
         public int content() {
-            return Version.BYTES + Digest.BYTES + 1;
+            return ConfigurationVersion.BYTES + ConfigurationDigest.BYTES + 1;
         }
     }
 
@@ -59,7 +69,7 @@
     record Refused(Refusal refusal) implements FromSubscriber {
         @Override
         public int content() {
-            return Version.BYTES + 1 + Encoding.textBytes(refusal.detail());
+            return ConfigurationVersion.BYTES + 1 + ConfigurationCodec.textBytes(refusal.detail());
         }
     }
 
@@ -70,10 +80,11 @@
      *
      * @param confirmedMillisAgo how long ago this control machine last knew that nothing newer was settled
      */
-    record Heartbeat(Version latest, Digest digest, int confirmedMillisAgo) implements FromPublisher {
+    record Heartbeat(ConfigurationVersion latest, ConfigurationDigest digest, int confirmedMillisAgo)
+            implements FromPublisher {
         @Override
         public int content() {
-            return Version.BYTES + Digest.BYTES + 4;
+            return ConfigurationVersion.BYTES + ConfigurationDigest.BYTES + 4;
         }
     }
 
@@ -90,11 +101,12 @@
      *
      * @param total bytes of the complete configuration
      */
-    record SnapshotPiece(Version version, Digest digest, int format, int total, int offset, byte[] piece)
+    record SnapshotPiece(
+            ConfigurationVersion version, ConfigurationDigest digest, int format, int total, int offset, byte[] chunk)
             implements FromPublisher {
         @Override
         public int content() {
-            return Version.BYTES + Digest.BYTES + 12 + piece.length;
+            return ConfigurationVersion.BYTES + ConfigurationDigest.BYTES + 12 + chunk.length;
         }
     }
 
--- a/src/main/java/pepperdock/distribution/InForceConfiguration.java
+++ b/src/main/java/pepperdock/distribution/InForceConfiguration.java
@@ -8,8 +8,8 @@
 
     private final VersionStore store;
     private final int saveRetryMillis;
-    private Configuration configuration;
-    private Version floor;
+    private ConfigurationSnapshot configuration;
+    private ConfigurationVersion floor;
     private Durability durability;
     private long saveRetryAt;
 
@@ -20,19 +20,19 @@
         VersionStore.Saved saved = store.load();
         boolean outdated = saved.floor().newerThan(saved.configuration().version());
         floor = outdated ? saved.floor() : saved.configuration().version();
-        configuration = outdated ? Configuration.NONE : saved.configuration();
+        configuration = outdated ? ConfigurationSnapshot.NONE : saved.configuration();
         durability = outdated ? Durability.FLOOR_ONLY : Durability.SAVED;
     }
 
-    Configuration configuration() {
+    ConfigurationSnapshot configuration() {
         return configuration;
     }
 
-    Version version() {
+    ConfigurationVersion version() {
         return configuration.version();
     }
 
-    Digest digest() {
+    ConfigurationDigest digest() {
         return configuration.digest();
     }
 
@@ -40,7 +40,7 @@
         return durability;
     }
 
-    Version floor() {
+    ConfigurationVersion floor() {
         return floor;
     }
 
@@ -50,7 +50,7 @@
     }
 
     /** Saves a configuration as far as the disk allows, and puts it in force. */
-    void replace(Configuration next, long now) {
+    void replace(ConfigurationSnapshot next, long now) {
         save(next, now);
         configuration = next;
     }
@@ -64,7 +64,7 @@
         return durability == Durability.SAVED;
     }
 
-    private void save(Configuration next, long now) {
+    private void save(ConfigurationSnapshot next, long now) {
         if (store.save(next)) {
             durability = Durability.SAVED;
             floor = next.version();
--- a/src/main/java/pepperdock/distribution/Publisher.java
+++ b/src/main/java/pepperdock/distribution/Publisher.java
@@ -25,14 +25,14 @@
     private final PublisherSettings settings;
     private final VersionSource source;
     private final PublisherOutput output;
-    private final Admission admission;
+    private final SnapshotAdmission admission;
     private final ByteBudget snapshotBudget;
     private final RecentChanges recent;
-    private final TreeMap<Long, Session> sessions = new TreeMap<>();
-    private Configuration latest = Configuration.NONE;
+    private final TreeMap<Long, SubscriberSession> sessions = new TreeMap<>();
+    private ConfigurationSnapshot latest = ConfigurationSnapshot.NONE;
     private byte[] latestEncoded = latest.encoded();
     /** The newest version that any subscriber has reported in force. */
-    private Version newestHeard = Version.NONE;
+    private ConfigurationVersion newestHeard = ConfigurationVersion.NONE;
     /** The connection after which the next round of snapshot chunks begins: round robin. */
     private long lastServed;
 
@@ -46,7 +46,7 @@
         this.settings = settings;
         this.source = source;
         this.output = output;
-        admission = new Admission(settings.snapshotsAtOnce(), new Random(seed));
+        admission = new SnapshotAdmission(settings.snapshotsAtOnce(), new Random(seed));
         snapshotBudget = new ByteBudget(settings.snapshotBytesPerSecond(), settings.snapshotBurstBytes(), now);
         recent = new RecentChanges(settings.keptVersions(), settings.keptBytes());
         learn();
@@ -55,14 +55,14 @@
     // ---- State, for the caller ------------------------------------------------------------
 
     /** The newest version that this control machine holds. */
-    public Configuration latest() {
+    public ConfigurationSnapshot latest() {
         return latest;
     }
 
     /** Every connected subscriber that has introduced itself, in the order of connections. */
     public List<SubscriberState> subscribers(long now) {
         return sessions.values().stream()
-                .filter(Session::known)
+                .filter(SubscriberSession::known)
                 .map(session -> session.state(latest.version(), now, settings.answerMillis()))
                 .toList();
     }
@@ -76,12 +76,12 @@
 
     /** A subscriber has opened a connection. */
     public void connected(long connection, long now) {
-        sessions.put(connection, new Session(connection, settings, now));
+        sessions.put(connection, new SubscriberSession(connection, settings, now));
     }
 
     /** A connection has ended. */
     public void disconnected(long connection) {
-        Session session = sessions.remove(connection);
+        SubscriberSession session = sessions.remove(connection);
         if (session != null) {
             release(session);
         }
@@ -98,7 +98,7 @@
     /** Time passes; to be called several times a second. */
     public void tick(long now) {
         learn();
-        for (Session session : List.copyOf(sessions.values())) {
+        for (SubscriberSession session : List.copyOf(sessions.values())) {
             if (now - session.lastHeard > settings.silenceMillis()) {
                 disconnected(session.connection);
                 output.close(session.connection);
@@ -114,22 +114,22 @@
     }
 
     /** A message has come on a connection. */
-    public void received(long connection, Message.FromSubscriber message, long now) {
-        Session session = sessions.get(connection);
+    public void received(long connection, DistributionMessage.FromSubscriber message, long now) {
+        SubscriberSession session = sessions.get(connection);
         if (session == null) {
             return;
         }
         session.lastHeard = now;
-        if (message instanceof Message.Hello hello) {
+        if (message instanceof DistributionMessage.Hello hello) {
             session.introduced(hello, now);
             newestHeard = hello.inForce().newerThan(newestHeard) ? hello.inForce() : newestHeard;
             offer(session, false, now);
-        } else if (message instanceof Message.InForce inForce) {
+        } else if (message instanceof DistributionMessage.InForce inForce) {
             session.inForce(inForce.version(), inForce.digest(), inForce.durability(), now);
             offer(session, false, now);
-        } else if (message instanceof Message.Refused refused) {
+        } else if (message instanceof DistributionMessage.Refused refused) {
             refused(session, refused.refusal());
-        } else if (message instanceof Message.Ask ask) {
+        } else if (message instanceof DistributionMessage.Ask ask) {
             asked(session, ask, now);
         }
         send(now);
@@ -139,7 +139,7 @@
     // ------------------------------------------------------------
 
     /** Whether what this machine holds may be offered to a subscriber that has that version in force. */
-    protected boolean mayOffer(Version latestHere, Version inForceThere) {
+    protected boolean mayOffer(ConfigurationVersion latestHere, ConfigurationVersion inForceThere) {
         return latestHere.newerThan(inForceThere);
     }
 
@@ -147,7 +147,7 @@
 
     private boolean learn() {
         boolean any = false;
-        for (Configuration next : source.after(latest.version())) {
+        for (ConfigurationSnapshot next : source.after(latest.version())) {
             recent.add(Delta.between(latest, next));
             latest = next;
             any = true;
@@ -158,24 +158,25 @@
         return any;
     }
 
-    private Message.Heartbeat heartbeat(long now) {
+    private DistributionMessage.Heartbeat heartbeat(long now) {
         boolean behind = newestHeard.newerThan(latest.version());
         long ago = behind ? MAX_UNCONFIRMED_MILLIS : Math.max(0, now - source.confirmedAtMillis());
-        return new Message.Heartbeat(latest.version(), latest.digest(), (int) Math.min(ago, MAX_UNCONFIRMED_MILLIS));
+        return new DistributionMessage.Heartbeat(
+                latest.version(), latest.digest(), (int) Math.min(ago, MAX_UNCONFIRMED_MILLIS));
     }
 
-    private void asked(Session session, Message.Ask ask, long now) {
+    private void asked(SubscriberSession session, DistributionMessage.Ask ask, long now) {
         if (session.waiting) {
             session.waiting = false;
             admission.returned();
         }
         if (session.transfer() == null) {
             session.asked(ask.inForce(), ask.digest(), now);
-            offer(session, ask.whole(), now);
+            offer(session, ask.asSnapshot(), now);
         }
     }
 
-    private void refused(Session session, Refusal refusal) {
+    private void refused(SubscriberSession session, Refusal refusal) {
         session.refused(refusal);
         SnapshotTransfer transfer = session.transfer();
         if (transfer != null && transfer.version().equals(refusal.version())) {
@@ -184,7 +185,7 @@
         }
     }
 
-    private void release(Session session) {
+    private void release(SubscriberSession session) {
         if (session.transfer() != null) {
             session.endTransfer();
             admission.finished();
@@ -196,7 +197,7 @@
     }
 
     /** Begins to send what the subscriber lacks, unless something is in flight to it. */
-    private void offer(Session session, boolean whole, long now) {
+    private void offer(SubscriberSession session, boolean whole, long now) {
         if (!session.known()
                 || session.busy()
                 || session.hasRefused(latest.version())
@@ -205,12 +206,12 @@
         }
         Optional<Delta> delta = whole ? Optional.empty() : step(session);
         if (delta.isPresent()) {
-            session.enqueue(new Message.Update(delta.get()));
+            session.enqueue(new DistributionMessage.Update(delta.get()));
             session.sent(delta.get().result(), now);
         } else if (admission.admits()) {
             session.begin(new SnapshotTransfer(latest, latestEncoded, settings.pieceBytes()));
         } else {
-            session.enqueue(new Message.RetryAfter(admission.retryAfterMillis(snapshotMillis())));
+            session.enqueue(new DistributionMessage.RetryAfter(admission.retryAfterMillis(snapshotMillis())));
             session.waiting = true;
         }
     }
@@ -219,13 +220,13 @@
      * The next delta for a subscriber: to the newest version, or as far as may be sent at once, the rest after the answer.
      * Empty where the snapshot is to be sent: the deltas would be too large beside it, or are not kept any more.
      */
-    private Optional<Delta> step(Session session) {
+    private Optional<Delta> step(SubscriberSession session) {
         Optional<Delta> all = recent.since(session.inForce(), session.digest());
         long maxBytes = (long) latestEncoded.length * settings.deltaPercent() / 100;
         if (all.isEmpty() || all.get().bytes() > maxBytes) {
             return Optional.empty();
         }
-        int atOnce = Math.min(MAX_DELTA_BYTES, settings.subscriberBurstBytes() - Message.OVERHEAD);
+        int atOnce = Math.min(MAX_DELTA_BYTES, settings.subscriberBurstBytes() - DistributionMessage.OVERHEAD);
         if (all.get().bytes() <= atOnce) {
             return all;
         }
@@ -241,33 +242,35 @@
     }
 
     private void send(long now) {
-        for (Session session : sessions.values()) {
+        for (SubscriberSession session : sessions.values()) {
             drain(session, now);
         }
-        List<Session> order =
+        List<SubscriberSession> order =
                 new ArrayList<>(sessions.tailMap(lastServed, false).values());
         order.addAll(sessions.headMap(lastServed, true).values());
-        for (Session session : order) {
+        for (SubscriberSession session : order) {
             if (session.transfer() != null && !pieces(session, now)) {
                 return;
             }
         }
     }
 
-    private void drain(Session session, long now) {
-        for (Message.FromPublisher message = session.next(now); message != null; message = session.next(now)) {
+    private void drain(SubscriberSession session, long now) {
+        for (DistributionMessage.FromPublisher message = session.next(now);
+                message != null;
+                message = session.next(now)) {
             output.send(session.connection, message);
         }
     }
 
     /** Sends chunks while the subscriber's budget lasts; false once that of all snapshots is spent. */
-    private boolean pieces(Session session, long now) {
+    private boolean pieces(SubscriberSession session, long now) {
         while (session.transfer() != null && session.idle()) {
             if (!snapshotBudget.allows(settings.pieceBytes(), now)) {
                 return false;
             }
             SnapshotTransfer transfer = session.transfer();
-            Message.SnapshotPiece piece = transfer.next();
+            DistributionMessage.SnapshotPiece piece = transfer.next();
             snapshotBudget.spend(piece.bytes());
             lastServed = session.connection;
             session.enqueue(piece);
--- a/src/main/java/pepperdock/distribution/RecentChanges.java
+++ b/src/main/java/pepperdock/distribution/RecentChanges.java
@@ -32,7 +32,7 @@
     }
 
     /** One delta from that version with that digest to the newest; empty where that version is no longer held. */
-    Optional<Delta> since(Version version, Digest digest) {
+    Optional<Delta> since(ConfigurationVersion version, ConfigurationDigest digest) {
         return since(version, digest, Integer.MAX_VALUE, Integer.MAX_VALUE);
     }
 
@@ -40,7 +40,7 @@
      * One delta from that version with that digest as far towards the newest as so many bytes lead, to a version of a format
      * that is no higher; empty where that version is no longer held or they lead nowhere.
      */
-    Optional<Delta> since(Version version, Digest digest, int maxBytes, int highestFormat) {
+    Optional<Delta> since(ConfigurationVersion version, ConfigurationDigest digest, int maxBytes, int highestFormat) {
         Delta furthest = null;
         TreeMap<String, Change> changes = new TreeMap<>();
         long size = Delta.HEADER_BYTES;
@@ -69,7 +69,7 @@
     }
 
     /** All from that version up to and with the last one. */
-    private Delta sum(Version version, Digest digest, Delta last) {
+    private Delta sum(ConfigurationVersion version, ConfigurationDigest digest, Delta last) {
         TreeMap<String, Change> changes = new TreeMap<>();
         for (Delta delta : deltas) {
             boolean within = !version.newerThan(delta.base()) && !delta.result().newerThan(last.result());
--- a/src/main/java/pepperdock/distribution/Refusal.java
+++ b/src/main/java/pepperdock/distribution/Refusal.java
@@ -5,7 +5,7 @@
  *
  * @param detail for the operator; 200 characters at most
  */
-public record Refusal(Version version, Reason reason, String detail) {
+public record Refusal(ConfigurationVersion version, Reason reason, String detail) {
 
     private static final int MAX_DETAIL_LENGTH = 200;
 
--- a/src/main/java/pepperdock/distribution/Admission.java
+++ b/src/main/java/pepperdock/distribution/SnapshotAdmission.java
@@ -6,7 +6,7 @@
  * Admission control of snapshots: how many may be under way at once, and when the others should retry. Owned by the thread that
  * calls {@link Publisher}.
  */
-final class Admission {
+final class SnapshotAdmission {
 
     private static final double JITTER = 0.25;
 
@@ -16,7 +16,7 @@
     /** Rejected, and not back yet. */
     private int waiting;
 
-    Admission(int limit, Random random) {
+    SnapshotAdmission(int limit, Random random) {
         this.limit = limit;
         this.random = random;
     }
--- a/src/main/java/pepperdock/distribution/SnapshotAssembly.java
+++ b/src/main/java/pepperdock/distribution/SnapshotAssembly.java
@@ -3,26 +3,26 @@
 /** Assembles a snapshot from its chunks. Owned by the thread that calls {@link Subscriber}. */
 final class SnapshotAssembly {
 
-    private final Version version;
-    private final Digest digest;
+    private final ConfigurationVersion version;
+    private final ConfigurationDigest digest;
     private final byte[] bytes;
     private int received;
 
-    SnapshotAssembly(Message.SnapshotPiece first) {
+    SnapshotAssembly(DistributionMessage.SnapshotPiece first) {
         version = first.version();
         digest = first.digest();
         bytes = new byte[first.total()];
     }
 
     /** Takes the chunk if it is the next one; whether it is. */
-    boolean add(Message.SnapshotPiece piece) {
+    boolean add(DistributionMessage.SnapshotPiece piece) {
         boolean next = piece.version().equals(version)
                 && piece.digest().equals(digest)
                 && piece.offset() == received
-                && piece.offset() + piece.piece().length <= bytes.length;
+                && piece.offset() + piece.chunk().length <= bytes.length;
         if (next) {
-            System.arraycopy(piece.piece(), 0, bytes, received, piece.piece().length);
-            received += piece.piece().length;
+            System.arraycopy(piece.chunk(), 0, bytes, received, piece.chunk().length);
+            received += piece.chunk().length;
         }
         return next;
     }
@@ -35,7 +35,7 @@
         return bytes;
     }
 
-    Digest digest() {
+    ConfigurationDigest digest() {
         return digest;
     }
 }
--- a/src/main/java/pepperdock/distribution/SnapshotTransfer.java
+++ b/src/main/java/pepperdock/distribution/SnapshotTransfer.java
@@ -8,26 +8,26 @@
  */
 final class SnapshotTransfer {
 
-    private final Configuration snapshot;
+    private final ConfigurationSnapshot snapshot;
     private final byte[] bytes;
     private final int pieceBytes;
     private int offset;
 
-    SnapshotTransfer(Configuration snapshot, byte[] bytes, int pieceBytes) {
+    SnapshotTransfer(ConfigurationSnapshot snapshot, byte[] bytes, int pieceBytes) {
         this.snapshot = snapshot;
         this.bytes = bytes;
         this.pieceBytes = pieceBytes;
     }
 
-    Version version() {
+    ConfigurationVersion version() {
         return snapshot.version();
     }
 
     /** The next chunk. */
-    Message.SnapshotPiece next() {
+    DistributionMessage.SnapshotPiece next() {
         int end = Math.min(bytes.length, offset + pieceBytes);
         byte[] piece = Arrays.copyOfRange(bytes, offset, end);
-        Message.SnapshotPiece message = new Message.SnapshotPiece(
+        DistributionMessage.SnapshotPiece message = new DistributionMessage.SnapshotPiece(
                 snapshot.version(), snapshot.digest(), snapshot.format(), bytes.length, offset, piece);
         offset = end;
         return message;
--- a/src/main/java/pepperdock/distribution/Subscriber.java
+++ b/src/main/java/pepperdock/distribution/Subscriber.java
@@ -21,9 +21,9 @@
 
     private final SubscriberId id;
     private final SubscriberSettings settings;
-    private final Validator validator;
+    private final ConfigurationValidator validator;
     private final SubscriberOutput output;
-    private final MachineChoice selector;
+    private final ControlMachineSelector selector;
     private final ControlConnection connection;
     private final InForceConfiguration inForce;
 
@@ -32,7 +32,7 @@
 
     private long lastHeard;
     /** The newest version that the control machine has offered. */
-    private Version offered = Version.NONE;
+    private ConfigurationVersion offered = ConfigurationVersion.NONE;
     /** When that was last known to be the newest. */
     private long offeredConfirmedAt;
     /** Whether all control machines were tried in vain, so that this one is kept for a while. */
@@ -62,7 +62,7 @@
             List<ControlMachine> machines,
             SubscriberSettings settings,
             VersionStore store,
-            Validator validator,
+            ConfigurationValidator validator,
             SubscriberOutput output,
             long seed,
             long now) {
@@ -71,20 +71,20 @@
         this.validator = validator;
         this.output = output;
         Random random = new Random(seed);
-        selector = new MachineChoice(machines, self.region(), settings, random);
+        selector = new ControlMachineSelector(machines, self.region(), settings, random);
         currentAt = now;
         long firstAttemptAt = now + random.nextInt(settings.backOffMillis());
         connection = new ControlConnection(selector, output, settings.connectMillis(), firstAttemptAt);
         inForce = new InForceConfiguration(store, settings.saveAgainMillis());
-        if (!inForce.version().equals(Version.NONE)) {
+        if (!inForce.version().equals(ConfigurationVersion.NONE)) {
             output.inForce(inForce.configuration());
         }
     }
 
     // ---- State, for the caller ------------------------------------------------------------
 
-    /** What is in force; {@link Configuration#NONE} where nothing is. */
-    public Configuration inForce() {
+    /** What is in force; {@link ConfigurationSnapshot#NONE} where nothing is. */
+    public ConfigurationSnapshot inForce() {
         return inForce.configuration();
     }
 
@@ -109,8 +109,8 @@
     }
 
     /** How old the version in force is. */
-    public Age age(long now) {
-        return new Age(Math.max(0, now - currentAt), !everCurrent);
+    public ConfigurationAge age(long now) {
+        return new ConfigurationAge(Math.max(0, now - currentAt), !everCurrent);
     }
 
     // ---- Inputs ------------------------------------------------------------
@@ -132,16 +132,17 @@
         connection.opened();
         lastHeard = now;
         lastProgress = now;
-        offered = Version.NONE;
+        offered = ConfigurationVersion.NONE;
         offeredConfirmedAt = now;
         unansweredRequests = 0;
         stays = selector.roundOver();
         stayUntil = now + settings.stayMillis();
         aliveAt = now + settings.aliveMillis();
         assembly = null;
-        output.send(new Message.Hello(id, settings.reads(), inForce.version(), inForce.digest(), inForce.durability()));
+        output.send(new DistributionMessage.Hello(
+                id, settings.reads(), inForce.version(), inForce.digest(), inForce.durability()));
         if (refusal != null && !inForce.version().newerThan(refusal.version())) {
-            output.send(new Message.Refused(refusal));
+            output.send(new DistributionMessage.Refused(refusal));
         }
     }
 
@@ -152,16 +153,16 @@
     }
 
     /** A message has come on the connection. */
-    public void received(Message.FromPublisher message, long now) {
+    public void received(DistributionMessage.FromPublisher message, long now) {
         lastHeard = now;
-        selector.worked();
-        if (message instanceof Message.Heartbeat heartbeat) {
+        selector.onAnswer();
+        if (message instanceof DistributionMessage.Heartbeat heartbeat) {
             onHeartbeat(heartbeat, now);
-        } else if (message instanceof Message.Update update) {
+        } else if (message instanceof DistributionMessage.Update update) {
             onUpdate(update.delta(), now);
-        } else if (message instanceof Message.SnapshotPiece piece) {
+        } else if (message instanceof DistributionMessage.SnapshotPiece piece) {
             onSnapshotPiece(piece, now);
-        } else if (message instanceof Message.RetryAfter later) {
+        } else if (message instanceof DistributionMessage.RetryAfter later) {
             madeProgress(now + later.millis() - settings.lagMillis());
         }
     }
@@ -170,17 +171,17 @@
     // ------------------------------------------------------------
 
     /** Whether a version may follow on the one in force. */
-    protected boolean mayFollow(Version next) {
+    protected boolean mayFollow(ConfigurationVersion next) {
         return next.newerThan(inForce.version()) && !inForce.floor().newerThan(next);
     }
 
     /** Whether the result is what was settled. */
-    protected boolean intact(Configuration result, Digest settled) {
+    protected boolean intact(ConfigurationSnapshot result, ConfigurationDigest settled) {
         return result.digest().equals(settled);
     }
 
     /** What comes of the version in force by these changes. */
-    protected Configuration applied(Configuration base, Delta delta) {
+    protected ConfigurationSnapshot applied(ConfigurationSnapshot base, Delta delta) {
         return base.with(delta.result(), delta.format(), delta.changes());
     }
 
@@ -225,13 +226,13 @@
         connection.leave(now);
     }
 
-    private void onHeartbeat(Message.Heartbeat heartbeat, long now) {
+    private void onHeartbeat(DistributionMessage.Heartbeat heartbeat, long now) {
         offered = heartbeat.latest();
         offeredConfirmedAt = now - heartbeat.confirmedMillisAgo();
         boolean confirmed = heartbeat.confirmedMillisAgo() <= settings.staleMillis();
         boolean sameVersion = offered.equals(inForce.version());
         if (confirmed && !inForce.version().newerThan(offered)) {
-            selector.settled();
+            selector.onUpToDate();
         }
         if (sameVersion && !heartbeat.digest().equals(inForce.digest())) {
             onConflict(heartbeat);
@@ -242,7 +243,7 @@
     }
 
     /** The control machine holds the version in force with another content. */
-    private void onConflict(Message.Heartbeat heartbeat) {
+    private void onConflict(DistributionMessage.Heartbeat heartbeat) {
         Refusal conflict = new Refusal(offered, Refusal.Reason.CONFLICT, "other content: " + heartbeat.digest());
         if (!conflict.equals(refusal)) {
             refuse(conflict);
@@ -261,7 +262,7 @@
     private void requestNewer(long now) {
         unansweredRequests++;
         lastProgress = now;
-        output.send(new Message.Ask(inForce.version(), inForce.digest(), needsSnapshot));
+        output.send(new DistributionMessage.Ask(inForce.version(), inForce.digest(), needsSnapshot));
     }
 
     private void requestSnapshot(long now) {
@@ -270,7 +271,7 @@
     }
 
     private void reportInForce() {
-        output.send(new Message.InForce(inForce.version(), inForce.digest(), inForce.durability()));
+        output.send(new DistributionMessage.InForce(inForce.version(), inForce.digest(), inForce.durability()));
     }
 
     // ---- Versions ------------------------------------------------------------
@@ -280,8 +281,8 @@
         if (!mayFollow(delta.result()) || !readable(delta.result(), delta.format())) {
             return;
         }
-        Configuration base = inForce.configuration();
-        Configuration result = delta.fits(base) ? applied(base, delta) : null;
+        ConfigurationSnapshot base = inForce.configuration();
+        ConfigurationSnapshot result = delta.fits(base) ? applied(base, delta) : null;
         if (result == null || !intact(result, delta.digest())) {
             requestSnapshot(now);
             return;
@@ -289,7 +290,7 @@
         putInForce(result, now);
     }
 
-    private void onSnapshotPiece(Message.SnapshotPiece piece, long now) {
+    private void onSnapshotPiece(DistributionMessage.SnapshotPiece piece, long now) {
         madeProgress(now);
         if (piece.offset() == 0) {
             boolean wanted = mayFollow(piece.version()) && readable(piece.version(), piece.format());
@@ -301,7 +302,7 @@
         }
         SnapshotAssembly complete = assembly;
         assembly = null;
-        Configuration result = decode(complete);
+        ConfigurationSnapshot result = decode(complete);
         if (result == null || !intact(result, complete.digest())) {
             requestSnapshot(now);
             return;
@@ -310,15 +311,15 @@
     }
 
     /** Null where the bytes are no configuration. */
-    private static Configuration decode(SnapshotAssembly complete) {
+    private static ConfigurationSnapshot decode(SnapshotAssembly complete) {
         try {
-            return Encoding.read(complete.bytes());
+            return ConfigurationCodec.read(complete.bytes());
         } catch (IllegalArgumentException e) {
             return null;
         }
     }
 
-    private boolean readable(Version version, int format) {
+    private boolean readable(ConfigurationVersion version, int format) {
         if (format <= settings.reads()) {
             return true;
         }
@@ -329,10 +330,10 @@
 
     private void refuse(Refusal refused) {
         refusal = refused;
-        output.send(new Message.Refused(refused));
+        output.send(new DistributionMessage.Refused(refused));
     }
 
-    private void putInForce(Configuration next, long now) {
+    private void putInForce(ConfigurationSnapshot next, long now) {
         Optional<String> complaint = validator.complaint(next);
         if (complaint.isPresent()) {
             refuse(new Refusal(next.version(), Refusal.Reason.INVALID, complaint.get()));
--- a/src/main/java/pepperdock/distribution/SubscriberOutput.java
+++ b/src/main/java/pepperdock/distribution/SubscriberOutput.java
@@ -7,11 +7,11 @@
     void connect(ControlMachine to);
 
     /** Sends a message on the connection. */
-    void send(Message.FromSubscriber message);
+    void send(DistributionMessage.FromSubscriber message);
 
     /** Closes the connection, also one that is being opened; {@link Subscriber#disconnected} need not be called. */
     void disconnect();
 
     /** This configuration is in force from now on. */
-    void inForce(Configuration configuration);
+    void inForce(ConfigurationSnapshot configuration);
 }
--- a/src/main/java/pepperdock/distribution/Session.java
+++ b/src/main/java/pepperdock/distribution/SubscriberSession.java
@@ -8,23 +8,23 @@
  * One connection of a publisher: the subscriber, what it has in force, and what waits to be sent to it. Owned by the thread that
  * calls {@link Publisher}.
  */
-final class Session {
+final class SubscriberSession {
 
     final long connection;
     private final ByteBudget budget;
-    private final Deque<Message.FromPublisher> queue = new ArrayDeque<>();
+    private final Deque<DistributionMessage.FromPublisher> queue = new ArrayDeque<>();
     /** Null before the first message. */
     private SubscriberId id;
 
     private int reads;
 
-    private Version inForce = Version.NONE;
-    private Digest digest = Configuration.NONE.digest();
+    private ConfigurationVersion inForce = ConfigurationVersion.NONE;
+    private ConfigurationDigest digest = ConfigurationSnapshot.NONE.digest();
     private Durability durability = Durability.MEMORY_ONLY;
     private long since;
     private Refusal refusal;
     /** The version that was sent and not answered; null where there is none. */
-    private Version unanswered;
+    private ConfigurationVersion unanswered;
 
     private long unansweredSince;
     /** The snapshot that is being sent; null where there is none. */
@@ -35,7 +35,7 @@
     long lastHeard;
     long heartbeatAt;
 
-    Session(long connection, PublisherSettings settings, long now) {
+    SubscriberSession(long connection, PublisherSettings settings, long now) {
         this.connection = connection;
         budget = new ByteBudget(settings.subscriberBytesPerSecond(), settings.subscriberBurstBytes(), now);
         lastHeard = now;
@@ -47,13 +47,13 @@
         return id != null;
     }
 
-    void introduced(Message.Hello hello, long now) {
+    void introduced(DistributionMessage.Hello hello, long now) {
         id = hello.from();
-        reads = hello.reads();
+        reads = hello.highestFormat();
         inForce(hello.inForce(), hello.digest(), hello.durability(), now);
     }
 
-    void inForce(Version version, Digest as, Durability on, long now) {
+    void inForce(ConfigurationVersion version, ConfigurationDigest as, Durability on, long now) {
         if (!version.equals(inForce)) {
             since = now;
         }
@@ -73,7 +73,7 @@
     }
 
     /** The subscriber requests what is newer: whatever was sent before did not help. */
-    void asked(Version version, Digest as, long now) {
+    void asked(ConfigurationVersion version, ConfigurationDigest as, long now) {
         inForce(version, as, durability, now);
         unanswered = null;
     }
@@ -83,15 +83,15 @@
         return reads;
     }
 
-    Version inForce() {
+    ConfigurationVersion inForce() {
         return inForce;
     }
 
-    Digest digest() {
+    ConfigurationDigest digest() {
         return digest;
     }
 
-    boolean hasRefused(Version version) {
+    boolean hasRefused(ConfigurationVersion version) {
         return refusal != null && refusal.version().equals(version);
     }
 
@@ -100,7 +100,7 @@
         return unanswered != null || transfer != null || waiting;
     }
 
-    void sent(Version version, long now) {
+    void sent(ConfigurationVersion version, long now) {
         unanswered = version;
         unansweredSince = now;
     }
@@ -117,7 +117,7 @@
         transfer = null;
     }
 
-    void enqueue(Message.FromPublisher message) {
+    void enqueue(DistributionMessage.FromPublisher message) {
         queue.addLast(message);
     }
 
@@ -126,8 +126,8 @@
     }
 
     /** Takes the next message that the budget allows now; null where there is none. */
-    Message.FromPublisher next(long now) {
-        Message.FromPublisher first = queue.peekFirst();
+    DistributionMessage.FromPublisher next(long now) {
+        DistributionMessage.FromPublisher first = queue.peekFirst();
         if (first == null || !budget.allows(first.bytes(), now)) {
             return null;
         }
@@ -135,7 +135,7 @@
         return queue.removeFirst();
     }
 
-    SubscriberState state(Version latest, long now, int answerMillis) {
+    SubscriberState state(ConfigurationVersion latest, long now, int answerMillis) {
         boolean late = unanswered != null && now - unansweredSince > answerMillis;
         boolean behind = latest.newerThan(inForce) && !hasRefused(latest);
         return new SubscriberState(
--- a/src/main/java/pepperdock/distribution/SubscriberState.java
+++ b/src/main/java/pepperdock/distribution/SubscriberState.java
@@ -15,7 +15,7 @@
 public record SubscriberState(
         SubscriberId id,
         int reads,
-        Version inForce,
+        ConfigurationVersion inForce,
         long sinceMillis,
         Durability durability,
         boolean lagging,
--- a/src/main/java/pepperdock/distribution/VersionSource.java
+++ b/src/main/java/pepperdock/distribution/VersionSource.java
@@ -6,7 +6,7 @@
 public interface VersionSource {
 
     /** The configurations settled after that version and known to this machine, oldest first. */
-    List<Configuration> after(Version version);
+    List<ConfigurationSnapshot> after(ConfigurationVersion version);
 
     /** When this machine last knew that nothing newer than what it holds was settled; milliseconds of the caller's clock. */
     long confirmedAtMillis();
--- a/src/main/java/pepperdock/distribution/wire/MessageCodec.java
+++ b/src/main/java/pepperdock/distribution/wire/DistributionMessageCodec.java
@@ -6,19 +6,19 @@
 import java.util.ArrayList;
 import java.util.List;
 import pepperdock.distribution.Change;
+import pepperdock.distribution.ConfigurationDigest;
+import pepperdock.distribution.ConfigurationItem;
+import pepperdock.distribution.ConfigurationVersion;
 import pepperdock.distribution.Delta;
-import pepperdock.distribution.Digest;
+import pepperdock.distribution.DistributionMessage;
 import pepperdock.distribution.Durability;
-import pepperdock.distribution.Item;
-import pepperdock.distribution.Message;
 import pepperdock.distribution.Refusal;
 import pepperdock.distribution.SubscriberId;
-import pepperdock.distribution.Version;
 
 /**
  * Encodes messages as frames: the length of what follows in four bytes, a kind in one, the content. Big-endian. Stateless.
  */
-public final class MessageCodec {
+public final class DistributionMessageCodec {
 
     /** Bytes before the kind. */
     static final int LENGTH_BYTES = 4;
@@ -36,16 +36,16 @@
     private static final byte PUT = 1;
     private static final byte REMOVE = 2;
 
-    private MessageCodec() {}
+    private DistributionMessageCodec() {}
 
     /** Encodes a message as a frame, with its length. */
-    public static byte[] frame(Message message) {
+    public static byte[] frame(DistributionMessage message) {
         int length = 1 + message.content();
         ByteBuffer to = ByteBuffer.allocate(LENGTH_BYTES + length).putInt(length);
-        if (message instanceof Message.FromSubscriber m) {
-            write(to, m);
-        } else if (message instanceof Message.FromPublisher m) {
-            write(to, m);
+        if (message instanceof DistributionMessage.FromSubscriber payload) {
+            write(to, payload);
+        } else if (message instanceof DistributionMessage.FromPublisher payload) {
+            write(to, payload);
         }
         return to.array();
     }
@@ -55,10 +55,10 @@
      *
      * @throws MalformedMessageException where these bytes are not one whole message
      */
-    public static Message read(byte[] bytes, int from, int length) {
+    public static DistributionMessage read(byte[] bytes, int from, int length) {
         ByteBuffer in = ByteBuffer.wrap(bytes, from, length);
         try {
-            Message message = read(in);
+            DistributionMessage message = read(in);
             if (in.hasRemaining()) {
                 throw new MalformedMessageException(in.remaining() + " bytes follow the message");
             }
@@ -70,43 +70,46 @@
 
     // ---- Writing ------------------------------------------------------------
 
-    private static void write(ByteBuffer to, Message.FromSubscriber message) {
-        if (message instanceof Message.Hello m) {
+    private static void write(ByteBuffer to, DistributionMessage.FromSubscriber message) {
+        if (message instanceof DistributionMessage.Hello payload) {
             to.put(HELLO);
-            text(to, m.from().name());
-            to.putInt(m.reads());
-            versionAndDigest(to, m.inForce(), m.digest());
-            to.put((byte) m.durability().ordinal());
-        } else if (message instanceof Message.InForce m) {
+            text(to, payload.from().name());
+            to.putInt(payload.highestFormat());
+            versionAndDigest(to, payload.inForce(), payload.digest());
+            to.put((byte) payload.durability().ordinal());
+        } else if (message instanceof DistributionMessage.InForce payload) {
             to.put(IN_FORCE);
-            versionAndDigest(to, m.version(), m.digest());
-            to.put((byte) m.durability().ordinal());
-        } else if (message instanceof Message.Ask m) {
+            versionAndDigest(to, payload.version(), payload.digest());
+            to.put((byte) payload.durability().ordinal());
+        } else if (message instanceof DistributionMessage.Ask payload) {
             to.put(ASK);
-            versionAndDigest(to, m.inForce(), m.digest());
-            to.put((byte) (m.whole() ? 1 : 0));
-        } else if (message instanceof Message.Refused m) {
+            versionAndDigest(to, payload.inForce(), payload.digest());
+            to.put((byte) (payload.asSnapshot() ? 1 : 0));
+        } else if (message instanceof DistributionMessage.Refused payload) {
             to.put(REFUSED);
-            version(to, m.refusal().version());
-            to.put((byte) m.refusal().reason().ordinal());
-            text(to, m.refusal().detail());
+            version(to, payload.refusal().version());
+            to.put((byte) payload.refusal().reason().ordinal());
+            text(to, payload.refusal().detail());
         }
     }
 
-    private static void write(ByteBuffer to, Message.FromPublisher message) {
-        if (message instanceof Message.Heartbeat m) {
+    private static void write(ByteBuffer to, DistributionMessage.FromPublisher message) {
+        if (message instanceof DistributionMessage.Heartbeat payload) {
             to.put(HEARTBEAT);
-            versionAndDigest(to, m.latest(), m.digest());
-            to.putInt(m.confirmedMillisAgo());
-        } else if (message instanceof Message.Update m) {
+            versionAndDigest(to, payload.latest(), payload.digest());
+            to.putInt(payload.confirmedMillisAgo());
+        } else if (message instanceof DistributionMessage.Update payload) {
             to.put(UPDATE);
-            delta(to, m.delta());
-        } else if (message instanceof Message.SnapshotPiece m) {
+            delta(to, payload.delta());
+        } else if (message instanceof DistributionMessage.SnapshotPiece payload) {
             to.put(SNAPSHOT_PIECE);
-            versionAndDigest(to, m.version(), m.digest());
-            to.putInt(m.format()).putInt(m.total()).putInt(m.offset()).put(m.piece());
-        } else if (message instanceof Message.RetryAfter m) {
-            to.put(RETRY_AFTER).putInt(m.millis());
+            versionAndDigest(to, payload.version(), payload.digest());
+            to.putInt(payload.format())
+                    .putInt(payload.total())
+                    .putInt(payload.offset())
+                    .put(payload.chunk());
+        } else if (message instanceof DistributionMessage.RetryAfter payload) {
+            to.put(RETRY_AFTER).putInt(payload.millis());
         }
     }
 
@@ -126,12 +129,12 @@
         }
     }
 
-    private static void versionAndDigest(ByteBuffer to, Version version, Digest digest) {
+    private static void versionAndDigest(ByteBuffer to, ConfigurationVersion version, ConfigurationDigest digest) {
         version(to, version);
         to.putLong(digest.high()).putLong(digest.low());
     }
 
-    private static void version(ByteBuffer to, Version version) {
+    private static void version(ByteBuffer to, ConfigurationVersion version) {
         to.putLong(version.epoch()).putLong(version.number());
     }
 
@@ -146,36 +149,36 @@
 
     // ---- Reading ------------------------------------------------------------
 
-    private static Message read(ByteBuffer in) {
+    private static DistributionMessage read(ByteBuffer in) {
         byte kind = in.get();
         return switch (kind) {
             case HELLO -> {
                 SubscriberId from = new SubscriberId(text(in));
                 int reads = in.getInt();
-                yield new Message.Hello(from, reads, version(in), digest(in), durability(in));
+                yield new DistributionMessage.Hello(from, reads, version(in), digest(in), durability(in));
             }
-            case IN_FORCE -> new Message.InForce(version(in), digest(in), durability(in));
-            case ASK -> new Message.Ask(version(in), digest(in), in.get() == 1);
+            case IN_FORCE -> new DistributionMessage.InForce(version(in), digest(in), durability(in));
+            case ASK -> new DistributionMessage.Ask(version(in), digest(in), in.get() == 1);
             case REFUSED -> {
-                Version version = version(in);
+                ConfigurationVersion version = version(in);
                 Refusal.Reason reason = Refusal.Reason.values()[in.get()];
-                yield new Message.Refused(new Refusal(version, reason, text(in)));
+                yield new DistributionMessage.Refused(new Refusal(version, reason, text(in)));
             }
-            case HEARTBEAT -> new Message.Heartbeat(version(in), digest(in), in.getInt());
-            case UPDATE -> new Message.Update(delta(in));
+            case HEARTBEAT -> new DistributionMessage.Heartbeat(version(in), digest(in), in.getInt());
+            case UPDATE -> new DistributionMessage.Update(delta(in));
             case SNAPSHOT_PIECE ->
-                new Message.SnapshotPiece(
+                new DistributionMessage.SnapshotPiece(
                         version(in), digest(in), in.getInt(), in.getInt(), in.getInt(), bytes(in, in.remaining()));
-            case RETRY_AFTER -> new Message.RetryAfter(in.getInt());
+            case RETRY_AFTER -> new DistributionMessage.RetryAfter(in.getInt());
             default -> throw new MalformedMessageException("no kind of message: " + kind);
         };
     }
 
     private static Delta delta(ByteBuffer in) {
-        Version base = version(in);
-        Digest baseDigest = digest(in);
-        Version result = version(in);
-        Digest digest = digest(in);
+        ConfigurationVersion base = version(in);
+        ConfigurationDigest baseDigest = digest(in);
+        ConfigurationVersion result = version(in);
+        ConfigurationDigest digest = digest(in);
         int format = in.getInt();
         int count = in.getInt();
         List<Change> changes = new ArrayList<>();
@@ -189,7 +192,7 @@
         byte kind = in.get();
         String key = text(in);
         return switch (kind) {
-            case PUT -> new Change.Put(new Item(key, bytes(in, in.getInt())));
+            case PUT -> new Change.Put(new ConfigurationItem(key, bytes(in, in.getInt())));
             case REMOVE -> new Change.Remove(key);
             default -> throw new MalformedMessageException("no kind of change: " + kind);
         };
@@ -199,12 +202,12 @@
         return Durability.values()[in.get()];
     }
 
-    private static Version version(ByteBuffer in) {
-        return new Version(in.getLong(), in.getLong());
+    private static ConfigurationVersion version(ByteBuffer in) {
+        return new ConfigurationVersion(in.getLong(), in.getLong());
     }
 
-    private static Digest digest(ByteBuffer in) {
-        return new Digest(in.getLong(), in.getLong());
+    private static ConfigurationDigest digest(ByteBuffer in) {
+        return new ConfigurationDigest(in.getLong(), in.getLong());
     }
 
     private static String text(ByteBuffer in) {
--- a/src/main/java/pepperdock/distribution/wire/MessageReader.java
+++ b/src/main/java/pepperdock/distribution/wire/DistributionMessageDecoder.java
@@ -2,31 +2,32 @@
 
 import java.nio.ByteBuffer;
 import java.util.function.Predicate;
-import pepperdock.distribution.Message;
+import pepperdock.distribution.DistributionMessage;
 import pepperdock.transport.Connection;
 
 /** Decodes the complete frames that a connection has received. Stateless; called on the loop's thread. */
-final class MessageReader {
+final class DistributionMessageDecoder {
 
-    private MessageReader() {}
+    private DistributionMessageDecoder() {}
 
     /**
      * Passes on each complete message, until the predicate returns false.
      *
      * @throws MalformedMessageException where the bytes are no frame
      */
-    static void take(Connection connection, Predicate<Message> to) {
-        while (!connection.closed() && connection.to() - connection.from() >= MessageCodec.LENGTH_BYTES) {
+    static void take(Connection connection, Predicate<DistributionMessage> to) {
+        while (!connection.closed() && connection.to() - connection.from() >= DistributionMessageCodec.LENGTH_BYTES) {
             int from = connection.from();
             int length = ByteBuffer.wrap(connection.bytes()).getInt(from);
-            if (length <= 0 || length > MessageCodec.MAX_FRAME_BYTES) {
+            if (length <= 0 || length > DistributionMessageCodec.MAX_FRAME_BYTES) {
                 throw new MalformedMessageException("a frame of " + length + " bytes");
             }
-            if (connection.to() - from - MessageCodec.LENGTH_BYTES < length) {
+            if (connection.to() - from - DistributionMessageCodec.LENGTH_BYTES < length) {
                 return;
             }
-            Message message = MessageCodec.read(connection.bytes(), from + MessageCodec.LENGTH_BYTES, length);
-            connection.consume(MessageCodec.LENGTH_BYTES + length);
+            DistributionMessage message = DistributionMessageCodec.read(
+                    connection.bytes(), from + DistributionMessageCodec.LENGTH_BYTES, length);
+            connection.consume(DistributionMessageCodec.LENGTH_BYTES + length);
             if (!to.test(message)) {
                 return;
             }
--- a/src/main/java/pepperdock/distribution/wire/PublisherServer.java
+++ b/src/main/java/pepperdock/distribution/wire/PublisherServer.java
@@ -5,7 +5,7 @@
 import java.util.List;
 import java.util.TreeMap;
 import pepperdock.core.Clock;
-import pepperdock.distribution.Message;
+import pepperdock.distribution.DistributionMessage;
 import pepperdock.distribution.Publisher;
 import pepperdock.distribution.PublisherOutput;
 import pepperdock.distribution.PublisherSettings;
@@ -79,7 +79,7 @@
     private void accepted(Connection connection) {
         long number = ++lastNumber;
         connections.put(number, connection);
-        connection.limitUnread(MessageCodec.LENGTH_BYTES + MessageCodec.MAX_FRAME_BYTES);
+        connection.limitUnread(DistributionMessageCodec.LENGTH_BYTES + DistributionMessageCodec.MAX_FRAME_BYTES);
         publisher.connected(number, now());
         connection.start(new Connection.Handler() {
             @Override
@@ -96,8 +96,8 @@
 
     private void decode(long number, Connection connection) {
         try {
-            MessageReader.take(connection, message -> {
-                if (!(message instanceof Message.FromSubscriber received)) {
+            DistributionMessageDecoder.take(connection, message -> {
+                if (!(message instanceof DistributionMessage.FromSubscriber received)) {
                     throw new MalformedMessageException(
                             "not a subscriber's: " + message.getClass().getSimpleName());
                 }
@@ -117,10 +117,10 @@
     }
 
     @Override
-    public void send(long number, Message.FromPublisher message) {
+    public void send(long number, DistributionMessage.FromPublisher message) {
         Connection connection = connections.get(number);
         if (connection != null) {
-            connection.write(MessageCodec.frame(message));
+            connection.write(DistributionMessageCodec.frame(message));
         }
     }
 
--- a/src/main/java/pepperdock/distribution/wire/SubscriberClient.java
+++ b/src/main/java/pepperdock/distribution/wire/SubscriberClient.java
@@ -4,14 +4,14 @@
 import java.util.List;
 import java.util.function.Consumer;
 import pepperdock.core.Clock;
-import pepperdock.distribution.Configuration;
+import pepperdock.distribution.ConfigurationSnapshot;
+import pepperdock.distribution.ConfigurationValidator;
 import pepperdock.distribution.ControlMachine;
-import pepperdock.distribution.Message;
+import pepperdock.distribution.DistributionMessage;
 import pepperdock.distribution.Subscriber;
 import pepperdock.distribution.SubscriberIdentity;
 import pepperdock.distribution.SubscriberOutput;
 import pepperdock.distribution.SubscriberSettings;
-import pepperdock.distribution.Validator;
 import pepperdock.distribution.VersionStore;
 import pepperdock.transport.Connection;
 import pepperdock.transport.Loop;
@@ -29,7 +29,7 @@
     private final Loop loop;
     private final List<Reach> reaches;
     private final SubscriberSettings settings;
-    private final Consumer<Configuration> inForce;
+    private final Consumer<ConfigurationSnapshot> inForce;
     private final Subscriber subscriber;
     private Clock.Timer timer;
     /** Null while there is none. */
@@ -48,8 +48,8 @@
             List<Reach> reaches,
             SubscriberSettings settings,
             VersionStore store,
-            Validator validator,
-            Consumer<Configuration> inForce,
+            ConfigurationValidator validator,
+            Consumer<ConfigurationSnapshot> inForce,
             long seed) {
         this.loop = loop;
         this.reaches = List.copyOf(reaches);
@@ -90,7 +90,7 @@
     public void connect(ControlMachine to) {
         long number = ++attempt;
         InetSocketAddress address = reaches.stream()
-                .filter(r -> r.machine().equals(to))
+                .filter(reach -> reach.machine().equals(to))
                 .findFirst()
                 .orElseThrow()
                 .address();
@@ -114,9 +114,9 @@
     }
 
     @Override
-    public void send(Message.FromSubscriber message) {
+    public void send(DistributionMessage.FromSubscriber message) {
         if (connection != null) {
-            byte[] frame = MessageCodec.frame(message);
+            byte[] frame = DistributionMessageCodec.frame(message);
             bytesOut += frame.length;
             connection.write(frame);
         }
@@ -137,7 +137,7 @@
     }
 
     @Override
-    public void inForce(Configuration configuration) {
+    public void inForce(ConfigurationSnapshot configuration) {
         inForce.accept(configuration);
     }
 
@@ -145,7 +145,7 @@
 
     private void opened(long number, Connection made) {
         connection = made;
-        made.limitUnread(MessageCodec.LENGTH_BYTES + MessageCodec.MAX_FRAME_BYTES);
+        made.limitUnread(DistributionMessageCodec.LENGTH_BYTES + DistributionMessageCodec.MAX_FRAME_BYTES);
         made.start(new Connection.Handler() {
             @Override
             public void received(Connection from) {
@@ -167,12 +167,12 @@
 
     private void decode(long number, Connection from) {
         try {
-            MessageReader.take(from, message -> {
-                if (!(message instanceof Message.FromPublisher received)) {
+            DistributionMessageDecoder.take(from, message -> {
+                if (!(message instanceof DistributionMessage.FromPublisher received)) {
                     throw new MalformedMessageException(
                             "not a publisher's: " + message.getClass().getSimpleName());
                 }
-                bytesIn += MessageCodec.LENGTH_BYTES + 1 + received.content();
+                bytesIn += DistributionMessageCodec.LENGTH_BYTES + 1 + received.content();
                 subscriber.received(received, now());
                 return number == attempt;
             });
--- a/src/main/java/pepperdock/dnssd/DnsSd.java
+++ b/src/main/java/pepperdock/dnssd/DnsSd.java
@@ -31,8 +31,8 @@
 import org.xbill.DNS.TextParseException;
 import org.xbill.DNS.Type;
 import pepperdock.config.ConfigException;
+import pepperdock.config.DeploymentSettings;
 import pepperdock.config.DnsSdConfig;
-import pepperdock.config.Site;
 import pepperdock.core.Clock;
 import pepperdock.core.EndpointDiscovery;
 import pepperdock.core.Gatherer;
@@ -54,7 +54,7 @@
     private record Kept(List<Record> records, double until) {}
 
     private final DnsSdConfig config;
-    private final Site site;
+    private final DeploymentSettings site;
     private final Clock clock;
     private final Executor thread;
     private final Resolver resolver;
@@ -63,7 +63,7 @@
     private Gatherer core;
     private boolean running;
 
-    public DnsSd(DnsSdConfig config, Site site, Clock clock, Executor thread) {
+    public DnsSd(DnsSdConfig config, DeploymentSettings site, Clock clock, Executor thread) {
         this.config = config;
         this.site = site;
         this.clock = clock;
--- a/src/main/java/pepperdock/faultinjection/ActReader.java
+++ b/src/main/java/pepperdock/faultinjection/ActReader.java
@@ -5,7 +5,7 @@
 import java.util.Locale;
 import java.util.Set;
 import pepperdock.config.ConfigException;
-import pepperdock.config.Keys;
+import pepperdock.config.ConfigReader;
 import pepperdock.faultinjection.Script.Act;
 import pepperdock.faultinjection.Script.Await;
 import pepperdock.faultinjection.Script.Draw;
@@ -25,11 +25,11 @@
     private static final double SECONDS_MOST = Script.SECONDS_MOST;
     private static final List<String> DISKS = List.of("full", "broken", "slow");
 
-    private final Keys keys;
+    private final ConfigReader keys;
     private final List<String> names;
 
     /** {@code names} are those of all members. */
-    ActReader(Keys keys, List<String> names) {
+    ActReader(ConfigReader keys, List<String> names) {
         this.keys = keys;
         this.names = names;
     }
@@ -142,7 +142,7 @@
         keys.only("at", "for", "fault", "groups", "into", "share", "move_s");
         List<List<String>> groups = new ArrayList<>();
         if (keys.has("groups")) {
-            for (Keys g : keys.objects("groups")) {
+            for (ConfigReader g : keys.objects("groups")) {
                 g.only("members");
                 groups.add(known(g, "members"));
             }
@@ -179,7 +179,7 @@
                 share > 0 && share < 1 ? (int) Math.ceil(share * names.size()) : keys.whole(name, 1, names.size()));
     }
 
-    private List<String> known(Keys k, String name) {
+    private List<String> known(ConfigReader k, String name) {
         List<String> given = k.texts(name);
         for (String g : given) {
             if (!names.contains(g)) {
--- a/src/main/java/pepperdock/faultinjection/ScriptReader.java
+++ b/src/main/java/pepperdock/faultinjection/ScriptReader.java
@@ -10,7 +10,7 @@
 import java.util.stream.IntStream;
 import pepperdock.config.Config;
 import pepperdock.config.ConfigException;
-import pepperdock.config.Keys;
+import pepperdock.config.ConfigReader;
 import pepperdock.faultinjection.Script.Act;
 import pepperdock.faultinjection.Script.Port;
 
@@ -43,7 +43,7 @@
     /** {@code members} goes before the file's own count where it is above 0. */
     static Script read(Path file, int members) {
         try {
-            Keys all = Keys.of("", Config.parse(Files.readString(file), file.toString()));
+            ConfigReader all = ConfigReader.of("", Config.parse(Files.readString(file), file.toString()));
             return read(
                     members > 0 ? all.with("members", new JsonPrimitive(members)) : all,
                     file.toAbsolutePath().getParent());
@@ -53,7 +53,7 @@
     }
 
     /** {@code folder} is where the file lies: its {@code base} is found from there. */
-    static Script read(Keys k, Path folder) {
+    static Script read(ConfigReader k, Path folder) {
         k.only(KEYS);
         int n = k.whole("members", 1, Script.MEMBERS_MOST);
         List<String> names = IntStream.rangeClosed(1, n).mapToObj(i -> "g" + i).toList();
@@ -77,7 +77,7 @@
     }
 
     /** The configuration of a member: that of {@code base}, and over it the file's own. */
-    private static JsonObject config(Keys k, Path folder) {
+    private static JsonObject config(ConfigReader k, Path folder) {
         JsonObject config = new JsonObject();
         if (k.has("base")) {
             Path base = folder.resolve(k.text("base"));
@@ -99,8 +99,8 @@
         from.entrySet().forEach(e -> to.add(e.getKey(), e.getValue()));
     }
 
-    private static JsonObject own(Keys k, List<String> names) {
-        Keys own = k.within("own");
+    private static JsonObject own(ConfigReader k, List<String> names) {
+        ConfigReader own = k.within("own");
         for (String name : own.names()) {
             if (!names.contains(name)) {
                 throw new ConfigException(own.key(name), "no such member");
@@ -110,7 +110,7 @@
         return k.has("own") ? Config.parse(k.json("own"), k.key("own")).getAsJsonObject() : new JsonObject();
     }
 
-    private static Port port(Keys p) {
+    private static Port port(ConfigReader p) {
         p.only("name", "for");
         String kind = p.text("for");
         if (!List.of("streams", "datagrams", "both").contains(kind)) {
@@ -119,9 +119,9 @@
         return new Port(p.text("name"), !kind.equals("datagrams"), !kind.equals("streams"));
     }
 
-    private static List<Act> acts(Keys k, List<String> names) {
+    private static List<Act> acts(ConfigReader k, List<String> names) {
         List<Act> acts = new ArrayList<>();
-        for (Keys act : k.objects("script")) {
+        for (ConfigReader act : k.objects("script")) {
             acts.add(new ActReader(act, names).read());
         }
         if (acts.size() > ACTS_MOST) {
@@ -131,7 +131,7 @@
     }
 
     /** A number of seconds from 0 to {@code most}; {@code otherwise} where there is none. */
-    static double seconds(Keys k, String name, double otherwise, double most) {
+    static double seconds(ConfigReader k, String name, double otherwise, double most) {
         double s = k.number(name, otherwise);
         if (!(s >= 0 && s <= most)) {
             throw new ConfigException(k.key(name), "not a number of seconds from 0 to " + most);
--- a/src/main/java/pepperdock/faultinjection/Seeds.java
+++ b/src/main/java/pepperdock/faultinjection/Seeds.java
@@ -11,7 +11,7 @@
 import java.util.concurrent.Executors;
 import java.util.concurrent.Future;
 import pepperdock.config.ConfigException;
-import pepperdock.config.Keys;
+import pepperdock.config.ConfigReader;
 import pepperdock.config.MembersConfig;
 import pepperdock.membership.Settings;
 
@@ -57,7 +57,8 @@
     public static Outcome run(Path file, long first, int count, int members, Arm arm, int threads)
             throws IOException, InterruptedException {
         Script script = ScriptReader.read(file, members);
-        Settings settings = arm.of(MembersConfig.timings(new Keys("config", script.config()).needed("members")));
+        Settings settings =
+                arm.of(MembersConfig.timings(new ConfigReader("config", script.config()).needed("members")));
         ExecutorService pool = Executors.newFixedThreadPool(threads);
         try {
             List<Future<Run>> runs = new ArrayList<>();
--- a/src/main/java/pepperdock/membership/transport/Members.java
+++ b/src/main/java/pepperdock/membership/transport/Members.java
@@ -12,7 +12,7 @@
 import pepperdock.codec.frame.FrameParser;
 import pepperdock.codec.frame.Frames;
 import pepperdock.config.Config;
-import pepperdock.config.Keys;
+import pepperdock.config.ConfigReader;
 import pepperdock.config.MembersConfig;
 import pepperdock.core.Clock;
 import pepperdock.core.LogRateLimiter;
@@ -58,7 +58,7 @@
     private boolean begun;
 
     /** Opens what the file's {@code members} says; null where it has none. */
-    public static Members open(Keys file, Loop loop, Events events) throws IOException {
+    public static Members open(ConfigReader file, Loop loop, Events events) throws IOException {
         MembersConfig config = MembersConfig.read(file);
         return config == null ? null : new Members(config, loop, events);
     }
--- a/src/main/java/pepperdock/opensearch/RequestReader.java
+++ b/src/main/java/pepperdock/opensearch/RequestReader.java
@@ -20,8 +20,8 @@
 import java.util.regex.Matcher;
 import java.util.regex.Pattern;
 import pepperdock.codec.http.HttpMessage;
+import pepperdock.config.DeploymentSettings;
 import pepperdock.config.OpenSearchConfig;
-import pepperdock.config.Site;
 import pepperdock.core.QueryRequest;
 import pepperdock.scheduler.QueryClass;
 import pepperdock.scheduler.RetrySafety;
@@ -37,10 +37,10 @@
     private static final Set<String> UNMERGED =
             Set.of("aggs", "aggregations", "suggest", "collapse", "rescore", "knn", "pit");
 
-    private final Site site;
+    private final DeploymentSettings site;
     private final OpenSearchConfig config;
 
-    RequestReader(Site site, OpenSearchConfig config) {
+    RequestReader(DeploymentSettings site, OpenSearchConfig config) {
         this.site = site;
         this.config = config;
     }
--- a/src/main/java/pepperdock/opensearch/SearchBackend.java
+++ b/src/main/java/pepperdock/opensearch/SearchBackend.java
@@ -2,8 +2,8 @@
 
 import java.util.function.BooleanSupplier;
 import java.util.function.Consumer;
+import pepperdock.config.DeploymentSettings;
 import pepperdock.config.OpenSearchConfig;
-import pepperdock.config.Site;
 import pepperdock.core.Attempt;
 import pepperdock.core.Gatherer;
 import pepperdock.core.LogRateLimiter;
@@ -15,12 +15,12 @@
 public final class SearchBackend extends PooledBackend<SearchWorker> {
 
     private final Loop loop;
-    private final Site site;
+    private final DeploymentSettings site;
     private final OpenSearchConfig config;
     /** One for all workers: a hundred of them may fail in the same second. */
     private final LogRateLimiter notes;
 
-    public SearchBackend(Loop loop, Site site, OpenSearchConfig config) {
+    public SearchBackend(Loop loop, DeploymentSettings site, OpenSearchConfig config) {
         this.loop = loop;
         this.site = site;
         this.config = config;
--- a/src/main/java/pepperdock/opensearch/SearchFront.java
+++ b/src/main/java/pepperdock/opensearch/SearchFront.java
@@ -5,8 +5,8 @@
 import java.util.List;
 import pepperdock.codec.http.HttpException;
 import pepperdock.codec.http.HttpMessage;
+import pepperdock.config.DeploymentSettings;
 import pepperdock.config.OpenSearchConfig;
-import pepperdock.config.Site;
 import pepperdock.core.Clock;
 import pepperdock.core.Gatherer;
 import pepperdock.core.Part;
@@ -29,7 +29,8 @@
     private final int scrollsMost;
 
     /** {@code backend} is null where workers speak another protocol; there are no scrolls then. */
-    public SearchFront(Site site, OpenSearchConfig config, Gatherer core, Clock clock, SearchBackend backend) {
+    public SearchFront(
+            DeploymentSettings site, OpenSearchConfig config, Gatherer core, Clock clock, SearchBackend backend) {
         this.core = core;
         this.clock = clock;
         this.backend = backend;
@@ -40,7 +41,7 @@
     }
 
     /** Other settings, and classes of the indices, for searches from now on. */
-    public void use(Site site, OpenSearchConfig config) {
+    public void use(DeploymentSettings site, OpenSearchConfig config) {
         reader = new RequestReader(site, config);
     }
 
--- a/src/main/java/pepperdock/opensearch/SearchWorker.java
+++ b/src/main/java/pepperdock/opensearch/SearchWorker.java
@@ -11,8 +11,8 @@
 import pepperdock.codec.http.HttpMessage;
 import pepperdock.config.Config;
 import pepperdock.config.ConfigException;
+import pepperdock.config.DeploymentSettings;
 import pepperdock.config.OpenSearchConfig;
-import pepperdock.config.Site;
 import pepperdock.core.Attempt;
 import pepperdock.core.Gatherer;
 import pepperdock.core.LogRateLimiter;
@@ -55,7 +55,7 @@
     private final String dial;
     private final WorkerRequests requests;
     private final Loop loop;
-    private final Site site;
+    private final DeploymentSettings site;
     private final OpenSearchConfig config;
     private final Gatherer core;
     private final LogRateLimiter notes;
@@ -67,7 +67,7 @@
             String id,
             String dial,
             Loop loop,
-            Site site,
+            DeploymentSettings site,
             OpenSearchConfig config,
             Gatherer core,
             LogRateLimiter notes) {
--- a/src/main/java/pepperdock/operator/BanFile.java
+++ b/src/main/java/pepperdock/operator/BanFile.java
@@ -17,7 +17,7 @@
 import java.util.Set;
 import pepperdock.config.Config;
 import pepperdock.config.ConfigException;
-import pepperdock.config.Keys;
+import pepperdock.config.ConfigReader;
 
 /**
  * The bans on disk, shared by the two processes of an upgrade. The file is replaced by an atomic rename, so that a reader sees
@@ -71,12 +71,12 @@
      *
      * @return the banned workers since the change
      */
-    Set<String> change(String worker, boolean out) throws IOException {
+    Set<String> change(String worker, boolean banned) throws IOException {
         try (FileChannel lockChannel =
                 FileChannel.open(folder.resolve(LOCK_FILE), StandardOpenOption.CREATE, StandardOpenOption.WRITE)) {
             FileLock held = lock(lockChannel);
             Set<String> state = new LinkedHashSet<>(read());
-            boolean changes = out ? state.add(worker) : state.remove(worker);
+            boolean changes = banned ? state.add(worker) : state.remove(worker);
             if (changes) {
                 write(state);
             }
@@ -121,15 +121,15 @@
     }
 
     private static Set<String> parse(String text) {
-        Keys keys = Keys.of("bans", Config.parse(text, "bans"));
+        ConfigReader keys = ConfigReader.of("bans", Config.parse(text, "bans"));
         keys.only(VERSION_KEY, DISABLED_KEY);
         keys.whole(VERSION_KEY, VERSION, VERSION);
         if (!keys.has(DISABLED_KEY)) {
             throw new ConfigException(keys.key(DISABLED_KEY), "missing");
         }
         Set<String> state = new LinkedHashSet<>(keys.texts(DISABLED_KEY));
-        if (state.size() > Bans.MOST) {
-            throw new ConfigException(keys.key(DISABLED_KEY), "more than " + Bans.MOST);
+        if (state.size() > Bans.MAX_BANS) {
+            throw new ConfigException(keys.key(DISABLED_KEY), "more than " + Bans.MAX_BANS);
         }
         return state;
     }
--- a/src/main/java/pepperdock/operator/Bans.java
+++ b/src/main/java/pepperdock/operator/Bans.java
@@ -13,10 +13,10 @@
 final class Bans {
 
     /** Bans at most: the file is read whole, and a fleet without most of its workers is not what a ban is for. */
-    static final int MOST = 1000;
+    static final int MAX_BANS = 1000;
 
     /** A worker banned, or let back. */
-    private record Change(String worker, boolean out) {}
+    private record Change(String worker, boolean banned) {}
 
     /** As last read or written. */
     private final Set<String> saved = new LinkedHashSet<>();
@@ -29,8 +29,8 @@
     private long changeNumber;
 
     /** Takes a requested change; returns its number for {@link #written}. */
-    long ask(String worker, boolean out) {
-        pending.put(++changeNumber, new Change(worker, out));
+    long request(String worker, boolean banned) {
+        pending.put(++changeNumber, new Change(worker, banned));
         return changeNumber;
     }
 
@@ -52,7 +52,7 @@
     }
 
     /** How many changes are still being written. */
-    int waiting() {
+    int pendingCount() {
         return pending.size();
     }
 
@@ -65,7 +65,7 @@
     }
 
     private static void apply(Set<String> state, Change change) {
-        if (change.out()) {
+        if (change.banned()) {
             state.add(change.worker());
         } else {
             state.remove(change.worker());
--- a/src/main/java/pepperdock/operator/OperatorEndpoint.java
+++ b/src/main/java/pepperdock/operator/OperatorEndpoint.java
@@ -25,7 +25,7 @@
         boolean knows(String worker);
 
         /** Bans a worker, or lets it back; {@code then} gets null once that is saved, or why it could not be. */
-        void ban(String worker, boolean out, Consumer<String> then);
+        void ban(String worker, boolean banned, Consumer<String> then);
     }
 
     private static final String JSON = "application/json";
@@ -64,7 +64,7 @@
         return () -> {};
     }
 
-    private void ban(HttpMessage request, String path, boolean out, HttpServer.Reply reply) throws HttpException {
+    private void ban(HttpMessage request, String path, boolean banned, HttpServer.Reply reply) throws HttpException {
         if (!requireMethod(request, "POST", reply)) {
             return;
         }
@@ -72,9 +72,9 @@
         if (!operations.knows(worker)) {
             throw new HttpException(404, "no worker of that id was ever listed");
         }
-        operations.ban(worker, out, failed -> {
+        operations.ban(worker, banned, failed -> {
             if (failed == null) {
-                respond(reply, 200, "", "disabled", out);
+                respond(reply, 200, "", "disabled", banned);
             } else {
                 malformed(500, failed, reply);
             }
--- a/src/main/java/pepperdock/operator/Operator.java
+++ b/src/main/java/pepperdock/operator/OperatorService.java
@@ -19,7 +19,7 @@
  * The operators' side of a running gatherer: their HTTP address, the bans, and the other process of an upgrade. State belongs to
  * the loop's thread; files are used on a thread of their own, which passes what it reads to the loop.
  */
-public final class Operator implements OperatorEndpoint.Operations, UpgradePeer {
+public final class OperatorService implements OperatorEndpoint.Operations, UpgradePeer {
 
     private static final System.Logger LOG = System.getLogger("pepperdock.operator");
     /** Connections at a time, out of the spare descriptors; one without a complete request gives way to the next. */
@@ -62,7 +62,7 @@
      * @param folder null where nothing outlives this process
      * @param ready whether this process takes queries
      */
-    public Operator(Path folder, Loop loop, Gatherer core, BooleanSupplier ready) throws IOException {
+    public OperatorService(Path folder, Loop loop, Gatherer core, BooleanSupplier ready) throws IOException {
         this.loop = loop;
         this.core = core;
         this.ready = ready;
@@ -123,7 +123,7 @@
     }
 
     /** Shows the other process that this one takes queries from now on, then runs the task on the loop's thread. */
-    public void serve(Runnable then) {
+    public void startServing(Runnable then) {
         onDiskThread(locks::holdServing, then);
     }
 
@@ -183,7 +183,7 @@
     }
 
     /** Counts a configuration file that was put in use, or rejected. */
-    public void read(boolean taken) {
+    public void countReload(boolean taken) {
         if (taken) {
             loads++;
         } else {
@@ -250,16 +250,16 @@
 
     /** In force at once; acknowledged once it is also written, as an upgrade a moment later must find it. */
     @Override
-    public void ban(String worker, boolean out, Consumer<String> then) {
-        if (out && !bans.inForce().contains(worker) && bans.inForce().size() >= Bans.MOST
-                || bans.waiting() >= MAX_PENDING_BANS) {
-            then.accept("not done: " + bans.inForce().size() + " workers are disabled, " + bans.waiting()
+    public void ban(String worker, boolean banned, Consumer<String> then) {
+        if (banned && !bans.inForce().contains(worker) && bans.inForce().size() >= Bans.MAX_BANS
+                || bans.pendingCount() >= MAX_PENDING_BANS) {
+            then.accept("not done: " + bans.inForce().size() + " workers are disabled, " + bans.pendingCount()
                     + " calls wait for the disk");
             return;
         }
-        long changeNumber = bans.ask(worker, out);
+        long changeNumber = bans.request(worker, banned);
         core.setBannedEndpoints(bans.inForce());
-        LOG.log(System.Logger.Level.INFO, "worker {0} {1} by hand", worker, out ? "disabled" : "enabled");
+        LOG.log(System.Logger.Level.INFO, "worker {0} {1} by hand", worker, banned ? "disabled" : "enabled");
         if (diskThread == null) {
             bans.written(changeNumber, null);
             then.accept(null);
@@ -269,7 +269,7 @@
             Set<String> state = null;
             String failed = null;
             try {
-                state = file.change(worker, out);
+                state = file.change(worker, banned);
                 lastSeenBans = state;
             } catch (IOException | RuntimeException e) {
                 failed = "in force, but not written down, so lost with this process: " + e;
--- a/src/main/java/pepperdock/plan/Planner.java
+++ b/src/main/java/pepperdock/plan/Planner.java
@@ -15,9 +15,9 @@
 import org.ojalgo.optimisation.Optimisation;
 import org.ojalgo.optimisation.Variable;
 import pepperdock.plan.Conflict.Work;
-import pepperdock.plan.Levels.Demand;
-import pepperdock.plan.Levels.Spread;
 import pepperdock.plan.Problem.Range;
+import pepperdock.plan.UtilisationLevels.Demand;
+import pepperdock.plan.UtilisationLevels.Spread;
 
 /**
  * Solves a problem: finds its plan or its conflict. An {@link ArithmeticException} means that the linear program itself failed.
@@ -171,7 +171,7 @@
         for (int d = 0; d < work.size(); d++) {
             demands.add(new Demand(work.get(d), holders.get(d)));
         }
-        return Levels.spread(
+        return UtilisationLevels.spread(
                 problem.nodes().stream().mapToLong(Problem.Node::capacity).toArray(), demands);
     }
 
--- a/src/main/java/pepperdock/plan/Upkeep.java
+++ b/src/main/java/pepperdock/plan/ReplanPolicy.java
@@ -18,7 +18,7 @@
  * that it goes on being measured, and a wrong factor can't starve it nor overload its partner beyond that), and it decays to the
  * median speed when no part of it is served.
  */
-public final class Upkeep {
+public final class ReplanPolicy {
 
     static final double SLOWEST = 0.5;
     static final double FASTEST = 2;
@@ -44,15 +44,15 @@
     public record Member(String id, int cell, boolean inService) {}
 
     /** The replica placement: a range is held by the cells {@code (range + j) mod cells}, j from 0 to {@code span - 1}. */
-    public record Ring(int ranges, int cells, int span) {}
+    public record ReplicaRing(int ranges, int cells, int span) {}
 
     /** A problem to be solved, and the version of the endpoint list that it was made of. */
     public record Job(long version, Problem problem) {}
 
     /** Shares by range and node; a node that is not named counts as if all were equal. */
-    public record Shares(Map<Integer, Map<String, Double>> byRange) {
+    public record RangeShares(Map<Integer, Map<String, Double>> byRange) {
         /** All replicas alike. */
-        public static final Shares EQUAL = new Shares(Map.of());
+        public static final RangeShares EQUAL = new RangeShares(Map.of());
 
         /** The weight of a node among the replicas of a range. */
         public double of(int range, String node) {
@@ -61,22 +61,22 @@
     }
 
     /** The mean part time of a node, and the decayed count of parts behind it. */
-    private static final class Heard {
+    private static final class PartTimes {
         double meanS;
         double parts;
     }
 
-    private final Ring ring;
+    private final ReplicaRing ring;
     private final double everyS;
     private final double leastChange;
     private final double shareLeast;
     /** By id, so that the same state makes the same problem; holds listed nodes only. */
     private final TreeMap<String, Member> members = new TreeMap<>();
     /** Of listed nodes only. */
-    private final Map<String, Heard> heard = new HashMap<>();
+    private final Map<String, PartTimes> partTimes = new HashMap<>();
 
     /** Parts by range, decayed. */
-    private final double[] asked;
+    private final double[] partsByRange;
 
     private long version;
     private long plannedVersion = -1;
@@ -85,45 +85,45 @@
     private Map<String, Double> plannedSpeeds = Map.of();
 
     /** {@code leastChange}: a plan is made anew for speeds only when one has changed by this share. */
-    public Upkeep(Ring ring, double everyS, double leastChange, double shareLeast) {
+    public ReplanPolicy(ReplicaRing ring, double everyS, double leastChange, double shareLeast) {
         this.ring = ring;
         this.everyS = everyS;
         this.leastChange = leastChange;
         this.shareLeast = shareLeast;
-        asked = new double[ring.ranges()];
+        partsByRange = new double[ring.ranges()];
     }
 
     /** Takes the whole endpoint list. A change makes any plan that is being solved obsolete. */
-    public void listed(List<Member> all) {
+    public void onEndpointList(List<Member> all) {
         TreeMap<String, Member> next = new TreeMap<>();
-        all.forEach(m -> next.put(m.id(), m));
+        all.forEach(member -> next.put(member.id(), member));
         if (!next.equals(members)) {
             members.clear();
             members.putAll(next);
-            heard.keySet().retainAll(next.keySet());
+            partTimes.keySet().retainAll(next.keySet());
             version++;
         }
     }
 
     /** A node has served a part of a query on a range. */
-    public void served(String node, int range, double spentS) {
-        if (members.containsKey(node) && range >= 0 && range < asked.length) {
-            Heard h = heard.computeIfAbsent(node, n -> new Heard());
-            h.parts++;
-            h.meanS += Math.max(MEAN_WEIGHT, 1 / h.parts) * (spentS - h.meanS);
-            asked[range]++;
+    public void onPartServed(String node, int range, double spentS) {
+        if (members.containsKey(node) && range >= 0 && range < partsByRange.length) {
+            PartTimes times = partTimes.computeIfAbsent(node, n -> new PartTimes());
+            times.parts++;
+            times.meanS += Math.max(MEAN_WEIGHT, 1 / times.parts) * (spentS - times.meanS);
+            partsByRange[range]++;
         }
     }
 
     /** What to solve now, or null: a changed list is planned for at once, changed speeds at intervals; one job at a time. */
-    public Job due(double now) {
+    public Job nextJob(double now) {
         boolean look = now >= nextAt;
         if (solving || members.isEmpty() || version == plannedVersion && !look) {
             return null;
         }
         if (look) {
             nextAt = now + everyS;
-            fade();
+            decay();
         }
         Map<String, Double> speeds = speeds();
         if (version == plannedVersion && !changed(speeds)) {
@@ -135,43 +135,45 @@
     }
 
     /** Takes the solution of a job; returns the shares to use from now on, or null where the list has changed since. */
-    public Shares solved(Job job, Plan plan) {
+    public RangeShares onPlan(Job job, Plan plan) {
         solving = false;
         if (job.version() != version) {
             return null;
         }
         plannedVersion = version;
         // Some range has no replica in service: equal shares everywhere until the list changes.
-        return plan == null || !plan.solved() ? Shares.EQUAL : shares(job.problem(), plan);
+        return plan == null || !plan.solved() ? RangeShares.EQUAL : shares(job.problem(), plan);
     }
 
-    private void fade() {
-        double common = common();
-        for (int r = 0; r < asked.length; r++) {
-            asked[r] *= DECAY;
+    private void decay() {
+        double median = medianPartTime();
+        for (int range = 0; range < partsByRange.length; range++) {
+            partsByRange[range] *= DECAY;
         }
-        heard.values().forEach(h -> {
-            h.parts *= DECAY;
-            h.meanS = h.parts < MIN_PARTS && common > 0 ? common + DECAY * (h.meanS - common) : h.meanS;
+        partTimes.values().forEach(times -> {
+            times.parts *= DECAY;
+            times.meanS = times.parts < MIN_PARTS && median > 0 ? median + DECAY * (times.meanS - median) : times.meanS;
         });
     }
 
     /** The median of the nodes' mean times; 0 while too few are known. */
-    private double common() {
-        double[] means = heard.values().stream()
-                .filter(h -> h.parts >= MIN_PARTS)
-                .mapToDouble(h -> h.meanS)
+    private double medianPartTime() {
+        double[] means = partTimes.values().stream()
+                .filter(times -> times.parts >= MIN_PARTS)
+                .mapToDouble(times -> times.meanS)
                 .sorted()
                 .toArray();
         return means.length == 0 ? 0 : means[means.length / 2];
     }
 
     private Map<String, Double> speeds() {
-        double common = common();
+        double median = medianPartTime();
         Map<String, Double> speeds = new TreeMap<>();
         members.keySet().forEach(id -> {
-            Heard h = heard.get(id);
-            double speed = h == null || common == 0 || h.parts < MIN_PARTS || h.meanS <= 0 ? 1 : common / h.meanS;
+            PartTimes times = partTimes.get(id);
+            double speed = times == null || median == 0 || times.parts < MIN_PARTS || times.meanS <= 0
+                    ? 1
+                    : median / times.meanS;
             speeds.put(id, Math.rint(Math.max(SLOWEST, Math.min(FASTEST, speed)) * STEPS_PER_UNIT) / STEPS_PER_UNIT);
         });
         return speeds;
@@ -186,48 +188,51 @@
     private Problem problem(Map<String, Double> speeds) {
         List<Problem.Node> nodes = new ArrayList<>();
         List<List<Integer>> cells = new ArrayList<>();
-        for (int c = 0; c < ring.cells(); c++) {
+        for (int cell = 0; cell < ring.cells(); cell++) {
             cells.add(new ArrayList<>());
         }
-        for (Member m : members.values()) {
-            cells.get(Math.floorMod(m.cell(), ring.cells())).add(nodes.size());
-            nodes.add(new Problem.Node(m.id(), 0, Math.round(CAPACITY * speeds.get(m.id())), m.inService()));
+        for (Member member : members.values()) {
+            cells.get(Math.floorMod(member.cell(), ring.cells())).add(nodes.size());
+            nodes.add(new Problem.Node(
+                    member.id(), 0, Math.round(CAPACITY * speeds.get(member.id())), member.inService()));
         }
-        double sum = Arrays.stream(asked).sum();
+        double sum = Arrays.stream(partsByRange).sum();
         List<Problem.Range> ranges = new ArrayList<>();
-        for (int r = 0; r < ring.ranges(); r++) {
+        for (int range = 0; range < ring.ranges(); range++) {
             List<Integer> holders = new ArrayList<>();
             for (int j = 0; j < ring.span(); j++) {
-                holders.addAll(cells.get((r + j) % ring.cells()));
+                holders.addAll(cells.get((range + j) % ring.cells()));
             }
             boolean anybody = holders.stream().anyMatch(n -> nodes.get(n).inService());
             // All work together is less than the slowest node can do, so that no set of nodes is ever overloaded. A
             // range without a replica in service has nothing to be shared.
-            double part = (asked[r] + PRIOR_PARTS) / (sum + PRIOR_PARTS * ring.ranges());
+            double part = (partsByRange[range] + PRIOR_PARTS) / (sum + PRIOR_PARTS * ring.ranges());
             ranges.add(new Problem.Range(
-                    r, anybody ? Math.max(1, Math.round(part * CAPACITY * SLOWEST / 2)) : 0, holders));
+                    range, anybody ? Math.max(1, Math.round(part * CAPACITY * SLOWEST / 2)) : 0, holders));
         }
         return new Problem(List.of("all"), new double[][] {{0}}, new long[] {1}, nodes, ranges, false);
     }
 
-    private Shares shares(Problem p, Plan plan) {
+    private RangeShares shares(Problem problem, Plan plan) {
         Map<Integer, Map<String, Double>> byRange = new HashMap<>();
-        for (int r = 0; r < p.ranges().size(); r++) {
-            List<Integer> holders = p.ranges().get(r).holders();
-            long open =
-                    holders.stream().filter(n -> p.nodes().get(n).inService()).count();
+        for (int range = 0; range < problem.ranges().size(); range++) {
+            List<Integer> holders = problem.ranges().get(range).holders();
+            long open = holders.stream()
+                    .filter(n -> problem.nodes().get(n).inService())
+                    .count();
             Map<String, Double> shares = new HashMap<>();
             for (int i = 0; i < holders.size(); i++) {
-                if (p.nodes().get(holders.get(i)).inService()) {
+                if (problem.nodes().get(holders.get(i)).inService()) {
                     double equal = 1.0 / open;
-                    double share = plan.shares().get(r).get(0)[i];
+                    double share = plan.shares().get(range).get(0)[i];
                     // Ties are kept: broken by noise they would always fall the same way.
                     share = Math.abs(share - equal) < EQUAL_TOLERANCE * equal ? equal : share;
-                    shares.put(p.nodes().get(holders.get(i)).name(), Math.max(Math.min(shareLeast, equal), share));
+                    shares.put(
+                            problem.nodes().get(holders.get(i)).name(), Math.max(Math.min(shareLeast, equal), share));
                 }
             }
-            byRange.put(r, shares);
+            byRange.put(range, shares);
         }
-        return new Shares(byRange);
+        return new RangeShares(byRange);
     }
 }
--- a/src/main/java/pepperdock/plan/Levels.java
+++ b/src/main/java/pepperdock/plan/UtilisationLevels.java
@@ -21,7 +21,7 @@
  *
  * <p>Works on demands merged by who may take them, and on one connected component of the fleet at a time. Used by one thread.
  */
-final class Levels {
+final class UtilisationLevels {
 
     /** A load this close to the level, relative to it, is at the level; the solver's own accuracy is far finer. */
     private static final double TOLERANCE = 1e-7;
@@ -44,7 +44,7 @@
     private final Ratio[] utilisation;
     private final BitSet first = new BitSet();
 
-    private Levels(long[] capacity, List<Demand> demands) {
+    private UtilisationLevels(long[] capacity, List<Demand> demands) {
         this.capacity = capacity;
         this.demands = demands;
         flow = new double[demands.size()][];
@@ -57,7 +57,7 @@
 
     /** Each demand has work above 0 and a node at least, each node it names capacity above 0. */
     static Spread spread(long[] capacity, List<Demand> demands) {
-        Levels levels = new Levels(capacity, demands);
+        UtilisationLevels levels = new UtilisationLevels(capacity, demands);
         BitSet all = new BitSet();
         for (int d = 0; d < demands.size(); d++) {
             all.set(d);
--- a/src/main/java/pepperdock/plan/background/PlannerThread.java
+++ b/src/main/java/pepperdock/plan/background/PlannerThread.java
@@ -12,12 +12,12 @@
 import pepperdock.plan.Plan;
 import pepperdock.plan.Planner;
 import pepperdock.plan.Problem;
-import pepperdock.plan.Upkeep;
+import pepperdock.plan.ReplanPolicy;
 import pepperdock.scheduler.EndpointState;
 import pepperdock.scheduler.ReplicaLayout;
 
 /**
- * Plans beside the loop: {@link Upkeep} decides on the loop's thread when and from what, the thread "planner" solves, and the
+ * Plans beside the loop: {@link ReplanPolicy} decides on the loop's thread when and from what, the thread "planner" solves, and the
  * result is passed to the core on the loop's thread. Until then the core goes on with equal shares, or with the last ones.
  */
 public final class PlannerThread {
@@ -31,7 +31,7 @@
 
     private final Clock loop;
     private final Gatherer core;
-    private final Upkeep upkeep;
+    private final ReplanPolicy replanPolicy;
     private final Consumer<Runnable> solver;
     private final Consumer<Runnable> back;
 
@@ -47,8 +47,8 @@
         this.core = core;
         this.solver = solver;
         this.back = back;
-        upkeep = new Upkeep(
-                new Upkeep.Ring(layout.shards(), layout.cells(), layout.replicasPerShard()),
+        replanPolicy = new ReplanPolicy(
+                new ReplanPolicy.ReplicaRing(layout.shards(), layout.cells(), layout.replicasPerShard()),
                 config.everyS(),
                 config.leastChange(),
                 config.shareLeast());
@@ -67,36 +67,37 @@
     /** Begins to plan; on the loop's thread, before the first endpoint list comes. */
     public void start() {
         core.addEndpointListListener(hosts -> {
-            upkeep.listed(hosts.stream().map(PlannerThread::member).toList());
-            look();
+            replanPolicy.onEndpointList(
+                    hosts.stream().map(PlannerThread::member).toList());
+            planIfDue();
         });
         core.setServedAttemptListener((attempt, spentS) ->
-                upkeep.served(attempt.worker(), attempt.part().shard(), spentS));
-        again();
+                replanPolicy.onPartServed(attempt.worker(), attempt.part().shard(), spentS));
+        scheduleCheck();
     }
 
-    private static Upkeep.Member member(WorkerEndpoint endpoint) {
-        return new Upkeep.Member(endpoint.id(), endpoint.cell(), endpoint.state() == EndpointState.HEALTHY);
+    private static ReplanPolicy.Member member(WorkerEndpoint endpoint) {
+        return new ReplanPolicy.Member(endpoint.id(), endpoint.cell(), endpoint.state() == EndpointState.HEALTHY);
     }
 
-    private void again() {
+    private void scheduleCheck() {
         loop.after(CHECK_INTERVAL_S, () -> {
-            look();
-            again();
+            planIfDue();
+            scheduleCheck();
         });
     }
 
-    private void look() {
-        Upkeep.Job job = upkeep.due(loop.now());
+    private void planIfDue() {
+        ReplanPolicy.Job job = replanPolicy.nextJob(loop.now());
         if (job != null) {
             solver.accept(() -> {
                 Plan plan = solve(job);
-                back.accept(() -> use(job, plan));
+                back.accept(() -> putInUse(job, plan));
             });
         }
     }
 
-    private static Plan solve(Upkeep.Job job) {
+    private static Plan solve(ReplanPolicy.Job job) {
         try {
             return Planner.plan(job.problem(), SLACK);
         } catch (RuntimeException e) {
@@ -105,11 +106,11 @@
         }
     }
 
-    private void use(Upkeep.Job job, Plan plan) {
-        Upkeep.Shares shares = upkeep.solved(job, plan);
+    private void putInUse(ReplanPolicy.Job job, Plan plan) {
+        ReplanPolicy.RangeShares shares = replanPolicy.onPlan(job, plan);
         if (shares == null) {
             LOG.log(System.Logger.Level.INFO, "plan thrown away, the list has changed meanwhile");
-            look();
+            planIfDue();
         } else {
             boolean solved = plan != null && plan.solved();
             LOG.log(solved ? System.Logger.Level.INFO : System.Logger.Level.WARNING, outcome(job.problem(), plan));
@@ -130,12 +131,12 @@
         String why = "solving failed";
         if (plan != null) {
             List<Integer> ranges = plan.conflict().work().stream()
-                    .map(w -> problem.ranges().get(w.range()).number())
+                    .map(work -> problem.ranges().get(work.range()).number())
                     .distinct()
                     .sorted()
                     .toList();
             List<String> full = plan.conflict().nodes().stream()
-                    .map(n -> problem.nodes().get(n).name())
+                    .map(node -> problem.nodes().get(node).name())
                     .toList();
             why = "range" + (ranges.size() == 1 ? " " : "s ") + named(ranges)
                     + (full.isEmpty() ? ": no holder in service" : ": more work than " + named(full) + " can do");
--- a/src/main/java/pepperdock/platform/Front.java
+++ b/src/main/java/pepperdock/platform/Front.java
@@ -8,7 +8,7 @@
 import java.util.regex.Pattern;
 import pepperdock.codec.http.HttpException;
 import pepperdock.codec.http.HttpMessage;
-import pepperdock.config.Site;
+import pepperdock.config.DeploymentSettings;
 import pepperdock.core.Gatherer;
 import pepperdock.core.Part;
 import pepperdock.core.Query;
@@ -27,18 +27,18 @@
     private static final Pattern ID = Pattern.compile("[!-~]{1,128}");
     private static final Pattern KEY = Pattern.compile("[!-+\\--~]{0,256}");
 
-    private Site site;
+    private DeploymentSettings site;
     private final Gatherer core;
     private final BooleanSupplier ready;
 
-    public Front(Site site, Gatherer core, BooleanSupplier ready) {
+    public Front(DeploymentSettings site, Gatherer core, BooleanSupplier ready) {
         this.site = site;
         this.core = core;
         this.ready = ready;
     }
 
     /** Other settings, for queries from now on. */
-    public void use(Site now) {
+    public void use(DeploymentSettings now) {
         site = now;
     }
 
--- a/src/main/java/pepperdock/platform/Warmup.java
+++ b/src/main/java/pepperdock/platform/Warmup.java
@@ -10,7 +10,7 @@
 import pepperdock.codec.frame.Frames;
 import pepperdock.codec.http.HttpException;
 import pepperdock.codec.http.HttpParser;
-import pepperdock.config.Site;
+import pepperdock.config.DeploymentSettings;
 import pepperdock.core.Attempt;
 import pepperdock.core.Backend;
 import pepperdock.core.Clock;
@@ -42,7 +42,7 @@
 
     private static final int PARTS_MOST = 40;
 
-    private final Site site;
+    private final DeploymentSettings site;
     private final ManualClock clock = new ManualClock(1000);
     private final Gatherer[] core = new Gatherer[1];
     private final Front front;
@@ -50,7 +50,7 @@
     private int played;
     private int answered;
 
-    public Warmup(Site site) {
+    public Warmup(DeploymentSettings site) {
         this.site = site;
         core[0] = new Gatherer(site.module(), 1, clock, new Echo(clock, core), () -> {});
         List<WorkerEndpoint> hosts = new ArrayList<>();
@@ -92,7 +92,7 @@
         });
     }
 
-    private static byte[] request(Site site, int i) {
+    private static byte[] request(DeploymentSettings site, int i) {
         int parts = Math.min(PARTS_MOST, site.module().layout().shards());
         StringBuilder ranges = new StringBuilder();
         for (int shard = 0; shard < parts; shard++) {
--- a/src/main/java/pepperdock/platform/Watch.java
+++ b/src/main/java/pepperdock/platform/Watch.java
@@ -7,8 +7,8 @@
 import pepperdock.codec.http.HttpMessage;
 import pepperdock.codec.http.HttpWriter;
 import pepperdock.config.ConfigException;
+import pepperdock.config.DeploymentSettings;
 import pepperdock.config.HostList;
-import pepperdock.config.Site;
 import pepperdock.core.Clock;
 import pepperdock.core.EndpointDiscovery;
 import pepperdock.core.Gatherer;
@@ -62,7 +62,7 @@
     private static final String WHOLE = "/api/targets";
 
     private final Loop loop;
-    private final Site site;
+    private final DeploymentSettings site;
     private final SplittableRandom random = new SplittableRandom();
     private InetSocketAddress at;
     private HttpClient http;
@@ -80,7 +80,7 @@
 
     private double agentPause = AGENT_LEAST_S;
 
-    public Watch(Loop loop, InetSocketAddress at, Site site, long knownSeq) {
+    public Watch(Loop loop, InetSocketAddress at, DeploymentSettings site, long knownSeq) {
         this.loop = loop;
         this.site = site;
         seq = knownSeq;
--- a/src/main/java/pepperdock/platform/Worker.java
+++ b/src/main/java/pepperdock/platform/Worker.java
@@ -4,7 +4,7 @@
 import java.util.List;
 import pepperdock.config.Config;
 import pepperdock.config.ConfigException;
-import pepperdock.config.Site;
+import pepperdock.config.DeploymentSettings;
 import pepperdock.core.Attempt;
 import pepperdock.core.Gatherer;
 import pepperdock.core.LogRateLimiter;
@@ -22,7 +22,7 @@
 
     final String id;
     final Loop loop;
-    final Site site;
+    final DeploymentSettings site;
     final Gatherer core;
     final LogRateLimiter notes;
     private final String dial;
@@ -31,7 +31,7 @@
     private boolean open = true;
     private boolean dialling;
 
-    Worker(String id, String dial, Loop loop, Site site, Gatherer core, LogRateLimiter notes) {
+    Worker(String id, String dial, Loop loop, DeploymentSettings site, Gatherer core, LogRateLimiter notes) {
         this.id = id;
         this.dial = dial;
         this.loop = loop;
--- a/src/main/java/pepperdock/platform/WorkerPool.java
+++ b/src/main/java/pepperdock/platform/WorkerPool.java
@@ -1,6 +1,6 @@
 package pepperdock.platform;
 
-import pepperdock.config.Site;
+import pepperdock.config.DeploymentSettings;
 import pepperdock.core.Gatherer;
 import pepperdock.core.LogRateLimiter;
 import pepperdock.core.PooledBackend;
@@ -11,11 +11,11 @@
 public final class WorkerPool extends PooledBackend<Worker> {
 
     private final Loop loop;
-    private final Site site;
+    private final DeploymentSettings site;
     /** One for all workers: a hundred of them may fail in the same second. */
     private final LogRateLimiter notes;
 
-    public WorkerPool(Loop loop, Site site) {
+    public WorkerPool(Loop loop, DeploymentSettings site) {
         this.loop = loop;
         this.site = site;
         notes = new LogRateLimiter(System.getLogger("pepperdock.platform"), loop, "bad or unusable frames");
--- a/src/main/java/pepperdock/service/ClientServers.java
+++ b/src/main/java/pepperdock/service/ClientServers.java
@@ -6,7 +6,7 @@
 import java.util.function.BooleanSupplier;
 import java.util.function.IntSupplier;
 import pepperdock.config.Config;
-import pepperdock.config.Site;
+import pepperdock.config.DeploymentSettings;
 import pepperdock.core.Gatherer;
 import pepperdock.opensearch.SearchBackend;
 import pepperdock.opensearch.SearchFront;
@@ -70,12 +70,12 @@
                         searchFront));
             }
         } catch (IOException e) {
-            Exit.because("can't start: " + e.getMessage(), 1);
+            StartupFailure.exit("can't start: " + e.getMessage(), 1);
         }
     }
 
     /** Puts changed settings in use, for queries from now on. */
-    void use(Site site, Config changed) {
+    void use(DeploymentSettings site, Config changed) {
         if (front != null) {
             front.use(site);
         }
--- a/src/main/java/pepperdock/service/Reload.java
+++ b/src/main/java/pepperdock/service/ConfigReloader.java
@@ -10,8 +10,8 @@
 import java.util.function.Consumer;
 import pepperdock.config.Config;
 import pepperdock.config.ConfigException;
+import pepperdock.config.ConfigReader;
 import pepperdock.config.DeploymentSettingsReader;
-import pepperdock.config.Keys;
 import pepperdock.core.WorkerEndpoint;
 
 /**
@@ -19,7 +19,7 @@
  * the thread "reload", and only then put in use, on the loop's thread; a faulty one leaves all as it was. What can't change
  * while the program runs is named in the log.
  */
-final class Reload {
+final class ConfigReloader {
 
     private static final System.Logger LOG = System.getLogger("pepperdock");
     /** Ignored by a running program: the seed is new in each file, and its endpoint list is older than the current one. */
@@ -40,9 +40,9 @@
 
     private final Consumer<Runnable> loop;
     private final Live live;
-    private final Consumer<Boolean> told;
+    private final Consumer<Boolean> reloadListener;
     private final boolean stored;
-    private Keys current;
+    private ConfigReader current;
 
     /**
      * Waits for {@link #onSignal}.
@@ -50,16 +50,16 @@
      * @param current the file in use, with the settings in use
      * @param stored whether the settings came from the store, so that the file need not have any
      * @param loop runs a task on the loop's thread
-     * @param told gets, on the loop's thread, whether a file was put in use
+     * @param reloadListener gets, on the loop's thread, whether a file was put in use
      */
-    Reload(
+    ConfigReloader(
             Map<String, String> env,
-            Keys current,
+            ConfigReader current,
             boolean stored,
             Consumer<Runnable> loop,
             Live live,
-            Consumer<Boolean> told) {
-        this.told = told;
+            Consumer<Boolean> reloadListener) {
+        this.reloadListener = reloadListener;
         this.stored = stored;
         this.env = new HashMap<>(env);
         this.env.remove("EDGE_DISCOVERY");
@@ -75,14 +75,14 @@
             thread.setDaemon(true);
             return thread;
         });
-        Signals.on("HUP", () -> reader.execute(this::reload));
+        SignalHandlers.on("HUP", () -> reader.execute(this::reload));
     }
 
     /** Reloads the file; whatever is wrong with it, the program goes on with the one in use. */
     void reload() {
         try {
-            Keys read = Config.file(env);
-            Keys file = read.has("settings") || !stored ? read : read.with("settings", current);
+            ConfigReader read = Config.file(env);
+            ConfigReader file = read.has("settings") || !stored ? read : read.with("settings", current);
             checkComplete(file);
             Config config = Config.read(file, env);
             List<Runnable> changes = new ArrayList<>();
@@ -91,7 +91,7 @@
             current = file;
             loop.accept(() -> {
                 changes.forEach(Runnable::run);
-                told.accept(true);
+                reloadListener.accept(true);
             });
             LOG.log(System.Logger.Level.INFO, "configuration reloaded");
             if (!keysForRestart.isEmpty()) {
@@ -102,29 +102,30 @@
             }
         } catch (ConfigException e) {
             LOG.log(System.Logger.Level.ERROR, "configuration not reloaded, the old one stays: {0}", e.getMessage());
-            loop.accept(() -> told.accept(false));
+            loop.accept(() -> reloadListener.accept(false));
         } catch (RuntimeException e) {
             LOG.log(System.Logger.Level.ERROR, "configuration not reloaded, the old one stays", e);
-            loop.accept(() -> told.accept(false));
+            loop.accept(() -> reloadListener.accept(false));
         }
     }
 
     /** Rejects a file that lacks what the one in use has: it may be truncated. */
-    private void checkComplete(Keys file) {
+    private void checkComplete(ConfigReader file) {
         for (String key : PLATFORM_KEYS) {
             if (current.has(key) && !file.has(key)) {
                 throw new ConfigException(key, "missing");
             }
         }
-        String lost = current.has("settings") ? current.needed("settings").lost(file.needed("settings")) : null;
+        String lost =
+                current.has("settings") ? current.needed("settings").firstMissingKey(file.needed("settings")) : null;
         if (lost != null) {
             throw new ConfigException(lost, "missing, but in the file in use");
         }
     }
 
     /** Sorts the keys that differ into changes to make now and keys that need a restart. */
-    private void collectChanges(Keys file, Config config, List<Runnable> changes, List<String> keysForRestart) {
-        for (String key : current.differing(file)) {
+    private void collectChanges(ConfigReader file, Config config, List<Runnable> changes, List<String> keysForRestart) {
+        for (String key : current.differingNames(file)) {
             Runnable change = change(key, config, file);
             if (change != null) {
                 changes.add(change);
@@ -139,7 +140,7 @@
     }
 
     /** Puts a key's new value in use; null where that needs a restart. */
-    private Runnable change(String key, Config config, Keys file) {
+    private Runnable change(String key, Config config, ConfigReader file) {
         if (key.equals("discovery") && live.discovery() != null && config.discovery() != null) {
             return () -> live.discovery().accept(config.discovery());
         }
--- a/src/main/java/pepperdock/service/NodeSource.java
+++ b/src/main/java/pepperdock/service/EndpointSource.java
@@ -17,30 +17,31 @@
  * while the program runs. Immutable; its functions are called on the loop's thread.
  *
  * @param discovery as the core sees it
- * @param unasked whether an agent pushes the list, so that what it has counts as known from the start
+ * @param pushed whether an agent pushes the list, so that what it has counts as known from the start
  * @param start begins to poll, for this core
  * @param move changes the address of discovery; null where none is polled
  * @param replace replaces the configuration's list; null where that is not in use
  */
-record NodeSource(
+record EndpointSource(
         EndpointDiscovery discovery,
-        boolean unasked,
+        boolean pushed,
         Consumer<Gatherer> start,
         Consumer<InetSocketAddress> move,
         Consumer<List<WorkerEndpoint>> replace) {
 
     /** The one that the configuration names. */
-    static NodeSource open(Config config, Loop loop) {
+    static EndpointSource open(Config config, Loop loop) {
         if (config.dnsSd() != null) {
             DnsSd dnsSd = new DnsSd(config.dnsSd(), config.site(), loop, loop::execute);
-            return new NodeSource(dnsSd, false, dnsSd::start, null, null);
+            return new EndpointSource(dnsSd, false, dnsSd::start, null, null);
         }
         if (config.discovery() != null) {
             Watch watch = new Watch(
                     loop, config.discovery(), config.site(), config.known().seq());
-            return new NodeSource(watch, !config.site().module().pollsEndpointList(), watch::start, watch::move, null);
+            return new EndpointSource(
+                    watch, !config.site().module().pollsEndpointList(), watch::start, watch::move, null);
         }
         StaticEndpointList fixed = new StaticEndpointList(loop, config.known().hosts());
-        return new NodeSource(fixed, false, fixed::start, null, fixed::replace);
+        return new EndpointSource(fixed, false, fixed::start, null, fixed::replace);
     }
 }
--- a/src/main/java/pepperdock/service/Service.java
+++ b/src/main/java/pepperdock/service/GathererService.java
@@ -8,14 +8,14 @@
 import java.util.Map;
 import java.util.function.Consumer;
 import pepperdock.config.Config;
+import pepperdock.config.ConfigReader;
+import pepperdock.config.DeploymentSettings;
 import pepperdock.config.HostList;
-import pepperdock.config.Keys;
-import pepperdock.config.Site;
 import pepperdock.core.Gatherer;
 import pepperdock.core.PooledBackend;
 import pepperdock.core.WorkerEndpoint;
 import pepperdock.opensearch.SearchBackend;
-import pepperdock.operator.Operator;
+import pepperdock.operator.OperatorService;
 import pepperdock.operator.UpgradePeer;
 import pepperdock.plan.background.PlannerThread;
 import pepperdock.platform.Warmup;
@@ -29,7 +29,7 @@
  * One gatherer in service: opens each part that the configuration names, connects it to the others, and begins to serve once
  * the endpoint list is here or a timeout has passed. State belongs to the loop's thread.
  */
-public final class Service {
+public final class GathererService {
 
     private static final System.Logger LOG = System.getLogger("pepperdock");
     /** Beside another process of the same gatherer, ready once the first endpoint list has come, or after so long. */
@@ -44,17 +44,17 @@
     private final Loop loop;
     private final Config config;
     private final Warmup warmup;
-    private final NodeSource nodes;
+    private final EndpointSource nodes;
     private final Gatherer core;
     /** Null where the file has no address for operators. */
-    private final Operator operator;
+    private final OperatorService operator;
 
     private final ClientServers clients;
-    private final FirstList firstList;
-    private Site site;
+    private final InitialEndpointList firstList;
+    private DeploymentSettings site;
     private boolean ready;
 
-    private Service(Keys file, Startup.Base base) throws IOException {
+    private GathererService(ConfigReader file, Startup.Base base) throws IOException {
         this.base = base;
         loop = base.loop();
         config = Config.read(file, base.env());
@@ -72,15 +72,17 @@
                         ? new SearchBackend(loop, site, config.openSearch())
                         : null;
         PooledBackend<?> backend = search == null ? new WorkerPool(loop, site) : search;
-        nodes = NodeSource.open(config, loop);
+        nodes = EndpointSource.open(config, loop);
         core = new Gatherer(site.module(), config.seed(), loop, backend, nodes.discovery());
         core.setClassNames(site.classes());
         backend.start(core);
-        firstList = new FirstList(core, loop);
+        firstList = new InitialEndpointList(core, loop);
         storeEndpointLists();
         startPlanner();
         loop.execute(this::followEndpoints);
-        operator = config.operator() == null ? null : new Operator(folder(base.env()), loop, core, this::takesQueries);
+        operator = config.operator() == null
+                ? null
+                : new OperatorService(folder(base.env()), loop, core, this::takesQueries);
         clients = new ClientServers(config, core, loop, search, () -> ready);
     }
 
@@ -90,8 +92,8 @@
      * @param stored whether the settings are the store's, not the file's
      * @return the servers that listen, or will
      */
-    public static List<HttpServer> start(Keys file, boolean stored, Startup.Base base) throws IOException {
-        Service service = new Service(file, base);
+    public static List<HttpServer> start(ConfigReader file, boolean stored, Startup.Base base) throws IOException {
+        GathererService service = new GathererService(file, base);
         if (!service.anotherProcess()) {
             service.clients.listen();
         }
@@ -145,22 +147,22 @@
         }
     }
 
-    private void handleSignals(Keys file, boolean stored) {
-        Consumer<Boolean> loaded = operator == null ? taken -> {} : operator::read;
-        Reload.Live live = new Reload.Live(
+    private void handleSignals(ConfigReader file, boolean stored) {
+        Consumer<Boolean> loaded = operator == null ? taken -> {} : operator::countReload;
+        ConfigReloader.Live live = new ConfigReloader.Live(
                 nodes.move(),
                 nodes.replace(),
                 sockets -> loop.capSockets(sockets - Startup.OTHER_DESCRIPTORS),
                 this::use);
-        new Reload(base.env(), file, stored, loop::execute, live, loaded).onSignal();
+        new ConfigReloader(base.env(), file, stored, loop::execute, live, loaded).onSignal();
         UpgradePeer peer = operator == null ? UpgradePeer.NONE : operator;
         Runnable leave = base.members() == null ? () -> {} : base.members()::leave;
-        new Drain(loop, clients.servers(), core, peer, leave).onSignal();
+        new GracefulShutdown(loop, clients.servers(), core, peer, leave).onSignal();
     }
 
     /** Puts changed settings in use, for queries from now on. */
     private void use(Config changed) {
-        site = site.changed(changed.site());
+        site = site.reloadedFrom(changed.site());
         core.updateSettings(site.module(), site.classes());
         clients.use(site, changed);
     }
@@ -170,9 +172,9 @@
             startOperator();
         }
         if (anotherProcess()) {
-            firstList.within(LIST_TIMEOUT_S, this::takeOver);
-        } else if (nodes.unasked()) {
-            firstList.within(PUSHED_LIST_TIMEOUT_S, this::serve);
+            firstList.runWithin(LIST_TIMEOUT_S, this::takeOver);
+        } else if (nodes.pushed()) {
+            firstList.runWithin(PUSHED_LIST_TIMEOUT_S, this::serve);
         } else {
             serve();
         }
@@ -186,13 +188,13 @@
         try {
             operator.start(config.operator());
         } catch (IOException e) {
-            Exit.because("can't start: operators' address: " + e.getMessage(), 1);
+            StartupFailure.exit("can't start: operators' address: " + e.getMessage(), 1);
         }
     }
 
     /** Takes over from another process: serves beside it from now on. */
     private void takeOver() {
-        operator.serve(() -> {
+        operator.startServing(() -> {
             clients.listen();
             serve();
         });
--- a/src/main/java/pepperdock/service/Drain.java
+++ b/src/main/java/pepperdock/service/GracefulShutdown.java
@@ -12,7 +12,7 @@
  * they are served on, and their connections closed only when the time left is needed to finish. Handled as a signal, not in a
  * shutdown hook, since the JDK's log is closed by a hook of its own at the same time. On the loop's thread.
  */
-final class Drain {
+final class GracefulShutdown {
 
     private static final System.Logger LOG = System.getLogger("pepperdock");
     /** SIGKILL comes no sooner than the longest deadline, counted as this at most, and {@link #SPARE_S}. */
@@ -46,7 +46,7 @@
     private double quietSince = Double.NaN;
 
     /** {@code leave} announces to the other gatherers that this one shuts down, before all else. */
-    Drain(Loop loop, List<HttpServer> servers, Gatherer core, UpgradePeer otherProcess, Runnable leave) {
+    GracefulShutdown(Loop loop, List<HttpServer> servers, Gatherer core, UpgradePeer otherProcess, Runnable leave) {
         this.otherProcess = otherProcess;
         this.leave = leave;
         this.loop = loop;
@@ -56,8 +56,8 @@
 
     /** Shuts down on SIGTERM or SIGINT from now on. */
     void onSignal() {
-        Signals.on("TERM", () -> loop.execute(this::begin));
-        Signals.on("INT", () -> loop.execute(this::begin));
+        SignalHandlers.on("TERM", () -> loop.execute(this::begin));
+        SignalHandlers.on("INT", () -> loop.execute(this::begin));
     }
 
     private void begin() {
--- a/src/main/java/pepperdock/service/FirstList.java
+++ b/src/main/java/pepperdock/service/InitialEndpointList.java
@@ -4,20 +4,20 @@
 import pepperdock.core.Gatherer;
 
 /** Runs a task once the first endpoint list has come, or after a timeout. On the loop's thread. */
-final class FirstList {
+final class InitialEndpointList {
 
     private final Clock clock;
     private boolean come;
     private Runnable waiting;
 
     /** Listens from now on; a list that comes before a task waits for it counts. */
-    FirstList(Gatherer core, Clock clock) {
+    InitialEndpointList(Gatherer core, Clock clock) {
         this.clock = clock;
         core.addEndpointListListener(hosts -> come());
     }
 
     /** Runs the task once a list has come; else after {@code mostS} seconds, as the one that is known serves too. */
-    void within(double mostS, Runnable task) {
+    void runWithin(double mostS, Runnable task) {
         waiting = task;
         if (come) {
             come();
--- a/src/main/java/pepperdock/service/Signals.java
+++ b/src/main/java/pepperdock/service/SignalHandlers.java
@@ -6,11 +6,11 @@
  * Handles signals of the system in place of the JVM's default, which is to end. By reflection: the compiler warns of the JDK's
  * unsupported module that holds them, and has no switch for it. Stateless.
  */
-final class Signals {
+final class SignalHandlers {
 
     private static final System.Logger LOG = System.getLogger("pepperdock");
 
-    private Signals() {}
+    private SignalHandlers() {}
 
     /** Runs a task, on a thread of the JVM's own, whenever the signal comes. */
     static void on(String name, Runnable then) {
@@ -18,7 +18,7 @@
             Class<?> signal = Class.forName("sun.misc.Signal");
             Class<?> handler = Class.forName("sun.misc.SignalHandler");
             Object ours = Proxy.newProxyInstance(
-                    Signals.class.getClassLoader(), new Class<?>[] {handler}, (proxy, method, args) -> {
+                    SignalHandlers.class.getClassLoader(), new Class<?>[] {handler}, (proxy, method, args) -> {
                         switch (method.getName()) {
                             case "handle" -> then.run();
                             case "hashCode" -> {
--- a/src/main/java/pepperdock/service/Startup.java
+++ b/src/main/java/pepperdock/service/Startup.java
@@ -4,7 +4,7 @@
 import java.util.Map;
 import pepperdock.config.Config;
 import pepperdock.config.ConfigException;
-import pepperdock.config.Keys;
+import pepperdock.config.ConfigReader;
 import pepperdock.config.StoreConfig;
 import pepperdock.events.Events;
 import pepperdock.membership.transport.Members;
@@ -12,7 +12,7 @@
 import pepperdock.transport.Loop;
 
 /**
- * Opens what a gatherer needs before its settings: the loop, the store, events and membership; then starts the {@link Service}
+ * Opens what a gatherer needs before its settings: the loop, the store, events and membership; then starts the {@link GathererService}
  * once there are settings, the file's, or where it has none the store's. State belongs to the loop's thread once it runs.
  */
 public final class Startup {
@@ -29,11 +29,11 @@
     /** What is open before there are settings; {@code members} is null where the file has none. */
     public record Base(Map<String, String> env, Loop loop, Store store, Events events, Members members) {}
 
-    private final Keys file;
+    private final ConfigReader file;
     private final Base base;
     private boolean begun;
 
-    private Startup(Keys file, Base base) {
+    private Startup(ConfigReader file, Base base) {
         this.file = file;
         this.base = base;
     }
@@ -44,7 +44,7 @@
      * @throws pepperdock.config.ConfigException where the file can't be used
      */
     public static void open(Map<String, String> env) throws IOException {
-        Keys file = Config.file(env);
+        ConfigReader file = Config.file(env);
         StoreConfig members = Config.store(file);
         if (file.has("settings")) {
             Config.read(file, env);
@@ -63,7 +63,7 @@
     private void begin() throws IOException {
         Store store = base.store();
         if (file.has("settings")) {
-            Service.start(withKnownEndpoints(file), false, base);
+            GathererService.start(withKnownEndpoints(file), false, base);
             base.loop().execute(this::storeSettings);
         } else if (store.get(SETTINGS_KEY) != null) {
             serveByStore();
@@ -87,17 +87,17 @@
 
     private void serveByStore() {
         try {
-            Keys whole = file.with("settings", Config.parse(base.store().get(SETTINGS_KEY), "settings"));
-            Service.start(withKnownEndpoints(whole), true, base);
+            ConfigReader whole = file.with("settings", Config.parse(base.store().get(SETTINGS_KEY), "settings"));
+            GathererService.start(withKnownEndpoints(whole), true, base);
         } catch (ConfigException e) {
-            Exit.because("configuration: " + e.getMessage(), 2);
+            StartupFailure.exit("configuration: " + e.getMessage(), 2);
         } catch (IOException e) {
-            Exit.because("can't start: " + e.getMessage(), 1);
+            StartupFailure.exit("can't start: " + e.getMessage(), 1);
         }
     }
 
     /** Where the file has no endpoint list, the one that the store holds. */
-    private Keys withKnownEndpoints(Keys of) {
+    private ConfigReader withKnownEndpoints(ConfigReader of) {
         Store store = base.store();
         return of.has("known") || store.get(ENDPOINTS_KEY) == null
                 ? of
--- a/src/main/java/pepperdock/simulation/distribution/Checks.java
+++ b/src/main/java/pepperdock/simulation/distribution/Checks.java
@@ -6,11 +6,11 @@
 import java.util.Map;
 import java.util.Set;
 import java.util.stream.Collectors;
-import pepperdock.distribution.Configuration;
-import pepperdock.distribution.Digest;
+import pepperdock.distribution.ConfigurationDigest;
+import pepperdock.distribution.ConfigurationSnapshot;
+import pepperdock.distribution.ConfigurationVersion;
 import pepperdock.distribution.Durability;
 import pepperdock.distribution.Subscriber;
-import pepperdock.distribution.Version;
 import pepperdock.simulation.distribution.Finding.Promise;
 
 /** Judges a course by its history and by what is there at its end. */
@@ -50,12 +50,12 @@
     }
 
     private void neverBackwards() {
-        Map<String, Version> newest = new HashMap<>();
+        Map<String, ConfigurationVersion> newest = new HashMap<>();
         for (Event event : history.events()) {
             if (event instanceof Event.Stopped stopped && stopped.diskLost()) {
                 newest.remove(stopped.gatherer());
             } else if (event instanceof Event.InForce next) {
-                Version before = newest.getOrDefault(next.gatherer(), Version.NONE);
+                ConfigurationVersion before = newest.getOrDefault(next.gatherer(), ConfigurationVersion.NONE);
                 if (before.newerThan(next.version())) {
                     found(
                             Promise.NEVER_BACKWARDS,
@@ -68,10 +68,10 @@
     }
 
     private void neverHalf() {
-        Map<Version, Digest> settled = new HashMap<>();
+        Map<ConfigurationVersion, ConfigurationDigest> settled = new HashMap<>();
         for (Event event : history.events()) {
             if (event instanceof Event.Settled s) {
-                Digest before = settled.putIfAbsent(s.version(), s.digest());
+                ConfigurationDigest before = settled.putIfAbsent(s.version(), s.digest());
                 if (before != null && !before.equals(s.digest())) {
                     found(Promise.NEVER_HALF, s.at(), "two settled contents of " + s.version());
                 }
@@ -85,7 +85,7 @@
     }
 
     private void allLevel() {
-        Configuration newest = world.newest();
+        ConfigurationSnapshot newest = world.newest();
         for (GathererNode gatherer : world.gatherers()) {
             Subscriber subscriber = gatherer.subscriber();
             if (subscriber == null) {
@@ -107,7 +107,7 @@
                 .collect(Collectors.toSet());
         for (GathererNode gatherer : world.gatherers()) {
             if (gatherer.up()) {
-                Configuration inForce = gatherer.subscriber().inForce();
+                ConfigurationSnapshot inForce = gatherer.subscriber().inForce();
                 for (long command : acknowledged) {
                     if (inForce.item(Simulation.marker(command)).isEmpty()) {
                         found(
@@ -121,14 +121,14 @@
     }
 
     private void savedVersionsStay() {
-        Map<String, Version> told = new HashMap<>();
+        Map<String, ConfigurationVersion> told = new HashMap<>();
         for (Event event : history.events()) {
             if (event instanceof Event.Said said && said.durability() != Durability.MEMORY_ONLY) {
                 told.put(said.gatherer(), said.version());
             } else if (event instanceof Event.Stopped stopped && stopped.diskLost()) {
                 told.remove(stopped.gatherer());
             } else if (event instanceof Event.Started started) {
-                Version before = told.getOrDefault(started.gatherer(), Version.NONE);
+                ConfigurationVersion before = told.getOrDefault(started.gatherer(), ConfigurationVersion.NONE);
                 if (before.newerThan(started.onDisk())) {
                     found(
                             Promise.NOTHING_ACKNOWLEDGED_LOST,
--- a/src/main/java/pepperdock/simulation/distribution/Command.java
+++ b/src/main/java/pepperdock/simulation/distribution/Command.java
@@ -5,7 +5,7 @@
 import java.util.ArrayList;
 import java.util.List;
 import pepperdock.distribution.Change;
-import pepperdock.distribution.Item;
+import pepperdock.distribution.ConfigurationItem;
 
 /**
  * What an operator asks for, as an entry of the log.
@@ -44,7 +44,7 @@
             boolean put = from.get() == 1;
             String key = new String(part(from), StandardCharsets.UTF_8);
             byte[] value = part(from);
-            changes.add(put ? new Change.Put(new Item(key, value)) : new Change.Remove(key));
+            changes.add(put ? new Change.Put(new ConfigurationItem(key, value)) : new Change.Remove(key));
         }
         return new Command(id, format, changes);
     }
--- a/src/main/java/pepperdock/simulation/distribution/Connection.java
+++ b/src/main/java/pepperdock/simulation/distribution/Connection.java
@@ -1,7 +1,7 @@
 package pepperdock.simulation.distribution;
 
-import pepperdock.distribution.Message.FromPublisher;
-import pepperdock.distribution.Message.FromSubscriber;
+import pepperdock.distribution.DistributionMessage.FromPublisher;
+import pepperdock.distribution.DistributionMessage.FromSubscriber;
 
 /** A transport connection of a gatherer to a control machine. */
 final class Connection {
