--- a/src/main/java/pepperdock/simulation/distribution/ControlGroup.java
+++ b/src/main/java/pepperdock/simulation/distribution/ControlGroup.java
@@ -4,11 +4,11 @@
 import java.util.List;
 import java.util.Random;
 import java.util.function.Function;
-import pepperdock.distribution.Configuration;
+import pepperdock.distribution.ConfigurationSnapshot;
+import pepperdock.distribution.ConfigurationVersion;
 import pepperdock.distribution.Publisher;
-import pepperdock.distribution.Version;
-import pepperdock.store.raft.Message;
-import pepperdock.store.raft.Peer;
+import pepperdock.store.raft.RaftMessage;
+import pepperdock.store.raft.RaftPeer;
 import pepperdock.store.raft.RaftSettings;
 
 /** The control machines together: what they say to each other, and who of them votes. */
@@ -42,9 +42,9 @@
         this.chance = chance;
         this.history = history;
         this.publishers = publishers;
-        pepperdock.store.raft.Configuration first = pepperdock.store.raft.Configuration.NONE;
+        pepperdock.store.raft.VoterConfiguration first = pepperdock.store.raft.VoterConfiguration.NONE;
         for (int i = 0; i < places.size(); i++) {
-            first = first.with(new Peer(++nextId, places.get(i).name(), "", i < VOTERS));
+            first = first.with(new RaftPeer(++nextId, places.get(i).name(), "", i < VOTERS));
         }
         for (int i = 0; i < places.size(); i++) {
             nodes.add(new ControlNode(this, places.get(i), i + 1L, first));
@@ -99,7 +99,7 @@
         return leader;
     }
 
-    void send(ControlNode from, long to, Message message) {
+    void send(ControlNode from, long to, RaftMessage message) {
         for (ControlNode node : nodes) {
             if (node.id() == to && network.passes(from.place(), node.place())) {
                 time.after(network.delay(from.place(), node.place()), () -> {
@@ -111,7 +111,7 @@
         }
     }
 
-    void settled(long command, Configuration configuration) {
+    void settled(long command, ConfigurationSnapshot configuration) {
         history.add(new Event.Settled(time.now(), command, configuration.version(), configuration.digest()));
     }
 
@@ -161,8 +161,8 @@
         if (leader == null || !leader.raft().configurationCommitted()) {
             return;
         }
-        pepperdock.store.raft.Configuration now = leader.raft().configuration();
-        Peer gone = now.peers().stream()
+        pepperdock.store.raft.VoterConfiguration now = leader.raft().configuration();
+        RaftPeer gone = now.peers().stream()
                 .filter(p -> lost.contains(p.id()))
                 .findFirst()
                 .orElse(null);
@@ -171,23 +171,23 @@
                     .filter(p -> !p.votes()
                             && leader.raft().matchIndex(p.id()) >= leader.raft().commitIndex())
                     .findFirst()
-                    .ifPresent(p -> leader.change(now.with(new Peer(p.id(), p.name(), p.address(), true))));
+                    .ifPresent(p -> leader.change(now.with(new RaftPeer(p.id(), p.name(), p.address(), true))));
         } else if (gone != null) {
             leader.change(now.without(gone.id()));
         } else {
             nodes.stream()
                     .filter(n -> n.up() && now.peer(n.id()) == null)
                     .findFirst()
-                    .ifPresent(n ->
-                            leader.change(now.with(new Peer(n.id(), n.place().name(), "", false))));
+                    .ifPresent(n -> leader.change(
+                            now.with(new RaftPeer(n.id(), n.place().name(), "", false))));
         }
     }
 
     // ---- What all agree on ------------------------------------------------------------
 
     /** The newest version that any running machine has applied. */
-    Configuration newest() {
-        Configuration newest = Configuration.NONE;
+    ConfigurationSnapshot newest() {
+        ConfigurationSnapshot newest = ConfigurationSnapshot.NONE;
         for (ControlNode node : nodes) {
             if (node.up() && node.newest().version().newerThan(newest.version())) {
                 newest = node.newest();
@@ -196,7 +196,7 @@
         return newest;
     }
 
-    Version newestVersion() {
+    ConfigurationVersion newestVersion() {
         return newest().version();
     }
 }
--- a/src/main/java/pepperdock/simulation/distribution/ControlNode.java
+++ b/src/main/java/pepperdock/simulation/distribution/ControlNode.java
@@ -9,20 +9,20 @@
 import java.util.Map;
 import java.util.Set;
 import java.util.TreeMap;
-import pepperdock.distribution.Configuration;
-import pepperdock.distribution.Message.FromPublisher;
-import pepperdock.distribution.Message.FromSubscriber;
+import pepperdock.distribution.ConfigurationSnapshot;
+import pepperdock.distribution.ConfigurationVersion;
+import pepperdock.distribution.DistributionMessage.FromPublisher;
+import pepperdock.distribution.DistributionMessage.FromSubscriber;
 import pepperdock.distribution.Publisher;
 import pepperdock.distribution.PublisherOutput;
-import pepperdock.distribution.Version;
 import pepperdock.distribution.VersionSource;
-import pepperdock.store.raft.LogEntry;
-import pepperdock.store.raft.Message;
-import pepperdock.store.raft.Output;
-import pepperdock.store.raft.PeerState;
 import pepperdock.store.raft.PersistedState;
-import pepperdock.store.raft.Raft;
-import pepperdock.store.raft.Snapshot;
+import pepperdock.store.raft.RaftLogEntry;
+import pepperdock.store.raft.RaftMessage;
+import pepperdock.store.raft.RaftOutput;
+import pepperdock.store.raft.RaftPeerState;
+import pepperdock.store.raft.RaftServer;
+import pepperdock.store.raft.RaftSnapshot;
 
 /** A control machine: its part of the consensus, its disk, and the publisher that the committed log feeds. */
 final class ControlNode implements VersionSource, PublisherOutput {
@@ -43,7 +43,7 @@
     private long id;
     private LogDisk disk;
     /** Null while the process is down. */
-    private Raft raft;
+    private RaftServer raft;
 
     private Publisher publisher;
     /** Counts the starts, so that what was planned for an earlier one is not done in a later one. */
@@ -55,21 +55,21 @@
     /** What subscribers send is taken, and nothing is passed on to them. */
     private boolean passesNothing;
     /** Serves this list in place of the log's, and takes itself for confirmed. */
-    private List<Configuration> oldDisk;
+    private List<ConfigurationSnapshot> oldDisk;
 
-    private List<Configuration> settled = new ArrayList<>();
+    private List<ConfigurationSnapshot> settled = new ArrayList<>();
     private Set<Long> commands = new HashSet<>();
     private final Map<Long, Long> readAskedAt = new HashMap<>();
     private long reads;
     private int ticks;
     private long confirmedAt = NEVER;
 
-    ControlNode(ControlGroup group, Place place, long id, pepperdock.store.raft.Configuration first) {
+    ControlNode(ControlGroup group, Place place, long id, pepperdock.store.raft.VoterConfiguration first) {
         this.group = group;
         this.place = place;
         this.id = id;
         disk = new LogDisk(new PersistedState(
-                PersistedState.NOTHING.hardState(), new Snapshot(0, 0, first, new byte[0]), List.of()));
+                PersistedState.NOTHING.hardState(), new RaftSnapshot(0, 0, first, new byte[0]), List.of()));
     }
 
     // ---- What the world sees ------------------------------------------------------------
@@ -87,20 +87,20 @@
     }
 
     /** Null while the process is down. */
-    Raft raft() {
+    RaftServer raft() {
         return raft;
     }
 
     boolean leads() {
-        return raft != null && !stopped && raft.state() == PeerState.LEADER;
+        return raft != null && !stopped && raft.state() == RaftPeerState.LEADER;
     }
 
     Publisher publisher() {
         return publisher;
     }
 
-    Configuration newest() {
-        return settled.isEmpty() ? Configuration.NONE : settled.get(settled.size() - 1);
+    ConfigurationSnapshot newest() {
+        return settled.isEmpty() ? ConfigurationSnapshot.NONE : settled.get(settled.size() - 1);
     }
 
     boolean has(long command) {
@@ -125,7 +125,7 @@
         }
         life++;
         PersistedState saved = disk.saved();
-        raft = new Raft(id, group.raftSettings(), saved, group.chance().nextLong());
+        raft = new RaftServer(id, group.raftSettings(), saved, group.chance().nextLong());
         settled = new ArrayList<>();
         commands = new HashSet<>();
         readAskedAt.clear();
@@ -176,7 +176,7 @@
     }
 
     /** From now on the publisher is fed by this alone; null ends that. */
-    void serveOldDisk(List<Configuration> versions) {
+    void serveOldDisk(List<ConfigurationSnapshot> versions) {
         oldDisk = versions;
         List<Connection> open = List.copyOf(connections.values());
         connections.clear();
@@ -203,18 +203,18 @@
             return;
         }
         raft.tick();
-        if (++ticks % CONFIRM_TICKS == 0 && raft.state() == PeerState.LEADER) {
+        if (++ticks % CONFIRM_TICKS == 0 && raft.state() == RaftPeerState.LEADER) {
             readAskedAt.put(++reads, group.now());
             raft.read(reads);
         }
         after();
     }
 
-    void received(Message message) {
+    void received(RaftMessage message) {
         inProcess(() -> {
             raft.received(message);
             after();
-            boolean fromLeader = message instanceof Message.AppendEntries a
+            boolean fromLeader = message instanceof RaftMessage.AppendEntries a
                     && a.term() == raft.term()
                     && raft.leader() == a.from()
                     && raft.appliedIndex() >= a.leaderCommit();
@@ -231,15 +231,15 @@
         return taken;
     }
 
-    boolean change(pepperdock.store.raft.Configuration to) {
+    boolean change(pepperdock.store.raft.VoterConfiguration to) {
         boolean taken = raft.change(to) > 0;
         after();
         return taken;
     }
 
     private void after() {
-        Version before = newest().version();
-        for (Output output : raft.takeOutputs()) {
+        ConfigurationVersion before = newest().version();
+        for (RaftOutput output : raft.takeOutputs()) {
             carryOut(output);
         }
         if (newest().version().newerThan(before) && oldDisk == null) {
@@ -247,25 +247,25 @@
         }
     }
 
-    private void carryOut(Output output) {
-        if (output instanceof Output.Send send) {
+    private void carryOut(RaftOutput output) {
+        if (output instanceof RaftOutput.Send send) {
             group.send(this, send.to(), send.message());
-        } else if (output instanceof Output.Write write) {
+        } else if (output instanceof RaftOutput.Write write) {
             int during = life;
             group.time().after(SYNC_MILLIS, () -> synced(write, during));
-        } else if (output instanceof Output.Apply apply) {
+        } else if (output instanceof RaftOutput.Apply apply) {
             apply.entries().forEach(this::apply);
-        } else if (output instanceof Output.ReadReady read) {
+        } else if (output instanceof RaftOutput.ReadReady read) {
             Long askedAt = readAskedAt.remove(read.token());
             if (askedAt != null && raft.appliedIndex() >= read.index()) {
                 confirmedAt = Math.max(confirmedAt, askedAt);
             }
-        } else if (output instanceof Output.ReadRejected unread) {
+        } else if (output instanceof RaftOutput.ReadRejected unread) {
             readAskedAt.remove(unread.token());
         }
     }
 
-    private void synced(Output.Write write, int during) {
+    private void synced(RaftOutput.Write write, int during) {
         if (life == during && raft != null) {
             disk.keep(write);
             inProcess(() -> {
@@ -275,13 +275,13 @@
         }
     }
 
-    private void apply(LogEntry entry) {
+    private void apply(RaftLogEntry entry) {
         if (entry.data().length == 0) {
             return;
         }
         Command command = Command.read(entry.data());
         if (commands.add(command.id())) {
-            Version version = new Version(EPOCH, entry.index());
+            ConfigurationVersion version = new ConfigurationVersion(EPOCH, entry.index());
             settled.add(newest().with(version, command.format(), command.changes()));
             group.settled(command.id(), newest());
         }
@@ -290,8 +290,8 @@
     // ---- VersionSource ------------------------------------------------------------
 
     @Override
-    public List<Configuration> after(Version version) {
-        List<Configuration> all = oldDisk != null ? oldDisk : settled;
+    public List<ConfigurationSnapshot> after(ConfigurationVersion version) {
+        List<ConfigurationSnapshot> all = oldDisk != null ? oldDisk : settled;
         int from = all.size();
         while (from > 0 && all.get(from - 1).version().newerThan(version)) {
             from--;
--- a/src/main/java/pepperdock/simulation/distribution/Figures.java
+++ b/src/main/java/pepperdock/simulation/distribution/Figures.java
@@ -4,7 +4,7 @@
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
-import pepperdock.distribution.Version;
+import pepperdock.distribution.ConfigurationVersion;
 
 /** What a course, or several, measured. Times in milliseconds, of simulated time. */
 public final class Figures {
@@ -120,7 +120,7 @@
         Map<String, Course> courses = new HashMap<>();
         world.gatherers().forEach(g -> courses.put(g.place().name(), new Course()));
         Map<Long, Long> proposed = new HashMap<>();
-        Map<Long, Version> settled = new HashMap<>();
+        Map<Long, ConfigurationVersion> settled = new HashMap<>();
         Map<String, Long> startedEmpty = new HashMap<>();
         for (Event event : world.history().events()) {
             if (event instanceof Event.Proposed p) {
@@ -129,7 +129,7 @@
                 settled.putIfAbsent(s.command(), s.version());
             } else if (event instanceof Event.Hindered h) {
                 courses.get(h.gatherer()).hindered.add(h);
-            } else if (event instanceof Event.Started s && s.onDisk().equals(Version.NONE)) {
+            } else if (event instanceof Event.Started s && s.onDisk().equals(ConfigurationVersion.NONE)) {
                 startedEmpty.put(s.gatherer(), s.at());
             } else if (event instanceof Event.InForce next) {
                 courses.get(next.gatherer()).inForce.add(next);
@@ -146,7 +146,7 @@
         });
     }
 
-    private void latency(Map<String, Course> courses, long proposedAt, Version version) {
+    private void latency(Map<String, Course> courses, long proposedAt, ConfigurationVersion version) {
         long worst = 0;
         long worstRaw = 0;
         for (Course course : courses.values()) {
@@ -169,7 +169,7 @@
         everywhereRaw.add(worstRaw);
     }
 
-    private static Event.InForce first(Course course, Version version) {
+    private static Event.InForce first(Course course, ConfigurationVersion version) {
         return course.inForce.stream()
                 .filter(e -> !version.newerThan(e.version()))
                 .findFirst()
--- a/src/main/java/pepperdock/simulation/distribution/GathererDisk.java
+++ b/src/main/java/pepperdock/simulation/distribution/GathererDisk.java
@@ -1,7 +1,7 @@
 package pepperdock.simulation.distribution;
 
-import pepperdock.distribution.Configuration;
-import pepperdock.distribution.Version;
+import pepperdock.distribution.ConfigurationSnapshot;
+import pepperdock.distribution.ConfigurationVersion;
 import pepperdock.distribution.VersionStore;
 
 /** What a gatherer's disk holds; it may be full. Tests plant faults by other kinds. */
@@ -20,7 +20,7 @@
     }
 
     @Override
-    public boolean save(Configuration configuration) {
+    public boolean save(ConfigurationSnapshot configuration) {
         if (!full) {
             saved = new VersionStore.Saved(configuration, saved.floor());
         }
@@ -28,7 +28,7 @@
     }
 
     @Override
-    public boolean saveFloor(Version floor) {
+    public boolean saveFloor(ConfigurationVersion floor) {
         saved = new VersionStore.Saved(saved.configuration(), floor);
         return true;
     }
--- a/src/main/java/pepperdock/simulation/distribution/GathererNode.java
+++ b/src/main/java/pepperdock/simulation/distribution/GathererNode.java
@@ -1,13 +1,13 @@
 package pepperdock.simulation.distribution;
 
-import pepperdock.distribution.Configuration;
+import pepperdock.distribution.ConfigurationSnapshot;
+import pepperdock.distribution.ConfigurationVersion;
 import pepperdock.distribution.ControlMachine;
-import pepperdock.distribution.Message;
-import pepperdock.distribution.Message.FromPublisher;
-import pepperdock.distribution.Message.FromSubscriber;
+import pepperdock.distribution.DistributionMessage;
+import pepperdock.distribution.DistributionMessage.FromPublisher;
+import pepperdock.distribution.DistributionMessage.FromSubscriber;
 import pepperdock.distribution.Subscriber;
 import pepperdock.distribution.SubscriberOutput;
-import pepperdock.distribution.Version;
 import pepperdock.distribution.VersionStore;
 
 /** A hollow gatherer: a subscriber, its disk and its connection, and nothing else. */
@@ -62,8 +62,8 @@
             return;
         }
         VersionStore.Saved saved = disk.load();
-        Version whole = saved.configuration().version();
-        Version onDisk = saved.floor().newerThan(whole) ? saved.floor() : whole;
+        ConfigurationVersion whole = saved.configuration().version();
+        ConfigurationVersion onDisk = saved.floor().newerThan(whole) ? saved.floor() : whole;
         world.history().add(new Event.Started(now(), place.name(), onDisk));
         subscriber = world.subscriber(this);
     }
@@ -121,7 +121,7 @@
     @Override
     public void send(FromSubscriber message) {
         bytes.add(now(), message.bytes());
-        if (message instanceof Message.InForce said) {
+        if (message instanceof DistributionMessage.InForce said) {
             world.history().add(new Event.Said(now(), place.name(), said.version(), said.durability()));
         }
         connection.toControl().send(message, message.bytes());
@@ -134,7 +134,7 @@
     }
 
     @Override
-    public void inForce(Configuration configuration) {
+    public void inForce(ConfigurationSnapshot configuration) {
         world.history().add(new Event.InForce(now(), place.name(), configuration.version(), configuration.digest()));
     }
 
--- a/src/main/java/pepperdock/simulation/distribution/LogDisk.java
+++ b/src/main/java/pepperdock/simulation/distribution/LogDisk.java
@@ -3,17 +3,17 @@
 import java.util.ArrayList;
 import java.util.List;
 import pepperdock.store.raft.HardState;
-import pepperdock.store.raft.LogEntry;
-import pepperdock.store.raft.Output;
 import pepperdock.store.raft.PersistedState;
-import pepperdock.store.raft.Snapshot;
+import pepperdock.store.raft.RaftLogEntry;
+import pepperdock.store.raft.RaftOutput;
+import pepperdock.store.raft.RaftSnapshot;
 
 /** What the disk of a control machine holds of the log. */
 final class LogDisk {
 
     private HardState hard;
-    private Snapshot snapshot;
-    private final List<LogEntry> entries = new ArrayList<>();
+    private RaftSnapshot snapshot;
+    private final List<RaftLogEntry> entries = new ArrayList<>();
 
     LogDisk(PersistedState begins) {
         hard = begins.hardState();
@@ -21,17 +21,17 @@
         entries.addAll(begins.entries());
     }
 
-    void keep(Output.Write write) {
+    void keep(RaftOutput.Write write) {
         if (write.hardState() != null) {
             hard = write.hardState();
         }
-        if (write.cut() > 0) {
-            entries.removeIf(e -> e.index() >= write.cut());
+        if (write.truncateFrom() > 0) {
+            entries.removeIf(e -> e.index() >= write.truncateFrom());
         }
         if (write.snapshot() != null) {
             snapshot = write.snapshot();
         }
-        for (LogEntry entry : write.entries()) {
+        for (RaftLogEntry entry : write.entries()) {
             entries.removeIf(e -> e.index() >= entry.index());
             entries.add(entry);
         }
--- a/src/main/java/pepperdock/simulation/distribution/Script.java
+++ b/src/main/java/pepperdock/simulation/distribution/Script.java
@@ -6,7 +6,7 @@
 import java.util.Random;
 import java.util.function.Consumer;
 import java.util.function.Predicate;
-import pepperdock.distribution.Configuration;
+import pepperdock.distribution.ConfigurationSnapshot;
 
 /** Plans the faults of one hard case. */
 final class Script {
@@ -123,8 +123,8 @@
     private long oldDisk() {
         ControlNode node = group.nodes().get(group.nodes().size() - 1);
         time.at(begin, () -> {
-            List<Configuration> first =
-                    List.copyOf(node.after(Configuration.NONE.version()).subList(0, 2));
+            List<ConfigurationSnapshot> first =
+                    List.copyOf(node.after(ConfigurationSnapshot.NONE.version()).subList(0, 2));
             node.serveOldDisk(first);
         });
         time.at(begin + 40 * SECOND, () -> node.serveOldDisk(null));
@@ -159,7 +159,7 @@
     }
 
     private void tellAge(GathererNode gatherer) {
-        boolean nothing = gatherer.subscriber().inForce().version().equals(Configuration.NONE.version());
+        boolean nothing = gatherer.subscriber().inForce().version().equals(ConfigurationSnapshot.NONE.version());
         long age = nothing ? -1 : gatherer.subscriber().age(time.now()).millis();
         world.history()
                 .add(new Event.Aged(
--- a/src/main/java/pepperdock/simulation/distribution/Simulation.java
+++ b/src/main/java/pepperdock/simulation/distribution/Simulation.java
@@ -5,9 +5,10 @@
 import java.util.Optional;
 import java.util.Random;
 import pepperdock.distribution.Change;
-import pepperdock.distribution.Configuration;
+import pepperdock.distribution.ConfigurationItem;
+import pepperdock.distribution.ConfigurationSnapshot;
+import pepperdock.distribution.ConfigurationValidator;
 import pepperdock.distribution.ControlMachine;
-import pepperdock.distribution.Item;
 import pepperdock.distribution.Publisher;
 import pepperdock.distribution.PublisherOutput;
 import pepperdock.distribution.PublisherSettings;
@@ -16,7 +17,6 @@
 import pepperdock.distribution.SubscriberIdentity;
 import pepperdock.distribution.SubscriberOutput;
 import pepperdock.distribution.SubscriberSettings;
-import pepperdock.distribution.Validator;
 import pepperdock.distribution.VersionSource;
 import pepperdock.distribution.VersionStore;
 
@@ -64,7 +64,7 @@
 
     private static final int FORMAT_FIRST = 1;
     static final int FORMAT_SECOND = 2;
-    private static final Validator NO_COMPLAINT = configuration -> Optional.empty();
+    private static final ConfigurationValidator NO_COMPLAINT = configuration -> Optional.empty();
 
     private final Setup setup;
     private final Timeline time = new Timeline();
@@ -202,8 +202,8 @@
 
     void change(String key) {
         long id = ++commands;
-        Change marker = new Change.Put(new Item(marker(id), new byte[0]));
-        Change value = new Change.Put(new Item(key, bytes(valueBytes())));
+        Change marker = new Change.Put(new ConfigurationItem(marker(id), new byte[0]));
+        Change value = new Change.Put(new ConfigurationItem(key, bytes(valueBytes())));
         ask(new Command(id, format, List.of(marker, value)));
     }
 
@@ -221,10 +221,10 @@
     private void firstVersion() {
         List<Change> all = new ArrayList<>();
         for (int i = 0; i < FIRST_ITEMS; i++) {
-            all.add(new Change.Put(new Item("item/" + i, bytes(valueBytes()))));
+            all.add(new Change.Put(new ConfigurationItem("item/" + i, bytes(valueBytes()))));
         }
         long id = ++commands;
-        all.add(new Change.Put(new Item(marker(id), new byte[0])));
+        all.add(new Change.Put(new ConfigurationItem(marker(id), new byte[0])));
         ask(new Command(id, format, all));
     }
 
@@ -266,7 +266,7 @@
         return new Connection(time, network, ++connections, from, control);
     }
 
-    Configuration newest() {
+    ConfigurationSnapshot newest() {
         return group.newest();
     }
 }
--- a/src/main/java/pepperdock/simulation/distribution/Streams.java
+++ b/src/main/java/pepperdock/simulation/distribution/Streams.java
@@ -16,14 +16,14 @@
 import java.util.concurrent.TimeUnit;
 import java.util.concurrent.TimeoutException;
 import pepperdock.distribution.Change;
-import pepperdock.distribution.Configuration;
+import pepperdock.distribution.ConfigurationItem;
+import pepperdock.distribution.ConfigurationSnapshot;
+import pepperdock.distribution.ConfigurationVersion;
 import pepperdock.distribution.ControlMachine;
-import pepperdock.distribution.Item;
 import pepperdock.distribution.PublisherSettings;
 import pepperdock.distribution.SubscriberId;
 import pepperdock.distribution.SubscriberIdentity;
 import pepperdock.distribution.SubscriberSettings;
-import pepperdock.distribution.Version;
 import pepperdock.distribution.VersionSource;
 import pepperdock.distribution.wire.PublisherServer;
 import pepperdock.distribution.wire.SubscriberClient;
@@ -45,7 +45,7 @@
     private static final class Control implements VersionSource {
         private final Loop loop;
         private final long thread;
-        private final List<Configuration> settled = new ArrayList<>();
+        private final List<ConfigurationSnapshot> settled = new ArrayList<>();
         private PublisherServer server;
 
         Control(int subscribers) throws IOException {
@@ -54,7 +54,7 @@
         }
 
         @Override
-        public List<Configuration> after(Version version) {
+        public List<ConfigurationSnapshot> after(ConfigurationVersion version) {
             return settled.stream().filter(c -> c.version().newerThan(version)).toList();
         }
 
@@ -72,20 +72,20 @@
     private final List<SubscriberClient> clients = new ArrayList<>();
     private final Loop loop;
     private final long thread;
-    private Configuration latest;
+    private ConfigurationSnapshot latest;
     /** Those that have not the latest in force yet. */
     private volatile CountDownLatch missing;
 
-    private volatile Version awaited;
+    private volatile ConfigurationVersion awaited;
 
     private Streams(int count, int configurationBytes) throws IOException {
         this.count = count;
         valueBytes = Math.max(8, configurationBytes / ITEMS - ITEM_HEAD);
-        List<Item> items = new ArrayList<>();
+        List<ConfigurationItem> items = new ArrayList<>();
         for (int i = 0; i < ITEMS; i++) {
             items.add(item(i));
         }
-        latest = Configuration.of(new Version(1, 1), 1, items);
+        latest = ConfigurationSnapshot.of(new ConfigurationVersion(1, 1), 1, items);
         for (int i = 0; i < Simulation.CONTROL_PLACES.size(); i++) {
             Control control = new Control(count);
             control.settled.add(latest);
@@ -188,13 +188,13 @@
         });
     }
 
-    private void inForce(Configuration configuration) {
+    private void inForce(ConfigurationSnapshot configuration) {
         if (configuration.version().equals(awaited)) {
             missing.countDown();
         }
     }
 
-    private void await(Version version) {
+    private void await(ConfigurationVersion version) {
         missing = new CountDownLatch(count);
         awaited = version;
     }
@@ -208,11 +208,11 @@
     /** Changes one item; returns the milliseconds until it was in force at all. */
     private long change() throws IOException, InterruptedException {
         Change change = new Change.Put(item(chance.nextInt(ITEMS)));
-        Version next = new Version(1, latest.version().number() + 1);
+        ConfigurationVersion next = new ConfigurationVersion(1, latest.version().number() + 1);
         latest = latest.with(next, 1, List.of(change));
         await(next);
         long began = System.nanoTime();
-        Configuration settled = latest;
+        ConfigurationSnapshot settled = latest;
         for (Control control : controls) {
             control.loop.execute(() -> {
                 control.settled.add(settled);
@@ -223,10 +223,10 @@
         return (System.nanoTime() - began) / MILLION;
     }
 
-    private Item item(int number) {
+    private ConfigurationItem item(int number) {
         byte[] value = new byte[valueBytes];
         chance.nextBytes(value);
-        return new Item("item/" + number, value);
+        return new ConfigurationItem("item/" + number, value);
     }
 
     private long bytes() throws IOException {
--- a/src/main/java/pepperdock/simulation/raft/Disk.java
+++ b/src/main/java/pepperdock/simulation/raft/Disk.java
@@ -5,17 +5,17 @@
 import java.util.Deque;
 import java.util.List;
 import pepperdock.store.raft.HardState;
-import pepperdock.store.raft.LogEntry;
-import pepperdock.store.raft.Output.Write;
 import pepperdock.store.raft.PersistedState;
-import pepperdock.store.raft.Snapshot;
+import pepperdock.store.raft.RaftLogEntry;
+import pepperdock.store.raft.RaftOutput.Write;
+import pepperdock.store.raft.RaftSnapshot;
 
 /** What a disk has synced, and the writes that it has not. */
 class Disk {
 
     private HardState hardState = PersistedState.NOTHING.hardState();
-    private Snapshot snapshot;
-    private final List<LogEntry> entries = new ArrayList<>();
+    private RaftSnapshot snapshot;
+    private final List<RaftLogEntry> entries = new ArrayList<>();
     final Deque<Write> open = new ArrayDeque<>();
 
     Disk(PersistedState begins) {
@@ -43,13 +43,13 @@
         if (w.hardState() != null) {
             hardState = w.hardState();
         }
-        if (w.cut() > 0) {
-            entries.removeIf(e -> e.index() >= w.cut());
+        if (w.truncateFrom() > 0) {
+            entries.removeIf(e -> e.index() >= w.truncateFrom());
         }
         if (w.snapshot() != null) {
             snapshot = w.snapshot();
         }
-        for (LogEntry e : w.entries()) {
+        for (RaftLogEntry e : w.entries()) {
             entries.removeIf(x -> x.index() >= e.index());
             entries.add(e);
         }
@@ -61,7 +61,7 @@
 
     /** The term of what it holds at an index; -1 where that is nothing, -2 where a snapshot stands for it. */
     long term(long index) {
-        for (LogEntry e : entries) {
+        for (RaftLogEntry e : entries) {
             if (e.index() == index) {
                 return e.term();
             }
--- a/src/main/java/pepperdock/simulation/raft/Invariants.java
+++ b/src/main/java/pepperdock/simulation/raft/Invariants.java
@@ -5,11 +5,11 @@
 import java.util.List;
 import java.util.Map;
 import java.util.TreeMap;
-import pepperdock.store.raft.LogEntry;
-import pepperdock.store.raft.Message;
-import pepperdock.store.raft.Output;
-import pepperdock.store.raft.PeerState;
-import pepperdock.store.raft.Snapshot;
+import pepperdock.store.raft.RaftLogEntry;
+import pepperdock.store.raft.RaftMessage;
+import pepperdock.store.raft.RaftOutput;
+import pepperdock.store.raft.RaftPeerState;
+import pepperdock.store.raft.RaftSnapshot;
 
 /** What must hold of all processes together, checked by what is known from outside of them; the violations found. */
 final class Invariants {
@@ -52,7 +52,7 @@
     }
 
     /** A process has put a snapshot in place of what it held. */
-    void restored(World.Node node, Snapshot snapshot) {
+    void restored(World.Node node, RaftSnapshot snapshot) {
         Applied known = applied.get(node.applied);
         if (known == null || known.state() != node.state || known.term() != snapshot.term()) {
             violations.add("a snapshot of " + node.applied + " that is not what was applied");
@@ -77,8 +77,8 @@
         }
     }
 
-    void sent(World.Node node, Output.Send send) {
-        if (send.message() instanceof Message.VoteResponse v && !v.pre() && v.granted()) {
+    void sent(World.Node node, RaftOutput.Send send) {
+        if (send.message() instanceof RaftMessage.VoteResponse v && !v.preVote() && v.granted()) {
             Long before = votes.putIfAbsent(List.of(node.id, v.term()), send.to());
             if (before != null && before != send.to()) {
                 violations.add(node.id + " has voted for " + before + " and " + send.to() + " in term " + v.term());
@@ -87,8 +87,8 @@
                 violations.add(node.id + " has voted in term " + v.term() + ", of which its disk does not know");
             }
         }
-        if (send.message() instanceof Message.AppendResponse a
-                && a.ok()
+        if (send.message() instanceof RaftMessage.AppendResponse a
+                && a.success()
                 && a.term() == node.raft.term()
                 && node.disk.lastIndex() < a.index()) {
             violations.add(
@@ -96,8 +96,8 @@
         }
     }
 
-    void wrote(World.Node node, Output.Write w) {
-        for (LogEntry e : w.entries()) {
+    void wrote(World.Node node, RaftOutput.Write w) {
+        for (RaftLogEntry e : w.entries()) {
             int sum = java.util.Arrays.hashCode(e.data()) * 31
                     + (e.configuration() == null ? 0 : e.configuration().hashCode());
             long before = node.raft.termAt(e.index() - 1);
@@ -107,7 +107,9 @@
                     violations.add("two entries of term " + e.term() + " at " + e.index());
                 }
             }
-            if (e.configuration() != null && e.term() == node.raft.term() && node.raft.state() == PeerState.LEADER) {
+            if (e.configuration() != null
+                    && e.term() == node.raft.term()
+                    && node.raft.state() == RaftPeerState.LEADER) {
                 long unsettled = w.entries().stream()
                         .filter(x -> x.configuration() != null && x.index() > node.raft.commitIndex())
                         .count();
@@ -132,7 +134,7 @@
     }
 
     /** An entry was applied, after all up to {@code before}; the process has folded it into its state. */
-    void applied(World.Node node, LogEntry e, long before) {
+    void applied(World.Node node, RaftLogEntry e, long before) {
         if (e.index() != before + 1) {
             violations.add(node.id + " applied " + e.index() + " after " + before);
         }
@@ -143,8 +145,8 @@
         }
     }
 
-    void stateChanged(World.Node node, Output.StateChange r) {
-        if (r.state() != PeerState.LEADER) {
+    void stateChanged(World.Node node, RaftOutput.StateChange r) {
+        if (r.state() != RaftPeerState.LEADER) {
             return;
         }
         Long before = leaders.putIfAbsent(r.term(), node.id);
--- a/src/main/java/pepperdock/simulation/raft/World.java
+++ b/src/main/java/pepperdock/simulation/raft/World.java
@@ -7,16 +7,16 @@
 import java.util.Random;
 import java.util.Set;
 import java.util.function.Predicate;
-import pepperdock.store.raft.Configuration;
-import pepperdock.store.raft.LogEntry;
-import pepperdock.store.raft.Message;
-import pepperdock.store.raft.Output;
-import pepperdock.store.raft.Peer;
-import pepperdock.store.raft.PeerState;
 import pepperdock.store.raft.PersistedState;
-import pepperdock.store.raft.Raft;
+import pepperdock.store.raft.RaftLogEntry;
+import pepperdock.store.raft.RaftMessage;
+import pepperdock.store.raft.RaftOutput;
+import pepperdock.store.raft.RaftPeer;
+import pepperdock.store.raft.RaftPeerState;
+import pepperdock.store.raft.RaftServer;
 import pepperdock.store.raft.RaftSettings;
-import pepperdock.store.raft.Snapshot;
+import pepperdock.store.raft.RaftSnapshot;
+import pepperdock.store.raft.VoterConfiguration;
 
 /**
  * A few processes, their disks, and what is on the way between them; one {@link Step} at a time, and the checks after each:
@@ -35,7 +35,7 @@
         final int number;
         long id;
         Disk disk;
-        Raft raft;
+        RaftServer raft;
         /** Its own fold over what it applied, and how far that goes. */
         long state;
 
@@ -48,7 +48,7 @@
         }
     }
 
-    private record InFlight(long from, long to, Message message) {}
+    private record InFlight(long from, long to, RaftMessage message) {}
 
     private final RaftSettings settings;
     private final Random seeds;
@@ -63,15 +63,15 @@
     public World(int nodes, int voters, RaftSettings settings, long seed) {
         this.settings = settings;
         seeds = new Random(seed);
-        Configuration first = Configuration.NONE;
+        VoterConfiguration first = VoterConfiguration.NONE;
         for (int i = 0; i < voters; i++) {
-            first = first.with(new Peer(nextId + i, "k" + (i + 1), "", true));
+            first = first.with(new RaftPeer(nextId + i, "k" + (i + 1), "", true));
         }
         for (int i = 0; i < nodes; i++) {
             PersistedState begins = i >= voters
                     ? PersistedState.NOTHING
                     : new PersistedState(
-                            PersistedState.NOTHING.hardState(), new Snapshot(0, 0, first, bytes(0)), List.of());
+                            PersistedState.NOTHING.hardState(), new RaftSnapshot(0, 0, first, bytes(0)), List.of());
             this.nodes.add(new Node(i, new Disk(begins), nextId++));
         }
         this.nodes.forEach(this::start);
@@ -79,8 +79,8 @@
 
     // ---- Where tests plant faults ------------------------------------------------------------
 
-    protected Raft newRaft(long id, RaftSettings of, PersistedState saved, long seed) {
-        return new Raft(id, of, saved, seed);
+    protected RaftServer newRaft(long id, RaftSettings of, PersistedState saved, long seed) {
+        return new RaftServer(id, of, saved, seed);
     }
 
     /** What a process finds when it starts again. */
@@ -99,7 +99,7 @@
     }
 
     /** How a leader is asked for a read. */
-    protected void read(Raft raft, long token) {
+    protected void read(RaftServer raft, long token) {
         raft.read(token);
     }
 
@@ -107,7 +107,7 @@
 
     public void take(Step s) {
         Node node = nodes.get(Math.floorMod(s.a(), nodes.size()));
-        Raft raft = node.raft;
+        RaftServer raft = node.raft;
         switch (s.kind()) {
             case DELIVER, DROP, TWICE -> deliver(s);
             case CALM -> calm();
@@ -132,7 +132,7 @@
         }
     }
 
-    private void at(Node node, Raft raft, Step s) {
+    private void at(Node node, RaftServer raft, Step s) {
         switch (s.kind()) {
             case TICK -> raft.tick();
             case HASTE -> {
@@ -176,20 +176,20 @@
                         .noneMatch(w -> w.snapshot() != null && w.snapshot().index() >= node.applied);
     }
 
-    private void change(Raft raft, Step s) {
-        Configuration now = raft.configuration();
+    private void change(RaftServer raft, Step s) {
+        VoterConfiguration now = raft.configuration();
         Node other = nodes.get(Math.floorMod(s.b(), nodes.size()));
         switch (s.kind()) {
             case ADD -> {
                 if (now.peer(other.id) == null) {
-                    raft.change(now.with(new Peer(other.id, "k", "", false)));
+                    raft.change(now.with(new RaftPeer(other.id, "k", "", false)));
                 }
             }
             case PROMOTE ->
                 now.peers().stream()
                         .filter(p -> !p.votes())
                         .findFirst()
-                        .ifPresent(p -> raft.change(now.with(new Peer(p.id(), p.name(), p.address(), true))));
+                        .ifPresent(p -> raft.change(now.with(new RaftPeer(p.id(), p.name(), p.address(), true))));
             case REMOVE -> {
                 if (now.peers().size() > 1) {
                     raft.change(now.without(now.peers()
@@ -220,7 +220,7 @@
      * The first message of that kind from one process to another arrives, and again later with TWICE; false where there is none.
      * For scenes written by hand.
      */
-    boolean pass(Step.Kind how, int from, int to, Class<? extends Message> kind, Predicate<Message> which) {
+    boolean pass(Step.Kind how, int from, int to, Class<? extends RaftMessage> kind, Predicate<RaftMessage> which) {
         for (InFlight m : network) {
             if (m.from() == nodes.get(from).id
                     && m.to() == nodes.get(to).id
@@ -237,7 +237,7 @@
         network.clear();
     }
 
-    PeerState state(int node) {
+    RaftPeerState state(int node) {
         return nodes.get(node).raft.state();
     }
 
@@ -273,24 +273,24 @@
         if (node.raft == null) {
             return;
         }
-        for (Output o : node.raft.takeOutputs()) {
-            if (o instanceof Output.Send send) {
+        for (RaftOutput o : node.raft.takeOutputs()) {
+            if (o instanceof RaftOutput.Send send) {
                 if (network.size() < MESSAGES_MOST) {
                     network.add(new InFlight(node.id, send.to(), send.message()));
                 }
                 invariants.sent(node, send);
-            } else if (o instanceof Output.Write w) {
+            } else if (o instanceof RaftOutput.Write w) {
                 node.disk.open.add(w);
                 invariants.wrote(node, w);
-            } else if (o instanceof Output.Apply a) {
+            } else if (o instanceof RaftOutput.Apply a) {
                 a.entries().forEach(e -> apply(node, e));
-            } else if (o instanceof Output.Restore r) {
+            } else if (o instanceof RaftOutput.Restore r) {
                 node.applied = r.snapshot().index();
                 node.state = ByteBuffer.wrap(r.snapshot().state()).getLong();
                 invariants.restored(node, r.snapshot());
-            } else if (o instanceof Output.StateChange r) {
+            } else if (o instanceof RaftOutput.StateChange r) {
                 invariants.stateChanged(node, r);
-            } else if (o instanceof Output.ReadReady r) {
+            } else if (o instanceof RaftOutput.ReadReady r) {
                 invariants.readAnswered(r.token(), r.index());
             }
         }
@@ -302,7 +302,7 @@
         invariants.readAnswered(token, index);
     }
 
-    private void apply(Node node, LogEntry e) {
+    private void apply(Node node, RaftLogEntry e) {
         long before = node.applied;
         node.applied = e.index();
         node.state = node.state * 31
@@ -344,7 +344,7 @@
             calm();
         }
         Node leader = nodes.stream()
-                .filter(s -> s.raft.state() == PeerState.LEADER)
+                .filter(s -> s.raft.state() == RaftPeerState.LEADER)
                 .findFirst()
                 .orElse(null);
         if (leader == null) {
@@ -355,7 +355,7 @@
         }
         for (Node s : nodes) {
             if (leader.raft.configuration().peer(s.id) != null
-                    && s.raft.state() != PeerState.STORAGE_FAILED
+                    && s.raft.state() != RaftPeerState.STORAGE_FAILED
                     && s.applied != leader.applied) {
                 invariants.violation(
                         s.id + " has applied up to " + s.applied + " in the end, its leader up to " + leader.applied);
@@ -370,7 +370,9 @@
     /** Whether whoever has the longest log of those that run has a majority of its voters beside it, and can be elected. */
     private boolean electable() {
         Set<Long> sound = new HashSet<>();
-        nodes.stream().filter(s -> s.raft.state() != PeerState.STORAGE_FAILED).forEach(s -> sound.add(s.id));
+        nodes.stream()
+                .filter(s -> s.raft.state() != RaftPeerState.STORAGE_FAILED)
+                .forEach(s -> sound.add(s.id));
         return nodes.stream()
                 .filter(s -> sound.contains(s.id) && s.raft.configuration().votes(s.id))
                 .anyMatch(s -> s.raft.configuration().hasMajority(sound::contains)
--- a/src/main/java/pepperdock/simulator/SimulatorAdapter.java
+++ b/src/main/java/pepperdock/simulator/SimulatorAdapter.java
@@ -19,8 +19,8 @@
 import java.util.List;
 import java.util.Locale;
 import java.util.Map;
+import pepperdock.config.ConfigReader;
 import pepperdock.config.DeploymentSettingsReader;
-import pepperdock.config.Keys;
 import pepperdock.scheduler.AttemptOutcome;
 import pepperdock.scheduler.AttemptResult;
 import pepperdock.scheduler.Endpoint;
@@ -171,8 +171,8 @@
         touched.remove(instances.remove(number));
         Instance made = new Instance(out, number);
         long salt = line.integer("Salt");
-        SchedulerSettings settings =
-                DeploymentSettingsReader.read(Keys.of("Env", line.node("Env"))).module();
+        SchedulerSettings settings = DeploymentSettingsReader.read(ConfigReader.of("Env", line.node("Env")))
+                .module();
         made.create(settings, salt);
         instances.put(number, made);
         touch(made);
@@ -252,7 +252,7 @@
         }
         List<Endpoint> entries = new ArrayList<>();
         for (JsonElement e : list.getAsJsonArray()) {
-            Keys k = Keys.of("NodesList", e);
+            ConfigReader k = ConfigReader.of("NodesList", e);
             entries.add(new Endpoint(
                     k.text("Searcher"),
                     (int) k.number("Campus", 0),
--- a/src/main/java/pepperdock/store/Replica.java
+++ b/src/main/java/pepperdock/store/Replica.java
@@ -16,7 +16,7 @@
 final class Replica implements AutoCloseable {
 
     /** Null for a copy in memory only. */
-    private final LogFile file;
+    private final StoreLogFile file;
 
     private final int snapshotEvery;
     private final Map<String, byte[]> values = new LinkedHashMap<>();
@@ -38,11 +38,11 @@
      */
     Replica(Path folder, int snapshotEvery, boolean leads) throws IOException {
         this.snapshotEvery = snapshotEvery;
-        file = folder == null ? null : new LogFile(folder);
+        file = folder == null ? null : new StoreLogFile(folder);
         byte[] snapshot = file == null ? null : file.snapshot();
         if (snapshot != null) {
             install(StoreCodec.snapshot(snapshot));
-            for (byte[] record : file.found()) {
+            for (byte[] record : file.recordsAtOpen()) {
                 StoreEntry entry = StoreCodec.entry(ByteBuffer.wrap(record));
                 // A crash between writing a snapshot and truncating the log leaves entries up to the snapshot.
                 if (entry.seq() == seq + 1) {
@@ -101,7 +101,7 @@
     void restore(StoreCodec.Snapshot snapshot) throws IOException {
         install(snapshot);
         if (file != null) {
-            file.replace(StoreCodec.snapshot(snapshot));
+            file.replaceBySnapshot(StoreCodec.snapshot(snapshot));
         }
     }
 
@@ -134,7 +134,7 @@
     /** Replaces the entries by a snapshot of the values. */
     private void compact() throws IOException {
         if (file != null) {
-            file.replace(StoreCodec.snapshot(snapshot()));
+            file.replaceBySnapshot(StoreCodec.snapshot(snapshot()));
         }
         snapshotSeq = seq;
         tail.clear();
--- a/src/main/java/pepperdock/store/LogFile.java
+++ b/src/main/java/pepperdock/store/StoreLogFile.java
@@ -16,7 +16,7 @@
  * method returns. A record that a crash cut short at the end is truncated when the log is opened again; damage anywhere else is
  * not a crash's doing, and opening fails with {@link LogCorruptionException}. Used by one thread at a time.
  */
-final class LogFile implements AutoCloseable {
+final class StoreLogFile implements AutoCloseable {
 
     private static final System.Logger LOG = System.getLogger("pepperdock.store");
     /** Bytes of a record before its content: length and checksum. */
@@ -31,7 +31,7 @@
     private final List<byte[]> records = new ArrayList<>();
 
     /** Opens the log, or creates it, and truncates a torn record at its end. */
-    LogFile(Path folder) throws IOException {
+    StoreLogFile(Path folder) throws IOException {
         this.folder = folder;
         Files.createDirectories(folder);
         log = FileChannel.open(
@@ -46,7 +46,7 @@
     }
 
     /** Records found when the log was opened. */
-    List<byte[]> found() {
+    List<byte[]> recordsAtOpen() {
         return records;
     }
 
@@ -71,7 +71,7 @@
     }
 
     /** Replaces the snapshot and all records by a new snapshot, atomically for whoever opens the folder later. */
-    void replace(byte[] snapshot) throws IOException {
+    void replaceBySnapshot(byte[] snapshot) throws IOException {
         Path fresh = folder.resolve(NEW_SNAPSHOT_FILE);
         try (FileChannel file = FileChannel.open(
                 fresh, StandardOpenOption.CREATE, StandardOpenOption.WRITE, StandardOpenOption.TRUNCATE_EXISTING)) {
--- a/src/main/java/pepperdock/store/raft/ElectionTimer.java
+++ b/src/main/java/pepperdock/store/raft/ElectionTimer.java
@@ -4,7 +4,7 @@
 
 /**
  * Counts the ticks without a sign of a leader. The timeout is drawn anew with every change of role, from one to two election
- * timeouts, so that candidates seldom split the vote (thesis, 3.4). Owned by the thread that calls {@link Raft}.
+ * timeouts, so that candidates seldom split the vote (thesis, 3.4). Owned by the thread that calls {@link RaftServer}.
  */
 final class ElectionTimer {
 
--- a/src/main/java/pepperdock/store/raft/Progress.java
+++ b/src/main/java/pepperdock/store/raft/FollowerInfo.java
@@ -5,9 +5,9 @@
 
 /**
  * What a leader knows of one follower's log, and how it sends to it (thesis, 3.5 and 10.2.2, pipelining). Owned by the thread
- * that calls {@link Raft}; changed by the leader and its {@link LogAppender} alone.
+ * that calls {@link RaftServer}; changed by the leader and its {@link LogAppender} alone.
  */
-final class Progress {
+final class FollowerInfo {
 
     /** How a leader sends to a follower. */
     enum Mode {
@@ -21,18 +21,18 @@
 
     Mode mode = Mode.PROBE;
     /** The highest index known to be replicated, "matchIndex" of the thesis. */
-    long match;
+    long matchIndex;
 
     /** The next index to be sent, "nextIndex" of the thesis. */
-    long next;
+    long nextIndex;
     /** A probe or a chunk is in flight. */
     boolean waiting;
     /** The last indexes of messages that are not answered. */
     final Deque<Long> inFlight = new ArrayDeque<>();
     /** Has answered since the leader last checked its quorum. */
-    boolean active;
+    boolean recentlyActive;
     /** The newest heartbeat round that it has answered. */
-    long round;
+    long confirmedRound;
 
     /** The newest heartbeat round that was sent to it. */
     long roundSent;
@@ -41,26 +41,26 @@
     long commitSent;
 
     /** The snapshot that is being sent; null in other modes. */
-    Snapshot snapshot;
+    RaftSnapshot snapshot;
 
     /** Where the next chunk of the snapshot begins. */
     int offset;
 
-    Progress(long next) {
-        this.next = next;
+    FollowerInfo(long next) {
+        this.nextIndex = next;
     }
 
     /** Goes back to one message at a time, from the last index that is known to be common. */
-    void probe() {
+    void startProbing() {
         mode = Mode.PROBE;
-        next = match + 1;
+        nextIndex = matchIndex + 1;
         waiting = false;
         inFlight.clear();
         snapshot = null;
     }
 
     /** Goes over to sending a snapshot, from its beginning. */
-    void send(Snapshot toSend) {
+    void startSnapshot(RaftSnapshot toSend) {
         mode = Mode.SNAPSHOT;
         snapshot = toSend;
         offset = 0;
@@ -69,18 +69,18 @@
     }
 
     /** Its log is the leader's up to here. */
-    void holds(long index) {
-        if (index > match) {
-            match = index;
+    void onMatch(long index) {
+        if (index > matchIndex) {
+            matchIndex = index;
             waiting = false;
         }
-        next = Math.max(next, match + 1);
-        while (!inFlight.isEmpty() && inFlight.peek() <= match) {
+        nextIndex = Math.max(nextIndex, matchIndex + 1);
+        while (!inFlight.isEmpty() && inFlight.peek() <= matchIndex) {
             inFlight.poll();
         }
-        if (mode == Mode.PROBE || mode == Mode.SNAPSHOT && match >= snapshot.index()) {
+        if (mode == Mode.PROBE || mode == Mode.SNAPSHOT && matchIndex >= snapshot.index()) {
             mode = Mode.REPLICATE;
-            next = match + 1;
+            nextIndex = matchIndex + 1;
             waiting = false;
             snapshot = null;
         }
--- a/src/main/java/pepperdock/store/raft/Follower.java
+++ b/src/main/java/pepperdock/store/raft/FollowerRole.java
@@ -4,15 +4,15 @@
  * Follows a leader, or waits for one (thesis, 3.4). When the election timeout passes without a sign of a leader, a voter
  * begins a pre-vote; a learner goes on waiting.
  */
-final class Follower extends Role {
+final class FollowerRole extends RaftRole {
 
-    Follower(Raft raft) {
+    FollowerRole(RaftServer raft) {
         super(raft);
     }
 
     @Override
-    PeerState state() {
-        return PeerState.FOLLOWER;
+    RaftPeerState state() {
+        return RaftPeerState.FOLLOWER;
     }
 
     @Override
@@ -20,7 +20,7 @@
         if (raft.electionTimedOut()) {
             raft.clearLeader();
             if (raft.log.configuration().votes(raft.id)) {
-                raft.become(new Candidate(raft, true, false));
+                raft.become(new LeaderElection(raft, true, false));
             } else {
                 raft.resetElectionTimer();
             }
--- a/src/main/java/pepperdock/store/raft/Candidate.java
+++ b/src/main/java/pepperdock/store/raft/LeaderElection.java
@@ -7,40 +7,41 @@
  * Runs an election (thesis, 3.4): first a pre-vote (9.6), so that a server that is partitioned, or the only one not to hear
  * from the leader, does not disrupt the others with ever newer terms; then a vote in a term of its own.
  */
-final class Candidate extends Role {
+final class LeaderElection extends RaftRole {
 
-    private final boolean pre;
-    private final boolean told;
+    private final boolean preVote;
+    private final boolean leadershipTransfer;
     private final Map<Long, Boolean> votes = new HashMap<>();
 
     /**
      * Begins with the next change of role.
      *
-     * @param pre whether this is a pre-vote
-     * @param told whether the leader asked for this election, to transfer its leadership (thesis, 3.10)
+     * @param preVote whether this is a pre-vote
+     * @param leadershipTransfer whether the leader asked for this election, to transfer its leadership (thesis, 3.10)
      */
-    Candidate(Raft raft, boolean pre, boolean told) {
+    LeaderElection(RaftServer raft, boolean preVote, boolean leadershipTransfer) {
         super(raft);
-        this.pre = pre;
-        this.told = told;
+        this.preVote = preVote;
+        this.leadershipTransfer = leadershipTransfer;
     }
 
     @Override
-    PeerState state() {
-        return pre ? PeerState.PRE_CANDIDATE : PeerState.CANDIDATE;
+    RaftPeerState state() {
+        return preVote ? RaftPeerState.PRE_CANDIDATE : RaftPeerState.CANDIDATE;
     }
 
     @Override
-    void begins() {
-        if (!pre) {
+    void onStart() {
+        if (!preVote) {
             raft.startNewTerm();
         }
-        long term = raft.term() + (pre ? 1 : 0);
+        long term = raft.term() + (preVote ? 1 : 0);
         for (Long voter : raft.log.configuration().voters()) {
             if (voter != raft.id) {
                 raft.sendOnceSynced(
                         voter,
-                        new Message.RequestVote(raft.id, term, raft.log.lastIndex(), raft.log.lastTerm(), pre, told));
+                        new RaftMessage.RequestVote(
+                                raft.id, term, raft.log.lastIndex(), raft.log.lastTerm(), preVote, leadershipTransfer));
             }
         }
         // The vote for itself counts like all others: once it is on disk.
@@ -54,24 +55,24 @@
     @Override
     void tick() {
         if (raft.electionTimedOut()) {
-            raft.become(new Candidate(raft, true, false));
+            raft.become(new LeaderElection(raft, true, false));
         }
     }
 
     @Override
-    void received(Message message) {
-        if (message instanceof Message.VoteResponse response
-                && response.pre() == pre
-                && response.term() == raft.term() + (pre && response.granted() ? 1 : 0)) {
+    void onMessage(RaftMessage message) {
+        if (message instanceof RaftMessage.VoteResponse response
+                && response.preVote() == preVote
+                && response.term() == raft.term() + (preVote && response.granted() ? 1 : 0)) {
             countVote(response.from(), response.granted());
         }
     }
 
     private void countVote(long from, boolean granted) {
         votes.putIfAbsent(from, granted);
-        Configuration configuration = raft.log.configuration();
+        VoterConfiguration configuration = raft.log.configuration();
         if (configuration.hasMajority(voter -> votes.getOrDefault(voter, false))) {
-            raft.become(pre ? new Candidate(raft, false, false) : new Leader(raft));
+            raft.become(preVote ? new LeaderElection(raft, false, false) : new LeaderRole(raft));
         } else if (configuration.hasMajority(voter -> !votes.getOrDefault(voter, true))) {
             raft.becomeFollower(raft.term(), ServerState.NO_SERVER);
         }
--- a/src/main/java/pepperdock/store/raft/LeaderRequestHandler.java
+++ b/src/main/java/pepperdock/store/raft/LeaderRequestHandler.java
@@ -2,19 +2,19 @@
 
 /**
  * Handles what the leader of the current term sends: entries and snapshots (thesis, 3.5 and 5.1). Every answer waits until
- * what it speaks of is synced. Owned by the thread that calls {@link Raft}.
+ * what it speaks of is synced. Owned by the thread that calls {@link RaftServer}.
  */
 final class LeaderRequestHandler {
 
-    private final Raft raft;
+    private final RaftServer raft;
     private final SnapshotReceiver snapshotReceiver = new SnapshotReceiver();
 
-    LeaderRequestHandler(Raft raft) {
+    LeaderRequestHandler(RaftServer raft) {
         this.raft = raft;
     }
 
-    void onAppendEntries(Message.AppendEntries request) {
-        Log log = raft.log;
+    void onAppendEntries(RaftMessage.AppendEntries request) {
+        RaftLog log = raft.log;
         if (request.prevIndex() < log.commitIndex() && request.prevIndex() < log.firstIndex() - 1) {
             // Older than what is held: all of that is committed, so it is the same (thesis, 3.6.3).
             accept(request.from(), log.commitIndex(), request.round());
@@ -31,38 +31,38 @@
     }
 
     /** The consistency check has failed; the hint lets the leader skip a term's entries at a time (thesis, 3.5). */
-    private void rejectMismatch(Message.AppendEntries request) {
-        Log log = raft.log;
+    private void rejectMismatch(RaftMessage.AppendEntries request) {
+        RaftLog log = raft.log;
         long hint = log.lastIndexNotAfterTerm(Math.min(request.prevIndex() - 1, log.lastIndex()), request.prevTerm());
         raft.sendOnceSynced(
                 request.from(),
-                new Message.AppendResponse(
+                new RaftMessage.AppendResponse(
                         raft.id, raft.term(), false, request.prevIndex(), hint, log.term(hint), request.round()));
     }
 
-    void onInstallSnapshot(Message.InstallSnapshot request) {
-        Log log = raft.log;
+    void onInstallSnapshot(RaftMessage.InstallSnapshot request) {
+        RaftLog log = raft.log;
         if (raft.coversSnapshot(request.index(), request.indexTerm())) {
             log.commitTo(request.index());
             snapshotReceiver.clear();
             accept(request.from(), Math.max(log.commitIndex(), request.index()), request.round());
             return;
         }
-        Snapshot snapshot = snapshotReceiver.receive(request);
+        RaftSnapshot snapshot = snapshotReceiver.receive(request);
         if (snapshot == null) {
             raft.sendOnceSynced(
                     request.from(),
-                    new Message.InstallResponse(
+                    new RaftMessage.InstallResponse(
                             raft.id, raft.term(), request.index(), snapshotReceiver.received(), request.round()));
             return;
         }
         log.restore(snapshot);
-        raft.output(new Output.Restore(snapshot));
+        raft.output(new RaftOutput.Restore(snapshot));
         accept(request.from(), snapshot.index(), request.round());
     }
 
     /** Confirms that this log is the leader's up to an index. */
     private void accept(long leader, long index, long round) {
-        raft.sendOnceSynced(leader, new Message.AppendResponse(raft.id, raft.term(), true, index, 0, 0, round));
+        raft.sendOnceSynced(leader, new RaftMessage.AppendResponse(raft.id, raft.term(), true, index, 0, 0, round));
     }
 }
--- a/src/main/java/pepperdock/store/raft/Leader.java
+++ b/src/main/java/pepperdock/store/raft/LeaderRole.java
@@ -9,7 +9,7 @@
  * steps down when it hears from no majority for an election timeout (6.2), and when it is no voter any more and that is
  * committed (4.2.2).
  */
-final class Leader extends Role {
+final class LeaderRole extends RaftRole {
 
     private final Map<Long, LogAppender> appenders = new TreeMap<>();
     private final PendingReads reads;
@@ -24,27 +24,27 @@
     private int ticksSinceHeartbeat;
     private int ticksSinceQuorumCheck;
 
-    Leader(Raft raft) {
+    LeaderRole(RaftServer raft) {
         super(raft);
         reads = new PendingReads(raft);
     }
 
     @Override
-    PeerState state() {
-        return PeerState.LEADER;
+    RaftPeerState state() {
+        return RaftPeerState.LEADER;
     }
 
     @Override
-    void begins() {
+    void onStart() {
         raft.setLeaderToSelf();
         updateAppenders();
         // An entry of the new term lets those before it be committed (thesis, 3.6.2 and 6.4).
-        append(LogEntry.EMPTY, null);
+        append(RaftLogEntry.EMPTY, null);
         heartbeatDue = true;
     }
 
     @Override
-    void ends() {
+    void onStop() {
         reads.rejectAll();
     }
 
@@ -53,22 +53,22 @@
             return raft.log.durableIndex();
         }
         LogAppender appender = appenders.get(peer);
-        return appender == null ? -1 : appender.progress().match;
+        return appender == null ? -1 : appender.progress().matchIndex;
     }
 
     /** One appender for each other member of the newest configuration, voter or learner. */
     private void updateAppenders() {
         appenders.keySet().removeIf(id -> raft.log.configuration().peer(id) == null);
-        for (Peer peer : raft.log.configuration().peers()) {
+        for (RaftPeer peer : raft.log.configuration().peers()) {
             if (peer.id() != raft.id) {
                 appenders.computeIfAbsent(peer.id(), id -> new LogAppender(raft, id));
             }
         }
     }
 
-    private long append(byte[] data, Configuration configuration) {
+    private long append(byte[] data, VoterConfiguration configuration) {
         long index = raft.log.lastIndex() + 1;
-        raft.log.add(new LogEntry(index, raft.term(), data, configuration));
+        raft.log.add(new RaftLogEntry(index, raft.term(), data, configuration));
         if (configuration != null) {
             updateAppenders();
         }
@@ -76,8 +76,8 @@
     }
 
     @Override
-    long propose(byte[] data, Configuration configuration) {
-        boolean full = raft.log.uncommittedBytes() + data.length > raft.settings.uncommittedBytes();
+    long propose(byte[] data, VoterConfiguration configuration) {
+        boolean full = raft.log.uncommittedBytes() + data.length > raft.settings.maxUncommittedBytes();
         return leadershipTransfer.inProgress() || full ? 0 : append(data, configuration);
     }
 
@@ -95,42 +95,42 @@
                 raft.becomeFollower(raft.term(), ServerState.NO_SERVER);
                 return;
             }
-            appenders.values().forEach(appender -> appender.progress().active = false);
+            appenders.values().forEach(appender -> appender.progress().recentlyActive = false);
         }
         raft.resetElectionTimer();
     }
 
     private boolean isActive(long voter) {
-        return voter == raft.id || appenders.get(voter).progress().active;
+        return voter == raft.id || appenders.get(voter).progress().recentlyActive;
     }
 
     // ---- Answers ------------------------------------------------------------
 
     @Override
-    void received(Message message) {
+    void onMessage(RaftMessage message) {
         LogAppender appender = appenders.get(message.from());
         if (appender == null) {
             return;
         }
-        Progress progress = appender.progress();
-        progress.active = true;
-        if (message instanceof Message.AppendResponse response) {
-            progress.round = Math.max(progress.round, response.round());
-            if (response.ok()) {
-                progress.holds(response.index());
+        FollowerInfo progress = appender.progress();
+        progress.recentlyActive = true;
+        if (message instanceof RaftMessage.AppendResponse response) {
+            progress.confirmedRound = Math.max(progress.confirmedRound, response.round());
+            if (response.success()) {
+                progress.onMatch(response.index());
                 advanceCommit();
             } else {
                 appender.onMismatch(response);
             }
-        } else if (message instanceof Message.InstallResponse response) {
-            progress.round = Math.max(progress.round, response.round());
+        } else if (message instanceof RaftMessage.InstallResponse response) {
+            progress.confirmedRound = Math.max(progress.confirmedRound, response.round());
             appender.onInstallResponse(response);
         }
         answerConfirmedReads();
     }
 
     @Override
-    void written() {
+    void onWritten() {
         advanceCommit();
         answerConfirmedReads();
     }
@@ -151,7 +151,7 @@
         raft.log.configuration().voters().stream()
                 .filter(voter -> matchIndex(voter) >= raft.log.commitIndex())
                 .findFirst()
-                .ifPresent(voter -> raft.send(voter, new Message.TimeoutNow(raft.id, raft.term())));
+                .ifPresent(voter -> raft.send(voter, new RaftMessage.TimeoutNow(raft.id, raft.term())));
         raft.becomeFollower(raft.term(), ServerState.NO_SERVER);
     }
 
@@ -174,7 +174,7 @@
 
     /** The newest round that a voter has taken part in. */
     private long confirmedRound(long voter) {
-        return voter == raft.id ? round : appenders.get(voter).progress().round;
+        return voter == raft.id ? round : appenders.get(voter).progress().confirmedRound;
     }
 
     // ---- Leadership transfer ------------------------------------------------------------
@@ -190,9 +190,9 @@
 
     private void requestElectionOfCaughtUpTarget() {
         LogAppender target = appenders.get(leadershipTransfer.target());
-        if (target != null && leadershipTransfer.requestDue() && target.progress().match == raft.log.lastIndex()) {
+        if (target != null && leadershipTransfer.requestDue() && target.progress().matchIndex == raft.log.lastIndex()) {
             leadershipTransfer.requestSent();
-            raft.send(leadershipTransfer.target(), new Message.TimeoutNow(raft.id, raft.term()));
+            raft.send(leadershipTransfer.target(), new RaftMessage.TimeoutNow(raft.id, raft.term()));
         }
     }
 
--- a/src/main/java/pepperdock/store/raft/LeadershipTransfer.java
+++ b/src/main/java/pepperdock/store/raft/LeadershipTransfer.java
@@ -3,7 +3,7 @@
 /**
  * A leadership transfer that is under way, if any (thesis, 3.10): the leader takes no new entries, brings the target up to date
  * and tells it to start an election at once. It is abandoned after an election timeout. Owned by the thread that calls
- * {@link Raft}.
+ * {@link RaftServer}.
  */
 final class LeadershipTransfer {
 
--- a/src/main/java/pepperdock/store/raft/LogAppender.java
+++ b/src/main/java/pepperdock/store/raft/LogAppender.java
@@ -5,44 +5,44 @@
 
 /**
  * Brings one follower's log up to the leader's (thesis, 3.5): sends entries, or a snapshot in chunks where the entries are
- * compacted (5.1), and takes in the answers. Owned by the thread that calls {@link Raft}.
+ * compacted (5.1), and takes in the answers. Owned by the thread that calls {@link RaftServer}.
  */
 final class LogAppender {
 
-    private final Raft raft;
+    private final RaftServer raft;
     private final long follower;
-    private final Progress progress;
+    private final FollowerInfo progress;
 
-    LogAppender(Raft raft, long follower) {
+    LogAppender(RaftServer raft, long follower) {
         this.raft = raft;
         this.follower = follower;
-        progress = new Progress(raft.log.lastIndex() + 1);
+        progress = new FollowerInfo(raft.log.lastIndex() + 1);
     }
 
     /** What the leader knows of the follower. */
-    Progress progress() {
+    FollowerInfo progress() {
         return progress;
     }
 
     // ---- Answers ------------------------------------------------------------
 
     /** The follower's log is not the leader's at the index before the entries that were sent. */
-    void onMismatch(Message.AppendResponse response) {
-        if (progress.mode == Progress.Mode.REPLICATE) {
-            if (response.index() > progress.match) {
-                progress.probe();
+    void onMismatch(RaftMessage.AppendResponse response) {
+        if (progress.mode == FollowerInfo.Mode.REPLICATE) {
+            if (response.index() > progress.matchIndex) {
+                progress.startProbing();
             }
-        } else if (progress.mode == Progress.Mode.PROBE && progress.next - 1 == response.index()) {
+        } else if (progress.mode == FollowerInfo.Mode.PROBE && progress.nextIndex - 1 == response.index()) {
             long lastCommonIndex = raft.log.lastIndexNotAfterTerm(response.hint(), response.hintTerm());
-            progress.next = Math.max(progress.match, Math.min(response.index() - 1, lastCommonIndex)) + 1;
+            progress.nextIndex = Math.max(progress.matchIndex, Math.min(response.index() - 1, lastCommonIndex)) + 1;
             progress.waiting = false;
         }
     }
 
     /** The follower holds so much of the snapshot that is being sent. */
-    void onInstallResponse(Message.InstallResponse response) {
-        if (progress.mode == Progress.Mode.SNAPSHOT && progress.snapshot.index() == response.index()) {
-            progress.offset = (int) Math.min(response.held(), progress.snapshot.state().length);
+    void onInstallResponse(RaftMessage.InstallResponse response) {
+        if (progress.mode == FollowerInfo.Mode.SNAPSHOT && progress.snapshot.index() == response.index()) {
+            progress.offset = (int) Math.min(response.receivedBytes(), progress.snapshot.state().length);
             progress.waiting = false;
         }
     }
@@ -58,15 +58,15 @@
             // What was in flight may be lost.
             progress.waiting = false;
         }
-        if (progress.mode != Progress.Mode.SNAPSHOT && progress.next < raft.log.firstIndex()) {
-            progress.send(raft.log.snapshot());
+        if (progress.mode != FollowerInfo.Mode.SNAPSHOT && progress.nextIndex < raft.log.firstIndex()) {
+            progress.startSnapshot(raft.log.snapshot());
         }
-        if (progress.mode == Progress.Mode.SNAPSHOT) {
+        if (progress.mode == FollowerInfo.Mode.SNAPSHOT) {
             sendSnapshot(round);
             return;
         }
         boolean sent = sendMissingEntries(round);
-        boolean commitUnknown = progress.commitSent < Math.min(raft.log.commitIndex(), progress.match);
+        boolean commitUnknown = progress.commitSent < Math.min(raft.log.commitIndex(), progress.matchIndex);
         if (!sent && (progress.roundSent < round || commitUnknown)) {
             sendEntries(round, List.of());
         }
@@ -75,14 +75,14 @@
     private boolean sendMissingEntries(long round) {
         boolean sent = false;
         while (!progress.waiting
-                && progress.inFlight.size() < raft.settings.inFlight()
-                && progress.next <= raft.log.lastIndex()) {
-            List<LogEntry> entries = raft.log.entriesFrom(progress.next, raft.settings.messageBytes());
+                && progress.inFlight.size() < raft.settings.maxInFlight()
+                && progress.nextIndex <= raft.log.lastIndex()) {
+            List<RaftLogEntry> entries = raft.log.entriesFrom(progress.nextIndex, raft.settings.maxMessageBytes());
             sendEntries(round, entries);
             sent = true;
-            if (progress.mode == Progress.Mode.REPLICATE) {
-                progress.next += entries.size();
-                progress.inFlight.add(progress.next - 1);
+            if (progress.mode == FollowerInfo.Mode.REPLICATE) {
+                progress.nextIndex += entries.size();
+                progress.inFlight.add(progress.nextIndex - 1);
             } else {
                 progress.waiting = true;
             }
@@ -90,16 +90,16 @@
         return sent;
     }
 
-    private void sendEntries(long round, List<LogEntry> entries) {
+    private void sendEntries(long round, List<RaftLogEntry> entries) {
         progress.roundSent = round;
         progress.commitSent = raft.log.commitIndex();
         raft.send(
                 follower,
-                new Message.AppendEntries(
+                new RaftMessage.AppendEntries(
                         raft.id,
                         raft.term(),
-                        progress.next - 1,
-                        raft.log.term(progress.next - 1),
+                        progress.nextIndex - 1,
+                        raft.log.term(progress.nextIndex - 1),
                         entries,
                         raft.log.commitIndex(),
                         round));
@@ -109,12 +109,12 @@
         if (progress.waiting && progress.roundSent == round) {
             return;
         }
-        Snapshot snapshot = progress.snapshot;
+        RaftSnapshot snapshot = progress.snapshot;
         byte[] state = snapshot.state();
-        int end = Math.min(state.length, progress.offset + raft.settings.messageBytes());
+        int end = Math.min(state.length, progress.offset + raft.settings.maxMessageBytes());
         raft.send(
                 follower,
-                new Message.InstallSnapshot(
+                new RaftMessage.InstallSnapshot(
                         raft.id,
                         raft.term(),
                         snapshot.index(),
--- a/src/main/java/pepperdock/store/raft/PendingReads.java
+++ b/src/main/java/pepperdock/store/raft/PendingReads.java
@@ -8,18 +8,18 @@
 /**
  * The linearizable reads that a leader has not answered yet (thesis, 6.4). A read waits for the first entry of the leader's
  * term to be committed, as the commit index is not known before, and then for a majority to answer a heartbeat round that
- * began after it came. Owned by the thread that calls {@link Raft}.
+ * began after it came. Owned by the thread that calls {@link RaftServer}.
  */
 final class PendingReads {
 
     /** A read at a commit index, to be confirmed by a heartbeat round. */
     private record PendingRead(long token, long readIndex, long round) {}
 
-    private final Raft raft;
+    private final RaftServer raft;
     private final Deque<PendingRead> confirming = new ArrayDeque<>();
     private final Deque<Long> beforeFirstCommit = new ArrayDeque<>();
 
-    PendingReads(Raft raft) {
+    PendingReads(RaftServer raft) {
         this.raft = raft;
     }
 
@@ -43,14 +43,14 @@
     void answerConfirmed(LongPredicate roundConfirmed) {
         while (!confirming.isEmpty() && roundConfirmed.test(confirming.peek().round())) {
             PendingRead read = confirming.poll();
-            raft.output(new Output.ReadReady(read.token(), read.readIndex()));
+            raft.output(new RaftOutput.ReadReady(read.token(), read.readIndex()));
         }
     }
 
     /** The leader has stepped down. */
     void rejectAll() {
-        confirming.forEach(read -> raft.output(new Output.ReadRejected(read.token())));
-        beforeFirstCommit.forEach(token -> raft.output(new Output.ReadRejected(token)));
+        confirming.forEach(read -> raft.output(new RaftOutput.ReadRejected(read.token())));
+        beforeFirstCommit.forEach(token -> raft.output(new RaftOutput.ReadRejected(token)));
         confirming.clear();
         beforeFirstCommit.clear();
     }
--- a/src/main/java/pepperdock/store/raft/Log.java
+++ b/src/main/java/pepperdock/store/raft/RaftLog.java
@@ -8,9 +8,9 @@
 /**
  * The log in memory, from a little before the snapshot on; how much of it is on disk, committed and applied; and the members as
  * of each index. What was handed to the disk and not confirmed yet is remembered by its write, since a later write may replace
- * it. Owned by the thread that calls {@link Raft}.
+ * it. Owned by the thread that calls {@link RaftServer}.
  */
-final class Log {
+final class RaftLog {
 
     /** Entries up to {@code to} that were handed to the disk with a write. */
     private static final class PendingWrite {
@@ -27,9 +27,9 @@
     private long base;
 
     private long baseTerm;
-    private final List<LogEntry> entries = new ArrayList<>();
-    private final TreeMap<Long, Configuration> configurations = new TreeMap<>();
-    private Snapshot snapshot;
+    private final List<RaftLogEntry> entries = new ArrayList<>();
+    private final TreeMap<Long, VoterConfiguration> configurations = new TreeMap<>();
+    private RaftSnapshot snapshot;
     private long commitIndex;
     private long appliedIndex;
     private long durableIndex;
@@ -42,20 +42,20 @@
     /** Estimated bytes of the uncommitted entries. */
     private int uncommittedBytes;
 
-    Log(Snapshot snapshot, List<LogEntry> kept) {
+    RaftLog(RaftSnapshot snapshot, List<RaftLogEntry> saved) {
         this.snapshot = snapshot;
         configurations.put(snapshot.index(), snapshot.configuration());
-        boolean contiguous = kept.isEmpty() || kept.get(0).index() <= snapshot.index() + 1;
+        boolean contiguous = saved.isEmpty() || saved.get(0).index() <= snapshot.index() + 1;
         if (!contiguous) {
             throw new IllegalArgumentException(
-                    "entries from " + kept.get(0).index() + " on, after a snapshot of " + snapshot.index());
+                    "entries from " + saved.get(0).index() + " on, after a snapshot of " + snapshot.index());
         }
         base = snapshot.index();
         baseTerm = snapshot.term();
-        for (LogEntry e : kept) {
+        for (RaftLogEntry entry : saved) {
             // A crash between writing a snapshot and truncating the log leaves older entries behind.
-            if (e.index() == lastIndex() + 1) {
-                add(e);
+            if (entry.index() == lastIndex() + 1) {
+                add(entry);
             }
         }
         commitIndex = snapshot.index();
@@ -84,7 +84,7 @@
                 : index < base || index > lastIndex() ? -1 : get(index).term();
     }
 
-    LogEntry get(long index) {
+    RaftLogEntry get(long index) {
         return entries.get((int) (index - base - 1));
     }
 
@@ -100,12 +100,12 @@
         return appliedIndex;
     }
 
-    Snapshot snapshot() {
+    RaftSnapshot snapshot() {
         return snapshot;
     }
 
     /** The members by the newest entry that names any, committed or not (thesis, 4.1). */
-    Configuration configuration() {
+    VoterConfiguration configuration() {
         return configurations.lastEntry().getValue();
     }
 
@@ -115,16 +115,16 @@
     }
 
     /** The members as of an index. */
-    private Configuration configurationAt(long index) {
-        Map.Entry<Long, Configuration> e = configurations.floorEntry(index);
-        return e == null ? Configuration.NONE : e.getValue();
+    private VoterConfiguration configurationAt(long index) {
+        Map.Entry<Long, VoterConfiguration> entry = configurations.floorEntry(index);
+        return entry == null ? VoterConfiguration.NONE : entry.getValue();
     }
 
-    void add(LogEntry e) {
-        entries.add(e);
-        uncommittedBytes += e.size();
-        if (e.configuration() != null) {
-            configurations.put(e.index(), e.configuration());
+    void add(RaftLogEntry entry) {
+        entries.add(entry);
+        uncommittedBytes += entry.size();
+        if (entry.configuration() != null) {
+            configurations.put(entry.index(), entry.configuration());
         }
     }
 
@@ -141,22 +141,22 @@
      * Merges a leader's entries, which follow one in this log (thesis, 3.5). Those that are here already stay, with all that
      * follows them, as the message may be an old one; from the first that differs on, the rest is replaced.
      */
-    void merge(List<LogEntry> all) {
-        for (LogEntry e : all) {
-            if (e.index() <= base || term(e.index()) == e.term()) {
+    void merge(List<RaftLogEntry> all) {
+        for (RaftLogEntry entry : all) {
+            if (entry.index() <= base || term(entry.index()) == entry.term()) {
                 continue;
             }
-            if (e.index() <= lastIndex()) {
-                if (e.index() <= commitIndex) {
-                    throw new CommittedEntryConflictException(e.index());
+            if (entry.index() <= lastIndex()) {
+                if (entry.index() <= commitIndex) {
+                    throw new CommittedEntryConflictException(entry.index());
                 }
-                List<LogEntry> rest = entries.subList((int) (e.index() - base - 1), entries.size());
+                List<RaftLogEntry> rest = entries.subList((int) (entry.index() - base - 1), entries.size());
                 rest.forEach(dropped -> uncommittedBytes -= dropped.size());
                 rest.clear();
-                configurations.tailMap(e.index(), true).clear();
-                replacedFrom(e.index());
+                configurations.tailMap(entry.index(), true).clear();
+                replacedFrom(entry.index());
             }
-            add(e);
+            add(entry);
         }
     }
 
@@ -171,18 +171,18 @@
     }
 
     /** Entries from an index on, of so many bytes at most, but one at least where there is one. */
-    List<LogEntry> entriesFrom(long index, int bytes) {
-        List<LogEntry> some = new ArrayList<>();
+    List<RaftLogEntry> entriesFrom(long index, int bytes) {
+        List<RaftLogEntry> selected = new ArrayList<>();
         int sum = 0;
         for (long i = index; i <= lastIndex(); i++) {
-            LogEntry e = get(i);
-            sum += e.size();
-            if (sum > bytes && !some.isEmpty()) {
+            RaftLogEntry entry = get(i);
+            sum += entry.size();
+            if (sum > bytes && !selected.isEmpty()) {
                 break;
             }
-            some.add(e);
+            selected.add(entry);
         }
-        return some;
+        return selected;
     }
 
     int uncommittedBytes() {
@@ -203,14 +203,14 @@
     }
 
     /** The entries to apply now: committed, on this disk, and not applied before. */
-    List<LogEntry> toApply() {
+    List<RaftLogEntry> toApply() {
         long to = Math.min(commitIndex, durableIndex);
         if (to <= appliedIndex) {
             return List.of();
         }
-        List<LogEntry> some = List.copyOf(entries.subList((int) (appliedIndex - base), (int) (to - base)));
+        List<RaftLogEntry> selected = List.copyOf(entries.subList((int) (appliedIndex - base), (int) (to - base)));
         appliedIndex = to;
-        return some;
+        return selected;
     }
 
     // ---- The disk ------------------------------------------------------------
@@ -220,12 +220,13 @@
     }
 
     /** All that was not handed to the disk yet, as one write. */
-    Output.Write nextWrite(long write, HardState hardState) {
-        List<LogEntry> some = firstUnwritten > lastIndex()
+    RaftOutput.Write nextWrite(long write, HardState hardState) {
+        List<RaftLogEntry> selected = firstUnwritten > lastIndex()
                 ? List.of()
                 : List.copyOf(entries.subList((int) (firstUnwritten - base - 1), entries.size()));
-        Output.Write all = new Output.Write(write, hardState, snapshotUnwritten ? snapshot : null, truncateFrom, some);
-        if (!some.isEmpty() || snapshotUnwritten) {
+        RaftOutput.Write all =
+                new RaftOutput.Write(write, hardState, snapshotUnwritten ? snapshot : null, truncateFrom, selected);
+        if (!selected.isEmpty() || snapshotUnwritten) {
             pendingWrites.add(new PendingWrite(write, lastIndex()));
         }
         firstUnwritten = lastIndex() + 1;
@@ -244,38 +245,38 @@
     // ---- Snapshots ------------------------------------------------------------
 
     /** Takes a snapshot of the applied entries (thesis, 5.1); entries well before its index are dropped from memory. */
-    void compact(long index, byte[] state, int kept) {
+    void compact(long index, byte[] state, int retained) {
         if (index <= snapshot.index() || index > appliedIndex) {
             throw new IllegalArgumentException(
                     "snapshot of " + index + ", with " + snapshot.index() + " held and " + appliedIndex + " applied");
         }
-        snapshot = new Snapshot(index, term(index), configurationAt(index), state);
+        snapshot = new RaftSnapshot(index, term(index), configurationAt(index), state);
         snapshotUnwritten = true;
-        long to = index - kept;
-        if (to > base) {
-            long term = term(to);
-            entries.subList(0, (int) (to - base)).clear();
-            base = to;
+        long lastDropped = index - retained;
+        if (lastDropped > base) {
+            long term = term(lastDropped);
+            entries.subList(0, (int) (lastDropped - base)).clear();
+            base = lastDropped;
             baseTerm = term;
         }
-        Configuration current = configurationAt(index);
+        VoterConfiguration current = configurationAt(index);
         configurations.headMap(index, true).clear();
         configurations.put(index, current);
     }
 
     /** Replaces the whole log by a leader's snapshot (thesis, 5.1). */
-    void restore(Snapshot s) {
+    void restore(RaftSnapshot leaderSnapshot) {
         entries.clear();
         configurations.clear();
-        configurations.put(s.index(), s.configuration());
-        base = s.index();
-        baseTerm = s.term();
-        snapshot = s;
-        commitIndex = s.index();
-        appliedIndex = s.index();
+        configurations.put(leaderSnapshot.index(), leaderSnapshot.configuration());
+        base = leaderSnapshot.index();
+        baseTerm = leaderSnapshot.term();
+        snapshot = leaderSnapshot;
+        commitIndex = leaderSnapshot.index();
+        appliedIndex = leaderSnapshot.index();
         pendingWrites.clear();
         durableIndex = 0;
-        firstUnwritten = s.index() + 1;
+        firstUnwritten = leaderSnapshot.index() + 1;
         truncateFrom = 1;
         snapshotUnwritten = true;
         uncommittedBytes = 0;
--- a/src/main/java/pepperdock/store/raft/LogEntry.java
+++ b/src/main/java/pepperdock/store/raft/RaftLogEntry.java
@@ -6,7 +6,7 @@
  * @param index counted from 1
  * @param configuration in force as soon as a log has it, committed or not (thesis, 4.1); null in all other entries
  */
-public record LogEntry(long index, long term, byte[] data, Configuration configuration) {
+public record RaftLogEntry(long index, long term, byte[] data, VoterConfiguration configuration) {
 
     static final byte[] EMPTY = new byte[0];
     /** Estimates of the bytes in memory, for limits only. */
--- a/src/main/java/pepperdock/store/raft/Peer.java
+++ b/src/main/java/pepperdock/store/raft/RaftPeer.java
@@ -7,4 +7,4 @@
  * @param name of the gatherer that has the disk
  * @param votes false for a learner: it receives the log, and does not count for majorities (4.2.1)
  */
-public record Peer(long id, String name, String address, boolean votes) {}
+public record RaftPeer(long id, String name, String address, boolean votes) {}
--- a/src/main/java/pepperdock/store/raft/Role.java
+++ b/src/main/java/pepperdock/store/raft/RaftRole.java
@@ -1,46 +1,46 @@
 package pepperdock.store.raft;
 
 /**
- * What a server does differently by its role (thesis, 3.3); what it does in every role is in {@link Raft}. A role object lasts
- * from one change of role to the next, and belongs to the thread that calls {@link Raft}.
+ * What a server does differently by its role (thesis, 3.3); what it does in every role is in {@link RaftServer}. A role object lasts
+ * from one change of role to the next, and belongs to the thread that calls {@link RaftServer}.
  */
-abstract class Role {
+abstract class RaftRole {
 
-    final Raft raft;
+    final RaftServer raft;
 
-    Role(Raft raft) {
+    RaftRole(RaftServer raft) {
         this.raft = raft;
     }
 
     /** The role's name, for the caller. */
-    abstract PeerState state();
+    abstract RaftPeerState state();
 
     /** Called once, when the server takes on this role. */
-    void begins() {}
+    void onStart() {}
 
     /** Called once, when the server leaves this role. */
-    void ends() {}
+    void onStop() {}
 
     /** A tick of the caller's clock has passed. */
     abstract void tick();
 
     /** A response in the current term, or a granted pre-vote in the next one, has come. */
-    void received(Message message) {}
+    void onMessage(RaftMessage message) {}
 
     /** More is synced than before. */
-    void written() {}
+    void onWritten() {}
 
     /** Called before outputs are taken, to send what has gathered since the last time in as few messages as possible. */
     void flush() {}
 
     /** Appends an entry; returns its index, or 0 where this server may not. */
-    long propose(byte[] data, Configuration configuration) {
+    long propose(byte[] data, VoterConfiguration configuration) {
         return 0;
     }
 
     /** Begins a linearizable read. */
     void read(long token) {
-        raft.output(new Output.ReadRejected(token));
+        raft.output(new RaftOutput.ReadRejected(token));
     }
 
     /** Begins a leadership transfer; false where that can't be. */
--- a/src/main/java/pepperdock/store/raft/Raft.java
+++ b/src/main/java/pepperdock/store/raft/RaftServer.java
@@ -6,7 +6,7 @@
 
 /**
  * One server of a Raft group, as a pure state machine (Ongaro, "Consensus: Bridging Theory and Practice", 2014; "thesis"
- * below). Messages, ticks, finished disk writes and clients' requests come in, and {@link Output} goes out. It has no clock,
+ * below). Messages, ticks, finished disk writes and clients' requests come in, and {@link RaftOutput} goes out. It has no clock,
  * sockets, files or threads, and random numbers come from a seed alone: the same inputs give the same outputs.
  *
  * <p>All of its state belongs to one thread, the caller's; no method may be called from another. The caller passes every
@@ -21,22 +21,22 @@
  * to others only once it is synced here. No entry of an older term is committed by counting replicas (3.6.2). Membership
  * changes by one voter at a time (4.1). A leader that hears from no majority for an election timeout steps down (6.2).
  *
- * <p>What all roles have in common stands here; what only one role does is in {@link Follower}, {@link Candidate} and
- * {@link Leader}.
+ * <p>What all roles have in common stands here; what only one role does is in {@link FollowerRole}, {@link LeaderElection} and
+ * {@link LeaderRole}.
  */
-public class Raft {
+public class RaftServer {
 
     final RaftSettings settings;
-    final Log log;
+    final RaftLog log;
     final long id;
     private final ServerState serverState;
     private final ElectionTimer electionTimer;
     private final VoteRequestHandler voteRequests;
     private final LeaderRequestHandler leaderRequests;
     private final SyncQueue syncQueue = new SyncQueue();
-    private final List<Output> outputs = new ArrayList<>();
-    private Role role;
-    private Output.StateChange lastStateChange;
+    private final List<RaftOutput> outputs = new ArrayList<>();
+    private RaftRole role;
+    private RaftOutput.StateChange lastStateChange;
 
     /**
      * Starts as a follower.
@@ -45,7 +45,7 @@
      * @param saved what that disk holds
      * @param seed of the election timeouts
      */
-    public Raft(long id, RaftSettings settings, PersistedState saved, long seed) {
+    public RaftServer(long id, RaftSettings settings, PersistedState saved, long seed) {
         if (id == ServerState.NO_SERVER) {
             throw new IllegalArgumentException("0 is nobody's id");
         }
@@ -53,11 +53,11 @@
         this.settings = settings;
         serverState = new ServerState(saved.hardState());
         electionTimer = new ElectionTimer(settings.electionTicks(), new Random(seed));
-        log = new Log(saved.snapshot(), saved.entries());
+        log = new RaftLog(saved.snapshot(), saved.entries());
         voteRequests = new VoteRequestHandler(this, serverState, electionTimer);
         leaderRequests = new LeaderRequestHandler(this);
-        lastStateChange = new Output.StateChange(PeerState.FOLLOWER, term(), ServerState.NO_SERVER);
-        become(new Follower(this));
+        lastStateChange = new RaftOutput.StateChange(RaftPeerState.FOLLOWER, term(), ServerState.NO_SERVER);
+        become(new FollowerRole(this));
     }
 
     // ---- State, for the caller ------------------------------------------------------------
@@ -68,7 +68,7 @@
     }
 
     /** The role that it has now. */
-    public PeerState state() {
+    public RaftPeerState state() {
         return role.state();
     }
 
@@ -83,7 +83,7 @@
     }
 
     /** The members as of the newest entry in this log that names them, committed or not (thesis, 4.1). */
-    public Configuration configuration() {
+    public VoterConfiguration configuration() {
         return log.configuration();
     }
 
@@ -119,7 +119,7 @@
 
     /** The highest index known to be replicated to a peer; -1 where this server does not lead or does not know the peer. */
     public long matchIndex(long peer) {
-        return role instanceof Leader leader ? leader.matchIndex(peer) : -1;
+        return role instanceof LeaderRole leader ? leader.matchIndex(peer) : -1;
     }
 
     // ---- Inputs ------------------------------------------------------------
@@ -131,12 +131,12 @@
     }
 
     /** A message has come from a peer. */
-    public void received(Message message) {
-        if (role.state() == PeerState.STORAGE_FAILED) {
+    public void received(RaftMessage message) {
+        if (role.state() == RaftPeerState.STORAGE_FAILED) {
             return;
         }
         if (message.term() > term()) {
-            if (message instanceof Message.RequestVote request && voteRequests.ignores(request)) {
+            if (message instanceof RaftMessage.RequestVote request && voteRequests.ignores(request)) {
                 return;
             }
             if (!isHypothetical(message)) {
@@ -149,47 +149,47 @@
         handle(message);
     }
 
-    private static boolean isFromLeader(Message message) {
-        return message instanceof Message.AppendEntries || message instanceof Message.InstallSnapshot;
+    private static boolean isFromLeader(RaftMessage message) {
+        return message instanceof RaftMessage.AppendEntries || message instanceof RaftMessage.InstallSnapshot;
     }
 
     /** Whether the message's term is only the one that a pre-vote would lead to (thesis, 9.6). */
-    private static boolean isHypothetical(Message message) {
-        return message instanceof Message.RequestVote request && request.pre()
-                || message instanceof Message.VoteResponse response && response.pre() && response.granted();
+    private static boolean isHypothetical(RaftMessage message) {
+        return message instanceof RaftMessage.RequestVote request && request.preVote()
+                || message instanceof RaftMessage.VoteResponse response && response.preVote() && response.granted();
     }
 
-    private void rejectOlderTerm(Message message) {
+    private void rejectOlderTerm(RaftMessage message) {
         if (isFromLeader(message)) {
             // A leader that was away steps down when it hears of the newer term.
-            sendOnceSynced(message.from(), new Message.AppendResponse(id, term(), false, 0, 0, 0, 0));
-        } else if (message instanceof Message.RequestVote request && request.pre()) {
-            sendOnceSynced(message.from(), new Message.VoteResponse(id, term(), true, false));
+            sendOnceSynced(message.from(), new RaftMessage.AppendResponse(id, term(), false, 0, 0, 0, 0));
+        } else if (message instanceof RaftMessage.RequestVote request && request.preVote()) {
+            sendOnceSynced(message.from(), new RaftMessage.VoteResponse(id, term(), true, false));
         }
     }
 
-    private void handle(Message message) {
-        if (message instanceof Message.RequestVote request) {
+    private void handle(RaftMessage message) {
+        if (message instanceof RaftMessage.RequestVote request) {
             voteRequests.onRequestVote(request);
-        } else if (message instanceof Message.AppendEntries request) {
+        } else if (message instanceof RaftMessage.AppendEntries request) {
             followLeader(request.from());
             leaderRequests.onAppendEntries(request);
-        } else if (message instanceof Message.InstallSnapshot request) {
+        } else if (message instanceof RaftMessage.InstallSnapshot request) {
             followLeader(request.from());
             leaderRequests.onInstallSnapshot(request);
-        } else if (message instanceof Message.TimeoutNow) {
+        } else if (message instanceof RaftMessage.TimeoutNow) {
             if (log.configuration().votes(id)) {
-                become(new Candidate(this, false, true));
+                become(new LeaderElection(this, false, true));
             }
         } else {
-            role.received(message);
+            role.onMessage(message);
         }
     }
 
     /** A server has sent a request as the current term's leader. */
     private void followLeader(long from) {
-        if (role.state() != PeerState.FOLLOWER) {
-            become(new Follower(this));
+        if (role.state() != RaftPeerState.FOLLOWER) {
+            become(new FollowerRole(this));
         }
         serverState.setLeader(from);
         resetElectionTimer();
@@ -197,19 +197,19 @@
 
     /** All writes up to this one are synced. */
     public void written(long number) {
-        if (role.state() == PeerState.STORAGE_FAILED || number <= syncQueue.lastSynced()) {
+        if (role.state() == RaftPeerState.STORAGE_FAILED || number <= syncQueue.lastSynced()) {
             return;
         }
         log.written(number);
         syncQueue.synced(number);
-        role.written();
+        role.onWritten();
     }
 
     /** A write or a sync failed: what the disk holds is not known, so nothing is promised from here on. */
     public void failed() {
         syncQueue.clear();
         clearLeader();
-        become(new StorageFailed(this));
+        become(new StorageFailedRole(this));
     }
 
     /** Appends an entry; returns its index, or 0 where this server does not lead or has too many uncommitted bytes. */
@@ -221,8 +221,8 @@
      * Changes the members; returns the entry's index, or 0 where this server does not lead, the change before is not committed
      * yet, or more than one voter would change (thesis, 4.1).
      */
-    public long change(Configuration to) {
-        return mayChangeTo(to) ? role.propose(LogEntry.EMPTY, to) : 0;
+    public long change(VoterConfiguration to) {
+        return mayChangeTo(to) ? role.propose(RaftLogEntry.EMPTY, to) : 0;
     }
 
     /** Requests a linearizable read (thesis, 6.4), answered by {@link Output.ReadReady} or {@link Output.ReadRejected}. */
@@ -237,51 +237,51 @@
 
     /** Replaces the applied entries up to an index by the state that they led to (thesis, 5.1). */
     public void compact(long index, byte[] state) {
-        if (role.state() != PeerState.STORAGE_FAILED) {
-            log.compact(index, state, settings.kept());
+        if (role.state() != RaftPeerState.STORAGE_FAILED) {
+            log.compact(index, state, settings.retainedEntries());
         }
     }
 
     /** What is to be done since the last call, in order. */
-    public List<Output> takeOutputs() {
+    public List<RaftOutput> takeOutputs() {
         do {
             role.flush();
-            if (role.state() != PeerState.STORAGE_FAILED
+            if (role.state() != RaftPeerState.STORAGE_FAILED
                     && (serverState.hasUnwrittenHardState() || log.hasUnwritten())) {
                 outputs.add(log.nextWrite(syncQueue.nextWrite(), serverState.takeUnwrittenHardState()));
             }
             syncQueue.release();
         } while (syncQueue.hasDeferred());
-        List<LogEntry> committed = log.toApply();
+        List<RaftLogEntry> committed = log.toApply();
         if (!committed.isEmpty()) {
-            outputs.add(new Output.Apply(committed));
+            outputs.add(new RaftOutput.Apply(committed));
         }
-        Output.StateChange current = new Output.StateChange(role.state(), term(), leader());
+        RaftOutput.StateChange current = new RaftOutput.StateChange(role.state(), term(), leader());
         if (!current.equals(lastStateChange)) {
             lastStateChange = current;
             outputs.add(current);
         }
-        List<Output> taken = List.copyOf(outputs);
+        List<RaftOutput> taken = List.copyOf(outputs);
         outputs.clear();
         return taken;
     }
 
     // ---- For the roles ------------------------------------------------------------
 
-    final void become(Role next) {
+    final void become(RaftRole next) {
         if (role != null) {
-            role.ends();
+            role.onStop();
         }
         role = next;
         electionTimer.restart();
-        next.begins();
+        next.onStart();
     }
 
     /** Becomes a follower in a newer term, or in the current one. */
     final void becomeFollower(long newTerm, long newLeader) {
         serverState.advanceTo(newTerm);
         serverState.setLeader(newLeader);
-        become(new Follower(this));
+        become(new FollowerRole(this));
     }
 
     /** Opens a new term with a vote for itself. */
@@ -297,7 +297,7 @@
         serverState.setLeader(ServerState.NO_SERVER);
     }
 
-    final boolean isCurrent(Role other) {
+    final boolean isCurrent(RaftRole other) {
         return role == other;
     }
 
@@ -310,12 +310,12 @@
     }
 
     /** Sends at once: the message speaks of nothing that this disk has to hold. */
-    final void send(long to, Message message) {
-        outputs.add(new Output.Send(to, message));
+    final void send(long to, RaftMessage message) {
+        outputs.add(new RaftOutput.Send(to, message));
     }
 
     /** Sends once all that holds now is synced. */
-    final void sendOnceSynced(long to, Message message) {
+    final void sendOnceSynced(long to, RaftMessage message) {
         onceSynced(() -> send(to, message));
     }
 
@@ -323,7 +323,7 @@
         syncQueue.defer(action);
     }
 
-    final void output(Output output) {
+    final void output(RaftOutput output) {
         outputs.add(output);
     }
 
@@ -342,7 +342,7 @@
      * Whether the members may be changed to these now: one voter at a time, after the change before is committed (thesis, 4.1),
      * and not before an entry of the current term is (Ongaro's correction of 2015 to the same section).
      */
-    protected boolean mayChangeTo(Configuration to) {
+    protected boolean mayChangeTo(VoterConfiguration to) {
         return configurationCommitted()
                 && log.term(log.commitIndex()) == term()
                 && log.configuration().votersChanged(to) <= 1
--- a/src/main/java/pepperdock/store/raft/Snapshot.java
+++ b/src/main/java/pepperdock/store/raft/RaftSnapshot.java
@@ -8,8 +8,8 @@
  * @param configuration the members as of that entry
  * @param state of the state machine, as the caller encoded it
  */
-public record Snapshot(long index, long term, Configuration configuration, byte[] state) {
+public record RaftSnapshot(long index, long term, VoterConfiguration configuration, byte[] state) {
 
     /** Of an empty log. */
-    public static final Snapshot NONE = new Snapshot(0, 0, Configuration.NONE, new byte[0]);
+    public static final RaftSnapshot NONE = new RaftSnapshot(0, 0, VoterConfiguration.NONE, new byte[0]);
 }
--- a/src/main/java/pepperdock/store/raft/ServerState.java
+++ b/src/main/java/pepperdock/store/raft/ServerState.java
@@ -2,7 +2,7 @@
 
 /**
  * The term, the vote and the known leader of one server, and whether the term and the vote still have to be written to disk
- * (thesis, figure 3.1, "persistent state on all servers"). Owned by the thread that calls {@link Raft}.
+ * (thesis, figure 3.1, "persistent state on all servers"). Owned by the thread that calls {@link RaftServer}.
  */
 final class ServerState {
 
--- a/src/main/java/pepperdock/store/raft/SnapshotReceiver.java
+++ b/src/main/java/pepperdock/store/raft/SnapshotReceiver.java
@@ -2,39 +2,39 @@
 
 /**
  * Assembles a snapshot from its chunks (thesis, 5.1); a chunk of another one begins anew. Owned by the thread that calls
- * {@link Raft}.
+ * {@link RaftServer}.
  */
 final class SnapshotReceiver {
 
-    private Message.InstallSnapshot incoming;
+    private RaftMessage.InstallSnapshot incoming;
     private byte[] bytes;
     private int received;
 
     /** Takes a chunk; returns the snapshot where that was the last one missing, else null. */
-    Snapshot receive(Message.InstallSnapshot piece) {
-        if (!continues(piece)) {
-            incoming = piece;
-            bytes = new byte[(int) piece.total()];
+    RaftSnapshot receive(RaftMessage.InstallSnapshot chunk) {
+        if (!continues(chunk)) {
+            incoming = chunk;
+            bytes = new byte[(int) chunk.total()];
             received = 0;
         }
-        if (piece.offset() == received) {
-            System.arraycopy(piece.piece(), 0, bytes, received, piece.piece().length);
-            received += piece.piece().length;
+        if (chunk.offset() == received) {
+            System.arraycopy(chunk.chunk(), 0, bytes, received, chunk.chunk().length);
+            received += chunk.chunk().length;
         }
-        if (received < piece.total()) {
+        if (received < chunk.total()) {
             return null;
         }
-        Snapshot complete = new Snapshot(piece.index(), piece.indexTerm(), piece.configuration(), bytes);
+        RaftSnapshot complete = new RaftSnapshot(chunk.index(), chunk.indexTerm(), chunk.configuration(), bytes);
         clear();
         return complete;
     }
 
-    private boolean continues(Message.InstallSnapshot piece) {
+    private boolean continues(RaftMessage.InstallSnapshot chunk) {
         return incoming != null
-                && incoming.index() == piece.index()
-                && incoming.indexTerm() == piece.indexTerm()
-                && incoming.total() == piece.total()
-                && incoming.term() == piece.term();
+                && incoming.index() == chunk.index()
+                && incoming.indexTerm() == chunk.indexTerm()
+                && incoming.total() == chunk.total()
+                && incoming.term() == chunk.term();
     }
 
     /** Bytes of the snapshot received so far, without a gap. */
--- a/src/main/java/pepperdock/store/raft/StorageFailed.java
+++ b/src/main/java/pepperdock/store/raft/StorageFailedRole.java
@@ -1,15 +1,15 @@
 package pepperdock.store.raft;
 
 /** The role of a server whose disk has failed: it neither sends nor accepts anything any more. */
-final class StorageFailed extends Role {
+final class StorageFailedRole extends RaftRole {
 
-    StorageFailed(Raft raft) {
+    StorageFailedRole(RaftServer raft) {
         super(raft);
     }
 
     @Override
-    PeerState state() {
-        return PeerState.STORAGE_FAILED;
+    RaftPeerState state() {
+        return RaftPeerState.STORAGE_FAILED;
     }
 
     @Override
--- a/src/main/java/pepperdock/store/raft/SyncQueue.java
+++ b/src/main/java/pepperdock/store/raft/SyncQueue.java
@@ -7,7 +7,7 @@
 
 /**
  * Actions that must wait until the state that they speak of is synced (thesis, 3.8), by the number of the write that holds it.
- * Owned by the thread that calls {@link Raft}.
+ * Owned by the thread that calls {@link RaftServer}.
  */
 final class SyncQueue {
 
--- a/src/main/java/pepperdock/store/raft/Configuration.java
+++ b/src/main/java/pepperdock/store/raft/VoterConfiguration.java
@@ -12,30 +12,30 @@
  *
  * @param peers in the order in which they were added
  */
-public record Configuration(List<Peer> peers) {
+public record VoterConfiguration(List<RaftPeer> peers) {
 
     /** Of no members: what there is before the first entry. */
-    public static final Configuration NONE = new Configuration(List.of());
+    public static final VoterConfiguration NONE = new VoterConfiguration(List.of());
 
     /** Copies the list. */
-    public Configuration {
+    public VoterConfiguration {
         peers = List.copyOf(peers);
     }
 
     /** The member of that id; null where there is none. */
-    public Peer peer(long id) {
+    public RaftPeer peer(long id) {
         return peers.stream().filter(peer -> peer.id() == id).findFirst().orElse(null);
     }
 
     /** Whether that id is a voter's. */
     public boolean votes(long id) {
-        Peer peer = peer(id);
+        RaftPeer peer = peer(id);
         return peer != null && peer.votes();
     }
 
     /** The voters' ids, in the members' order. */
     public List<Long> voters() {
-        return peers.stream().filter(Peer::votes).map(Peer::id).toList();
+        return peers.stream().filter(RaftPeer::votes).map(RaftPeer::id).toList();
     }
 
     /** Whether the predicate holds for a majority of the voters; never where there are none. */
@@ -51,20 +51,21 @@
     }
 
     /** With this member added, in place of the one of its id if there is one. */
-    public Configuration with(Peer peer) {
-        List<Peer> next = new ArrayList<>(peers);
+    public VoterConfiguration with(RaftPeer peer) {
+        List<RaftPeer> next = new ArrayList<>(peers);
         next.removeIf(member -> member.id() == peer.id());
         next.add(peer);
-        return new Configuration(next);
+        return new VoterConfiguration(next);
     }
 
     /** Without the member of that id. */
-    public Configuration without(long id) {
-        return new Configuration(peers.stream().filter(peer -> peer.id() != id).toList());
+    public VoterConfiguration without(long id) {
+        return new VoterConfiguration(
+                peers.stream().filter(peer -> peer.id() != id).toList());
     }
 
     /** How many vote in one and not in the other. Majorities of two that are one apart overlap (thesis, 4.1). */
-    int votersChanged(Configuration other) {
+    int votersChanged(VoterConfiguration other) {
         Set<Long> mine = new HashSet<>(voters());
         Set<Long> theirs = new HashSet<>(other.voters());
         Set<Long> both = new HashSet<>(mine);
--- a/src/test/java/pepperdock/config/ConfigTest.java
+++ b/src/test/java/pepperdock/config/ConfigTest.java
@@ -30,7 +30,7 @@
     }
 
     private static Config read(JsonObject file) {
-        return Config.read(new Keys("", file), Map.of());
+        return Config.read(new ConfigReader("", file), Map.of());
     }
 
     @Test
@@ -47,7 +47,8 @@
         assertEquals(40, c.site().module().limits().maxInFlight());
         assertEquals(
                 "n9",
-                Config.read(new Keys("", file()), Map.of("EDGE_NAME", "n9")).name());
+                Config.read(new ConfigReader("", file()), Map.of("EDGE_NAME", "n9"))
+                        .name());
     }
 
     /** Each line: where to put which value, and the key that the message must name. */
@@ -170,7 +171,7 @@
         assertEquals(
                 Map.of("history", 0, "payouts", 1, "wallets", 2), c.openSearch().indices());
         assertTrue(c.site().module().classes().stream().noneMatch(k -> k.retrySafety() == RetrySafety.IDEMPOTENCY_KEY));
-        Keys daily = Config.file(Map.of("EDGE_CONFIG", "deploy/daily.json"));
+        ConfigReader daily = Config.file(Map.of("EDGE_CONFIG", "deploy/daily.json"));
         assertEquals(9600, Config.read(daily, Map.of()).operator().getPort());
         assertEquals(
                 1,
@@ -178,7 +179,7 @@
                         .operator()
                         .getPort());
         assertEquals(null, c.operator());
-        Keys second = Config.file(Map.of("EDGE_CONFIG", "deploy/dnssd-and-store.json"));
+        ConfigReader second = Config.file(Map.of("EDGE_CONFIG", "deploy/dnssd-and-store.json"));
         assertEquals(Path.of("state/b"), Config.store(second).folder());
         Config d = Config.read(second.with("settings", JsonParser.parseString(Sites.SETTINGS)), Map.of());
         assertEquals("_ledger._tcp", d.dnsSd().service());
@@ -212,6 +213,6 @@
 
     private static MembersConfig members(String keys) {
         return MembersConfig.read(
-                Keys.of("", Config.parse(("{'name':'n','members':{" + keys + "}}").replace('\'', '"'), "")));
+                ConfigReader.of("", Config.parse(("{'name':'n','members':{" + keys + "}}").replace('\'', '"'), "")));
     }
 }
--- a/src/test/java/pepperdock/config/Sites.java
+++ b/src/test/java/pepperdock/config/Sites.java
@@ -21,11 +21,11 @@
 
     private Sites() {}
 
-    public static Site small() {
+    public static DeploymentSettings small() {
         return with(SETTINGS);
     }
 
-    public static Site with(String settings) {
-        return DeploymentSettingsReader.read(Keys.of("settings", JsonParser.parseString(settings)));
+    public static DeploymentSettings with(String settings) {
+        return DeploymentSettingsReader.read(ConfigReader.of("settings", JsonParser.parseString(settings)));
     }
 }
--- a/src/test/java/pepperdock/core/GathererTest.java
+++ b/src/test/java/pepperdock/core/GathererTest.java
@@ -9,7 +9,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
-import pepperdock.config.Site;
+import pepperdock.config.DeploymentSettings;
 import pepperdock.config.Sites;
 import pepperdock.scheduler.AttemptOutcome;
 import pepperdock.scheduler.EndpointListKind;
@@ -123,7 +123,7 @@
     void aQueryInHandGoesOnByTheRulesThatItWasTakenUnder() {
         Query old = bench.ask(0, 3, 1);
         bench.clock.advance(0.01);
-        Site other = Sites.with(Sites.SETTINGS
+        DeploymentSettings other = Sites.with(Sites.SETTINGS
                 .replace("\"Name\":\"history-search\"", "\"Name\":\"new\"")
                 .replace("\"DeadlineS\":3,\"Effect\":\"read_like\"", "\"DeadlineS\":3,\"Effect\":\"non_idempotent\"")
                 .replace("\"MaxAttempts\":4", "\"MaxAttempts\":1"));
--- a/src/test/java/pepperdock/distribution/ConfigurationTest.java
+++ b/src/test/java/pepperdock/distribution/ConfigurationSnapshotTest.java
@@ -12,18 +12,18 @@
 import net.jqwik.api.constraints.Size;
 
 /** Configurations, their encoding and the changes between them. */
-class ConfigurationTest {
+class ConfigurationSnapshotTest {
 
-    private static Configuration of(long number, Map<Byte, byte[]> content) {
-        List<Item> items = new ArrayList<>();
-        content.forEach((key, value) -> items.add(new Item("k" + key, value)));
-        return Configuration.of(new Version(1, number), 1, items);
+    private static ConfigurationSnapshot of(long number, Map<Byte, byte[]> content) {
+        List<ConfigurationItem> items = new ArrayList<>();
+        content.forEach((key, value) -> items.add(new ConfigurationItem("k" + key, value)));
+        return ConfigurationSnapshot.of(new ConfigurationVersion(1, number), 1, items);
     }
 
     @Property(tries = 200)
     void whatIsWrittenIsReadAgain(@ForAll @Size(max = 20) Map<Byte, byte[]> content) {
-        Configuration configuration = of(3, content);
-        Configuration read = Encoding.read(configuration.encoded());
+        ConfigurationSnapshot configuration = of(3, content);
+        ConfigurationSnapshot read = ConfigurationCodec.read(configuration.encoded());
         assertEquals(configuration.digest(), read.digest());
         assertEquals(List.copyOf(configuration.items()), List.copyOf(read.items()));
     }
@@ -32,14 +32,14 @@
     void whatIsCutShortIsNotRead(@ForAll @Size(max = 20) Map<Byte, byte[]> content, @ForAll byte cut) {
         byte[] whole = of(3, content).encoded();
         byte[] part = Arrays.copyOf(whole, Math.floorMod(cut, whole.length));
-        assertThrows(IllegalArgumentException.class, () -> Encoding.read(part));
+        assertThrows(IllegalArgumentException.class, () -> ConfigurationCodec.read(part));
     }
 
     @Property(tries = 200)
     void changesLeadFromOneToTheOther(
             @ForAll @Size(max = 20) Map<Byte, byte[]> before, @ForAll @Size(max = 20) Map<Byte, byte[]> after) {
-        Configuration from = of(3, before);
-        Configuration to = of(4, after);
+        ConfigurationSnapshot from = of(3, before);
+        ConfigurationSnapshot to = of(4, after);
         assertEquals(
                 to.digest(),
                 from.with(to.version(), to.format(), from.changesTo(to)).digest());
@@ -49,15 +49,15 @@
     void deltasAddUpFromAnyVersionKept(
             @ForAll @Size(min = 2, max = 8) List<@Size(max = 8) Map<Byte, byte[]>> contents) {
         RecentChanges recent = new RecentChanges(100, 1 << 20);
-        List<Configuration> all = new ArrayList<>();
+        List<ConfigurationSnapshot> all = new ArrayList<>();
         for (Map<Byte, byte[]> content : contents) {
             all.add(of(all.size() + 1L, content));
             if (all.size() > 1) {
                 recent.add(Delta.between(all.get(all.size() - 2), all.get(all.size() - 1)));
             }
         }
-        Configuration newest = all.get(all.size() - 1);
-        for (Configuration old : all.subList(0, all.size() - 1)) {
+        ConfigurationSnapshot newest = all.get(all.size() - 1);
+        for (ConfigurationSnapshot old : all.subList(0, all.size() - 1)) {
             Delta delta = recent.since(old.version(), old.digest()).orElseThrow();
             assertEquals(
                     newest.digest(),
--- a/src/test/java/pepperdock/distribution/Pair.java
+++ b/src/test/java/pepperdock/distribution/Pair.java
@@ -8,17 +8,17 @@
 import java.util.Optional;
 
 /** A subscriber and the messages that it and a publisher have for each other, handed over one by one. */
-final class Pair implements SubscriberOutput, PublisherOutput, VersionStore, Validator {
+final class Pair implements SubscriberOutput, PublisherOutput, VersionStore, ConfigurationValidator {
 
     static final ControlMachine NEAR = new ControlMachine("c1", "r1");
     static final ControlMachine FAR = new ControlMachine("c2", "r2");
     static final long CONNECTION = 7;
 
-    final Deque<Message.FromSubscriber> toPublisher = new ArrayDeque<>();
-    final Deque<Message.FromPublisher> toSubscriber = new ArrayDeque<>();
-    final List<Configuration> inForce = new ArrayList<>();
+    final Deque<DistributionMessage.FromSubscriber> toPublisher = new ArrayDeque<>();
+    final Deque<DistributionMessage.FromPublisher> toSubscriber = new ArrayDeque<>();
+    final List<ConfigurationSnapshot> inForce = new ArrayList<>();
     final List<ControlMachine> tried = new ArrayList<>();
-    final List<Configuration> settled = new ArrayList<>();
+    final List<ConfigurationSnapshot> settled = new ArrayList<>();
     boolean closed;
     boolean diskFull;
     boolean diskFails;
@@ -26,24 +26,24 @@
     VersionStore.Saved saved = VersionStore.Saved.NOTHING;
     long confirmedAt;
 
-    static Configuration version(long number, String... keysAndValues) {
+    static ConfigurationSnapshot version(long number, String... keysAndValues) {
         return formatted(number, 1, keysAndValues);
     }
 
-    static Configuration formatted(long number, int format, String... keysAndValues) {
-        List<Item> items = new ArrayList<>();
+    static ConfigurationSnapshot formatted(long number, int format, String... keysAndValues) {
+        List<ConfigurationItem> items = new ArrayList<>();
         for (int i = 0; i < 40; i++) {
-            items.add(new Item("filler" + i, new byte[100]));
+            items.add(new ConfigurationItem("filler" + i, new byte[100]));
         }
         for (int i = 0; i < keysAndValues.length; i += 2) {
-            items.add(new Item(keysAndValues[i], keysAndValues[i + 1].getBytes(StandardCharsets.UTF_8)));
+            items.add(new ConfigurationItem(keysAndValues[i], keysAndValues[i + 1].getBytes(StandardCharsets.UTF_8)));
         }
-        return Configuration.of(new Version(1, number), format, items);
+        return ConfigurationSnapshot.of(new ConfigurationVersion(1, number), format, items);
     }
 
     final VersionSource source = new VersionSource() {
         @Override
-        public List<Configuration> after(Version version) {
+        public List<ConfigurationSnapshot> after(ConfigurationVersion version) {
             return settled.stream().filter(c -> c.version().newerThan(version)).toList();
         }
 
@@ -96,7 +96,7 @@
     }
 
     @Override
-    public void send(Message.FromSubscriber message) {
+    public void send(DistributionMessage.FromSubscriber message) {
         toPublisher.add(message);
     }
 
@@ -106,12 +106,12 @@
     }
 
     @Override
-    public void inForce(Configuration configuration) {
+    public void inForce(ConfigurationSnapshot configuration) {
         inForce.add(configuration);
     }
 
     @Override
-    public void send(long connection, Message.FromPublisher message) {
+    public void send(long connection, DistributionMessage.FromPublisher message) {
         toSubscriber.add(message);
     }
 
@@ -126,7 +126,7 @@
     }
 
     @Override
-    public boolean save(Configuration configuration) {
+    public boolean save(ConfigurationSnapshot configuration) {
         if (!diskFull && !diskFails) {
             saved = new VersionStore.Saved(configuration, saved.floor());
         }
@@ -134,7 +134,7 @@
     }
 
     @Override
-    public boolean saveFloor(Version floor) {
+    public boolean saveFloor(ConfigurationVersion floor) {
         if (!diskFails) {
             saved = new VersionStore.Saved(saved.configuration(), floor);
         }
@@ -142,7 +142,7 @@
     }
 
     @Override
-    public Optional<String> complaint(Configuration configuration) {
+    public Optional<String> complaint(ConfigurationSnapshot configuration) {
         return Optional.ofNullable(complaint);
     }
 }
--- a/src/test/java/pepperdock/distribution/PublisherTest.java
+++ b/src/test/java/pepperdock/distribution/PublisherTest.java
@@ -20,21 +20,22 @@
                 1000, 15_000, 4000, 10_000, 4000, 20_000, 5000, snapshotsAtOnce, 1024, 50, 5, 1 << 20);
     }
 
-    private static Message.Hello hello(String name, Configuration has) {
-        return new Message.Hello(new SubscriberId(name), 1, has.version(), has.digest(), Durability.SAVED);
+    private static DistributionMessage.Hello hello(String name, ConfigurationSnapshot has) {
+        return new DistributionMessage.Hello(new SubscriberId(name), 1, has.version(), has.digest(), Durability.SAVED);
     }
 
     @Test
     void whoHasARecentVersionGetsOneDeltaOverAllThatFollowed() {
-        Configuration one = Pair.version(1, "a", "1");
-        Configuration three = Pair.version(3, "a", "3", "c", "1");
+        ConfigurationSnapshot one = Pair.version(1, "a", "1");
+        ConfigurationSnapshot three = Pair.version(3, "a", "3", "c", "1");
         pair.settled.addAll(List.of(one, Pair.version(2, "a", "2", "b", "1"), three));
         Publisher publisher = pair.publisher(settings(1), 0);
         publisher.connected(1, 0);
         publisher.received(1, hello("g1", one), 0);
-        Message.Update update = assertInstanceOf(Message.Update.class, pair.toSubscriber.removeFirst());
+        DistributionMessage.Update update =
+                assertInstanceOf(DistributionMessage.Update.class, pair.toSubscriber.removeFirst());
         assertTrue(update.delta().fits(one));
-        Configuration result = one.with(
+        ConfigurationSnapshot result = one.with(
                 update.delta().result(), update.delta().format(), update.delta().changes());
         assertEquals(three.digest(), result.digest());
         assertTrue(pair.toSubscriber.isEmpty());
@@ -46,12 +47,12 @@
             pair.settled.add(Pair.version(i, "a", "" + i));
         }
         Publisher publisher = pair.publisher(settings(3), 0);
-        List<Configuration> held = List.of(pair.settled.get(0), Pair.version(8, "a", "other"));
+        List<ConfigurationSnapshot> held = List.of(pair.settled.get(0), Pair.version(8, "a", "other"));
         for (int i = 0; i < held.size(); i++) {
             long now = i * 1000L;
             publisher.connected(i, now);
             publisher.received(i, hello("g" + i, held.get(i)), now);
-            assertInstanceOf(Message.SnapshotPiece.class, pair.toSubscriber.peekFirst());
+            assertInstanceOf(DistributionMessage.SnapshotPiece.class, pair.toSubscriber.peekFirst());
             pair.toSubscriber.clear();
         }
         assertEquals(2, publisher.snapshotsUnderWay());
@@ -59,38 +60,39 @@
 
     @Test
     void aDeltaOfMoreThanItsShareOfTheSnapshotGivesWayToTheSnapshot() {
-        Configuration one = Pair.version(1);
+        ConfigurationSnapshot one = Pair.version(1);
         pair.settled.addAll(List.of(one, Pair.version(2, "a", "x".repeat(8000))));
         Publisher publisher = pair.publisher(settings(3), 0);
         publisher.connected(1, 0);
         publisher.received(1, hello("g1", one), 0);
-        assertInstanceOf(Message.SnapshotPiece.class, pair.toSubscriber.peekFirst());
+        assertInstanceOf(DistributionMessage.SnapshotPiece.class, pair.toSubscriber.peekFirst());
     }
 
     /** Found by an hour's cut with 720 changes: 28 to 30 KB in one second, where 15 KB are allowed. */
     @Test
     void aDeltaOfMoreThanMayBeSentAtOnceGivesWayToTheSnapshotInPieces() {
-        Configuration one = Configuration.of(new Version(1, 1), 1, List.of(new Item("large", new byte[40_000])));
-        Change added = new Change.Put(new Item("a", new byte[4000]));
-        pair.settled.addAll(List.of(one, one.with(new Version(1, 2), 1, List.of(added))));
+        ConfigurationSnapshot one = ConfigurationSnapshot.of(
+                new ConfigurationVersion(1, 1), 1, List.of(new ConfigurationItem("large", new byte[40_000])));
+        Change added = new Change.Put(new ConfigurationItem("a", new byte[4000]));
+        pair.settled.addAll(List.of(one, one.with(new ConfigurationVersion(1, 2), 1, List.of(added))));
         Publisher publisher = pair.publisher(settings(3), 0);
         publisher.connected(1, 0);
         publisher.received(1, hello("g1", one), 0);
-        assertInstanceOf(Message.SnapshotPiece.class, pair.toSubscriber.peekFirst());
+        assertInstanceOf(DistributionMessage.SnapshotPiece.class, pair.toSubscriber.peekFirst());
     }
 
     @Test
     void aLongAbsenceIsMadeUpInStepsThatMayEachBeSentAtOnceAndBeRead() {
-        Item large = new Item("large", new byte[40_000]);
-        Configuration one = Configuration.of(new Version(1, 1), 1, List.of(large));
+        ConfigurationItem large = new ConfigurationItem("large", new byte[40_000]);
+        ConfigurationSnapshot one = ConfigurationSnapshot.of(new ConfigurationVersion(1, 1), 1, List.of(large));
         pair.settled.add(one);
         for (int i = 2; i <= 11; i++) {
-            Change added = new Change.Put(new Item("a" + i, new byte[1500]));
+            Change added = new Change.Put(new ConfigurationItem("a" + i, new byte[1500]));
             int format = i == 3 ? 2 : 1;
-            Configuration before = pair.settled.get(pair.settled.size() - 1);
-            pair.settled.add(before.with(new Version(1, i), format, List.of(added)));
+            ConfigurationSnapshot before = pair.settled.get(pair.settled.size() - 1);
+            pair.settled.add(before.with(new ConfigurationVersion(1, i), format, List.of(added)));
         }
-        pair.saved = new VersionStore.Saved(one, Version.NONE);
+        pair.saved = new VersionStore.Saved(one, ConfigurationVersion.NONE);
         Publisher publisher = pair.publisher(PublisherSettings.defaults(), 0);
         Subscriber subscriber = pair.subscriber(0);
         subscriber.tick(200);
@@ -112,7 +114,7 @@
         publisher.received(1, hello("g1", Pair.version(5)), 0);
         publisher.tick(100);
         assertEquals(1, pair.toSubscriber.size());
-        assertInstanceOf(Message.Heartbeat.class, pair.toSubscriber.removeFirst());
+        assertInstanceOf(DistributionMessage.Heartbeat.class, pair.toSubscriber.removeFirst());
         assertTrue(publisher.subscribers(100).get(0).ahead());
     }
 
@@ -128,7 +130,7 @@
         publisher.received(2, hello("g2", Pair.version(4)), 0);
         pair.confirmedAt = 100;
         publisher.tick(100);
-        Message.Heartbeat heartbeat = (Message.Heartbeat) pair.toSubscriber.removeFirst();
+        DistributionMessage.Heartbeat heartbeat = (DistributionMessage.Heartbeat) pair.toSubscriber.removeFirst();
         assertEquals(86_400_000, heartbeat.confirmedMillisAgo());
     }
 
@@ -139,30 +141,34 @@
         List<Integer> after = new ArrayList<>();
         for (int i = 0; i < 5; i++) {
             publisher.connected(i, 0);
-            publisher.received(i, hello("g" + i, Configuration.NONE), 0);
+            publisher.received(i, hello("g" + i, ConfigurationSnapshot.NONE), 0);
             pair.toSubscriber.stream()
-                    .filter(Message.RetryAfter.class::isInstance)
-                    .forEach(m -> after.add(((Message.RetryAfter) m).millis()));
+                    .filter(DistributionMessage.RetryAfter.class::isInstance)
+                    .forEach(m -> after.add(((DistributionMessage.RetryAfter) m).millis()));
             pair.toSubscriber.clear();
         }
         assertEquals(4, after.size());
         assertEquals(1, publisher.snapshotsUnderWay());
         assertTrue(after.get(3) > 2 * after.get(0), after.toString());
         publisher.disconnected(0);
-        publisher.received(1, new Message.Ask(Version.NONE, Configuration.NONE.digest(), false), 1000);
+        publisher.received(
+                1,
+                new DistributionMessage.Ask(ConfigurationVersion.NONE, ConfigurationSnapshot.NONE.digest(), false),
+                1000);
         assertEquals(1, publisher.snapshotsUnderWay());
-        assertTrue(pair.toSubscriber.stream().anyMatch(Message.SnapshotPiece.class::isInstance));
+        assertTrue(pair.toSubscriber.stream().anyMatch(DistributionMessage.SnapshotPiece.class::isInstance));
     }
 
     @Test
     void noSubscriberAndNotAllTogetherAreSentMoreThanTheirBudgetsInAnySecond() {
-        pair.settled.add(Configuration.of(new Version(1, 1), 1, List.of(new Item("x", new byte[40_000]))));
+        pair.settled.add(ConfigurationSnapshot.of(
+                new ConfigurationVersion(1, 1), 1, List.of(new ConfigurationItem("x", new byte[40_000]))));
         TreeMap<Long, Long> sentAt = new TreeMap<>();
         TreeMap<Long, Long> toFirstAt = new TreeMap<>();
         long[] now = {0};
         PublisherOutput counting = new PublisherOutput() {
             @Override
-            public void send(long connection, Message.FromPublisher message) {
+            public void send(long connection, DistributionMessage.FromPublisher message) {
                 sentAt.merge(now[0], (long) message.bytes(), Long::sum);
                 if (connection == 1) {
                     toFirstAt.merge(now[0], (long) message.bytes(), Long::sum);
@@ -177,13 +183,13 @@
         Publisher publisher = new Publisher(settings(3), pair.source, counting, 1, 0);
         for (int i = 1; i <= 3; i++) {
             publisher.connected(i, 0);
-            publisher.received(i, hello("g" + i, Configuration.NONE), 0);
+            publisher.received(i, hello("g" + i, ConfigurationSnapshot.NONE), 0);
         }
         for (; now[0] < 10_000; now[0] += 20) {
             publisher.tick(now[0]);
         }
         assertEquals(0, publisher.snapshotsUnderWay());
-        int heartbeats = 3 * 2 * (Message.OVERHEAD + 36);
+        int heartbeats = 3 * 2 * (DistributionMessage.OVERHEAD + 36);
         for (long from = 0; from < 9000; from += 20) {
             long all = sentAt.subMap(from, from + 1000).values().stream()
                     .mapToLong(Long::longValue)
@@ -215,29 +221,29 @@
                 List.of(1L, 3L),
                 pair.inForce.stream().map(c -> c.version().number()).toList());
         SubscriberState state = publisher.subscribers(3000).get(0);
-        assertEquals(new Version(1, 3), state.inForce());
+        assertEquals(new ConfigurationVersion(1, 3), state.inForce());
         assertFalse(state.lagging());
     }
 
     /** One subscriber does not react to a delta, the other refuses it. Only the first one is reported as lagging. */
     @Test
     void whoDoesNotPutInForceWhatWasSentLagsAndWhoRefusedDoesNot() {
-        Configuration one = Pair.version(1);
+        ConfigurationSnapshot one = Pair.version(1);
         pair.settled.addAll(List.of(one, Pair.version(2, "a", "2")));
         Publisher publisher = pair.publisher(settings(1), 0);
         for (int i = 1; i <= 2; i++) {
             publisher.connected(i, 0);
             publisher.received(i, hello("g" + i, one), 0);
         }
-        Refusal refusal = new Refusal(new Version(1, 2), Refusal.Reason.FORMAT, "format 2");
-        publisher.received(2, new Message.Refused(refusal), 10);
+        Refusal refusal = new Refusal(new ConfigurationVersion(1, 2), Refusal.Reason.FORMAT, "format 2");
+        publisher.received(2, new DistributionMessage.Refused(refusal), 10);
         List<SubscriberState> states = publisher.subscribers(5000);
         assertTrue(states.get(0).lagging());
         assertFalse(states.get(1).lagging());
         assertEquals(refusal, states.get(1).refusal().orElseThrow());
         pair.toSubscriber.clear();
         publisher.tick(5000);
-        assertTrue(pair.toSubscriber.stream().allMatch(Message.Heartbeat.class::isInstance));
+        assertTrue(pair.toSubscriber.stream().allMatch(DistributionMessage.Heartbeat.class::isInstance));
     }
 
     /** A subscriber opens a connection and sends nothing. The connection is closed after the silence timeout. */
@@ -259,7 +265,9 @@
         publisher.connected(1, 0);
         publisher.received(1, hello("g1", Pair.version(1)), 0);
         publisher.tick(9000);
-        Configuration one = Pair.version(1);
-        assertEquals(List.of(new Message.Heartbeat(one.version(), one.digest(), 7000)), List.copyOf(pair.toSubscriber));
+        ConfigurationSnapshot one = Pair.version(1);
+        assertEquals(
+                List.of(new DistributionMessage.Heartbeat(one.version(), one.digest(), 7000)),
+                List.copyOf(pair.toSubscriber));
     }
 }
--- a/src/test/java/pepperdock/distribution/SubscriberTest.java
+++ b/src/test/java/pepperdock/distribution/SubscriberTest.java
@@ -22,25 +22,25 @@
         return subscriber;
     }
 
-    private static void snapshot(Subscriber subscriber, Configuration configuration, long now) {
+    private static void snapshot(Subscriber subscriber, ConfigurationSnapshot configuration, long now) {
         SnapshotTransfer transfer = new SnapshotTransfer(configuration, configuration.encoded(), 1000);
         while (!transfer.done()) {
             subscriber.received(transfer.next(), now);
         }
     }
 
-    private static void delta(Subscriber subscriber, Configuration from, Configuration to, long now) {
-        subscriber.received(new Message.Update(Delta.between(from, to)), now);
+    private static void delta(Subscriber subscriber, ConfigurationSnapshot from, ConfigurationSnapshot to, long now) {
+        subscriber.received(new DistributionMessage.Update(Delta.between(from, to)), now);
     }
 
-    private static Message.Heartbeat heartbeat(Configuration latest, int ago) {
-        return new Message.Heartbeat(latest.version(), latest.digest(), ago);
+    private static DistributionMessage.Heartbeat heartbeat(ConfigurationSnapshot latest, int ago) {
+        return new DistributionMessage.Heartbeat(latest.version(), latest.digest(), ago);
     }
 
     @Test
     void aSnapshotIsInForceOnceItIsWholeAndNotBefore() {
         Subscriber subscriber = connected(0);
-        Configuration five = Pair.version(5, "a", "1");
+        ConfigurationSnapshot five = Pair.version(5, "a", "1");
         SnapshotTransfer transfer = new SnapshotTransfer(five, five.encoded(), 1000);
         while (!transfer.done()) {
             assertEquals(List.of(), pair.inForce);
@@ -48,9 +48,10 @@
         }
         assertEquals(
                 List.of(five.digest()),
-                pair.inForce.stream().map(Configuration::digest).toList());
+                pair.inForce.stream().map(ConfigurationSnapshot::digest).toList());
         assertEquals(
-                new Message.InForce(five.version(), five.digest(), Durability.SAVED), pair.toPublisher.removeFirst());
+                new DistributionMessage.InForce(five.version(), five.digest(), Durability.SAVED),
+                pair.toPublisher.removeFirst());
         assertEquals(five.digest(), pair.saved.configuration().digest());
     }
 
@@ -58,7 +59,7 @@
     @Test
     void aSnapshotWithAPieceMissingIsNeverInForce() {
         Subscriber subscriber = connected(0);
-        Configuration five = Pair.version(5);
+        ConfigurationSnapshot five = Pair.version(5);
         SnapshotTransfer transfer = new SnapshotTransfer(five, five.encoded(), 1000);
         subscriber.received(transfer.next(), 1000);
         transfer.next();
@@ -72,11 +73,13 @@
     @Test
     void aDeltaThatDoesNotFitAsksForASnapshotAndChangesNothing() {
         Subscriber subscriber = connected(0);
-        Configuration five = Pair.version(5, "a", "1");
+        ConfigurationSnapshot five = Pair.version(5, "a", "1");
         snapshot(subscriber, five, 1000);
         pair.toPublisher.clear();
         delta(subscriber, Pair.version(5, "a", "other"), Pair.version(6, "a", "2"), 1000);
-        assertEquals(List.of(new Message.Ask(five.version(), five.digest(), true)), List.copyOf(pair.toPublisher));
+        assertEquals(
+                List.of(new DistributionMessage.Ask(five.version(), five.digest(), true)),
+                List.copyOf(pair.toPublisher));
         assertEquals(five.digest(), subscriber.inForce().digest());
     }
 
@@ -84,7 +87,7 @@
     @Test
     void aDeltaWhoseResultHasAnotherDigestAsksForASnapshotAndChangesNothing() {
         Subscriber subscriber = connected(0);
-        Configuration five = Pair.version(5, "a", "1");
+        ConfigurationSnapshot five = Pair.version(5, "a", "1");
         snapshot(subscriber, five, 1000);
         pair.toPublisher.clear();
         Delta good = Delta.between(five, Pair.version(6, "a", "2", "b", "3"));
@@ -95,8 +98,8 @@
                 good.digest(),
                 1,
                 good.changes().subList(0, 1));
-        subscriber.received(new Message.Update(short1), 1000);
-        assertInstanceOf(Message.Ask.class, pair.toPublisher.removeFirst());
+        subscriber.received(new DistributionMessage.Update(short1), 1000);
+        assertInstanceOf(DistributionMessage.Ask.class, pair.toPublisher.removeFirst());
         assertEquals(five.digest(), subscriber.inForce().digest());
     }
 
@@ -104,8 +107,8 @@
     @Test
     void anOlderVersionIsNotTakenAsDeltaNorAsSnapshotNorAfterARestart() {
         Subscriber subscriber = connected(0);
-        Configuration five = Pair.version(5);
-        Configuration four = Pair.version(4);
+        ConfigurationSnapshot five = Pair.version(5);
+        ConfigurationSnapshot four = Pair.version(4);
         snapshot(subscriber, five, 1000);
         snapshot(subscriber, four, 1000);
         delta(subscriber, five, four, 1000);
@@ -120,7 +123,7 @@
     void aNewEpochGoesBeforeAnyNumber() {
         Subscriber subscriber = connected(0);
         snapshot(subscriber, Pair.version(500), 1000);
-        Configuration anew = Configuration.of(new Version(2, 3), 1, List.of());
+        ConfigurationSnapshot anew = ConfigurationSnapshot.of(new ConfigurationVersion(2, 3), 1, List.of());
         snapshot(subscriber, anew, 1000);
         assertEquals(anew.version(), subscriber.inForce().version());
     }
@@ -129,15 +132,15 @@
     @Test
     void withAFullDiskItGoesOnInMemorySaysSoAndIsHeldBackAfterARestart() {
         Subscriber subscriber = connected(0);
-        Configuration five = Pair.version(5);
+        ConfigurationSnapshot five = Pair.version(5);
         snapshot(subscriber, five, 1000);
         pair.diskFull = true;
         pair.toPublisher.clear();
-        Configuration six = Pair.version(6, "a", "1");
+        ConfigurationSnapshot six = Pair.version(6, "a", "1");
         delta(subscriber, five, six, 1000);
         assertEquals(six.digest(), subscriber.inForce().digest());
         assertEquals(
-                new Message.InForce(six.version(), six.digest(), Durability.FLOOR_ONLY),
+                new DistributionMessage.InForce(six.version(), six.digest(), Durability.FLOOR_ONLY),
                 pair.toPublisher.removeFirst());
         int inForceBefore = pair.inForce.size();
         subscriber = connected(5000);
@@ -155,14 +158,15 @@
     void onceTheDiskHasSpaceTheVersionInForceIsSavedAndSaidSo() {
         pair.diskFails = true;
         Subscriber subscriber = connected(0);
-        Configuration five = Pair.version(5);
+        ConfigurationSnapshot five = Pair.version(5);
         snapshot(subscriber, five, 1000);
         assertEquals(Durability.MEMORY_ONLY, subscriber.durability());
         pair.diskFails = false;
         pair.toPublisher.clear();
         subscriber.received(heartbeat(five, 0), 2000);
         subscriber.tick(1000 + SubscriberSettings.defaults().saveAgainMillis());
-        assertTrue(pair.toPublisher.contains(new Message.InForce(five.version(), five.digest(), Durability.SAVED)));
+        assertTrue(pair.toPublisher.contains(
+                new DistributionMessage.InForce(five.version(), five.digest(), Durability.SAVED)));
         assertEquals(five.digest(), pair.saved.configuration().digest());
     }
 
@@ -170,13 +174,13 @@
     @Test
     void aFormatThatItDoesNotReadIsRefusedByNameAndTheOldVersionStays() {
         Subscriber subscriber = connected(0);
-        Configuration five = Pair.version(5);
+        ConfigurationSnapshot five = Pair.version(5);
         snapshot(subscriber, five, 1000);
         pair.toPublisher.clear();
-        Configuration six = Pair.formatted(6, 2);
+        ConfigurationSnapshot six = Pair.formatted(6, 2);
         delta(subscriber, five, six, 1000);
         Refusal refusal = new Refusal(six.version(), Refusal.Reason.FORMAT, "format 2, this reads up to 1");
-        assertEquals(List.of(new Message.Refused(refusal)), List.copyOf(pair.toPublisher));
+        assertEquals(List.of(new DistributionMessage.Refused(refusal)), List.copyOf(pair.toPublisher));
         assertEquals(refusal, subscriber.refusal().orElseThrow());
         assertEquals(five.digest(), subscriber.inForce().digest());
         subscriber.received(heartbeat(six, 0), 1000);
@@ -195,7 +199,8 @@
         snapshot(subscriber, Pair.version(5), 1000);
         assertEquals(List.of(), pair.inForce);
         assertEquals(
-                List.of(new Message.Refused(new Refusal(new Version(1, 5), Refusal.Reason.INVALID, "no shares"))),
+                List.of(new DistributionMessage.Refused(
+                        new Refusal(new ConfigurationVersion(1, 5), Refusal.Reason.INVALID, "no shares"))),
                 List.copyOf(pair.toPublisher));
     }
 
@@ -203,7 +208,7 @@
     @Test
     void theSameVersionWithAnotherContentIsAConflictAndSaidOnce() {
         Subscriber subscriber = connected(0);
-        Configuration five = Pair.version(5, "a", "1");
+        ConfigurationSnapshot five = Pair.version(5, "a", "1");
         snapshot(subscriber, five, 1000);
         pair.toPublisher.clear();
         subscriber.received(heartbeat(Pair.version(5, "a", "2"), 0), 1000);
@@ -230,7 +235,7 @@
     @Test
     void aControlMachineThatIsNotConfirmedIsLeftAndKeptOnlyWhereAllOthersFail() {
         Subscriber subscriber = connected(0);
-        Configuration five = Pair.version(5);
+        ConfigurationSnapshot five = Pair.version(5);
         snapshot(subscriber, five, 1000);
         for (long now = 2000; now < 7000; now += 1000) {
             subscriber.received(heartbeat(five, (int) now - 1000), now);
@@ -269,14 +274,16 @@
     @Test
     void aHeartbeatOfANewerVersionIsFollowedByAQuestionOnceNothingComes() {
         Subscriber subscriber = connected(0);
-        Configuration five = Pair.version(5);
+        ConfigurationSnapshot five = Pair.version(5);
         snapshot(subscriber, five, 1000);
         pair.toPublisher.clear();
         subscriber.received(heartbeat(Pair.version(6), 0), 2000);
         subscriber.tick(3000);
         assertEquals(0, pair.toPublisher.size());
         subscriber.tick(3001);
-        assertEquals(List.of(new Message.Ask(five.version(), five.digest(), false)), List.copyOf(pair.toPublisher));
+        assertEquals(
+                List.of(new DistributionMessage.Ask(five.version(), five.digest(), false)),
+                List.copyOf(pair.toPublisher));
     }
 
     /** A control machine sends heartbeats, but does not hear requests. After two of them it is left. */
@@ -289,7 +296,9 @@
         }
         assertEquals(
                 2,
-                pair.toPublisher.stream().filter(Message.Ask.class::isInstance).count());
+                pair.toPublisher.stream()
+                        .filter(DistributionMessage.Ask.class::isInstance)
+                        .count());
         assertTrue(pair.closed);
     }
 
@@ -297,24 +306,25 @@
     void whoIsToldToAskAgainLaterDoesThenAndNotBefore() {
         Subscriber subscriber = connected(0);
         subscriber.received(heartbeat(Pair.version(6), 0), 2000);
-        subscriber.received(new Message.RetryAfter(5000), 2000);
+        subscriber.received(new DistributionMessage.RetryAfter(5000), 2000);
         for (long now = 3000; now <= 7000; now += 1000) {
             subscriber.received(heartbeat(Pair.version(6), 0), now);
             subscriber.tick(now);
         }
-        assertFalse(pair.toPublisher.stream().anyMatch(Message.Ask.class::isInstance));
+        assertFalse(pair.toPublisher.stream().anyMatch(DistributionMessage.Ask.class::isInstance));
         subscriber.tick(7001);
-        assertTrue(pair.toPublisher.stream().anyMatch(Message.Ask.class::isInstance));
+        assertTrue(pair.toPublisher.stream().anyMatch(DistributionMessage.Ask.class::isInstance));
     }
 
     @Test
     void backOffGrowsToItsMostAndIsDrawnByChance() {
         SubscriberSettings settings = SubscriberSettings.defaults();
-        MachineChoice choice = new MachineChoice(List.of(Pair.NEAR, Pair.FAR), "r1", settings, new java.util.Random(3));
+        ControlMachineSelector choice =
+                new ControlMachineSelector(List.of(Pair.NEAR, Pair.FAR), "r1", settings, new java.util.Random(3));
         Set<Integer> drawn = new java.util.TreeSet<>();
         int longest = 0;
         for (int i = 0; i < 100; i++) {
-            int backOff = choice.backOffMillis();
+            int backOff = choice.nextBackoffMillis();
             assertTrue(backOff <= Math.min(settings.backOffMostMillis(), 200L << Math.min(i, 20)), i + ": " + backOff);
             longest = Math.max(longest, backOff);
             drawn.add(backOff);
--- a/src/test/java/pepperdock/distribution/wire/WireTest.java
+++ b/src/test/java/pepperdock/distribution/wire/WireTest.java
@@ -20,16 +20,16 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 import pepperdock.distribution.Change;
-import pepperdock.distribution.Configuration;
+import pepperdock.distribution.ConfigurationItem;
+import pepperdock.distribution.ConfigurationSnapshot;
+import pepperdock.distribution.ConfigurationVersion;
 import pepperdock.distribution.ControlMachine;
+import pepperdock.distribution.DistributionMessage;
 import pepperdock.distribution.Durability;
-import pepperdock.distribution.Item;
-import pepperdock.distribution.Message;
 import pepperdock.distribution.PublisherSettings;
 import pepperdock.distribution.SubscriberId;
 import pepperdock.distribution.SubscriberIdentity;
 import pepperdock.distribution.SubscriberSettings;
-import pepperdock.distribution.Version;
 import pepperdock.distribution.VersionSource;
 import pepperdock.distribution.VersionStore;
 import pepperdock.transport.Loop;
@@ -46,14 +46,15 @@
     private static final SubscriberSettings SETTINGS =
             new SubscriberSettings(1, 1000, 300, 10_000, 30_000, 5000, 5000, 10_000, 20, 100);
 
-    private final List<Configuration> settled = new ArrayList<>();
-    private final BlockingQueue<Configuration> inForce = new LinkedBlockingQueue<>();
+    private final List<ConfigurationSnapshot> settled = new ArrayList<>();
+    private final BlockingQueue<ConfigurationSnapshot> inForce = new LinkedBlockingQueue<>();
     private Loop loop;
 
     @BeforeEach
     void begin() throws Exception {
         loop = new Loop(50, 512 << 10);
-        settled.add(Configuration.of(new Version(1, 1), 1, List.of(new Item("a", new byte[5000]))));
+        settled.add(ConfigurationSnapshot.of(
+                new ConfigurationVersion(1, 1), 1, List.of(new ConfigurationItem("a", new byte[5000]))));
     }
 
     @AfterEach
@@ -80,7 +81,7 @@
     private PublisherServer server() throws Exception {
         VersionSource source = new VersionSource() {
             @Override
-            public List<Configuration> after(Version version) {
+            public List<ConfigurationSnapshot> after(ConfigurationVersion version) {
                 return settled.stream()
                         .filter(c -> c.version().newerThan(version))
                         .toList();
@@ -104,12 +105,12 @@
             }
 
             @Override
-            public boolean save(Configuration configuration) {
+            public boolean save(ConfigurationSnapshot configuration) {
                 return true;
             }
 
             @Override
-            public boolean saveFloor(Version floor) {
+            public boolean saveFloor(ConfigurationVersion floor) {
                 return true;
             }
         };
@@ -126,16 +127,16 @@
                 1));
     }
 
-    private Configuration next() throws Exception {
-        Configuration next = inForce.poll(HANGS_SECONDS, TimeUnit.SECONDS);
+    private ConfigurationSnapshot next() throws Exception {
+        ConfigurationSnapshot next = inForce.poll(HANGS_SECONDS, TimeUnit.SECONDS);
         assertTrue(next != null, "nothing came in force");
         return next;
     }
 
     private static void hello(InputStream from) throws Exception {
         int length = java.nio.ByteBuffer.wrap(from.readNBytes(4)).getInt();
-        Message said = MessageCodec.read(from.readNBytes(length), 0, length);
-        assertEquals("g1", ((Message.Hello) said).from().name());
+        DistributionMessage said = DistributionMessageCodec.read(from.readNBytes(length), 0, length);
+        assertEquals("g1", ((DistributionMessage.Hello) said).from().name());
     }
 
     @Test
@@ -143,9 +144,12 @@
         PublisherServer server = server();
         client(server.address(), server.address());
         assertEquals(settled.get(0).digest(), next().digest());
-        Configuration second = onLoop(() -> {
-            Configuration two =
-                    settled.get(0).with(new Version(1, 2), 1, List.of(new Change.Put(new Item("b", new byte[10]))));
+        ConfigurationSnapshot second = onLoop(() -> {
+            ConfigurationSnapshot two = settled.get(0)
+                    .with(
+                            new ConfigurationVersion(1, 2),
+                            1,
+                            List.of(new Change.Put(new ConfigurationItem("b", new byte[10]))));
             settled.add(two);
             server.settled();
             return two;
@@ -170,10 +174,11 @@
     /** A control machine ends in the middle of a snapshot. Nothing of it is in force; the other machine is used. */
     @Test
     void aSnapshotWithoutItsLastByteIsNotInForceAndTheEndOfTheConnectionLeadsToAnother() throws Exception {
-        Configuration other = Configuration.of(new Version(1, 5), 1, List.of(new Item("x", new byte[10])));
+        ConfigurationSnapshot other = ConfigurationSnapshot.of(
+                new ConfigurationVersion(1, 5), 1, List.of(new ConfigurationItem("x", new byte[10])));
         byte[] whole = other.encoded();
-        byte[] frame = MessageCodec.frame(
-                new Message.SnapshotPiece(other.version(), other.digest(), 1, whole.length, 0, whole));
+        byte[] frame = DistributionMessageCodec.frame(
+                new DistributionMessage.SnapshotPiece(other.version(), other.digest(), 1, whole.length, 0, whole));
         PublisherServer server = server();
         try (ServerSocket holds = new ServerSocket(0, 5, InetAddress.getLoopbackAddress())) {
             client((InetSocketAddress) holds.getLocalSocketAddress(), server.address());
@@ -182,7 +187,7 @@
                 taken.getOutputStream().write(frame, 0, frame.length - 1);
             }
         }
-        assertEquals(new Version(1, 1), next().version(), "from the other one, and nothing before");
+        assertEquals(new ConfigurationVersion(1, 1), next().version(), "from the other one, and nothing before");
     }
 
     /** Either side gets bytes that are no message. It closes the connection, and nothing else suffers. */
@@ -212,21 +217,22 @@
         SubscriberClient client = client(server.address(), server.address());
         next();
         onLoop(() -> {
-            client.send(new Message.InForce(new Version(1, 1), settled.get(0).digest(), Durability.SAVED));
+            client.send(new DistributionMessage.InForce(
+                    new ConfigurationVersion(1, 1), settled.get(0).digest(), Durability.SAVED));
             return null;
         });
-        BlockingQueue<Version> seen = new LinkedBlockingQueue<>();
+        BlockingQueue<ConfigurationVersion> seen = new LinkedBlockingQueue<>();
         onLoop(() -> {
             look(server, seen);
             return null;
         });
-        assertEquals(new Version(1, 1), seen.poll(HANGS_SECONDS, TimeUnit.SECONDS));
+        assertEquals(new ConfigurationVersion(1, 1), seen.poll(HANGS_SECONDS, TimeUnit.SECONDS));
     }
 
     /** Looks at each turn of the loop until the subscriber is known with a version. */
-    private void look(PublisherServer server, BlockingQueue<Version> seen) {
+    private void look(PublisherServer server, BlockingQueue<ConfigurationVersion> seen) {
         server.subscribers().stream()
-                .filter(s -> s.inForce().newerThan(Version.NONE))
+                .filter(s -> s.inForce().newerThan(ConfigurationVersion.NONE))
                 .findFirst()
                 .ifPresentOrElse(s -> seen.add(s.inForce()), () -> loop.after(0.001, () -> look(server, seen)));
     }
--- a/src/test/java/pepperdock/faultinjection/SimTest.java
+++ b/src/test/java/pepperdock/faultinjection/SimTest.java
@@ -10,7 +10,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 import pepperdock.config.Config;
-import pepperdock.config.Keys;
+import pepperdock.config.ConfigReader;
 import pepperdock.membership.Settings;
 
 /** Membership in simulated time, at its default timings: the hard cases over seeds, each fault found once among them. */
@@ -21,7 +21,7 @@
     private static Script script(int members, boolean strict, String acts) {
         String checker = strict ? "members-strict" : "members";
         return ScriptReader.read(
-                Keys.of(
+                ConfigReader.of(
                         "",
                         Config.parse(
                                 "{\"members\":" + members + ",\"settle_s\":120,\"most_s\":1000,\"checkers\":"
--- a/src/test/java/pepperdock/faultinjection/TimetableTest.java
+++ b/src/test/java/pepperdock/faultinjection/TimetableTest.java
@@ -13,7 +13,7 @@
 import org.junit.jupiter.api.Test;
 import pepperdock.config.Config;
 import pepperdock.config.ConfigException;
-import pepperdock.config.Keys;
+import pepperdock.config.ConfigReader;
 import pepperdock.faultinjection.LinkFaults.Fault;
 import pepperdock.faultinjection.LinkFaults.Kind;
 import pepperdock.faultinjection.LinkFaults.Pair;
@@ -23,7 +23,8 @@
 
     private static Script script(int seed, String acts) {
         return ScriptReader.read(
-                Keys.of("", Config.parse("{\"members\":6,\"seed\":" + seed + ",\"script\":[" + acts + "]}", "")),
+                ConfigReader.of(
+                        "", Config.parse("{\"members\":6,\"seed\":" + seed + ",\"script\":[" + acts + "]}", "")),
                 Path.of("."));
     }
 
--- a/src/test/java/pepperdock/membership/transport/MembersTest.java
+++ b/src/test/java/pepperdock/membership/transport/MembersTest.java
@@ -17,7 +17,7 @@
 import org.junit.jupiter.api.Timeout;
 import pepperdock.cli.Cli;
 import pepperdock.config.Config;
-import pepperdock.config.Keys;
+import pepperdock.config.ConfigReader;
 import pepperdock.events.Events;
 import pepperdock.membership.View;
 import pepperdock.transport.Loop;
@@ -39,7 +39,7 @@
     private Members open(int number, List<View.Change> changes) throws Exception {
         Loop loop = new Loop(100, 1 << 20);
         loops.add(loop);
-        Keys file = Keys.of(
+        ConfigReader file = ConfigReader.of(
                 "",
                 Config.parse(
                         "{\"name\":\"n" + number + "\",\"members\":{\"fleet\":\"f\",\"probe_s\":0.05,"
--- a/src/test/java/pepperdock/opensearch/SearchBackendTest.java
+++ b/src/test/java/pepperdock/opensearch/SearchBackendTest.java
@@ -14,8 +14,8 @@
 import java.util.concurrent.TimeUnit;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
+import pepperdock.config.DeploymentSettings;
 import pepperdock.config.OpenSearchConfig;
-import pepperdock.config.Site;
 import pepperdock.config.Sites;
 import pepperdock.core.Gatherer;
 import pepperdock.core.Query;
@@ -36,10 +36,10 @@
      */
     @Test
     void aRequestThatWaitsForItsConnectionEndsWhenTheWorkerDrains() throws Exception {
-        Site site = Sites.with(Sites.SETTINGS
+        DeploymentSettings site = Sites.with(Sites.SETTINGS
                         .replace("\"MaxAttempts\":4", "\"MaxAttempts\":1")
                         .replace("\"DialTimeoutS\":0.25", "\"DialTimeoutS\":20"))
-                .withoutRepeats();
+                .withoutIdempotencyKeys();
         BlockingQueue<String> ended = new LinkedBlockingQueue<>();
         QueryListener client = new QueryListener() {
             @Override
@@ -89,7 +89,7 @@
      */
     @Test
     void aScrollThatWaitsForItsConnectionIsNotBegunOnceItsClientHasGone() throws Exception {
-        Site site = Sites.with(Sites.SETTINGS.replace("\"DialTimeoutS\":0.25", "\"DialTimeoutS\":20"));
+        DeploymentSettings site = Sites.with(Sites.SETTINGS.replace("\"DialTimeoutS\":0.25", "\"DialTimeoutS\":20"));
         QueryListener client = new QueryListener() {
             @Override
             public void onAnswer(Query q, boolean whole) {}
--- a/src/test/java/pepperdock/opensearch/Stack.java
+++ b/src/test/java/pepperdock/opensearch/Stack.java
@@ -16,8 +16,8 @@
 import java.util.Map;
 import java.util.concurrent.CountDownLatch;
 import java.util.function.BooleanSupplier;
+import pepperdock.config.DeploymentSettings;
 import pepperdock.config.OpenSearchConfig;
-import pepperdock.config.Site;
 import pepperdock.config.Sites;
 import pepperdock.core.Backend;
 import pepperdock.core.Gatherer;
@@ -57,8 +57,8 @@
 
     Stack(boolean search, int scrollContexts) throws Exception {
         this.search = search;
-        Site plain = Sites.with(SETTINGS);
-        Site site = search ? plain.withoutRepeats() : plain;
+        DeploymentSettings plain = Sites.with(SETTINGS);
+        DeploymentSettings site = search ? plain.withoutIdempotencyKeys() : plain;
         OpenSearchConfig config = new OpenSearchConfig(
                 null,
                 new LinkedHashMap<>(Map.of("history", 0, "payouts", 1, "wallets", 2)),
@@ -107,7 +107,7 @@
 
     /** Other settings, and other classes of the indices, as SIGHUP puts them into use. */
     void change(String settings, Map<String, Integer> indices) throws Exception {
-        Site now = Sites.with(settings).withoutRepeats();
+        DeploymentSettings now = Sites.with(settings).withoutIdempotencyKeys();
         CountDownLatch done = new CountDownLatch(1);
         loop.execute(() -> {
             core.updateSettings(now.module(), now.classes());
--- a/src/test/java/pepperdock/operator/BansTest.java
+++ b/src/test/java/pepperdock/operator/BansTest.java
@@ -21,20 +21,20 @@
     @Test
     void whatIsAskedHoldsBeforeItIsWrittenAndWhateverIsReadMeanwhile() {
         Bans bans = new Bans();
-        long a = bans.ask("a", true);
+        long a = bans.request("a", true);
         assertEquals(Set.of("a"), bans.inForce());
         bans.read(Set.of("b"));
         assertEquals(Set.of("a", "b"), bans.inForce());
-        long back = bans.ask("b", false);
+        long back = bans.request("b", false);
         bans.written(a, Set.of("b", "a"));
         assertEquals(Set.of("a"), bans.inForce());
         bans.written(back, Set.of("a"));
         assertEquals(Set.of("a"), bans.inForce());
-        bans.written(bans.ask("c", true), null);
+        bans.written(bans.request("c", true), null);
         assertEquals(Set.of("a", "c"), bans.inForce());
         bans.read(Set.of("a"));
         assertEquals(Set.of("a", "c"), bans.inForce(), "not written, and in force all the same");
-        bans.written(bans.ask("c", false), Set.of("a"));
+        bans.written(bans.request("c", false), Set.of("a"));
         assertEquals(Set.of("a"), bans.inForce());
     }
 
--- a/src/test/java/pepperdock/platform/ClientEndBench.java
+++ b/src/test/java/pepperdock/platform/ClientEndBench.java
@@ -19,7 +19,7 @@
 import pepperdock.codec.frame.Frames;
 import pepperdock.codec.http.HttpException;
 import pepperdock.codec.http.HttpMessage;
-import pepperdock.config.Site;
+import pepperdock.config.DeploymentSettings;
 import pepperdock.config.Sites;
 import pepperdock.core.Attempt;
 import pepperdock.core.Backend;
@@ -63,7 +63,7 @@
     }
 
     private void run(int queries, int busyMs) throws Exception {
-        Site site = Sites.with(Sites.SETTINGS.replace("\"MostHeld\":40", "\"MostHeld\":400"));
+        DeploymentSettings site = Sites.with(Sites.SETTINGS.replace("\"MostHeld\":40", "\"MostHeld\":400"));
         Loop loop = new Loop(500, 1 << 18);
         WorkerPool pool = new WorkerPool(loop, site);
         Gatherer core = new Gatherer(site.module(), 3, loop, recording(pool), () -> {});
--- a/src/test/java/pepperdock/platform/EdgeSettingsTest.java
+++ b/src/test/java/pepperdock/platform/EdgeSettingsTest.java
@@ -17,7 +17,7 @@
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.MethodSource;
-import pepperdock.config.Site;
+import pepperdock.config.DeploymentSettings;
 import pepperdock.config.Sites;
 import pepperdock.core.Gatherer;
 import pepperdock.core.WorkerEndpoint;
@@ -84,7 +84,7 @@
 
     /** Asks for one part of each shard given, and reads the one answer. */
     private String ask(JsonObject settings, String name, String text, int shards, int ms) throws Exception {
-        Site site = Sites.with(settings.toString());
+        DeploymentSettings site = Sites.with(settings.toString());
         List<StandInWorker> workers = new ArrayList<>();
         try (Loop loop = new Loop(200, 1 << 18)) {
             List<WorkerEndpoint> hosts = new ArrayList<>();
@@ -128,7 +128,7 @@
     @ParameterizedTest
     @MethodSource("edges")
     void eachEdgeServesEachOfItsClassesWhole(JsonObject settings) throws Exception {
-        Site site = Sites.with(settings.toString());
+        DeploymentSettings site = Sites.with(settings.toString());
         int shards = Math.min(4, site.module().layout().shards());
         for (int c = 0; c < site.classes().size(); c++) {
             double deadlineS = site.module().classes().get(c).deadlineS();
--- a/src/test/java/pepperdock/platform/EndOnABusyLoopTest.java
+++ b/src/test/java/pepperdock/platform/EndOnABusyLoopTest.java
@@ -21,7 +21,7 @@
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.EnumSource;
-import pepperdock.config.Site;
+import pepperdock.config.DeploymentSettings;
 import pepperdock.config.Sites;
 import pepperdock.core.Attempt;
 import pepperdock.core.Backend;
@@ -50,7 +50,8 @@
         RESET
     }
 
-    private final Site site = Sites.with(Sites.SETTINGS.replace("\"DialTimeoutS\":0.25", "\"DialTimeoutS\":30"));
+    private final DeploymentSettings site =
+            Sites.with(Sites.SETTINGS.replace("\"DialTimeoutS\":0.25", "\"DialTimeoutS\":30"));
     private final Loop loop = new Loop(100, 1 << 18);
     private Gatherer core;
     private HttpServer server;
--- a/src/test/java/pepperdock/platform/FrontTest.java
+++ b/src/test/java/pepperdock/platform/FrontTest.java
@@ -14,7 +14,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
-import pepperdock.config.Site;
+import pepperdock.config.DeploymentSettings;
 import pepperdock.config.Sites;
 import pepperdock.core.Gatherer;
 import pepperdock.core.WorkerEndpoint;
@@ -34,7 +34,7 @@
 
     /** A gatherer that lets eight clients in and knows the one worker given, or none. */
     private static void serve(List<WorkerEndpoint> workers, Talk talk) throws Exception {
-        Site site = Sites.small();
+        DeploymentSettings site = Sites.small();
         try (Loop loop = new Loop(100, 1 << 16)) {
             WorkerPool pool = new WorkerPool(loop, site);
             Gatherer core = new Gatherer(site.module(), 3, loop, pool, () -> {});
--- a/src/test/java/pepperdock/platform/LeftQueriesTest.java
+++ b/src/test/java/pepperdock/platform/LeftQueriesTest.java
@@ -14,7 +14,7 @@
 import java.util.concurrent.LinkedBlockingQueue;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
-import pepperdock.config.Site;
+import pepperdock.config.DeploymentSettings;
 import pepperdock.config.Sites;
 import pepperdock.core.Gatherer;
 import pepperdock.core.Metrics;
@@ -47,7 +47,7 @@
     /** Half of them close, half are reset; of all of them none is sent once the connection is there. */
     @Test
     void noneIsSentOnceItsClientHasGone() throws Exception {
-        Site site = Sites.with(Sites.SETTINGS
+        DeploymentSettings site = Sites.with(Sites.SETTINGS
                 .replace("\"DialTimeoutS\":0.25", "\"DialTimeoutS\":60")
                 .replace("\"MostHeld\":40", "\"MostHeld\":400")
                 .replace("\"GoalTimeS\":2.5,\"DeadlineS\":6", "\"GoalTimeS\":60,\"DeadlineS\":60"));
--- a/src/test/java/pepperdock/platform/WatchTest.java
+++ b/src/test/java/pepperdock/platform/WatchTest.java
@@ -23,7 +23,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.EnumSource;
 import org.junit.jupiter.params.provider.ValueSource;
-import pepperdock.config.Site;
+import pepperdock.config.DeploymentSettings;
 import pepperdock.config.Sites;
 import pepperdock.core.Gatherer;
 import pepperdock.core.WorkerEndpoint;
@@ -35,7 +35,7 @@
     private static final String HOST =
             "{\"host\":\"%s\",\"dial\":\"127.0.0.1:1\",\"block\":0,\"health\":\"in_service\",\"born_ms\":0}";
 
-    private final Site site = Sites.small();
+    private final DeploymentSettings site = Sites.small();
     private final Loop loop = new Loop(100, 1 << 16);
     private final ServerSocket server = new ServerSocket(0, 50, InetAddress.getLoopbackAddress());
     private final BlockingQueue<Collection<WorkerEndpoint>> lists = new LinkedBlockingQueue<>();
@@ -128,7 +128,7 @@
     }
 
     private Watch other(String settings, ServerSocket at) {
-        Site its = Sites.with(settings);
+        DeploymentSettings its = Sites.with(settings);
         Watch w = new Watch(loop, (InetSocketAddress) at.getLocalSocketAddress(), its, 41);
         w.start(new Gatherer(its.module(), 3, loop, new WorkerPool(loop, its), w));
         return w;
--- a/src/test/java/pepperdock/platform/WorkerPoolTest.java
+++ b/src/test/java/pepperdock/platform/WorkerPoolTest.java
@@ -16,7 +16,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
-import pepperdock.config.Site;
+import pepperdock.config.DeploymentSettings;
 import pepperdock.config.Sites;
 import pepperdock.core.Gatherer;
 import pepperdock.core.Part;
@@ -33,7 +33,7 @@
 /** How an attempt ends when its worker does not answer it: by the protocol's table. */
 class WorkerPoolTest {
 
-    private final Site site = Sites.with(Sites.SETTINGS
+    private final DeploymentSettings site = Sites.with(Sites.SETTINGS
             .replace("\"MaxAttempts\":4", "\"MaxAttempts\":1")
             .replace("\"DialTimeoutS\":0.25", "\"DialTimeoutS\":20"));
     private final Loop loop = new Loop(100, 1 << 16);
@@ -201,7 +201,7 @@
     /** Found on a recorded day: calls went on into a connection that had gone silent, until all in it had timed out. */
     @Test
     void aConnectionThatOwesAnAnswerGetsNoNewCalls() throws Exception {
-        Site quick = Sites.with(Sites.SETTINGS.replace("\"DialTimeoutS\":0.25", "\"DialTimeoutS\":0.1"));
+        DeploymentSettings quick = Sites.with(Sites.SETTINGS.replace("\"DialTimeoutS\":0.25", "\"DialTimeoutS\":0.1"));
         server.setSoTimeout(30_000);
         try (Loop own = new Loop(100, 1 << 16)) {
             WorkerPool workers = new WorkerPool(own, quick);
@@ -393,7 +393,7 @@
     /** Our idle close against half a late line: it ends nothing that is in hand, and the next call goes on a new connection. */
     @Test
     void anIdleCloseOverHalfALateLineHarmsNothing() throws Exception {
-        Site quick =
+        DeploymentSettings quick =
                 Sites.with(Sites.SETTINGS.replace("\"DialTimeoutS\":0.25", "\"DialTimeoutS\":20,\"ConnIdleS\":0.2"));
         server.setSoTimeout(30_000);
         try (Loop own = new Loop(100, 1 << 18)) {
@@ -438,7 +438,7 @@
     /** A byte now and then: as long as that counted as going on, a frame that never ends held up all behind it. */
     @Test
     void aFrameThatGoesOnByBytesAndNeverEndsIsGivenUp() throws Exception {
-        Site quick = Sites.with(Sites.SETTINGS.replace("\"DialTimeoutS\":0.25", "\"DialTimeoutS\":0.1"));
+        DeploymentSettings quick = Sites.with(Sites.SETTINGS.replace("\"DialTimeoutS\":0.25", "\"DialTimeoutS\":0.1"));
         server.setSoTimeout(30_000);
         try (Loop own = new Loop(100, 1 << 18)) {
             WorkerPool workers = new WorkerPool(own, quick);
--- a/src/test/java/pepperdock/service/ReloadTest.java
+++ b/src/test/java/pepperdock/service/ConfigReloaderTest.java
@@ -18,7 +18,7 @@
 import pepperdock.config.Config;
 import pepperdock.config.Sites;
 
-class ReloadTest {
+class ConfigReloaderTest {
 
     private static final String FILE = """
             {"name":"n","listen":"127.0.0.4:8000","discovery":"127.0.0.1:%d","limits":{"sockets":%d},"settings":%s}""";
@@ -29,14 +29,14 @@
     private final List<String> changed = new ArrayList<>();
     private final List<Boolean> told = new ArrayList<>();
 
-    private Reload begin(String text) throws Exception {
+    private ConfigReloader begin(String text) throws Exception {
         Map<String, String> env = Map.of("EDGE_CONFIG", write(text).toString(), "EDGE_DISCOVERY", "127.0.0.1:1");
-        return new Reload(
+        return new ConfigReloader(
                 env,
                 Config.file(env),
                 false,
                 Runnable::run,
-                new Reload.Live(
+                new ConfigReloader.Live(
                         at -> changed.add("discovery " + at.getPort()),
                         null,
                         n -> changed.add("sockets " + n),
@@ -52,7 +52,7 @@
     /** The address that the environment had at the start must not hide the file's. */
     @Test
     void whatDiffersIsPutIntoUseAndNothingElse() throws Exception {
-        Reload reload = begin(FILE.formatted(1, 256, Sites.SETTINGS));
+        ConfigReloader reload = begin(FILE.formatted(1, 256, Sites.SETTINGS));
         reload.reload();
         assertEquals(List.of(), changed);
         write(FILE.formatted(2, 256, Sites.SETTINGS));
@@ -73,7 +73,7 @@
     /** Classes added, dropped, with another effect, and fewer attempts: in use from here on. */
     @Test
     void otherClassesAndFewerAttemptsArePutIntoUse() throws Exception {
-        Reload reload = begin(FILE.formatted(1, 256, Sites.SETTINGS));
+        ConfigReloader reload = begin(FILE.formatted(1, 256, Sites.SETTINGS));
         write(FILE.formatted(
                 1,
                 256,
@@ -105,7 +105,7 @@
     @ParameterizedTest
     @MethodSource("faults")
     void settingsWithAFaultAreTurnedDownWholeWithAllElseInTheirFile(String settings) throws Exception {
-        Reload reload = begin(FILE.formatted(1, 256, Sites.SETTINGS));
+        ConfigReloader reload = begin(FILE.formatted(1, 256, Sites.SETTINGS));
         write(FILE.formatted(2, 512, settings));
         reload.reload();
         assertEquals(List.of(), changed);
@@ -116,7 +116,7 @@
     @ParameterizedTest
     @ValueSource(strings = {"name", "listen", "discovery", "limits", "settings"})
     void aFileThatLacksAKeyOfThePlatformIsTurnedDown(String key) throws Exception {
-        Reload reload = begin(FILE.formatted(1, 256, Sites.SETTINGS));
+        ConfigReloader reload = begin(FILE.formatted(1, 256, Sites.SETTINGS));
         JsonObject cut =
                 JsonParser.parseString(FILE.formatted(2, 512, Sites.SETTINGS)).getAsJsonObject();
         cut.remove(key);
@@ -129,7 +129,7 @@
     /** Empty, truncated and otherwise faulty files come, then none at all; the next sound file is put in use all the same. */
     @Test
     void aFaultyFileLeavesAllAsItWas() throws Exception {
-        Reload reload = begin(FILE.formatted(1, 256, Sites.SETTINGS));
+        ConfigReloader reload = begin(FILE.formatted(1, 256, Sites.SETTINGS));
         for (String faulty : List.of(
                 "",
                 "{",
--- a/src/test/java/pepperdock/service/ReadyTest.java
+++ b/src/test/java/pepperdock/service/ReadyTest.java
@@ -23,7 +23,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 import pepperdock.config.Config;
-import pepperdock.config.Keys;
+import pepperdock.config.ConfigReader;
 import pepperdock.config.Sites;
 import pepperdock.events.Events;
 import pepperdock.store.Store;
@@ -62,9 +62,10 @@
             throws IOException {
         String file = "{\"name\":\"n\",\"listen\":\"127.0.0.1:0\",\"discovery\":\"127.0.0.1:" + discovery.getLocalPort()
                 + "\"," + also + "\"known\":" + known + ",\"settings\":" + settings + "}";
-        Keys keys = Keys.of("", Config.parse(file, "test"));
+        ConfigReader keys = ConfigReader.of("", Config.parse(file, "test"));
         startedAt = loop.now();
-        return Service.start(keys, false, new Startup.Base(env, loop, new Store(null, loop), Events.of(false), null))
+        return GathererService.start(
+                        keys, false, new Startup.Base(env, loop, new Store(null, loop), Events.of(false), null))
                 .get(0)
                 .address();
     }
@@ -107,7 +108,7 @@
             passHead(in);
             boolean early = readiness(at) == 200;
             assertTrue(
-                    !early || loop.now() - startedAt >= Service.PUSHED_LIST_TIMEOUT_S,
+                    !early || loop.now() - startedAt >= GathererService.PUSHED_LIST_TIMEOUT_S,
                     "ready before the list was told");
             answer(agent, LIST);
             // The next call is armed once the answer has been taken.
--- a/src/test/java/pepperdock/simulation/distribution/SimulationTest.java
+++ b/src/test/java/pepperdock/simulation/distribution/SimulationTest.java
@@ -12,11 +12,13 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.EnumSource;
-import pepperdock.distribution.Age;
-import pepperdock.distribution.Configuration;
+import pepperdock.distribution.ConfigurationAge;
+import pepperdock.distribution.ConfigurationDigest;
+import pepperdock.distribution.ConfigurationSnapshot;
+import pepperdock.distribution.ConfigurationValidator;
+import pepperdock.distribution.ConfigurationVersion;
 import pepperdock.distribution.ControlMachine;
 import pepperdock.distribution.Delta;
-import pepperdock.distribution.Digest;
 import pepperdock.distribution.Publisher;
 import pepperdock.distribution.PublisherOutput;
 import pepperdock.distribution.PublisherSettings;
@@ -24,8 +26,6 @@
 import pepperdock.distribution.SubscriberIdentity;
 import pepperdock.distribution.SubscriberOutput;
 import pepperdock.distribution.SubscriberSettings;
-import pepperdock.distribution.Validator;
-import pepperdock.distribution.Version;
 import pepperdock.distribution.VersionSource;
 import pepperdock.distribution.VersionStore;
 import pepperdock.simulation.distribution.Finding.Promise;
@@ -146,7 +146,7 @@
     /** A subscriber with the rules of the real one, for those that break one of them. */
     private static class Faulty extends Subscriber {
 
-        private static final Validator NO_COMPLAINT = configuration -> java.util.Optional.empty();
+        private static final ConfigurationValidator NO_COMPLAINT = configuration -> java.util.Optional.empty();
 
         Faulty(
                 SubscriberIdentity self,
@@ -169,7 +169,7 @@
         }
 
         @Override
-        protected boolean mayOffer(Version latestHere, Version inForceThere) {
+        protected boolean mayOffer(ConfigurationVersion latestHere, ConfigurationVersion inForceThere) {
             return !latestHere.equals(inForceThere);
         }
     }
@@ -206,7 +206,7 @@
                     long now) {
                 return new Faulty(self, known, settings, store, output, seed, now) {
                     @Override
-                    protected boolean mayFollow(Version next) {
+                    protected boolean mayFollow(ConfigurationVersion next) {
                         return !next.equals(inForce().version());
                     }
                 };
@@ -215,7 +215,7 @@
         assertTrue(planted.found().contains(Promise.NEVER_BACKWARDS));
     }
 
-    private static Configuration withoutLastChange(Configuration base, Delta delta) {
+    private static ConfigurationSnapshot withoutLastChange(ConfigurationSnapshot base, Delta delta) {
         return base.with(
                 delta.result(),
                 delta.format(),
@@ -236,7 +236,7 @@
                     long now) {
                 return new Faulty(self, known, settings, store, output, seed, now) {
                     @Override
-                    protected Configuration applied(Configuration base, Delta delta) {
+                    protected ConfigurationSnapshot applied(ConfigurationSnapshot base, Delta delta) {
                         return withoutLastChange(base, delta);
                     }
                 };
@@ -261,12 +261,12 @@
                     long now) {
                 return new Faulty(self, known, settings, store, output, seed, now) {
                     @Override
-                    protected Configuration applied(Configuration base, Delta delta) {
+                    protected ConfigurationSnapshot applied(ConfigurationSnapshot base, Delta delta) {
                         return withoutLastChange(base, delta);
                     }
 
                     @Override
-                    protected boolean intact(Configuration result, Digest settled) {
+                    protected boolean intact(ConfigurationSnapshot result, ConfigurationDigest settled) {
                         return true;
                     }
                 };
@@ -289,8 +289,8 @@
                     long now) {
                 return new Faulty(self, known, settings, store, output, seed, now) {
                     @Override
-                    protected boolean mayFollow(Version next) {
-                        return inForce().version().equals(Version.NONE) && super.mayFollow(next);
+                    protected boolean mayFollow(ConfigurationVersion next) {
+                        return inForce().version().equals(ConfigurationVersion.NONE) && super.mayFollow(next);
                     }
                 };
             }
@@ -348,7 +348,7 @@
             protected GathererDisk newDisk() {
                 return new GathererDisk() {
                     @Override
-                    public boolean save(Configuration configuration) {
+                    public boolean save(ConfigurationSnapshot configuration) {
                         return true;
                     }
                 };
@@ -371,8 +371,8 @@
                     long now) {
                 return new Faulty(self, known, settings, store, output, seed, now) {
                     @Override
-                    public Age age(long at) {
-                        return new Age(0, false);
+                    public ConfigurationAge age(long at) {
+                        return new ConfigurationAge(0, false);
                     }
                 };
             }
--- a/src/test/java/pepperdock/simulation/raft/ExplorerTest.java
+++ b/src/test/java/pepperdock/simulation/raft/ExplorerTest.java
@@ -9,13 +9,13 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
-import pepperdock.store.raft.Configuration;
 import pepperdock.store.raft.HardState;
-import pepperdock.store.raft.Message;
-import pepperdock.store.raft.PeerState;
 import pepperdock.store.raft.PersistedState;
-import pepperdock.store.raft.Raft;
+import pepperdock.store.raft.RaftMessage;
+import pepperdock.store.raft.RaftPeerState;
+import pepperdock.store.raft.RaftServer;
 import pepperdock.store.raft.RaftSettings;
+import pepperdock.store.raft.VoterConfiguration;
 
 /** Consensus among crashes, lost disks, cuts and changes: nothing is found, but where a fault is planted. */
 class ExplorerTest {
@@ -59,15 +59,15 @@
             private int syncs;
 
             @Override
-            protected Raft newRaft(long id, RaftSettings of, PersistedState saved, long chance) {
-                return new Raft(id, of, saved, chance) {
+            protected RaftServer newRaft(long id, RaftSettings of, PersistedState saved, long chance) {
+                return new RaftServer(id, of, saved, chance) {
                     @Override
                     protected boolean mayCommit(long index) {
                         return fault.equals("commit of an older term") || super.mayCommit(index);
                     }
 
                     @Override
-                    protected boolean mayChangeTo(Configuration to) {
+                    protected boolean mayChangeTo(VoterConfiguration to) {
                         return fault.equals("two changes at once")
                                 ? !to.voters().isEmpty()
                                 : super.mayChangeTo(to);
@@ -101,10 +101,10 @@
             }
 
             @Override
-            protected void read(Raft raft, long token) {
+            protected void read(RaftServer raft, long token) {
                 if (!fault.equals("a read from a deposed leader")) {
                     raft.read(token);
-                } else if (raft.state() == PeerState.LEADER) {
+                } else if (raft.state() == RaftPeerState.LEADER) {
                     answered(token, raft.commitIndex());
                 }
             }
@@ -139,7 +139,7 @@
 
     /** Has one lead, by these others' votes and whatever it takes. */
     private static void elect(World w, int candidate, int... voters) {
-        for (int i = 0; i < 12 && w.state(candidate) != PeerState.LEADER; i++) {
+        for (int i = 0; i < 12 && w.state(candidate) != RaftPeerState.LEADER; i++) {
             if (i % 3 == 0) {
                 // Whoever still hears a leader helps nobody to another.
                 all(w, Step.Kind.HASTE, voters);
@@ -148,13 +148,13 @@
             }
             all(w, Step.Kind.SYNC, candidate);
             for (int v : voters) {
-                w.pass(Step.Kind.DELIVER, candidate, v, Message.RequestVote.class, m -> true);
+                w.pass(Step.Kind.DELIVER, candidate, v, RaftMessage.RequestVote.class, m -> true);
                 all(w, Step.Kind.SYNC, v, v);
-                w.pass(Step.Kind.DELIVER, v, candidate, Message.VoteResponse.class, m -> true);
+                w.pass(Step.Kind.DELIVER, v, candidate, RaftMessage.VoteResponse.class, m -> true);
             }
             all(w, Step.Kind.SYNC, candidate);
         }
-        assertEquals(PeerState.LEADER, w.state(candidate));
+        assertEquals(RaftPeerState.LEADER, w.state(candidate));
         all(w, Step.Kind.SYNC, candidate, candidate);
     }
 
@@ -164,7 +164,7 @@
     void anOlderTermsEntryIsNotCommittedByCountingItsCopies(String fault, int findings) {
         World w = planted(fault, 1);
         elect(w, 0, 1, 2);
-        w.pass(Step.Kind.DELIVER, 0, 1, Message.AppendEntries.class, m -> true);
+        w.pass(Step.Kind.DELIVER, 0, 1, RaftMessage.AppendEntries.class, m -> true);
         all(w, Step.Kind.SYNC, 1, 0);
         all(w, Step.Kind.AGAIN, 0);
         elect(w, 4, 2, 3);
@@ -172,9 +172,9 @@
         elect(w, 0, 1, 2);
         for (int follower : new int[] {2, 3}) {
             for (int i = 0; i < 2; i++) {
-                w.pass(Step.Kind.DELIVER, 0, follower, Message.AppendEntries.class, m -> m.term() >= 3);
+                w.pass(Step.Kind.DELIVER, 0, follower, RaftMessage.AppendEntries.class, m -> m.term() >= 3);
                 all(w, Step.Kind.SYNC, follower, follower);
-                w.pass(Step.Kind.DELIVER, follower, 0, Message.AppendResponse.class, m -> m.term() >= 3);
+                w.pass(Step.Kind.DELIVER, follower, 0, RaftMessage.AppendResponse.class, m -> m.term() >= 3);
             }
         }
         all(w, Step.Kind.AGAIN, 0);
@@ -196,9 +196,9 @@
         elect(w, 0, 1, 2);
         for (int f = 1; f <= 2; f++) {
             for (int i = 0; i < 3; i++) {
-                w.pass(Step.Kind.DELIVER, 0, f, Message.AppendEntries.class, m -> true);
+                w.pass(Step.Kind.DELIVER, 0, f, RaftMessage.AppendEntries.class, m -> true);
                 all(w, Step.Kind.SYNC, f, f);
-                w.pass(Step.Kind.DELIVER, f, 0, Message.AppendResponse.class, m -> true);
+                w.pass(Step.Kind.DELIVER, f, 0, RaftMessage.AppendResponse.class, m -> true);
             }
         }
         all(w, Step.Kind.PROPOSE, 0, 0, 0, 0);
@@ -209,30 +209,45 @@
                     Step.Kind.DELIVER,
                     0,
                     2,
-                    Message.AppendEntries.class,
-                    m -> !((Message.AppendEntries) m).entries().isEmpty());
+                    RaftMessage.AppendEntries.class,
+                    m -> !((RaftMessage.AppendEntries) m).entries().isEmpty());
             all(w, Step.Kind.SYNC, 2);
-            w.pass(Step.Kind.DELIVER, 2, 0, Message.AppendResponse.class, m -> true);
+            w.pass(Step.Kind.DELIVER, 2, 0, RaftMessage.AppendResponse.class, m -> true);
         }
         all(w, Step.Kind.COMPACT, 0);
         // This one gets the third before the first, says so, and then gets them all, up to the fourth.
         w.take(new Step(Step.Kind.TICK, 2, 0));
-        w.pass(Step.Kind.TWICE, 0, 1, Message.AppendEntries.class, m -> ((Message.AppendEntries) m).prevIndex() == 3);
+        w.pass(
+                Step.Kind.TWICE,
+                0,
+                1,
+                RaftMessage.AppendEntries.class,
+                m -> ((RaftMessage.AppendEntries) m).prevIndex() == 3);
         for (int prev = 1; prev <= 4; prev++) {
             int at = prev;
             w.pass(
                     Step.Kind.DELIVER,
                     0,
                     1,
-                    Message.AppendEntries.class,
-                    m -> ((Message.AppendEntries) m).prevIndex() == at
-                            && !((Message.AppendEntries) m).entries().isEmpty());
+                    RaftMessage.AppendEntries.class,
+                    m -> ((RaftMessage.AppendEntries) m).prevIndex() == at
+                            && !((RaftMessage.AppendEntries) m).entries().isEmpty());
         }
-        w.pass(Step.Kind.DELIVER, 1, 0, Message.AppendResponse.class, m -> !((Message.AppendResponse) m).ok());
-        w.pass(Step.Kind.DELIVER, 0, 1, Message.InstallSnapshot.class, m -> true);
+        w.pass(
+                Step.Kind.DELIVER,
+                1,
+                0,
+                RaftMessage.AppendResponse.class,
+                m -> !((RaftMessage.AppendResponse) m).success());
+        w.pass(Step.Kind.DELIVER, 0, 1, RaftMessage.InstallSnapshot.class, m -> true);
         all(w, Step.Kind.SYNC, 1, 1, 1, 1, 1, 1);
         for (int i = 0; i < 6; i++) {
-            w.pass(Step.Kind.DELIVER, 1, 0, Message.AppendResponse.class, m -> ((Message.AppendResponse) m).ok());
+            w.pass(
+                    Step.Kind.DELIVER,
+                    1,
+                    0,
+                    RaftMessage.AppendResponse.class,
+                    m -> ((RaftMessage.AppendResponse) m).success());
         }
         assertEquals(5, w.counts()[1], "committed, by the leader and this one");
         all(w, Step.Kind.CRASH, 0);
--- a/tools/ListCalls.java
+++ b/tools/ListCalls.java
@@ -9,9 +9,9 @@
 import java.util.Map;
 import pepperdock.scheduler.EndpointListKind;
 import pepperdock.config.Config;
-import pepperdock.config.Keys;
+import pepperdock.config.ConfigReader;
 import pepperdock.config.DeploymentSettingsReader;
-import pepperdock.config.Site;
+import pepperdock.config.DeploymentSettings;
 import pepperdock.core.Attempt;
 import pepperdock.core.Backend;
 import pepperdock.core.Gatherer;
@@ -103,7 +103,7 @@
         private boolean standing;
         private double since;
 
-        Watch(Service service, Site site, int seed) {
+        Watch(Service service, DeploymentSettings site, int seed) {
             this.service = service;
             core = new Gatherer(site.module(), seed, service.clock, this, this::subscribe);
             core.onEndpointList(EndpointListKind.CACHED, List.of());
@@ -177,11 +177,11 @@
         double perS = Double.parseDouble(args[1]);
         double outageS = Double.parseDouble(args[2]);
         int rounds = Integer.parseInt(args[3]);
-        Keys whole;
+        ConfigReader whole;
         try (InputStream in = Files.newInputStream(Path.of("src/main/resources/pepperdock/rehearsal.json"))) {
-            whole = Keys.of("", Config.parse(new String(in.readAllBytes(), StandardCharsets.UTF_8), "rehearsal"));
+            whole = ConfigReader.of("", Config.parse(new String(in.readAllBytes(), StandardCharsets.UTF_8), "rehearsal"));
         }
-        Site site = DeploymentSettingsReader.read(whole.needed("settings"));
+        DeploymentSettings site = DeploymentSettingsReader.read(whole.needed("settings"));
         for (Down how : Down.values()) {
             List<Round> all = new ArrayList<>();
             for (int i = 0; i < rounds; i++) {
@@ -202,7 +202,7 @@
         }
     }
 
-    private static Round round(Site site, int gatherers, double perS, double outageS, Down how, int seed) {
+    private static Round round(DeploymentSettings site, int gatherers, double perS, double outageS, Down how, int seed) {
         Service service = new Service(perS, how);
         for (int g = 0; g < gatherers; g++) {
             service.watches.add(new Watch(service, site, seed * 1000 + g));
