--- a/src/test/java/pepperdock/core/MemoryBoundTest.java
+++ b/src/test/java/pepperdock/core/MemoryBoundTest.java
@@ -20,6 +20,7 @@
 import pepperdock.scheduler.AttemptOutcome;
 import pepperdock.scheduler.EndpointListKind;
 import pepperdock.scheduler.EndpointState;
+import pepperdock.scheduler.SchedulerSettings;
 
 /**
  * Memory over a long day: the core and the scheduler forget queries, parts, attempts and workers that have ended. Checked by
@@ -31,7 +32,7 @@
     private static final int WORKERS = 4;
     /** Sizes without a query in flight: the list, the classes, and the scheduler's records of workers, cells and zones. */
     private static final Map<String, Integer> AT_REST =
-            Map.of("hosts", WORKERS, "endedByClass", 3, "searchers", WORKERS, "cells", WORKERS, "ways", 1);
+            Map.of("hosts", WORKERS, "endedByClass", 3, "endpoints", WORKERS, "usableByCell", WORKERS, "zones", 1);
 
     private final GathererFixture fixture = new GathererFixture();
     private final SplittableRandom random = new SplittableRandom(11);
@@ -126,37 +127,47 @@
         return sizes;
     }
 
-    private Object module() throws NoSuchFieldException {
+    private Object scheduler() throws NoSuchFieldException {
         return value(Gatherer.class.getDeclaredField("scheduler"), fixture.gatherer);
     }
 
-    /** The gatherer and the objects of its package that it is made of; its clock and its backend are the fixture's. */
-    private Set<Object> components() {
+    /**
+     * An object and those of its package that it is made of. The clock and the backend are the fixture's; the settings are
+     * immutable.
+     */
+    private Set<Object> components(Object root) {
         Set<Object> found = Collections.newSetFromMap(new IdentityHashMap<>());
-        addComponents(fixture.gatherer, found);
+        addComponents(root, found);
         return found;
     }
 
     private void addComponents(Object owner, Set<Object> found) {
-        if (owner == fixture || owner == fixture.clock || !found.add(owner)) {
+        if (owner == fixture || owner == fixture.clock || owner instanceof SchedulerSettings || !found.add(owner)) {
             return;
         }
         for (Field field : owner.getClass().getDeclaredFields()) {
             Object component = Modifier.isStatic(field.getModifiers()) ? null : value(field, owner);
             if (component != null
-                    && component.getClass().getPackage() == Gatherer.class.getPackage()
+                    && component.getClass().getPackage() == owner.getClass().getPackage()
                     && !component.getClass().isHidden()) {
                 addComponents(component, found);
             }
         }
     }
 
-    private static void addKept(Object owner, Map<String, Integer> sizes, List<String> kept) {
-        sizes.forEach((name, size) -> {
-            if (size > AT_REST.getOrDefault(name, 0)) {
-                kept.add(owner.getClass().getSimpleName() + '.' + name + ": " + size);
-            }
-        });
+    /** Adds the maps and collections that hold more than at rest, and returns how many were looked at. */
+    private static int addKept(Set<Object> owners, List<String> kept) {
+        int found = 0;
+        for (Object owner : owners) {
+            Map<String, Integer> sizes = sizes(owner);
+            found += sizes.size();
+            sizes.forEach((name, size) -> {
+                if (size > AT_REST.getOrDefault(name, 0)) {
+                    kept.add(owner.getClass().getSimpleName() + '.' + name + ": " + size);
+                }
+            });
+        }
+        return found;
     }
 
     /**
@@ -167,21 +178,19 @@
     void nothingIsRetainedOfEndedQueriesAndDepartedWorkers() throws Exception {
         day(1500);
         List<String> kept = new ArrayList<>();
-        int found = 0;
-        for (Object owner : components()) {
-            Map<String, Integer> sizes = sizes(owner);
-            found += sizes.size();
-            addKept(owner, sizes, kept);
-        }
-        assertTrue(found >= 10, found + " maps found in the core");
-        Map<String, Integer> ofModule = sizes(module());
-        assertTrue(ofModule.size() >= 5, "no maps found in " + module().getClass());
-        addKept(module(), ofModule, kept);
+        int inCore = addKept(components(fixture.gatherer), kept);
+        assertTrue(inCore >= 10, inCore + " maps found in the core");
+        int inScheduler = addKept(components(scheduler()), kept);
+        assertTrue(inScheduler >= 8, inScheduler + " maps found in the scheduler");
         assertEquals(List.of(), kept);
         assertTrue(
                 replaced > 70 && fixture.answers.size() > 1000,
                 replaced + " replaced, " + fixture.answers.size() + " answers");
-        Map<?, ?> searchers = (Map<?, ?>) value(module().getClass().getDeclaredField("searchers"), module());
-        searchers.values().forEach(s -> assertEquals(0, sizes(s).get("open"), "attempts still out"));
+        Object registry = value(scheduler().getClass().getDeclaredField("registry"), scheduler());
+        Map<?, ?> endpoints = (Map<?, ?>) value(registry.getClass().getDeclaredField("endpoints"), registry);
+        assertEquals(WORKERS, endpoints.size());
+        endpoints
+                .values()
+                .forEach(endpoint -> assertEquals(0, sizes(endpoint).get("outstanding"), "attempts outstanding"));
     }
 }
