--- a/src/test/java/pepperdock/scheduler/FanOutPolicyTest.java
+++ b/src/test/java/pepperdock/scheduler/FanOutPolicyTest.java
@@ -30,7 +30,7 @@
         fixture.scheduler.endBatch();
         fixture.actions.clear();
         fixture.at(fixture.now + 0.1);
-        // The part served raises the ceiling over 16: one waits behind, two are out: ceil(16.1 / (1 + 1 + 1.5)) = 5.
+        // The part answered raises the limit over 16: one waits behind, two are out: ceil(16.1 / (1 + 1 + 1.5)) = 5.
         fixture.scheduler.onAttemptResult(new AttemptResult(101, 0, "a", AttemptOutcome.OK, 0.1, LoadReport.NONE));
         fixture.scheduler.endBatch();
         assertEquals(List.of(301L, 302L, 303L, 304L, 305L), fixture.actions.sentParts());
--- a/src/test/java/pepperdock/scheduler/LargeFleetTest.java
+++ b/src/test/java/pepperdock/scheduler/LargeFleetTest.java
@@ -132,12 +132,12 @@
         List<RecordingActions.Sent> sent = List.copyOf(fixture.actions.sends);
         fixture.at(100.1);
         for (RecordingActions.Sent s : sent) {
-            boolean sound = Integer.parseInt(s.endpointId().substring(1)) >= 10;
+            boolean healthy = Integer.parseInt(s.endpointId().substring(1)) >= 10;
             fixture.scheduler.onAttemptResult(new AttemptResult(
                     s.part(),
                     0,
                     s.endpointId(),
-                    sound ? AttemptOutcome.OK : AttemptOutcome.CONNECT_FAILED,
+                    healthy ? AttemptOutcome.OK : AttemptOutcome.CONNECT_FAILED,
                     0.1,
                     LoadReport.NONE));
         }
--- a/src/test/java/pepperdock/scheduler/OutlierDetectorTest.java
+++ b/src/test/java/pepperdock/scheduler/OutlierDetectorTest.java
@@ -104,17 +104,17 @@
             fixture.scheduler.endBatch();
         }
         assertTrue(rejectedAtOnce >= 5, "ejected replicas are spared: " + rejectedAtOnce);
-        int whole = 0;
+        int answered = 0;
         for (int i = 101; i <= 120; i++) {
             fixture.query(i, 6, 1.0);
             fixture.scheduler.endBatch();
             fixture.at(fixture.now + 0.15);
             fixture.end(i * 100L, 0, AttemptOutcome.OK, 0.15);
             fixture.scheduler.endBatch();
-            whole += fixture.actions.endings(i).contains("answer " + i + " true") ? 1 : 0;
+            answered += fixture.actions.endings(i).contains("answer " + i + " true") ? 1 : 0;
             fixture.sweep(fixture.now + 2.2);
         }
-        assertTrue(whole >= 15, "served again: " + whole);
+        assertTrue(answered >= 15, "served again: " + answered);
     }
 
     /** A replica that answered a part a moment ago may answer the next one. */
--- a/src/test/java/pepperdock/scheduler/RecordingActions.java
+++ b/src/test/java/pepperdock/scheduler/RecordingActions.java
@@ -24,12 +24,12 @@
     }
 
     @Override
-    public void answerQuery(long query, boolean whole) {
-        all.add("answer " + query + " " + whole);
+    public void answerQuery(long query, boolean complete) {
+        all.add("answer " + query + " " + complete);
     }
 
     @Override
-    public void rejectQuery(long query, double pauseS) {
+    public void rejectQuery(long query, double retryAfterS) {
         all.add("reject " + query);
     }
 
--- a/src/test/java/pepperdock/scheduler/ReplicaSelectorTest.java
+++ b/src/test/java/pepperdock/scheduler/ReplicaSelectorTest.java
@@ -20,7 +20,7 @@
         assertEquals(Map.of("a", 3L, "b", 3L, "c", 3L), counts);
     }
 
-    /** Own parts out over the planned share: three to one, to the part; health goes before it. */
+    /** Outstanding parts are divided by the planned share, three to one here; health goes before it. */
     @Test
     void plannedSharesWeightReplicasAfterHealth() {
         SchedulerFixture fixture = new SchedulerFixture().start("a", "b");
