--- a/src/test/java/pepperdock/scheduler/HedgingPolicyTest.java
+++ b/src/test/java/pepperdock/scheduler/HedgingPolicyTest.java
@@ -72,7 +72,8 @@
         fixture.scheduler.endBatch();
         fixture.sweep(asked + 1.9);
         long again = fixture.actions.sends.size() - 100L;
-        // 5 and a fifth of the 101 arrivals, less the one left unused: more than the ten saved up, and all that are missing.
+        // 5 and a fifth of the 101 arrivals, less the one left unused: more than the ten saved up, and all that are
+        // missing.
         assertEquals(15, again);
     }
 
