--- a/src/test/java/pepperdock/core/MemoryBoundTest.java
+++ b/src/test/java/pepperdock/core/MemoryBoundTest.java
@@ -20,6 +20,8 @@
 import pepperdock.scheduler.AttemptOutcome;
 import pepperdock.scheduler.EndpointListKind;
 import pepperdock.scheduler.EndpointState;
+import pepperdock.scheduler.Scheduler;
+import pepperdock.scheduler.SchedulerSettings;
 
 /**
  * Memory over a long day: the core and the scheduler forget queries, parts, attempts and workers that have ended. Checked by
@@ -30,8 +32,17 @@
 
     private static final int WORKERS = 4;
     /** Sizes without a query in flight: the list, the classes, and the scheduler's records of workers, cells and zones. */
-    private static final Map<String, Integer> AT_REST =
-            Map.of("hosts", WORKERS, "endedByClass", 3, "searchers", WORKERS, "cells", WORKERS, "ways", 1);
+    private static final Map<String, Integer> AT_REST = Map.of(
+            "core.EndpointRegistry.hosts", WORKERS,
+            "core.Metrics.endedByClass", 3,
+            "scheduler.EndpointRegistry.endpoints", WORKERS,
+            "scheduler.EndpointRegistry.usableByCell", WORKERS,
+            "scheduler.OutlierDetector.zones", 1);
+
+    /** Maps and collections that there are at least: fewer would mean that the search has missed some. */
+    private static final int CORE_COLLECTIONS = 10;
+
+    private static final int SCHEDULER_COLLECTIONS = 8;
 
     private final GathererFixture fixture = new GathererFixture();
     private final SplittableRandom random = new SplittableRandom(11);
@@ -126,11 +137,10 @@
         return sizes;
     }
 
-    private Object module() throws NoSuchFieldException {
-        return value(Gatherer.class.getDeclaredField("scheduler"), fixture.gatherer);
-    }
-
-    /** The gatherer and the objects of its package that it is made of; its clock and its backend are the fixture's. */
+    /**
+     * The objects of the core and of the scheduler that the gatherer is made of. Its clock and its backend are the fixture's,
+     * and the settings are immutable.
+     */
     private Set<Object> components() {
         Set<Object> found = Collections.newSetFromMap(new IdentityHashMap<>());
         addComponents(fixture.gatherer, found);
@@ -138,25 +148,26 @@
     }
 
     private void addComponents(Object owner, Set<Object> found) {
-        if (owner == fixture || owner == fixture.clock || !found.add(owner)) {
+        if (owner == fixture || owner == fixture.clock || owner instanceof SchedulerSettings || !found.add(owner)) {
             return;
         }
         for (Field field : owner.getClass().getDeclaredFields()) {
             Object component = Modifier.isStatic(field.getModifiers()) ? null : value(field, owner);
-            if (component != null
-                    && component.getClass().getPackage() == Gatherer.class.getPackage()
-                    && !component.getClass().isHidden()) {
+            if (component != null && isSearched(component.getClass())) {
                 addComponents(component, found);
             }
         }
     }
 
-    private static void addKept(Object owner, Map<String, Integer> sizes, List<String> kept) {
-        sizes.forEach((name, size) -> {
-            if (size > AT_REST.getOrDefault(name, 0)) {
-                kept.add(owner.getClass().getSimpleName() + '.' + name + ": " + size);
-            }
-        });
+    private static boolean isSearched(Class<?> type) {
+        return !type.isHidden()
+                && (type.getPackage() == Gatherer.class.getPackage()
+                        || type.getPackage() == Scheduler.class.getPackage());
+    }
+
+    /** Package and class, as in {@code core.Gatherer}. */
+    private static String name(Object owner) {
+        return owner.getClass().getName().replaceFirst("^pepperdock\\.", "");
     }
 
     /**
@@ -167,21 +178,31 @@
     void nothingIsRetainedOfEndedQueriesAndDepartedWorkers() throws Exception {
         day(1500);
         List<String> kept = new ArrayList<>();
-        int found = 0;
-        for (Object owner : components()) {
-            Map<String, Integer> sizes = sizes(owner);
-            found += sizes.size();
-            addKept(owner, sizes, kept);
+        Set<Object> components = components();
+        Map<String, Integer> found = new TreeMap<>();
+        for (Object owner : components) {
+            sizes(owner).forEach((name, size) -> {
+                found.merge(owner.getClass().getPackageName(), 1, Integer::sum);
+                String collection = name(owner) + '.' + name;
+                if (size > AT_REST.getOrDefault(collection, 0)) {
+                    kept.add(collection + ": " + size);
+                }
+            });
         }
-        assertTrue(found >= 10, found + " maps found in the core");
-        Map<String, Integer> ofModule = sizes(module());
-        assertTrue(ofModule.size() >= 5, "no maps found in " + module().getClass());
-        addKept(module(), ofModule, kept);
+        assertTrue(found.get("pepperdock.core") >= CORE_COLLECTIONS, found::toString);
+        assertTrue(found.get("pepperdock.scheduler") >= SCHEDULER_COLLECTIONS, found::toString);
         assertEquals(List.of(), kept);
         assertTrue(
                 replaced > 70 && fixture.answers.size() > 1000,
                 replaced + " replaced, " + fixture.answers.size() + " answers");
-        Map<?, ?> searchers = (Map<?, ?>) value(module().getClass().getDeclaredField("searchers"), module());
-        searchers.values().forEach(s -> assertEquals(0, sizes(s).get("open"), "attempts still out"));
+        Object registry = components.stream()
+                .filter(owner -> name(owner).equals("scheduler.EndpointRegistry"))
+                .findFirst()
+                .orElseThrow();
+        Map<?, ?> endpoints = (Map<?, ?>) value(registry.getClass().getDeclaredField("endpoints"), registry);
+        assertEquals(WORKERS, endpoints.size());
+        endpoints
+                .values()
+                .forEach(endpoint -> assertEquals(0, sizes(endpoint).get("outstanding"), "attempts in flight"));
     }
 }
