--- a/src/main/java/pepperdock/core/LogRateLimiter.java
+++ b/src/main/java/pepperdock/core/LogRateLimiter.java
@@ -14,7 +14,7 @@
 
     private static final double WINDOW_S = 1;
 
-    private final System.Logger log;
+    private final System.Logger logger;
     private final Clock clock;
     private final String kind;
     private double windowStart = Double.NEGATIVE_INFINITY;
@@ -26,28 +26,28 @@
      *
      * @param kind the lines in plural, for the line that states how many were suppressed: "and 80 more KIND"
      */
-    public LogRateLimiter(System.Logger log, Clock clock, String kind) {
-        this.log = log;
+    public LogRateLimiter(System.Logger logger, Clock clock, String kind) {
+        this.logger = logger;
         this.clock = clock;
         this.kind = kind;
     }
 
     /** Writes the line or counts it; {@code text} is asked only for a line that is written. */
-    public void note(System.Logger.Level level, Supplier<String> text) {
+    public void log(System.Logger.Level level, Supplier<String> text) {
         double now = clock.now();
         if (now - windowStart > WINDOW_S) {
             windowStart = now;
             linesInWindow = 0;
         }
         if (++linesInWindow <= MAX_LINES_PER_SECOND) {
-            log.log(level, text);
+            logger.log(level, text);
         } else if (++suppressed == 1) {
             clock.after(WINDOW_S, this::logSuppressed);
         }
     }
 
     private void logSuppressed() {
-        log.log(System.Logger.Level.INFO, "and {0} more {1}", suppressed, kind);
+        logger.log(System.Logger.Level.INFO, "and {0} more {1}", suppressed, kind);
         suppressed = 0;
     }
 }
--- a/src/main/java/pepperdock/core/QueryLifecycle.java
+++ b/src/main/java/pepperdock/core/QueryLifecycle.java
@@ -76,7 +76,7 @@
     private void rejectOnArrival(Query query) {
         query.ended = true;
         metrics.recordEnded(query.className, Metrics.QueryOutcome.REJECTED);
-        rejectionLog.note(
+        rejectionLog.log(
                 System.Logger.Level.INFO,
                 () -> "query " + query.request().id() + " of "
                         + query.request().parts().size() + " parts rejected: "
@@ -202,7 +202,7 @@
 
     /** One line for each query that ends without an answer: what on-call staff look for first. */
     private void logEnding(String how, Query query) {
-        endingLog.note(
+        endingLog.log(
                 System.Logger.Level.INFO,
                 () -> String.format(
                         Locale.ROOT,
--- a/src/main/java/pepperdock/events/Events.java
+++ b/src/main/java/pepperdock/events/Events.java
@@ -23,8 +23,8 @@
     }
 
     /** Events on standard output, or none. */
-    public static Events of(boolean on) {
-        return on ? new Events(System.out::println) : OFF;
+    public static Events of(boolean enabled) {
+        return enabled ? new Events(System.out::println) : OFF;
     }
 
     /** Events that are passed to {@code sink}. */
@@ -33,7 +33,7 @@
     }
 
     /** Whether events are written, for callers that would have to compute one. */
-    public boolean on() {
+    public boolean isEnabled() {
         return sink != null;
     }
 
@@ -43,13 +43,13 @@
      * @param what name of the event
      * @param keysAndValues keys and values by turns; a value is a number, a boolean, or anything else for its text
      */
-    public void tell(String what, Object... keysAndValues) {
+    public void write(String what, Object... keysAndValues) {
         if (sink != null) {
             sink.accept(event(what, keysAndValues));
         }
     }
 
-    /** The event of that name with these keys and values, as {@link #tell} writes it. */
+    /** The event of that name with these keys and values, without writing it. */
     public static JsonObject event(String what, Object... keysAndValues) {
         JsonObject event = new JsonObject();
         event.addProperty("what", what);
--- a/src/main/java/pepperdock/faultinjection/Sim.java
+++ b/src/main/java/pepperdock/faultinjection/Sim.java
@@ -216,7 +216,7 @@
                     n.counted = new long[4];
                     n.countedAt = now;
                     MemberEvents.begins(n.events, card, settings);
-                    n.events.tell("ready");
+                    n.events.write("ready");
                     n.on(() -> {});
                     ticks(n, life);
                 }
--- a/src/main/java/pepperdock/membership/transport/MemberEvents.java
+++ b/src/main/java/pepperdock/membership/transport/MemberEvents.java
@@ -14,7 +14,7 @@
 
     /** A process begins, with this budget. */
     public static void begins(Events events, Card self, Settings settings) {
-        events.tell(
+        events.write(
                 "life",
                 "name",
                 self.name(),
@@ -30,8 +30,8 @@
 
     /** All that came at once has been told: what now stands is a view, what stood between two changes of it is none. */
     public static void told(Events events, List<Output> all) {
-        if (events.on() && all.stream().anyMatch(o -> o instanceof Output.Changed)) {
-            events.tell("told");
+        if (events.isEnabled() && all.stream().anyMatch(o -> o instanceof Output.Changed)) {
+            events.write("told");
         }
     }
 
@@ -39,7 +39,7 @@
     public static void tell(Events events, Output o) {
         if (o instanceof Output.Changed c) {
             View.Change x = c.change();
-            events.tell(
+            events.write(
                     "change",
                     "no",
                     x.number(),
@@ -56,9 +56,9 @@
                     "why",
                     x.why());
         } else if (o instanceof Output.Sure s) {
-            events.tell("sure", "sure", s.sure(), "reached", s.reached(), "fleet", s.fleet());
+            events.write("sure", "sure", s.sure(), "reached", s.reached(), "fleet", s.fleet());
         } else if (o instanceof Output.Noted n) {
-            events.tell(n.what(), "why", n.why(), "amount", n.amount());
+            events.write(n.what(), "why", n.why(), "amount", n.amount());
         }
     }
 }
--- a/src/main/java/pepperdock/membership/transport/Members.java
+++ b/src/main/java/pepperdock/membership/transport/Members.java
@@ -206,7 +206,7 @@
             return Codec.message(bytes, from, to);
         } catch (IllegalArgumentException e) {
             garbage++;
-            notes.note(System.Logger.Level.WARNING, () -> "message of a member not taken: " + e.getMessage());
+            notes.log(System.Logger.Level.WARNING, () -> "message of a member not taken: " + e.getMessage());
             return null;
         }
     }
--- a/src/main/java/pepperdock/opensearch/SearchWorker.java
+++ b/src/main/java/pepperdock/opensearch/SearchWorker.java
@@ -172,7 +172,7 @@
                 value = m.body();
                 outcome = AttemptOutcome.OK;
             } catch (RuntimeException e) {
-                notes.note(
+                notes.log(
                         System.Logger.Level.INFO,
                         () -> "worker " + id + ", shard " + a.part().shard() + ": " + e.getMessage());
             }
@@ -225,7 +225,7 @@
                 try {
                     page = m.status() == 200 ? ShardAnswer.strict(shard, m.body()) : null;
                 } catch (RuntimeException e) {
-                    notes.note(System.Logger.Level.INFO, () -> "worker " + id + ", scroll: " + e.getMessage());
+                    notes.log(System.Logger.Level.INFO, () -> "worker " + id + ", scroll: " + e.getMessage());
                 }
                 then.accept(page);
             }
@@ -244,7 +244,7 @@
 
             @Override
             public void failed(HttpClient.Failure why) {
-                notes.note(
+                notes.log(
                         System.Logger.Level.INFO,
                         () -> "worker " + id + " was not told to free a scroll; it will expire");
             }
@@ -320,7 +320,7 @@
             lines.add(made);
             return made;
         } catch (ConfigException e) {
-            notes.note(System.Logger.Level.WARNING, () -> "worker " + id + ": " + e.getMessage());
+            notes.log(System.Logger.Level.WARNING, () -> "worker " + id + ": " + e.getMessage());
             return null;
         }
     }
--- a/src/main/java/pepperdock/platform/WorkerConnection.java
+++ b/src/main/java/pepperdock/platform/WorkerConnection.java
@@ -258,10 +258,8 @@
     }
 
     private void onProtocolViolation(String reason) {
-        context.log()
-                .note(
-                        System.Logger.Level.WARNING,
-                        () -> "malformed frame from worker " + context.workerId() + ": " + reason);
+        context.log().log(
+                System.Logger.Level.WARNING, () -> "malformed frame from worker " + context.workerId() + ": " + reason);
         abort();
     }
 
@@ -277,10 +275,8 @@
 
     /** The worker could not use a frame of ours, and closes the connection. */
     private void onRejectedFrame(String reason) {
-        context.log()
-                .note(
-                        System.Logger.Level.WARNING,
-                        () -> "worker " + context.workerId() + " rejected a frame: " + reason);
+        context.log().log(
+                System.Logger.Level.WARNING, () -> "worker " + context.workerId() + " rejected a frame: " + reason);
         abort();
     }
 
--- a/src/main/java/pepperdock/service/GathererService.java
+++ b/src/main/java/pepperdock/service/GathererService.java
@@ -202,7 +202,7 @@
 
     private void serve() {
         ready = true;
-        base.events().tell("ready");
+        base.events().write("ready");
         clients.servers()
                 .forEach(server ->
                         LOG.log(System.Logger.Level.INFO, "{0} serves on {1}", config.name(), server.address()));
--- a/src/main/java/pepperdock/transport/HttpServer.java
+++ b/src/main/java/pepperdock/transport/HttpServer.java
@@ -303,7 +303,7 @@
         private void malformed(HttpException e) {
             long no = ++asked;
             inHand = () -> {};
-            notes.note(System.Logger.Level.INFO, () -> "malformed request: " + e.getMessage());
+            notes.log(System.Logger.Level.INFO, () -> "malformed request: " + e.getMessage());
             service.malformed(
                     e.status(),
                     e.getMessage(),
@@ -322,7 +322,7 @@
                     inHand = gone;
                 }
             } catch (HttpException e) {
-                notes.note(
+                notes.log(
                         System.Logger.Level.INFO,
                         () -> "request for " + m.path() + " not taken: " + e.status() + ' ' + e.getMessage());
                 service.malformed(e.status(), e.getMessage(), reply);
--- a/src/main/java/pepperdock/transport/Loop.java
+++ b/src/main/java/pepperdock/transport/Loop.java
@@ -175,7 +175,7 @@
                     guarded(() -> accepted(taken, kind, room, opened));
                 }
             } catch (IOException e) {
-                away.note(System.Logger.Level.WARNING, () -> "accept failed: " + e.getMessage());
+                away.log(System.Logger.Level.WARNING, () -> "accept failed: " + e.getMessage());
             }
         };
         OptionMap options = OptionMap.builder()
@@ -214,7 +214,7 @@
 
     private void accepted(StreamConnection taken, Kind kind, BooleanSupplier room, Consumer<Connection> opened) {
         if (!room.getAsBoolean() || kind != Kind.APART && spare() <= 0) {
-            away.note(System.Logger.Level.WARNING, () -> "client turned away: no socket to spare");
+            away.log(System.Logger.Level.WARNING, () -> "client turned away: no socket to spare");
             IoUtils.safeClose(taken);
         } else {
             opened.accept(adopt(taken, kind != Kind.APART));
--- a/src/test/java/pepperdock/core/LogRateLimiterTest.java
+++ b/src/test/java/pepperdock/core/LogRateLimiterTest.java
@@ -21,7 +21,7 @@
     }
 
     private void fail(int times) {
-        IntStream.range(0, times).forEach(i -> limiter.note(System.Logger.Level.WARNING, () -> "failure " + i));
+        IntStream.range(0, times).forEach(i -> limiter.log(System.Logger.Level.WARNING, () -> "failure " + i));
     }
 
     /**
