--- a/src/test/java/pepperdock/simulator/SimulatorAdapterIT.java
+++ b/src/test/java/pepperdock/simulator/SimulatorAdapterIT.java
@@ -51,6 +51,7 @@
         return new Ran(process.exitValue(), out, err);
     }
 
+    /** A gatherer starts, a query of one part arrives, its attempt is answered, and the query with it. */
     @Test
     void servesAQueryFromStartToAnswer() throws Exception {
         Ran ran = run(START + QUERY + """
@@ -70,6 +71,10 @@
                 ran.out());
     }
 
+    /**
+     * A gatherer restarts with a query in flight. A cancellation of that query, and a timer set before the restart, still come: both
+     * concern nothing that the new incarnation knows.
+     */
     @Test
     void restartDiscardsStateAndIgnoresIdsOfTheEarlierIncarnation() throws Exception {
         Ran ran = run(START + QUERY + """
@@ -88,6 +93,9 @@
                 ran.out().subList(4, ran.out().size()));
     }
 
+    /**
+     * The simulator sends a line that is cut off, lacks a field, or makes no sense at this point. The run ends with one message.
+     */
     @Test
     void unusableLineEndsTheRunWithOneMessageThatNamesIt() throws Exception {
         String[][] cases = {
@@ -110,15 +118,22 @@
         }
     }
 
+    /**
+     * A query names a class that the settings do not have, so that the scheduler throws. The simulator is told so for that
+     * gatherer, and the run goes on.
+     */
     @Test
     void schedulerFaultIsReportedForItsGatherer() throws Exception {
         Ran ran = run(START + QUERY.replace("\"Profile\":0", "\"Profile\":7"));
         assertEquals(0, ran.status());
         assertTrue(
-                ran.out().stream().anyMatch(l -> l.startsWith("{\"cmd\":\"Broken\",\"Mixer\":4,\"NoteText\":")),
+                ran.out().stream().anyMatch(line -> line.startsWith("{\"cmd\":\"Broken\",\"Mixer\":4,\"NoteText\":")),
                 String.join("\n", ran.out()));
     }
 
+    /**
+     * A worker never answers a call, which times out. The connection may be dead, so it is closed before the next call goes there.
+     */
     @Test
     void connectionOfAnUnansweredCallIsClosedBeforeTheNextCall() throws Exception {
         Ran ran = run(START + QUERY + """
