--- a/src/test/java/pepperdock/core/MemoryBoundTest.java
+++ b/src/test/java/pepperdock/core/MemoryBoundTest.java
@@ -20,6 +20,7 @@
 import pepperdock.scheduler.AttemptOutcome;
 import pepperdock.scheduler.EndpointListKind;
 import pepperdock.scheduler.EndpointState;
+import pepperdock.scheduler.Scheduler;
 import pepperdock.scheduler.SchedulerSettings;
 
 /**
@@ -31,8 +32,17 @@
 
     private static final int WORKERS = 4;
     /** Sizes without a query in flight: the list, the classes, and the scheduler's records of workers, cells and zones. */
-    private static final Map<String, Integer> AT_REST =
-            Map.of("hosts", WORKERS, "endedByClass", 3, "endpoints", WORKERS, "usableByCell", WORKERS, "zones", 1);
+    private static final Map<String, Integer> AT_REST = Map.of(
+            "core.EndpointRegistry.hosts", WORKERS,
+            "core.Metrics.endedByClass", 3,
+            "scheduler.EndpointRegistry.endpoints", WORKERS,
+            "scheduler.EndpointRegistry.usableByCell", WORKERS,
+            "scheduler.OutlierDetector.zones", 1);
+
+    /** Maps and collections that there are at least: fewer would mean that the search has missed some. */
+    private static final int CORE_COLLECTIONS = 10;
+
+    private static final int SCHEDULER_COLLECTIONS = 8;
 
     private final GathererFixture fixture = new GathererFixture();
     private final SplittableRandom random = new SplittableRandom(11);
@@ -127,17 +137,13 @@
         return sizes;
     }
 
-    private Object scheduler() throws NoSuchFieldException {
-        return value(Gatherer.class.getDeclaredField("scheduler"), fixture.gatherer);
-    }
-
     /**
-     * An object and those of its package that it is made of. The clock and the backend are the fixture's; the settings are
-     * immutable.
+     * The objects of the core and of the scheduler that the gatherer is made of. Its clock and its backend are the fixture's,
+     * and the settings are immutable.
      */
-    private Set<Object> components(Object root) {
+    private Set<Object> components() {
         Set<Object> found = Collections.newSetFromMap(new IdentityHashMap<>());
-        addComponents(root, found);
+        addComponents(fixture.gatherer, found);
         return found;
     }
 
@@ -147,27 +153,21 @@
         }
         for (Field field : owner.getClass().getDeclaredFields()) {
             Object component = Modifier.isStatic(field.getModifiers()) ? null : value(field, owner);
-            if (component != null
-                    && component.getClass().getPackage() == owner.getClass().getPackage()
-                    && !component.getClass().isHidden()) {
+            if (component != null && isSearched(component.getClass())) {
                 addComponents(component, found);
             }
         }
     }
 
-    /** Adds the maps and collections that hold more than at rest, and returns how many were looked at. */
-    private static int addKept(Set<Object> owners, List<String> kept) {
-        int found = 0;
-        for (Object owner : owners) {
-            Map<String, Integer> sizes = sizes(owner);
-            found += sizes.size();
-            sizes.forEach((name, size) -> {
-                if (size > AT_REST.getOrDefault(name, 0)) {
-                    kept.add(owner.getClass().getSimpleName() + '.' + name + ": " + size);
-                }
-            });
-        }
-        return found;
+    private static boolean isSearched(Class<?> type) {
+        return !type.isHidden()
+                && (type.getPackage() == Gatherer.class.getPackage()
+                        || type.getPackage() == Scheduler.class.getPackage());
+    }
+
+    /** Package and class, as in {@code core.Gatherer}. */
+    private static String name(Object owner) {
+        return owner.getClass().getName().replaceFirst("^pepperdock\\.", "");
     }
 
     /**
@@ -178,19 +178,31 @@
     void nothingIsRetainedOfEndedQueriesAndDepartedWorkers() throws Exception {
         day(1500);
         List<String> kept = new ArrayList<>();
-        int inCore = addKept(components(fixture.gatherer), kept);
-        assertTrue(inCore >= 10, inCore + " maps found in the core");
-        int inScheduler = addKept(components(scheduler()), kept);
-        assertTrue(inScheduler >= 8, inScheduler + " maps found in the scheduler");
+        Set<Object> components = components();
+        Map<String, Integer> found = new TreeMap<>();
+        for (Object owner : components) {
+            sizes(owner).forEach((name, size) -> {
+                found.merge(owner.getClass().getPackageName(), 1, Integer::sum);
+                String collection = name(owner) + '.' + name;
+                if (size > AT_REST.getOrDefault(collection, 0)) {
+                    kept.add(collection + ": " + size);
+                }
+            });
+        }
+        assertTrue(found.get("pepperdock.core") >= CORE_COLLECTIONS, found::toString);
+        assertTrue(found.get("pepperdock.scheduler") >= SCHEDULER_COLLECTIONS, found::toString);
         assertEquals(List.of(), kept);
         assertTrue(
                 replaced > 70 && fixture.answers.size() > 1000,
                 replaced + " replaced, " + fixture.answers.size() + " answers");
-        Object registry = value(scheduler().getClass().getDeclaredField("registry"), scheduler());
+        Object registry = components.stream()
+                .filter(owner -> name(owner).equals("scheduler.EndpointRegistry"))
+                .findFirst()
+                .orElseThrow();
         Map<?, ?> endpoints = (Map<?, ?>) value(registry.getClass().getDeclaredField("endpoints"), registry);
         assertEquals(WORKERS, endpoints.size());
         endpoints
                 .values()
-                .forEach(endpoint -> assertEquals(0, sizes(endpoint).get("outstanding"), "attempts outstanding"));
+                .forEach(endpoint -> assertEquals(0, sizes(endpoint).get("outstanding"), "attempts in flight"));
     }
 }
