--- a/src/main/java/pepperdock/plan/Planner.java
+++ b/src/main/java/pepperdock/plan/Planner.java
@@ -276,6 +276,12 @@
         if (!result.getState().isOptimal()) {
             return near;
         }
+        double[][] flow = equalSharesMoved(result, unit);
+        return keeps(flow, spread, room) ? flow : near;
+    }
+
+    /** The flow of equal shares, changed by what a solution moves: its variables are {@code more} and {@code less} in turn. */
+    private double[][] equalSharesMoved(Optimisation.Result result, double unit) {
         double[][] flow = new double[demands.size()][];
         for (int d = 0, x = 0; d < flow.length; d++) {
             flow[d] = new double[demands.get(d).nodes().length];
@@ -286,7 +292,7 @@
                                 + (result.doubleValue(x) - result.doubleValue(x + 1)) * unit);
             }
         }
-        return keeps(flow, spread, room) ? flow : near;
+        return flow;
     }
 
     /**
