--- a/src/main/java/pepperdock/ClassArchiveTraining.java
+++ b/src/main/java/pepperdock/ClassArchiveTraining.java
@@ -75,7 +75,9 @@
                 .with("known", Config.parse(list, "known"));
         Loop loop = new Loop(200, 1 << 18);
         InetSocketAddress at = GathererService.start(
-                        served, false, new Startup.Base(Map.of(), loop, new Store(null, loop), Events.of(false), null))
+                        served,
+                        false,
+                        new Startup.ProcessContext(Map.of(), loop, new Store(null, loop), Events.of(false), null))
                 .get(0)
                 .address();
         ask(at);
--- a/src/main/java/pepperdock/benchmark/DecisionCost.java
+++ b/src/main/java/pepperdock/benchmark/DecisionCost.java
@@ -61,7 +61,7 @@
         this.fanOut = fanOut;
         random = new SplittableRandom(seed);
         Workers workers = new Workers(behaviour);
-        core = new Gatherer(deployment.site().module(), seed, clock, workers, () -> {});
+        core = new Gatherer(deployment.site().scheduler(), seed, clock, workers, () -> {});
         core.onEndpointList(EndpointListKind.COMPLETE, deployment.hosts(BLOCK));
         clock.advance(1);
     }
--- a/src/main/java/pepperdock/benchmark/ListChangeCost.java
+++ b/src/main/java/pepperdock/benchmark/ListChangeCost.java
@@ -27,7 +27,7 @@
     static Result measure(Deployment deployment, int changes, long seed) {
         ManualClock clock = new ManualClock(1000);
         Workers workers = new Workers();
-        Gatherer core = new Gatherer(deployment.site().module(), seed, clock, workers, () -> {});
+        Gatherer core = new Gatherer(deployment.site().scheduler(), seed, clock, workers, () -> {});
         workers.start(core);
         List<WorkerEndpoint> hosts = deployment.hosts(BLOCK);
         core.onEndpointList(EndpointListKind.COMPLETE, hosts);
--- a/src/main/java/pepperdock/benchmark/NodeListCost.java
+++ b/src/main/java/pepperdock/benchmark/NodeListCost.java
@@ -7,7 +7,7 @@
 import java.util.List;
 import java.util.function.Consumer;
 import pepperdock.config.DeploymentSettings;
-import pepperdock.config.HostList;
+import pepperdock.config.EndpointListJson;
 import pepperdock.core.Gatherer;
 import pepperdock.core.InertBackend;
 import pepperdock.core.ManualClock;
@@ -56,11 +56,11 @@
         Deployment deployment = Deployment.ofTarget(workers, 1, 0.001, false);
         site = deployment.site();
         List<WorkerEndpoint> hosts = deployment.hosts(BLOCK);
-        whole = HostList.write(hosts, site).getBytes(StandardCharsets.UTF_8);
-        change = HostList.write(hosts.subList(0, ONE_CHANGE), site)
+        whole = EndpointListJson.write(hosts, site).getBytes(StandardCharsets.UTF_8);
+        change = EndpointListJson.write(hosts.subList(0, ONE_CHANGE), site)
                 .replace("\"whole\":true", "\"whole\":false")
                 .getBytes(StandardCharsets.UTF_8);
-        core = new Gatherer(site.module(), 1, clock, new InertBackend(), () -> {});
+        core = new Gatherer(site.scheduler(), 1, clock, new InertBackend(), () -> {});
         core.addEndpointListListener(listed -> known = listed.size());
     }
 
@@ -99,7 +99,7 @@
         double first = micros(() -> take(decode(whole)), 1);
         micros(() -> take(decode(whole)), rounds);
         double decoded = micros(() -> decode(whole), rounds);
-        HostList list = decode(whole);
+        EndpointListJson list = decode(whole);
         double taken = micros(() -> take(list), rounds);
         double changed = micros(() -> take(decode(change)), rounds);
         long allocated = threads.getThreadAllocatedBytes(self);
@@ -125,12 +125,12 @@
         return (threads.getCurrentThreadCpuTime() - from) * MICROS_A_NANO / rounds;
     }
 
-    private HostList decode(byte[] body) {
-        return HostList.parse(new String(body, StandardCharsets.UTF_8), site);
+    private EndpointListJson decode(byte[] body) {
+        return EndpointListJson.parse(new String(body, StandardCharsets.UTF_8), site);
     }
 
-    private void take(HostList list) {
+    private void take(EndpointListJson list) {
         core.onEndpointList(list.whole() ? EndpointListKind.COMPLETE : EndpointListKind.CHANGES, list.hosts());
-        clock.advance(site.module().tickS());
+        clock.advance(site.scheduler().tickS());
     }
 }
--- a/src/main/java/pepperdock/config/Config.java
+++ b/src/main/java/pepperdock/config/Config.java
@@ -28,7 +28,7 @@
         InetSocketAddress listen,
         InetSocketAddress discovery,
         long seed,
-        HostList known,
+        EndpointListJson known,
         DeploymentSettings site,
         OpenSearchConfig openSearch,
         DnsSdConfig dnsSd,
@@ -99,7 +99,8 @@
             MembersConfig.read(file);
         }
         DeploymentSettings site = DeploymentSettingsReader.read(file.needed(SETTINGS));
-        HostList known = file.has(KNOWN) ? HostList.read(file.needed(KNOWN), site) : HostList.none();
+        EndpointListJson known =
+                file.has(KNOWN) ? EndpointListJson.read(file.needed(KNOWN), site) : EndpointListJson.none();
         OpenSearchConfig openSearch =
                 file.has(OPEN_SEARCH) ? OpenSearchConfig.read(file.needed(OPEN_SEARCH), site) : null;
         boolean listens = openSearch == null || file.has(LISTEN);
--- a/src/main/java/pepperdock/config/DeploymentSettings.java
+++ b/src/main/java/pepperdock/config/DeploymentSettings.java
@@ -10,31 +10,31 @@
  * A deployment's settings: the scheduler's, and those of the connections to workers. Immutable. They are read by
  * {@link DeploymentSettingsReader}.
  *
- * @param module the scheduler's settings
+ * @param scheduler the scheduler's settings
  * @param classes names of the query classes, in their order
  * @param zones names of the zones, in their order
  * @param kinds names of the kinds of workers, in their order
- * @param dialS connect timeout, in seconds
- * @param idleS when a worker closes an idle connection, in seconds
- * @param multiplex how many parts one connection carries at a time
- * @param assumed each key that is absent, with the default that is used, as KEY=VALUE
+ * @param connectTimeoutS connect timeout, in seconds
+ * @param idleTimeoutS when a worker closes an idle connection, in seconds
+ * @param partsPerConnection how many parts one connection carries at a time
+ * @param defaultsUsed each key that is absent, with the default that is used, as KEY=VALUE
  */
 public record DeploymentSettings(
-        SchedulerSettings module,
+        SchedulerSettings scheduler,
         List<String> classes,
         List<String> zones,
         List<String> kinds,
-        double dialS,
-        double idleS,
-        int multiplex,
-        List<String> assumed) {
+        double connectTimeoutS,
+        double idleTimeoutS,
+        int partsPerConnection,
+        List<String> defaultsUsed) {
 
     /**
      * The same settings without idempotency keys: where workers don't drop a repeat by its key, a part that may have been
      * executed must not be sent again.
      */
     public DeploymentSettings withoutIdempotencyKeys() {
-        SchedulerSettings current = module;
+        SchedulerSettings current = scheduler;
         List<QueryClass> strict = current.classes().stream()
                 .map(queryClass -> queryClass.retrySafety() != RetrySafety.IDEMPOTENCY_KEY
                         ? queryClass
@@ -66,10 +66,10 @@
                 classes,
                 zones,
                 kinds,
-                dialS,
-                idleS,
-                multiplex,
-                assumed);
+                connectTimeoutS,
+                idleTimeoutS,
+                partsPerConnection,
+                defaultsUsed);
     }
 
     /**
@@ -77,8 +77,8 @@
      * layout, instances, how the endpoint list comes and the connections' limits stay.
      */
     public DeploymentSettings reloadedFrom(DeploymentSettings to) {
-        SchedulerSettings current = module;
-        SchedulerSettings changed = to.module;
+        SchedulerSettings current = scheduler;
+        SchedulerSettings changed = to.scheduler;
         ProtocolRules rules = changed.rules();
         return new DeploymentSettings(
                 new SchedulerSettings(
@@ -106,9 +106,9 @@
                 to.classes,
                 zones,
                 kinds,
-                dialS,
-                idleS,
-                multiplex,
-                assumed);
+                connectTimeoutS,
+                idleTimeoutS,
+                partsPerConnection,
+                defaultsUsed);
     }
 }
--- a/src/main/java/pepperdock/config/DeploymentSettingsReader.java
+++ b/src/main/java/pepperdock/config/DeploymentSettingsReader.java
@@ -15,7 +15,7 @@
 /**
  * Reads the settings of a deployment as the platform writes them: the one class that knows their keys, defaults and bounds, and
  * which of the scheduler's terms each of them stands for. Keys that end in {@code S} are in seconds. Each default that is used
- * is recorded in {@link DeploymentSettings#assumed}. Stateless but for one reading; a {@link ConfigException} names the faulty key.
+ * is recorded in {@link DeploymentSettings#defaultsUsed}. Stateless but for one reading; a {@link ConfigException} names the faulty key.
  */
 public final class DeploymentSettingsReader {
 
--- a/src/main/java/pepperdock/config/HostList.java
+++ b/src/main/java/pepperdock/config/EndpointListJson.java
@@ -18,7 +18,7 @@
  * @param whole whether it is the complete list, rather than a change of one
  * @param hosts its entries
  */
-public record HostList(long seq, boolean whole, List<WorkerEndpoint> hosts) {
+public record EndpointListJson(long seq, boolean whole, List<WorkerEndpoint> hosts) {
 
     private static final String SEQ = "seq";
     private static final String COMPLETE = "whole";
@@ -47,7 +47,7 @@
      *
      * @throws ConfigException where it is no endpoint list
      */
-    public static HostList parse(String json, DeploymentSettings site) {
+    public static EndpointListJson parse(String json, DeploymentSettings site) {
         try {
             return read(ConfigReader.of("list", JsonParser.parseString(json)), site);
         } catch (JsonParseException e) {
@@ -56,7 +56,7 @@
     }
 
     /** Reads a list from its JSON object. */
-    public static HostList read(ConfigReader list, DeploymentSettings site) {
+    public static EndpointListJson read(ConfigReader list, DeploymentSettings site) {
         List<WorkerEndpoint> hosts = new ArrayList<>();
         for (ConfigReader entry : list.objects(ENTRIES)) {
             EndpointState state = STATES.get(entry.text(STATE));
@@ -73,11 +73,11 @@
                     entry.number(WEIGHT, 1),
                     entry.number(STARTED_AT_MS, 0) / MS_PER_S));
         }
-        return new HostList((long) list.number(SEQ, 0), list.flag(COMPLETE, false), List.copyOf(hosts));
+        return new EndpointListJson((long) list.number(SEQ, 0), list.flag(COMPLETE, false), List.copyOf(hosts));
     }
 
     /** The empty list: what is known before the first one has come. */
-    public static HostList none() {
+    public static EndpointListJson none() {
         return read(new ConfigReader("known", new JsonObject()), null);
     }
 
--- a/src/main/java/pepperdock/opensearch/RequestReader.java
+++ b/src/main/java/pepperdock/opensearch/RequestReader.java
@@ -169,7 +169,7 @@
     }
 
     private QueryClass kind(int queryClass) {
-        return site.module().classes().get(queryClass);
+        return site.scheduler().classes().get(queryClass);
     }
 
     private static JsonObject body(HttpMessage m) throws ApiException {
@@ -227,7 +227,7 @@
                 pieces.add(new QueryRequest.RequestedPart(shard(s), 1.0 / shards.length));
             }
         } else {
-            int all = site.module().layout().shards();
+            int all = site.scheduler().layout().shards();
             for (int s = 0; s < all; s++) {
                 pieces.add(new QueryRequest.RequestedPart(s, 1.0 / all));
             }
@@ -249,9 +249,9 @@
     private int shard(String text) throws ApiException {
         if (text == null
                 || !text.matches("[0-9]{1,8}")
-                || Integer.parseInt(text) >= site.module().layout().shards()) {
-            throw ApiException.illegal(
-                    "[" + text + "] is not one of the " + site.module().layout().shards() + " account ranges");
+                || Integer.parseInt(text) >= site.scheduler().layout().shards()) {
+            throw ApiException.illegal("[" + text + "] is not one of the "
+                    + site.scheduler().layout().shards() + " account ranges");
         }
         return Integer.parseInt(text);
     }
--- a/src/main/java/pepperdock/opensearch/SearchWorker.java
+++ b/src/main/java/pepperdock/opensearch/SearchWorker.java
@@ -316,7 +316,8 @@
             return null;
         }
         try {
-            Line made = new Line(new HttpClient(loop, Config.address("dial", dial), site.dialS(), ANSWER_MOST));
+            Line made =
+                    new Line(new HttpClient(loop, Config.address("dial", dial), site.connectTimeoutS(), ANSWER_MOST));
             lines.add(made);
             return made;
         } catch (ConfigException e) {
@@ -356,7 +357,7 @@
     private void done(Line line) {
         line.attempt = null;
         line.usedAt = loop.now();
-        double limit = site.idleS() * IDLE_SHARE;
+        double limit = site.idleTimeoutS() * IDLE_SHARE;
         loop.after(limit, () -> {
             if (!line.http.busy() && loop.now() - line.usedAt >= limit * 0.99) {
                 line.http.close();
--- a/src/main/java/pepperdock/plan/Planner.java
+++ b/src/main/java/pepperdock/plan/Planner.java
@@ -32,7 +32,7 @@
     private static final double CHECK_TOLERANCE = 1e-7;
 
     private final Problem problem;
-    private final Set<Work> some;
+    private final Set<Work> subset;
     private final BigInteger rates;
     /** For each range and zone the index of its demand; -1 where there is no work, or no node that may take it. */
     private final int[][] demandOf;
@@ -41,9 +41,9 @@
     private final List<Integer> zoneOf = new ArrayList<>();
 
     /** For these pieces of work only; null for all. */
-    private Planner(Problem problem, Collection<Work> some) {
+    private Planner(Problem problem, Collection<Work> subset) {
         this.problem = problem;
-        this.some = some == null ? null : new HashSet<>(some);
+        this.subset = subset == null ? null : new HashSet<>(subset);
         rates = BigInteger.valueOf(Arrays.stream(problem.rates()).sum());
         demandOf = new int[problem.ranges().size()][problem.zones().size()];
     }
@@ -79,7 +79,7 @@
                 int zone = z;
                 if (problem.ranges().get(r).work() > 0 && problem.rates()[z] > 0) {
                     all.add(new Work(r, z));
-                    if (problem.ranges().get(r).holders().stream().noneMatch(n -> problem.open(zone, n))) {
+                    if (problem.ranges().get(r).holders().stream().noneMatch(n -> problem.mayServe(zone, n))) {
                         return new Conflict(away, List.of(new Work(r, z)), List.of(), null);
                     }
                 }
@@ -87,44 +87,44 @@
         }
         Planner whole = new Planner(problem, all);
         Spread spread = whole.spread();
-        if (!whole.tooMuch(spread)) {
+        if (!whole.exceedsCapacity(spread)) {
             return null;
         }
         // The work that only the fullest set may take exceeds it by itself; only that needs to be searched.
-        List<Work> kept = smallest(
+        List<Work> kept = minimalSubset(
                 problem,
                 all.stream()
                         .filter(w -> Arrays.stream(whole.demands
                                         .get(whole.demandOf[w.range()][w.zone()])
                                         .nodes())
-                                .allMatch(spread.first()::get))
+                                .allMatch(spread.fullest()::get))
                         .toList());
         Planner least = new Planner(problem, kept);
         Spread of = least.spread();
-        return new Conflict(away, kept, of.first().stream().boxed().toList(), least.greatest(of));
+        return new Conflict(away, kept, of.fullest().stream().boxed().toList(), least.greatest(of));
     }
 
     private Ratio greatest(Spread spread) {
-        return unscaled(spread.utilisation()[spread.first().nextSetBit(0)]);
+        return unscaled(spread.utilisation()[spread.fullest().nextSetBit(0)]);
     }
 
-    private boolean tooMuch(Spread spread) {
-        return !spread.first().isEmpty() && greatest(spread).aboveOne();
+    private boolean exceedsCapacity(Spread spread) {
+        return !spread.fullest().isEmpty() && greatest(spread).aboveOne();
     }
 
-    private static boolean tooMuch(Problem problem, List<Work> some) {
-        Planner planner = new Planner(problem, some);
-        return planner.tooMuch(planner.spread());
+    private static boolean exceedsCapacity(Problem problem, List<Work> subset) {
+        Planner planner = new Planner(problem, subset);
+        return planner.exceedsCapacity(planner.spread());
     }
 
     /** Delta debugging: drops ever smaller pieces as long as the rest is too much; of what is left, none can be dropped. */
-    private static List<Work> smallest(Problem problem, List<Work> all) {
+    private static List<Work> minimalSubset(Problem problem, List<Work> all) {
         List<Work> kept = new ArrayList<>(all);
         for (int piece = Integer.highestOneBit(kept.size()); piece >= 1; piece /= 2) {
             for (int from = 0; from < kept.size(); ) {
                 List<Work> rest = new ArrayList<>(kept.subList(0, from));
                 rest.addAll(kept.subList(Math.min(kept.size(), from + piece), kept.size()));
-                if (!rest.isEmpty() && tooMuch(problem, rest)) {
+                if (!rest.isEmpty() && exceedsCapacity(problem, rest)) {
                     kept = rest;
                 } else {
                     from += piece;
@@ -146,13 +146,13 @@
             for (int z = 0; z < problem.zones().size(); z++) {
                 int zone = z;
                 int[] open = range.holders().stream()
-                        .filter(n -> problem.open(zone, n))
+                        .filter(n -> problem.mayServe(zone, n))
                         .mapToInt(n -> n)
                         .sorted()
                         .toArray();
                 long scaled = Math.multiplyExact(range.work(), problem.rates()[z]);
                 demandOf[r][z] = -1;
-                if (scaled > 0 && open.length > 0 && (some == null || some.contains(new Work(r, z)))) {
+                if (scaled > 0 && open.length > 0 && (subset == null || subset.contains(new Work(r, z)))) {
                     List<Integer> key = new ArrayList<>(List.of(z));
                     Arrays.stream(open).forEach(key::add);
                     Integer place = places.putIfAbsent(key, work.size());
@@ -181,7 +181,7 @@
 
     private Plan shares(double slack) {
         Spread spread = spread();
-        double[][] flow = evenest(spread, nearest(spread), slack);
+        double[][] flow = closestToEqualShares(spread, fewestCrossings(spread), slack);
         List<Ratio> utilisation = new ArrayList<>();
         Ratio greatest = Ratio.ZERO;
         for (int n = 0; n < problem.nodes().size(); n++) {
@@ -218,7 +218,7 @@
                 int at = Arrays.binarySearch(demands.get(d).nodes(), holders.get(i));
                 share[i] = at < 0 ? 0 : flow[d][at];
             } else {
-                share[i] = problem.open(zone, holders.get(i)) ? 1 : 0;
+                share[i] = problem.mayServe(zone, holders.get(i)) ? 1 : 0;
             }
         }
         double sum = Arrays.stream(share).sum();
@@ -234,10 +234,10 @@
      * otherwise ends at a vertex, where ranges go whole to one replica for no reason. The variables are what is moved:
      * {@code more} and {@code less} than the equal share.
      */
-    private double[][] evenest(Spread spread, double[][] near, double slack) {
-        double room = spread.first().isEmpty()
+    private double[][] closestToEqualShares(Spread spread, double[][] near, double slack) {
+        double room = spread.fullest().isEmpty()
                 ? 0
-                : slack * spread.utilisation()[spread.first().nextSetBit(0)].value();
+                : slack * spread.utilisation()[spread.fullest().nextSetBit(0)].value();
         double unit = demands.stream().mapToDouble(Demand::work).max().orElse(1);
         ExpressionsBasedModel model = new ExpressionsBasedModel();
         Expression crossings = model.newExpression("crossings");
@@ -277,7 +277,7 @@
             return near;
         }
         double[][] flow = equalSharesMoved(result, unit);
-        return keeps(flow, spread, room) ? flow : near;
+        return withinBounds(flow, spread, room) ? flow : near;
     }
 
     /** The flow of equal shares, changed by what a solution moves: its variables are {@code more} and {@code less} in turn. */
@@ -299,7 +299,7 @@
      * Whether a flow carries all work and keeps the nodes' bounds, computed anew: the solver may call a point optimal that
      * exceeds a bound by a sixth.
      */
-    private boolean keeps(double[][] flow, Spread spread, double room) {
+    private boolean withinBounds(double[][] flow, Spread spread, double room) {
         double[] load = new double[problem.nodes().size()];
         for (int d = 0; d < flow.length; d++) {
             double sum = Arrays.stream(flow[d]).sum();
@@ -322,7 +322,7 @@
     }
 
     /** Among the spreads with these loads one of least crossings; the given one where all cost the same. */
-    private double[][] nearest(Spread spread) {
+    private double[][] fewestCrossings(Spread spread) {
         boolean alike = true;
         for (int d = 0; d < demands.size(); d++) {
             for (int node : demands.get(d).nodes()) {
--- a/src/main/java/pepperdock/plan/Problem.java
+++ b/src/main/java/pepperdock/plan/Problem.java
@@ -39,7 +39,7 @@
     }
 
     /** Whether work of a zone's gatherers may go to a node. */
-    boolean open(int zone, int node) {
+    boolean mayServe(int zone, int node) {
         return nodes.get(node).inService()
                 && nodes.get(node).capacity() > 0
                 && Double.isFinite(crossing[zone][nodes.get(node).zone()]);
--- a/src/main/java/pepperdock/plan/UtilisationLevels.java
+++ b/src/main/java/pepperdock/plan/UtilisationLevels.java
@@ -34,15 +34,15 @@
      *
      * @param flow {@code flow[d][i]}: what the i-th node of demand d gets, in units of work
      * @param utilisation of each node
-     * @param first the nodes of the greatest utilisation
+     * @param fullest the nodes of the greatest utilisation
      */
-    record Spread(double[][] flow, Ratio[] utilisation, BitSet first) {}
+    record Spread(double[][] flow, Ratio[] utilisation, BitSet fullest) {}
 
     private final long[] capacity;
     private final List<Demand> demands;
     private final double[][] flow;
     private final Ratio[] utilisation;
-    private final BitSet first = new BitSet();
+    private final BitSet fullest = new BitSet();
 
     private UtilisationLevels(long[] capacity, List<Demand> demands) {
         this.capacity = capacity;
@@ -62,12 +62,12 @@
         for (int d = 0; d < demands.size(); d++) {
             all.set(d);
         }
-        levels.pieces(all, new BitSet());
-        return new Spread(levels.flow, levels.utilisation, levels.first);
+        levels.levelComponents(all, new BitSet());
+        return new Spread(levels.flow, levels.utilisation, levels.fullest);
     }
 
     /** Splits what is left into connected components and levels each by itself; nodes in {@code done} take no more. */
-    private void pieces(BitSet left, BitSet done) {
+    private void levelComponents(BitSet left, BitSet done) {
         Map<Integer, Integer> parent = new HashMap<>();
         for (int d = left.nextSetBit(0); d >= 0; d = left.nextSetBit(d + 1)) {
             int root = -1;
@@ -106,8 +106,8 @@
 
     /** Finds the greatest utilisation of a component and its nodes, and goes on with the rest. */
     private void level(BitSet piece, BitSet done) {
-        double u = program(piece, done);
-        BitSet tight = tight(piece, done, u);
+        double u = solveLinearProgram(piece, done);
+        BitSet tight = nodesThatCannotShed(piece, done, u);
         BigInteger work = BigInteger.ZERO;
         BitSet rest = new BitSet();
         for (int d = piece.nextSetBit(0); d >= 0; d = piece.nextSetBit(d + 1)) {
@@ -133,20 +133,20 @@
         if (!rest.isEmpty()) {
             BitSet after = (BitSet) done.clone();
             after.or(tight);
-            pieces(rest, after);
+            levelComponents(rest, after);
         }
     }
 
     /** Keeps the set of the greatest level: what a conflict is made of. */
     private void keepFirst(Ratio level, BitSet set) {
-        if (first.isEmpty() || level.compareTo(utilisation[first.nextSetBit(0)]) > 0) {
-            first.clear();
-            first.or(set);
+        if (fullest.isEmpty() || level.compareTo(utilisation[fullest.nextSetBit(0)]) > 0) {
+            fullest.clear();
+            fullest.or(set);
         }
     }
 
     /** The least utilisation that a spread of a component's work over the nodes not done can keep; fills the flow. */
-    private double program(BitSet piece, BitSet done) {
+    private double solveLinearProgram(BitSet piece, BitSet done) {
         double workUnit =
                 piece.stream().mapToDouble(d -> demands.get(d).work()).max().orElse(1);
         ExpressionsBasedModel model = new ExpressionsBasedModel();
@@ -181,7 +181,7 @@
     }
 
     /** The nodes at the level that cannot shed any of their load, by way of others at the level, to a node below it. */
-    private BitSet tight(BitSet piece, BitSet done, double u) {
+    private BitSet nodesThatCannotShed(BitSet piece, BitSet done, double u) {
         double[] load = new double[capacity.length];
         BitSet nodes = new BitSet();
         for (int d = piece.nextSetBit(0); d >= 0; d = piece.nextSetBit(d + 1)) {
--- a/src/main/java/pepperdock/platform/ClientProtocol.java
+++ b/src/main/java/pepperdock/platform/ClientProtocol.java
@@ -74,7 +74,7 @@
         String timeout = requiredHeader(message, REQUEST_TIMEOUT_MS);
         check(TIMEOUT_MS.matcher(timeout).matches(), "Request-Timeout-Ms: not a whole number in range");
         long timeoutMs = Long.parseLong(timeout);
-        RetrySafety retrySafety = site.module().classes().get(queryClass).retrySafety();
+        RetrySafety retrySafety = site.scheduler().classes().get(queryClass).retrySafety();
         String key = retrySafety == RetrySafety.IDEMPOTENCY_KEY ? requiredHeader(message, IDEMPOTENCY_KEY) : "";
         check(
                 ID.matcher(id).matches() && KEY.matcher(key).matches(),
--- a/src/main/java/pepperdock/platform/DiscoveryProtocol.java
+++ b/src/main/java/pepperdock/platform/DiscoveryProtocol.java
@@ -4,11 +4,11 @@
 import pepperdock.codec.http.HttpMessage;
 import pepperdock.config.ConfigException;
 import pepperdock.config.DeploymentSettings;
-import pepperdock.config.HostList;
+import pepperdock.config.EndpointListJson;
 
 /**
  * The calls of the discovery protocol (protocol, section "Discovery") and their answers. The entries of a list are parsed by
- * {@link HostList}, as the configuration and the store hold them in the same form. Stateless; may be used on any thread.
+ * {@link EndpointListJson}, as the configuration and the store hold them in the same form. Stateless; may be used on any thread.
  */
 final class DiscoveryProtocol {
 
@@ -27,10 +27,10 @@
     }
 
     /** Parses the answer to either request; throws {@link ConfigException} where it is an error or malformed. */
-    static HostList parseList(HttpMessage response, DeploymentSettings site) {
+    static EndpointListJson parseList(HttpMessage response, DeploymentSettings site) {
         if (response.status() != 200) {
             throw new ConfigException("answer", "status " + response.status());
         }
-        return HostList.parse(new String(response.body(), StandardCharsets.UTF_8), site);
+        return EndpointListJson.parse(new String(response.body(), StandardCharsets.UTF_8), site);
     }
 }
--- a/src/main/java/pepperdock/platform/EndpointWatch.java
+++ b/src/main/java/pepperdock/platform/EndpointWatch.java
@@ -7,7 +7,7 @@
 import pepperdock.codec.http.HttpWriter;
 import pepperdock.config.ConfigException;
 import pepperdock.config.DeploymentSettings;
-import pepperdock.config.HostList;
+import pepperdock.config.EndpointListJson;
 import pepperdock.core.Clock;
 import pepperdock.core.EndpointDiscovery;
 import pepperdock.core.Gatherer;
@@ -121,7 +121,7 @@
     /** Sets the gatherer that takes the lists. Where lists are pushed the watch begins now, else with {@link #watch}. */
     public void start(Gatherer gatherer) {
         core = gatherer;
-        if (!site.module().pollsEndpointList()) {
+        if (!site.scheduler().pollsEndpointList()) {
             loop.execute(this::watch);
         }
     }
@@ -206,7 +206,7 @@
 
     private void onResponse(HttpClient sender, HttpMessage response) {
         try {
-            HostList list = DiscoveryProtocol.parseList(response, site);
+            EndpointListJson list = DiscoveryProtocol.parseList(response, site);
             keepOnly(sender);
             onList(list);
         } catch (ConfigException e) {
@@ -230,7 +230,7 @@
         overdueClient = null;
     }
 
-    private void onList(HostList list) {
+    private void onList(EndpointListJson list) {
         version = list.seq();
         firstPoll = false;
         addressChanged = false;
@@ -246,7 +246,7 @@
         firstPoll = true;
         closeAll();
         useNewClient(address, CONNECT_TIMEOUT_S);
-        if (site.module().pollsEndpointList()) {
+        if (site.scheduler().pollsEndpointList()) {
             core.onEndpointList(EndpointListKind.FAILED, List.of());
         } else {
             double jitter = 0.5 + random.nextDouble();
--- a/src/main/java/pepperdock/platform/Front.java
+++ b/src/main/java/pepperdock/platform/Front.java
@@ -80,7 +80,7 @@
             // The ids of its parts would be in use on the workers' connections, and results could be mixed up.
             throw new HttpException(409, "Request-Id: of a request that is still open");
         }
-        int shards = site.module().layout().shards();
+        int shards = site.scheduler().layout().shards();
         ClientProtocol.QueryBody body = ClientProtocol.parseQueryBody(message.body(), shards);
         return new QueryRequest(
                 headers.id(),
--- a/src/main/java/pepperdock/platform/JvmWarmup.java
+++ b/src/main/java/pepperdock/platform/JvmWarmup.java
@@ -65,10 +65,10 @@
     public JvmWarmup(DeploymentSettings site) {
         this.site = site;
         EchoBackend backend = new EchoBackend(clock);
-        Gatherer core = new Gatherer(site.module(), 1, clock, backend, () -> {});
+        Gatherer core = new Gatherer(site.scheduler(), 1, clock, backend, () -> {});
         backend.core = core;
         List<WorkerEndpoint> endpoints = new ArrayList<>();
-        for (int cell = 0; cell < site.module().layout().cells(); cell++) {
+        for (int cell = 0; cell < site.scheduler().layout().cells(); cell++) {
             endpoints.add(new WorkerEndpoint("warm-" + cell, "", 0, 0, cell, EndpointState.HEALTHY, 1, 0));
         }
         core.onEndpointList(EndpointListKind.CACHED, endpoints);
@@ -107,7 +107,7 @@
     }
 
     private byte[] request(int index) {
-        String body = queryBody(Math.min(MAX_PARTS, site.module().layout().shards()));
+        String body = queryBody(Math.min(MAX_PARTS, site.scheduler().layout().shards()));
         String queryClass = site.classes().get(index % site.classes().size());
         String head = "POST /api HTTP/1.1\r\nHost: warm\r\nRequest-Id: warm" + index
                 + "\r\nRequest-Class: " + queryClass
--- a/src/main/java/pepperdock/platform/WorkerConnection.java
+++ b/src/main/java/pepperdock/platform/WorkerConnection.java
@@ -52,7 +52,7 @@
         this.context = context;
         this.connection = connection;
         healthChecks = new PendingHealthChecks(context);
-        double idleS = context.site().idleS() * IDLE_TIMEOUT_SHARE;
+        double idleS = context.site().idleTimeoutS() * IDLE_TIMEOUT_SHARE;
         idleTimeout = new IdleTimeout(context.loop(), idleS, this::closeIfIdle, connection::closed);
         connection.start(this);
     }
@@ -63,7 +63,7 @@
      */
     boolean isUnresponsive() {
         return !inFlight.isEmpty()
-                && context.loop().now() - lastProgressAt > context.site().dialS();
+                && context.loop().now() - lastProgressAt > context.site().connectTimeoutS();
     }
 
     /** The number of parts that are in flight, or pending until they can be written. */
@@ -243,7 +243,7 @@
         // From the first byte on: restarted by each further byte, a frame that never ends would block all behind it.
         if (available > 0 && frameTimeout == null) {
             frameTimeout = context.loop()
-                    .after(FRAME_TIMEOUT_MULTIPLE * context.site().dialS(), () -> {
+                    .after(FRAME_TIMEOUT_MULTIPLE * context.site().connectTimeoutS(), () -> {
                         if (!source.closed()) {
                             onProtocolViolation("frame not finished in time");
                         }
@@ -292,7 +292,7 @@
         }
         InFlight ended = inFlight.end(header.id());
         if (ended != null) {
-            List<String> figures = context.site().module().reportNames();
+            List<String> figures = context.site().scheduler().reportNames();
             LoadReport report = LoadReport.of(LoadReportParser.parse(header.loadReport(), figures));
             context.core().onAttemptEnded(ended.attempt(), header.outcome(), report, result.value());
             closeIfDraining();
--- a/src/main/java/pepperdock/platform/WorkerConnectionPool.java
+++ b/src/main/java/pepperdock/platform/WorkerConnectionPool.java
@@ -76,7 +76,7 @@
      */
     @Override
     public void send(List<Attempt> call) {
-        int limit = context.site().multiplex();
+        int limit = context.site().partsPerConnection();
         for (int from = 0; from < call.size(); from += limit) {
             sendOnOneConnection(call.subList(from, Math.min(call.size(), from + limit)));
         }
@@ -92,7 +92,7 @@
         for (WorkerConnection connection : connections) {
             if (connection.hasIdConflict(call)) {
                 idConflict = true;
-            } else if (connection.inFlight() + call.size() <= context.site().multiplex()) {
+            } else if (connection.inFlight() + call.size() <= context.site().partsPerConnection()) {
                 if (!connection.isUnresponsive()) {
                     connection.send(call);
                     return;
@@ -118,7 +118,7 @@
         }
         connecting = true;
         try {
-            context.loop().dial(Config.address("dial", address), context.site().dialS(), new Loop.Dialled() {
+            context.loop().dial(Config.address("dial", address), context.site().connectTimeoutS(), new Loop.Dialled() {
                 @Override
                 public void up(Connection connection) {
                     onConnected(connection);
--- a/src/main/java/pepperdock/service/EndpointSource.java
+++ b/src/main/java/pepperdock/service/EndpointSource.java
@@ -39,7 +39,7 @@
             EndpointWatch watch = new EndpointWatch(
                     loop, config.discovery(), config.site(), config.known().seq());
             return new EndpointSource(
-                    watch, !config.site().module().pollsEndpointList(), watch::start, watch::changeAddress, null);
+                    watch, !config.site().scheduler().pollsEndpointList(), watch::start, watch::changeAddress, null);
         }
         StaticEndpointList fixed = new StaticEndpointList(loop, config.known().hosts());
         return new EndpointSource(fixed, false, fixed::start, null, fixed::replace);
--- a/src/main/java/pepperdock/service/GathererService.java
+++ b/src/main/java/pepperdock/service/GathererService.java
@@ -10,7 +10,7 @@
 import pepperdock.config.Config;
 import pepperdock.config.ConfigReader;
 import pepperdock.config.DeploymentSettings;
-import pepperdock.config.HostList;
+import pepperdock.config.EndpointListJson;
 import pepperdock.core.Gatherer;
 import pepperdock.core.PooledBackend;
 import pepperdock.core.WorkerEndpoint;
@@ -40,7 +40,7 @@
      */
     static final double PUSHED_LIST_TIMEOUT_S = 1.5;
 
-    private final Startup.Base base;
+    private final Startup.ProcessContext context;
     private final Loop loop;
     private final Config config;
     private final JvmWarmup warmup;
@@ -54,16 +54,16 @@
     private DeploymentSettings site;
     private boolean ready;
 
-    private GathererService(ConfigReader file, Startup.Base base) throws IOException {
-        this.base = base;
-        loop = base.loop();
-        config = Config.read(file, base.env());
+    private GathererService(ConfigReader file, Startup.ProcessContext context) throws IOException {
+        this.context = context;
+        loop = context.loop();
+        config = Config.read(file, context.env());
         site = config.site();
-        if (!site.assumed().isEmpty()) {
+        if (!site.defaultsUsed().isEmpty()) {
             LOG.log(
                     System.Logger.Level.WARNING,
                     "configuration: not given, so taken as: {0}",
-                    String.join(", ", site.assumed()));
+                    String.join(", ", site.defaultsUsed()));
         }
         warmup = new JvmWarmup(site);
         warmup.runQueries(JvmWarmup.QUERIES_BEFORE_READY);
@@ -73,7 +73,7 @@
                         : null;
         PooledBackend<?> backend = search == null ? new WorkerPool(loop, site) : search;
         nodes = EndpointSource.open(config, loop);
-        core = new Gatherer(site.module(), config.seed(), loop, backend, nodes.discovery());
+        core = new Gatherer(site.scheduler(), config.seed(), loop, backend, nodes.discovery());
         core.setClassNames(site.classes());
         backend.start(core);
         firstList = new InitialEndpointList(core, loop);
@@ -82,7 +82,7 @@
         loop.execute(this::followEndpoints);
         operator = config.operator() == null
                 ? null
-                : new OperatorService(folder(base.env()), loop, core, this::takesQueries);
+                : new OperatorService(folder(context.env()), loop, core, this::takesQueries);
         clients = new ClientServers(config, core, loop, search, () -> ready);
     }
 
@@ -92,8 +92,9 @@
      * @param stored whether the settings are the store's, not the file's
      * @return the servers that listen, or will
      */
-    public static List<HttpServer> start(ConfigReader file, boolean stored, Startup.Base base) throws IOException {
-        GathererService service = new GathererService(file, base);
+    public static List<HttpServer> start(ConfigReader file, boolean stored, Startup.ProcessContext context)
+            throws IOException {
+        GathererService service = new GathererService(file, context);
         if (!service.anotherProcess()) {
             service.clients.listen();
         }
@@ -119,14 +120,14 @@
 
     /** The store's leader saves each endpoint list: a gatherer that starts begins with it, before its first poll. */
     private void storeEndpointLists() {
-        if (base.store().leads()) {
+        if (context.store().leads()) {
             core.addEndpointListListener(this::storeEndpointList);
         }
     }
 
     private void storeEndpointList(Collection<WorkerEndpoint> hosts) {
-        Store store = base.store();
-        String list = HostList.write(
+        Store store = context.store();
+        String list = EndpointListJson.write(
                 hosts.stream().sorted(Comparator.comparing(WorkerEndpoint::id)).toList(), config.site());
         if (!list.equals(store.get("nodes"))) {
             store.put("nodes", list, held -> {});
@@ -142,7 +143,12 @@
     private void startPlanner() {
         if (config.plan() != null) {
             PlannerThread planner = new PlannerThread(
-                    config.plan(), config.site().module().layout(), loop, core, PlannerThread.thread(), loop::execute);
+                    config.plan(),
+                    config.site().scheduler().layout(),
+                    loop,
+                    core,
+                    PlannerThread.thread(),
+                    loop::execute);
             loop.execute(planner::start);
         }
     }
@@ -154,16 +160,16 @@
                 nodes.replace(),
                 sockets -> loop.capSockets(sockets - Startup.OTHER_DESCRIPTORS),
                 this::use);
-        new ConfigReloader(base.env(), file, stored, loop::execute, live, loaded).onSignal();
+        new ConfigReloader(context.env(), file, stored, loop::execute, live, loaded).onSignal();
         UpgradePeer peer = operator == null ? UpgradePeer.NONE : operator;
-        Runnable leave = base.members() == null ? () -> {} : base.members()::leave;
+        Runnable leave = context.members() == null ? () -> {} : context.members()::leave;
         new GracefulShutdown(loop, clients.servers(), core, peer, leave).onSignal();
     }
 
     /** Puts changed settings in use, for queries from now on. */
     private void use(Config changed) {
         site = site.reloadedFrom(changed.site());
-        core.updateSettings(site.module(), site.classes());
+        core.updateSettings(site.scheduler(), site.classes());
         clients.use(site, changed);
     }
 
@@ -202,7 +208,7 @@
 
     private void serve() {
         ready = true;
-        base.events().tell("ready");
+        context.events().tell("ready");
         clients.servers()
                 .forEach(server ->
                         LOG.log(System.Logger.Level.INFO, "{0} serves on {1}", config.name(), server.address()));
--- a/src/main/java/pepperdock/service/Startup.java
+++ b/src/main/java/pepperdock/service/Startup.java
@@ -27,15 +27,15 @@
     private static final String ENDPOINTS_KEY = "nodes";
 
     /** What is open before there are settings; {@code members} is null where the file has none. */
-    public record Base(Map<String, String> env, Loop loop, Store store, Events events, Members members) {}
+    public record ProcessContext(Map<String, String> env, Loop loop, Store store, Events events, Members members) {}
 
     private final ConfigReader file;
-    private final Base base;
+    private final ProcessContext context;
     private boolean begun;
 
-    private Startup(ConfigReader file, Base base) {
+    private Startup(ConfigReader file, ProcessContext context) {
         this.file = file;
-        this.base = base;
+        this.context = context;
     }
 
     /**
@@ -57,14 +57,14 @@
         Store store = new Store(members, loop);
         Events events = Events.of(Config.events(file));
         Members fleet = file.has("members") ? Members.open(file, loop, events) : null;
-        new Startup(file, new Base(env, loop, store, events, fleet)).begin();
+        new Startup(file, new ProcessContext(env, loop, store, events, fleet)).begin();
     }
 
     private void begin() throws IOException {
-        Store store = base.store();
+        Store store = context.store();
         if (file.has("settings")) {
-            GathererService.start(withKnownEndpoints(file), false, base);
-            base.loop().execute(this::storeSettings);
+            GathererService.start(withKnownEndpoints(file), false, context);
+            context.loop().execute(this::storeSettings);
         } else if (store.get(SETTINGS_KEY) != null) {
             serveByStore();
         } else {
@@ -72,14 +72,14 @@
             store.watch((key, value) -> {
                 if (key.equals(SETTINGS_KEY) && !begun) {
                     begun = true;
-                    base.loop().execute(this::serveByStore);
+                    context.loop().execute(this::serveByStore);
                 }
             });
         }
     }
 
     private void storeSettings() {
-        Store store = base.store();
+        Store store = context.store();
         if (store.leads() && !file.json("settings").equals(store.get(SETTINGS_KEY))) {
             store.put(SETTINGS_KEY, file.json("settings"), held -> {});
         }
@@ -87,8 +87,9 @@
 
     private void serveByStore() {
         try {
-            ConfigReader whole = file.with("settings", Config.parse(base.store().get(SETTINGS_KEY), "settings"));
-            GathererService.start(withKnownEndpoints(whole), true, base);
+            ConfigReader whole =
+                    file.with("settings", Config.parse(context.store().get(SETTINGS_KEY), "settings"));
+            GathererService.start(withKnownEndpoints(whole), true, context);
         } catch (ConfigException e) {
             StartupFailure.exit("configuration: " + e.getMessage(), 2);
         } catch (IOException e) {
@@ -98,7 +99,7 @@
 
     /** Where the file has no endpoint list, the one that the store holds. */
     private ConfigReader withKnownEndpoints(ConfigReader of) {
-        Store store = base.store();
+        Store store = context.store();
         return of.has("known") || store.get(ENDPOINTS_KEY) == null
                 ? of
                 : of.with("known", Config.parse(store.get(ENDPOINTS_KEY), "known"));
--- a/src/main/java/pepperdock/simulator/SimulatorProtocol.java
+++ b/src/main/java/pepperdock/simulator/SimulatorProtocol.java
@@ -194,7 +194,7 @@
     /** Settings of a gatherer that starts. */
     SchedulerSettings settings() {
         return DeploymentSettingsReader.read(ConfigReader.of(SETTINGS, line.element(SETTINGS)))
-                .module();
+                .scheduler();
     }
 
     /** A query that has arrived, or, where the line names a shard, a part of one. */
--- a/src/test/java/pepperdock/BuiltJar.java
+++ b/src/test/java/pepperdock/BuiltJar.java
@@ -10,7 +10,7 @@
 import java.nio.file.Path;
 import java.util.List;
 import java.util.concurrent.TimeUnit;
-import pepperdock.config.Sites;
+import pepperdock.config.TestDeploymentSettings;
 
 /** A gatherer started from what was built, as a process of its own; ended when closed. */
 final class BuiltJar implements AutoCloseable {
@@ -39,7 +39,8 @@
     static void configure(Path folder, String also) throws IOException {
         Files.writeString(
                 folder.resolve("config.json"),
-                "{\"name\":\"n\",\"listen\":\"127.0.0.1:0\"," + also + "\"settings\":" + Sites.SETTINGS + "}");
+                "{\"name\":\"n\",\"listen\":\"127.0.0.1:0\"," + also + "\"settings\":" + TestDeploymentSettings.SETTINGS
+                        + "}");
     }
 
     String log() {
--- a/src/test/java/pepperdock/UpgradeIT.java
+++ b/src/test/java/pepperdock/UpgradeIT.java
@@ -19,7 +19,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.api.io.TempDir;
-import pepperdock.config.Sites;
+import pepperdock.config.TestDeploymentSettings;
 import pepperdock.platform.FakeWorker;
 import pepperdock.platform.FakeWorkerBehaviour;
 
@@ -127,7 +127,7 @@
                             + workers.get(cell).address() + "\",\"block\":" + cell
                             + ",\"health\":\"in_service\",\"born_ms\":0}");
         }
-        configure(hosts.toString(), Sites.SETTINGS);
+        configure(hosts.toString(), TestDeploymentSettings.SETTINGS);
     }
 
     private void configure(String hosts, String settings) throws IOException {
--- a/src/test/java/pepperdock/benchmark/DataPathTest.java
+++ b/src/test/java/pepperdock/benchmark/DataPathTest.java
@@ -76,7 +76,7 @@
         WorkerPool pool = new WorkerPool(loop, PATIENT.site());
         Gatherer[] core = new Gatherer[1];
         StaticEndpointList list = new StaticEndpointList(loop, hosts);
-        core[0] = new Gatherer(PATIENT.site().module(), 1, loop, behind.apply(pool, core), list);
+        core[0] = new Gatherer(PATIENT.site().scheduler(), 1, loop, behind.apply(pool, core), list);
         pool.start(core[0]);
         list.start(core[0]);
         HttpServer server = PlatformFixtures.listen(
--- a/src/test/java/pepperdock/config/ConfigTest.java
+++ b/src/test/java/pepperdock/config/ConfigTest.java
@@ -25,7 +25,7 @@
                 {"name":"n3","listen":"127.0.0.4:8000","discovery":"127.0.0.1:8500","seed":"ffffffffffffffff",
                  "limits":{"sockets":4096},"known":{"seq":41,"whole":true,"hosts":[{"host":"s","dial":"127.0.0.9:1",
                  "site":"room","class":"std","block":3,"health":"terminating","share":1.0,"born_ms":1500}]}}""").getAsJsonObject();
-        o.add("settings", JsonParser.parseString(Sites.SETTINGS));
+        o.add("settings", JsonParser.parseString(TestDeploymentSettings.SETTINGS));
         return o;
     }
 
@@ -44,7 +44,7 @@
                 c.known().hosts());
         assertNull(c.openSearch());
         assertNull(c.dnsSd());
-        assertEquals(40, c.site().module().limits().maxInFlight());
+        assertEquals(40, c.site().scheduler().limits().maxInFlight());
         assertEquals(
                 "n9",
                 Config.read(new ConfigReader("", file()), Map.of("EDGE_NAME", "n9"))
@@ -136,7 +136,7 @@
                 .get(0)
                 .getAsJsonObject()
                 .remove("Name");
-        List<String> told = read(file).site().assumed();
+        List<String> told = read(file).site().defaultsUsed();
         assertTrue(
                 told.containsAll(List.of(
                         "settings.Limits.DialTimeoutS=0.25",
@@ -160,7 +160,7 @@
         Config c = read(file());
         assertEquals(
                 c.known().hosts(),
-                HostList.parse(HostList.write(c.known().hosts(), c.site()), c.site())
+                EndpointListJson.parse(EndpointListJson.write(c.known().hosts(), c.site()), c.site())
                         .hosts());
     }
 
@@ -170,7 +170,8 @@
         Config c = Config.read(Config.file(Map.of("EDGE_CONFIG", "deploy/opensearch.json")), Map.of());
         assertEquals(
                 Map.of("history", 0, "payouts", 1, "wallets", 2), c.openSearch().indices());
-        assertTrue(c.site().module().classes().stream().noneMatch(k -> k.retrySafety() == RetrySafety.IDEMPOTENCY_KEY));
+        assertTrue(
+                c.site().scheduler().classes().stream().noneMatch(k -> k.retrySafety() == RetrySafety.IDEMPOTENCY_KEY));
         ConfigReader daily = Config.file(Map.of("EDGE_CONFIG", "deploy/daily.json"));
         assertEquals(9600, Config.read(daily, Map.of()).operator().getPort());
         assertEquals(
@@ -181,9 +182,11 @@
         assertEquals(null, c.operator());
         ConfigReader second = Config.file(Map.of("EDGE_CONFIG", "deploy/dnssd-and-store.json"));
         assertEquals(Path.of("state/b"), Config.store(second).folder());
-        Config d = Config.read(second.with("settings", JsonParser.parseString(Sites.SETTINGS)), Map.of());
+        Config d =
+                Config.read(second.with("settings", JsonParser.parseString(TestDeploymentSettings.SETTINGS)), Map.of());
         assertEquals("_ledger._tcp", d.dnsSd().service());
-        assertTrue(d.site().module().classes().stream().noneMatch(k -> k.retrySafety() == RetrySafety.IDEMPOTENCY_KEY));
+        assertTrue(
+                d.site().scheduler().classes().stream().noneMatch(k -> k.retrySafety() == RetrySafety.IDEMPOTENCY_KEY));
     }
 
     @Test
--- a/src/test/java/pepperdock/config/Sites.java
+++ b/src/test/java/pepperdock/config/TestDeploymentSettings.java
@@ -3,7 +3,7 @@
 import com.google.gson.JsonParser;
 
 /** A small site for tests: four cells, twelve shards, each held by two cells; the brief's three classes. */
-public final class Sites {
+public final class TestDeploymentSettings {
 
     public static final String SETTINGS = """
             {"Discovery":"subscribe","FailureDomains":["room"],"Instances":1,"Kinds":["std"],"TickS":0.005,"Zone":0,
@@ -19,7 +19,7 @@
              "Rules":{"AnswerSlackS":0.02,"AskWithinS":10,"ColdFrom":0.16,"FallMultiple":2,"FallS":1,
                "StopSendingWithinS":0.5,"WarmUpS":14}}""";
 
-    private Sites() {}
+    private TestDeploymentSettings() {}
 
     public static DeploymentSettings small() {
         return with(SETTINGS);
--- a/src/test/java/pepperdock/core/GathererFixture.java
+++ b/src/test/java/pepperdock/core/GathererFixture.java
@@ -4,7 +4,7 @@
 import java.util.List;
 import java.util.Map;
 import java.util.stream.IntStream;
-import pepperdock.config.Sites;
+import pepperdock.config.TestDeploymentSettings;
 import pepperdock.scheduler.AttemptOutcome;
 import pepperdock.scheduler.EndpointListKind;
 import pepperdock.scheduler.EndpointState;
@@ -18,7 +18,8 @@
     final List<Attempt> cancelled = new ArrayList<>();
     final List<String> answers = new ArrayList<>();
     int watchCalls;
-    final Gatherer gatherer = new Gatherer(Sites.small().module(), 7, clock, this, () -> watchCalls++);
+    final Gatherer gatherer =
+            new Gatherer(TestDeploymentSettings.small().scheduler(), 7, clock, this, () -> watchCalls++);
 
     GathererFixture() {
         gatherer.onEndpointList(
--- a/src/test/java/pepperdock/core/GathererTest.java
+++ b/src/test/java/pepperdock/core/GathererTest.java
@@ -10,7 +10,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 import pepperdock.config.DeploymentSettings;
-import pepperdock.config.Sites;
+import pepperdock.config.TestDeploymentSettings;
 import pepperdock.scheduler.AttemptOutcome;
 import pepperdock.scheduler.EndpointListKind;
 import pepperdock.scheduler.EndpointState;
@@ -154,11 +154,11 @@
     void queryInFlightKeepsTheRulesOfItsArrival() {
         Query old = fixture.submit(0, 3, 1);
         fixture.clock.advance(0.01);
-        DeploymentSettings other = Sites.with(Sites.SETTINGS
+        DeploymentSettings other = TestDeploymentSettings.with(TestDeploymentSettings.SETTINGS
                 .replace("\"Name\":\"history-search\"", "\"Name\":\"new\"")
                 .replace("\"DeadlineS\":3,\"Effect\":\"read_like\"", "\"DeadlineS\":3,\"Effect\":\"non_idempotent\"")
                 .replace("\"MaxAttempts\":4", "\"MaxAttempts\":1"));
-        fixture.gatherer.updateSettings(other.module(), other.classes());
+        fixture.gatherer.updateSettings(other.scheduler(), other.classes());
         Query now = fixture.submit(0, 3, 1);
         fixture.clock.advance(0.01);
         assertEquals(2, fixture.attemptsInFlight().size());
--- a/src/test/java/pepperdock/distribution/Pair.java
+++ b/src/test/java/pepperdock/distribution/PublisherSubscriberPair.java
@@ -8,7 +8,7 @@
 import java.util.Optional;
 
 /** A subscriber and the messages that it and a publisher have for each other, handed over one by one. */
-final class Pair implements SubscriberOutput, PublisherOutput, VersionStore, ConfigurationValidator {
+final class PublisherSubscriberPair implements SubscriberOutput, PublisherOutput, VersionStore, ConfigurationValidator {
 
     static final ControlMachine NEAR = new ControlMachine("c1", "r1");
     static final ControlMachine FAR = new ControlMachine("c2", "r2");
--- a/src/test/java/pepperdock/distribution/PublisherTest.java
+++ b/src/test/java/pepperdock/distribution/PublisherTest.java
@@ -13,7 +13,7 @@
 /** What a publisher sends, to whom, and within which budgets. */
 class PublisherTest {
 
-    private final Pair pair = new Pair();
+    private final PublisherSubscriberPair pair = new PublisherSubscriberPair();
 
     private static PublisherSettings settings(int snapshotsAtOnce) {
         return new PublisherSettings(
@@ -26,9 +26,9 @@
 
     @Test
     void whoHasARecentVersionGetsOneDeltaOverAllThatFollowed() {
-        ConfigurationSnapshot one = Pair.version(1, "a", "1");
-        ConfigurationSnapshot three = Pair.version(3, "a", "3", "c", "1");
-        pair.settled.addAll(List.of(one, Pair.version(2, "a", "2", "b", "1"), three));
+        ConfigurationSnapshot one = PublisherSubscriberPair.version(1, "a", "1");
+        ConfigurationSnapshot three = PublisherSubscriberPair.version(3, "a", "3", "c", "1");
+        pair.settled.addAll(List.of(one, PublisherSubscriberPair.version(2, "a", "2", "b", "1"), three));
         Publisher publisher = pair.publisher(settings(1), 0);
         publisher.connected(1, 0);
         publisher.received(1, hello("g1", one), 0);
@@ -44,10 +44,11 @@
     @Test
     void whoHasAVersionThatIsNoLongerKeptOrAnotherContentGetsASnapshot() {
         for (int i = 1; i <= 9; i++) {
-            pair.settled.add(Pair.version(i, "a", "" + i));
+            pair.settled.add(PublisherSubscriberPair.version(i, "a", "" + i));
         }
         Publisher publisher = pair.publisher(settings(3), 0);
-        List<ConfigurationSnapshot> held = List.of(pair.settled.get(0), Pair.version(8, "a", "other"));
+        List<ConfigurationSnapshot> held =
+                List.of(pair.settled.get(0), PublisherSubscriberPair.version(8, "a", "other"));
         for (int i = 0; i < held.size(); i++) {
             long now = i * 1000L;
             publisher.connected(i, now);
@@ -60,8 +61,8 @@
 
     @Test
     void aDeltaOfMoreThanItsShareOfTheSnapshotGivesWayToTheSnapshot() {
-        ConfigurationSnapshot one = Pair.version(1);
-        pair.settled.addAll(List.of(one, Pair.version(2, "a", "x".repeat(8000))));
+        ConfigurationSnapshot one = PublisherSubscriberPair.version(1);
+        pair.settled.addAll(List.of(one, PublisherSubscriberPair.version(2, "a", "x".repeat(8000))));
         Publisher publisher = pair.publisher(settings(3), 0);
         publisher.connected(1, 0);
         publisher.received(1, hello("g1", one), 0);
@@ -96,7 +97,7 @@
         Publisher publisher = pair.publisher(PublisherSettings.defaults(), 0);
         Subscriber subscriber = pair.subscriber(0);
         subscriber.tick(200);
-        publisher.connected(Pair.CONNECTION, 200);
+        publisher.connected(PublisherSubscriberPair.CONNECTION, 200);
         subscriber.connected(200);
         pair.run(subscriber, publisher, 300, 3000);
         List<Long> inForce =
@@ -108,10 +109,10 @@
     /** This control machine has come back with an old disk. It offers nothing to a subscriber that has a newer version. */
     @Test
     void aPublisherWithAnOldDiskOffersNothingToWhoIsAhead() {
-        pair.settled.add(Pair.version(4));
+        pair.settled.add(PublisherSubscriberPair.version(4));
         Publisher publisher = pair.publisher(settings(1), 0);
         publisher.connected(1, 0);
-        publisher.received(1, hello("g1", Pair.version(5)), 0);
+        publisher.received(1, hello("g1", PublisherSubscriberPair.version(5)), 0);
         publisher.tick(100);
         assertEquals(1, pair.toSubscriber.size());
         assertInstanceOf(DistributionMessage.Heartbeat.class, pair.toSubscriber.removeFirst());
@@ -121,13 +122,13 @@
     /** A subscriber has a newer version than this control machine. It must not claim to be up to date, also to others. */
     @Test
     void aPublisherThatHasHeardOfANewerVersionDoesNotPassForConfirmed() {
-        pair.settled.add(Pair.version(4));
+        pair.settled.add(PublisherSubscriberPair.version(4));
         Publisher publisher = pair.publisher(settings(1), 0);
         publisher.connected(1, 0);
-        publisher.received(1, hello("g1", Pair.version(5)), 0);
+        publisher.received(1, hello("g1", PublisherSubscriberPair.version(5)), 0);
         publisher.disconnected(1);
         publisher.connected(2, 0);
-        publisher.received(2, hello("g2", Pair.version(4)), 0);
+        publisher.received(2, hello("g2", PublisherSubscriberPair.version(4)), 0);
         pair.confirmedAt = 100;
         publisher.tick(100);
         DistributionMessage.Heartbeat heartbeat = (DistributionMessage.Heartbeat) pair.toSubscriber.removeFirst();
@@ -136,7 +137,7 @@
 
     @Test
     void moreSnapshotsThanAtOnceAreToldWhenToAskAgainLaterOnesLater() {
-        pair.settled.add(Pair.version(4));
+        pair.settled.add(PublisherSubscriberPair.version(4));
         Publisher publisher = pair.publisher(settings(1), 0);
         List<Integer> after = new ArrayList<>();
         for (int i = 0; i < 5; i++) {
@@ -204,17 +205,17 @@
 
     @Test
     void twoChangesDuringASnapshotFollowAsOneDelta() {
-        pair.settled.add(Pair.version(1));
+        pair.settled.add(PublisherSubscriberPair.version(1));
         Publisher publisher = pair.publisher(settings(1), 0);
         Subscriber subscriber = pair.subscriber(0);
         subscriber.tick(200);
-        publisher.connected(Pair.CONNECTION, 200);
+        publisher.connected(PublisherSubscriberPair.CONNECTION, 200);
         subscriber.connected(200);
         pair.exchange(subscriber, publisher, 200);
         assertEquals(1, publisher.snapshotsUnderWay());
-        pair.settled.add(Pair.version(2, "a", "2"));
+        pair.settled.add(PublisherSubscriberPair.version(2, "a", "2"));
         publisher.settled(300);
-        pair.settled.add(Pair.version(3, "a", "3"));
+        pair.settled.add(PublisherSubscriberPair.version(3, "a", "3"));
         publisher.settled(300);
         pair.run(subscriber, publisher, 300, 3000);
         assertEquals(
@@ -228,8 +229,8 @@
     /** One subscriber does not react to a delta, the other refuses it. Only the first one is reported as lagging. */
     @Test
     void whoDoesNotPutInForceWhatWasSentLagsAndWhoRefusedDoesNot() {
-        ConfigurationSnapshot one = Pair.version(1);
-        pair.settled.addAll(List.of(one, Pair.version(2, "a", "2")));
+        ConfigurationSnapshot one = PublisherSubscriberPair.version(1);
+        pair.settled.addAll(List.of(one, PublisherSubscriberPair.version(2, "a", "2")));
         Publisher publisher = pair.publisher(settings(1), 0);
         for (int i = 1; i <= 2; i++) {
             publisher.connected(i, 0);
@@ -259,13 +260,13 @@
 
     @Test
     void heartbeatsSayHowLongThisMachineHasNotBeenConfirmed() {
-        pair.settled.add(Pair.version(1));
+        pair.settled.add(PublisherSubscriberPair.version(1));
         pair.confirmedAt = 2000;
         Publisher publisher = pair.publisher(settings(1), 0);
         publisher.connected(1, 0);
-        publisher.received(1, hello("g1", Pair.version(1)), 0);
+        publisher.received(1, hello("g1", PublisherSubscriberPair.version(1)), 0);
         publisher.tick(9000);
-        ConfigurationSnapshot one = Pair.version(1);
+        ConfigurationSnapshot one = PublisherSubscriberPair.version(1);
         assertEquals(
                 List.of(new DistributionMessage.Heartbeat(one.version(), one.digest(), 7000)),
                 List.copyOf(pair.toSubscriber));
--- a/src/test/java/pepperdock/distribution/SubscriberTest.java
+++ b/src/test/java/pepperdock/distribution/SubscriberTest.java
@@ -12,7 +12,7 @@
 /** What a subscriber puts in force, keeps and says, told one message at a time. */
 class SubscriberTest {
 
-    private final Pair pair = new Pair();
+    private final PublisherSubscriberPair pair = new PublisherSubscriberPair();
 
     private Subscriber connected(long now) {
         Subscriber subscriber = pair.subscriber(now);
@@ -40,7 +40,7 @@
     @Test
     void aSnapshotIsInForceOnceItIsWholeAndNotBefore() {
         Subscriber subscriber = connected(0);
-        ConfigurationSnapshot five = Pair.version(5, "a", "1");
+        ConfigurationSnapshot five = PublisherSubscriberPair.version(5, "a", "1");
         SnapshotTransfer transfer = new SnapshotTransfer(five, five.encoded(), 1000);
         while (!transfer.done()) {
             assertEquals(List.of(), pair.inForce);
@@ -59,7 +59,7 @@
     @Test
     void aSnapshotWithAPieceMissingIsNeverInForce() {
         Subscriber subscriber = connected(0);
-        ConfigurationSnapshot five = Pair.version(5);
+        ConfigurationSnapshot five = PublisherSubscriberPair.version(5);
         SnapshotTransfer transfer = new SnapshotTransfer(five, five.encoded(), 1000);
         subscriber.received(transfer.next(), 1000);
         transfer.next();
@@ -73,10 +73,14 @@
     @Test
     void aDeltaThatDoesNotFitAsksForASnapshotAndChangesNothing() {
         Subscriber subscriber = connected(0);
-        ConfigurationSnapshot five = Pair.version(5, "a", "1");
+        ConfigurationSnapshot five = PublisherSubscriberPair.version(5, "a", "1");
         snapshot(subscriber, five, 1000);
         pair.toPublisher.clear();
-        delta(subscriber, Pair.version(5, "a", "other"), Pair.version(6, "a", "2"), 1000);
+        delta(
+                subscriber,
+                PublisherSubscriberPair.version(5, "a", "other"),
+                PublisherSubscriberPair.version(6, "a", "2"),
+                1000);
         assertEquals(
                 List.of(new DistributionMessage.Ask(five.version(), five.digest(), true)),
                 List.copyOf(pair.toPublisher));
@@ -87,10 +91,10 @@
     @Test
     void aDeltaWhoseResultHasAnotherDigestAsksForASnapshotAndChangesNothing() {
         Subscriber subscriber = connected(0);
-        ConfigurationSnapshot five = Pair.version(5, "a", "1");
+        ConfigurationSnapshot five = PublisherSubscriberPair.version(5, "a", "1");
         snapshot(subscriber, five, 1000);
         pair.toPublisher.clear();
-        Delta good = Delta.between(five, Pair.version(6, "a", "2", "b", "3"));
+        Delta good = Delta.between(five, PublisherSubscriberPair.version(6, "a", "2", "b", "3"));
         Delta short1 = new Delta(
                 good.base(),
                 good.baseDigest(),
@@ -107,8 +111,8 @@
     @Test
     void anOlderVersionIsNotTakenAsDeltaNorAsSnapshotNorAfterARestart() {
         Subscriber subscriber = connected(0);
-        ConfigurationSnapshot five = Pair.version(5);
-        ConfigurationSnapshot four = Pair.version(4);
+        ConfigurationSnapshot five = PublisherSubscriberPair.version(5);
+        ConfigurationSnapshot four = PublisherSubscriberPair.version(4);
         snapshot(subscriber, five, 1000);
         snapshot(subscriber, four, 1000);
         delta(subscriber, five, four, 1000);
@@ -122,7 +126,7 @@
     @Test
     void aNewEpochGoesBeforeAnyNumber() {
         Subscriber subscriber = connected(0);
-        snapshot(subscriber, Pair.version(500), 1000);
+        snapshot(subscriber, PublisherSubscriberPair.version(500), 1000);
         ConfigurationSnapshot anew = ConfigurationSnapshot.of(new ConfigurationVersion(2, 3), 1, List.of());
         snapshot(subscriber, anew, 1000);
         assertEquals(anew.version(), subscriber.inForce().version());
@@ -132,11 +136,11 @@
     @Test
     void withAFullDiskItGoesOnInMemorySaysSoAndIsHeldBackAfterARestart() {
         Subscriber subscriber = connected(0);
-        ConfigurationSnapshot five = Pair.version(5);
+        ConfigurationSnapshot five = PublisherSubscriberPair.version(5);
         snapshot(subscriber, five, 1000);
         pair.diskFull = true;
         pair.toPublisher.clear();
-        ConfigurationSnapshot six = Pair.version(6, "a", "1");
+        ConfigurationSnapshot six = PublisherSubscriberPair.version(6, "a", "1");
         delta(subscriber, five, six, 1000);
         assertEquals(six.digest(), subscriber.inForce().digest());
         assertEquals(
@@ -158,7 +162,7 @@
     void onceTheDiskHasSpaceTheVersionInForceIsSavedAndSaidSo() {
         pair.diskFails = true;
         Subscriber subscriber = connected(0);
-        ConfigurationSnapshot five = Pair.version(5);
+        ConfigurationSnapshot five = PublisherSubscriberPair.version(5);
         snapshot(subscriber, five, 1000);
         assertEquals(Durability.MEMORY_ONLY, subscriber.durability());
         pair.diskFails = false;
@@ -174,10 +178,10 @@
     @Test
     void aFormatThatItDoesNotReadIsRefusedByNameAndTheOldVersionStays() {
         Subscriber subscriber = connected(0);
-        ConfigurationSnapshot five = Pair.version(5);
+        ConfigurationSnapshot five = PublisherSubscriberPair.version(5);
         snapshot(subscriber, five, 1000);
         pair.toPublisher.clear();
-        ConfigurationSnapshot six = Pair.formatted(6, 2);
+        ConfigurationSnapshot six = PublisherSubscriberPair.formatted(6, 2);
         delta(subscriber, five, six, 1000);
         Refusal refusal = new Refusal(six.version(), Refusal.Reason.FORMAT, "format 2, this reads up to 1");
         assertEquals(List.of(new DistributionMessage.Refused(refusal)), List.copyOf(pair.toPublisher));
@@ -187,7 +191,7 @@
         pair.toPublisher.clear();
         subscriber.tick(3500);
         assertEquals(List.of(), List.copyOf(pair.toPublisher), "what was refused is not asked for");
-        delta(subscriber, five, Pair.version(7), 3500);
+        delta(subscriber, five, PublisherSubscriberPair.version(7), 3500);
         assertEquals(7, subscriber.inForce().version().number());
     }
 
@@ -196,7 +200,7 @@
     void whatTheValidatorComplainsOfIsRefused() {
         Subscriber subscriber = connected(0);
         pair.complaint = "no shares";
-        snapshot(subscriber, Pair.version(5), 1000);
+        snapshot(subscriber, PublisherSubscriberPair.version(5), 1000);
         assertEquals(List.of(), pair.inForce);
         assertEquals(
                 List.of(new DistributionMessage.Refused(
@@ -208,11 +212,11 @@
     @Test
     void theSameVersionWithAnotherContentIsAConflictAndSaidOnce() {
         Subscriber subscriber = connected(0);
-        ConfigurationSnapshot five = Pair.version(5, "a", "1");
+        ConfigurationSnapshot five = PublisherSubscriberPair.version(5, "a", "1");
         snapshot(subscriber, five, 1000);
         pair.toPublisher.clear();
-        subscriber.received(heartbeat(Pair.version(5, "a", "2"), 0), 1000);
-        subscriber.received(heartbeat(Pair.version(5, "a", "2"), 0), 2000);
+        subscriber.received(heartbeat(PublisherSubscriberPair.version(5, "a", "2"), 0), 1000);
+        subscriber.received(heartbeat(PublisherSubscriberPair.version(5, "a", "2"), 0), 2000);
         assertEquals(1, pair.toPublisher.size());
         assertEquals(Refusal.Reason.CONFLICT, subscriber.refusal().orElseThrow().reason());
         assertEquals(five.digest(), subscriber.inForce().digest());
@@ -222,20 +226,20 @@
     @Test
     void aSilentControlMachineIsLeftForAnother() {
         Subscriber subscriber = connected(0);
-        assertEquals(List.of(Pair.NEAR), pair.tried, "its own region first");
+        assertEquals(List.of(PublisherSubscriberPair.NEAR), pair.tried, "its own region first");
         subscriber.tick(4000);
         assertFalse(pair.closed);
         subscriber.tick(4001);
         assertTrue(pair.closed);
         subscriber.tick(4201);
-        assertEquals(List.of(Pair.NEAR, Pair.FAR), pair.tried);
+        assertEquals(List.of(PublisherSubscriberPair.NEAR, PublisherSubscriberPair.FAR), pair.tried);
     }
 
     /** A control machine is cut off from its majority. It is left, and used again only while all others fail. */
     @Test
     void aControlMachineThatIsNotConfirmedIsLeftAndKeptOnlyWhereAllOthersFail() {
         Subscriber subscriber = connected(0);
-        ConfigurationSnapshot five = Pair.version(5);
+        ConfigurationSnapshot five = PublisherSubscriberPair.version(5);
         snapshot(subscriber, five, 1000);
         for (long now = 2000; now < 7000; now += 1000) {
             subscriber.received(heartbeat(five, (int) now - 1000), now);
@@ -243,10 +247,10 @@
         }
         assertTrue(pair.closed);
         subscriber.tick(7000);
-        assertEquals(Pair.FAR, pair.tried.get(1));
+        assertEquals(PublisherSubscriberPair.FAR, pair.tried.get(1));
         subscriber.disconnected(7010);
         subscriber.tick(8000);
-        assertEquals(Pair.NEAR, pair.tried.get(2), "the others have been tried");
+        assertEquals(PublisherSubscriberPair.NEAR, pair.tried.get(2), "the others have been tried");
         subscriber.connected(8000);
         pair.closed = false;
         for (long now = 8000; now < 8000 + SubscriberSettings.defaults().stayMillis(); now += 1000) {
@@ -261,9 +265,9 @@
     @Test
     void aControlMachineWithAnOldDiskIsLeftForAnother() {
         Subscriber subscriber = connected(0);
-        snapshot(subscriber, Pair.version(5), 1000);
+        snapshot(subscriber, PublisherSubscriberPair.version(5), 1000);
         for (long now = 2000; now < 7000; now += 1000) {
-            subscriber.received(heartbeat(Pair.version(4), 0), now);
+            subscriber.received(heartbeat(PublisherSubscriberPair.version(4), 0), now);
             subscriber.tick(now);
         }
         assertTrue(pair.closed);
@@ -274,10 +278,10 @@
     @Test
     void aHeartbeatOfANewerVersionIsFollowedByAQuestionOnceNothingComes() {
         Subscriber subscriber = connected(0);
-        ConfigurationSnapshot five = Pair.version(5);
+        ConfigurationSnapshot five = PublisherSubscriberPair.version(5);
         snapshot(subscriber, five, 1000);
         pair.toPublisher.clear();
-        subscriber.received(heartbeat(Pair.version(6), 0), 2000);
+        subscriber.received(heartbeat(PublisherSubscriberPair.version(6), 0), 2000);
         subscriber.tick(3000);
         assertEquals(0, pair.toPublisher.size());
         subscriber.tick(3001);
@@ -291,7 +295,7 @@
     void aControlMachineThatDoesNotAnswerTwoQuestionsIsLeft() {
         Subscriber subscriber = connected(0);
         for (long now = 2000; now <= 9000; now += 1000) {
-            subscriber.received(heartbeat(Pair.version(6), 0), now);
+            subscriber.received(heartbeat(PublisherSubscriberPair.version(6), 0), now);
             subscriber.tick(now + 1);
         }
         assertEquals(
@@ -305,10 +309,10 @@
     @Test
     void whoIsToldToAskAgainLaterDoesThenAndNotBefore() {
         Subscriber subscriber = connected(0);
-        subscriber.received(heartbeat(Pair.version(6), 0), 2000);
+        subscriber.received(heartbeat(PublisherSubscriberPair.version(6), 0), 2000);
         subscriber.received(new DistributionMessage.RetryAfter(5000), 2000);
         for (long now = 3000; now <= 7000; now += 1000) {
-            subscriber.received(heartbeat(Pair.version(6), 0), now);
+            subscriber.received(heartbeat(PublisherSubscriberPair.version(6), 0), now);
             subscriber.tick(now);
         }
         assertFalse(pair.toPublisher.stream().anyMatch(DistributionMessage.Ask.class::isInstance));
@@ -319,8 +323,11 @@
     @Test
     void backOffGrowsToItsMostAndIsDrawnByChance() {
         SubscriberSettings settings = SubscriberSettings.defaults();
-        ControlMachineSelector choice =
-                new ControlMachineSelector(List.of(Pair.NEAR, Pair.FAR), "r1", settings, new java.util.Random(3));
+        ControlMachineSelector choice = new ControlMachineSelector(
+                List.of(PublisherSubscriberPair.NEAR, PublisherSubscriberPair.FAR),
+                "r1",
+                settings,
+                new java.util.Random(3));
         Set<Integer> drawn = new java.util.TreeSet<>();
         int longest = 0;
         for (int i = 0; i < 100; i++) {
--- a/src/test/java/pepperdock/dnssd/DnsSdTest.java
+++ b/src/test/java/pepperdock/dnssd/DnsSdTest.java
@@ -14,7 +14,7 @@
 import org.junit.jupiter.api.Test;
 import org.xbill.DNS.Rcode;
 import pepperdock.config.DnsSdConfig;
-import pepperdock.config.Sites;
+import pepperdock.config.TestDeploymentSettings;
 import pepperdock.core.Attempt;
 import pepperdock.core.Backend;
 import pepperdock.core.Gatherer;
@@ -39,10 +39,10 @@
     void start() throws Exception {
         DnsSd sd = new DnsSd(
                 new DnsSdConfig(dns.address(), "_ledger._tcp", "room.example", 20, 1),
-                Sites.small(),
+                TestDeploymentSettings.small(),
                 clock,
                 thread::add);
-        Gatherer core = new Gatherer(Sites.small().module(), 1, clock, new Nothing(), sd);
+        Gatherer core = new Gatherer(TestDeploymentSettings.small().scheduler(), 1, clock, new Nothing(), sd);
         sd.start(core);
         core.addEndpointListListener(hosts -> {
             listed = hosts;
--- a/src/test/java/pepperdock/opensearch/SearchBackendTest.java
+++ b/src/test/java/pepperdock/opensearch/SearchBackendTest.java
@@ -16,7 +16,7 @@
 import org.junit.jupiter.api.Timeout;
 import pepperdock.config.DeploymentSettings;
 import pepperdock.config.OpenSearchConfig;
-import pepperdock.config.Sites;
+import pepperdock.config.TestDeploymentSettings;
 import pepperdock.core.Gatherer;
 import pepperdock.core.Query;
 import pepperdock.core.QueryListener;
@@ -36,7 +36,7 @@
      */
     @Test
     void aRequestThatWaitsForItsConnectionEndsWhenTheWorkerDrains() throws Exception {
-        DeploymentSettings site = Sites.with(Sites.SETTINGS
+        DeploymentSettings site = TestDeploymentSettings.with(TestDeploymentSettings.SETTINGS
                         .replace("\"MaxAttempts\":4", "\"MaxAttempts\":1")
                         .replace("\"DialTimeoutS\":0.25", "\"DialTimeoutS\":20"))
                 .withoutIdempotencyKeys();
@@ -61,7 +61,7 @@
                 ServerSocket server = new ServerSocket(0, 5, InetAddress.getLoopbackAddress())) {
             SearchBackend backend = new SearchBackend(
                     loop, site, new OpenSearchConfig(null, new LinkedHashMap<>(Map.of("wallets", 2)), true, 8, 2, 300));
-            Gatherer core = new Gatherer(site.module(), 3, loop, backend, () -> {});
+            Gatherer core = new Gatherer(site.scheduler(), 3, loop, backend, () -> {});
             backend.start(core);
             WorkerEndpoint host =
                     new WorkerEndpoint("w", "127.0.0.1:" + server.getLocalPort(), 0, 0, 0, EndpointState.HEALTHY, 1, 0);
@@ -89,7 +89,8 @@
      */
     @Test
     void aScrollThatWaitsForItsConnectionIsNotBegunOnceItsClientHasGone() throws Exception {
-        DeploymentSettings site = Sites.with(Sites.SETTINGS.replace("\"DialTimeoutS\":0.25", "\"DialTimeoutS\":20"));
+        DeploymentSettings site = TestDeploymentSettings.with(
+                TestDeploymentSettings.SETTINGS.replace("\"DialTimeoutS\":0.25", "\"DialTimeoutS\":20"));
         QueryListener client = new QueryListener() {
             @Override
             public void onAnswer(Query q, boolean whole) {}
@@ -104,7 +105,7 @@
                 ServerSocket server = new ServerSocket(0, 5, InetAddress.getLoopbackAddress())) {
             SearchBackend backend = new SearchBackend(
                     loop, site, new OpenSearchConfig(null, new LinkedHashMap<>(Map.of("wallets", 2)), true, 8, 2, 300));
-            Gatherer core = new Gatherer(site.module(), 3, loop, backend, () -> {});
+            Gatherer core = new Gatherer(site.scheduler(), 3, loop, backend, () -> {});
             backend.start(core);
             WorkerEndpoint host =
                     new WorkerEndpoint("w", "127.0.0.1:" + server.getLocalPort(), 0, 0, 0, EndpointState.HEALTHY, 1, 0);
--- a/src/test/java/pepperdock/opensearch/Stack.java
+++ b/src/test/java/pepperdock/opensearch/Stack.java
@@ -16,7 +16,7 @@
 import java.util.function.BooleanSupplier;
 import pepperdock.config.DeploymentSettings;
 import pepperdock.config.OpenSearchConfig;
-import pepperdock.config.Sites;
+import pepperdock.config.TestDeploymentSettings;
 import pepperdock.core.Backend;
 import pepperdock.core.Gatherer;
 import pepperdock.core.StaticEndpointList;
@@ -34,7 +34,7 @@
 final class Stack implements AutoCloseable {
 
     /** Times far beyond what loopback takes: only a query's own time-out runs out in these tests. */
-    static final String SETTINGS = Sites.SETTINGS
+    static final String SETTINGS = TestDeploymentSettings.SETTINGS
             .replace("\"GoalTimeS\":1.5,\"DeadlineS\":3", "\"GoalTimeS\":5,\"DeadlineS\":30")
             .replace("\"GoalTimeS\":2.5,\"DeadlineS\":6", "\"GoalTimeS\":5,\"DeadlineS\":30")
             .replace("\"DialTimeoutS\":0.25", "\"DialTimeoutS\":20");
@@ -55,7 +55,7 @@
 
     Stack(boolean search, int scrollContexts) throws Exception {
         this.search = search;
-        DeploymentSettings plain = Sites.with(SETTINGS);
+        DeploymentSettings plain = TestDeploymentSettings.with(SETTINGS);
         DeploymentSettings site = search ? plain.withoutIdempotencyKeys() : plain;
         OpenSearchConfig config = new OpenSearchConfig(
                 null,
@@ -72,7 +72,7 @@
         WorkerPool pool = new WorkerPool(loop, site);
         SearchBackend searches = new SearchBackend(loop, site, config);
         Backend backend = search ? searches : pool;
-        core = new Gatherer(site.module(), 5, loop, backend, list);
+        core = new Gatherer(site.scheduler(), 5, loop, backend, list);
         pool.start(core);
         searches.start(core);
         list.start(core);
@@ -100,10 +100,10 @@
 
     /** Other settings, and other classes of the indices, as SIGHUP puts them into use. */
     void change(String settings, Map<String, Integer> indices) throws Exception {
-        DeploymentSettings now = Sites.with(settings).withoutIdempotencyKeys();
+        DeploymentSettings now = TestDeploymentSettings.with(settings).withoutIdempotencyKeys();
         CountDownLatch done = new CountDownLatch(1);
         loop.execute(() -> {
-            core.updateSettings(now.module(), now.classes());
+            core.updateSettings(now.scheduler(), now.classes());
             searchFront.use(now, new OpenSearchConfig(null, indices, true, 8, 2, 300));
             done.countDown();
         });
--- a/src/test/java/pepperdock/plan/BruteForce.java
+++ b/src/test/java/pepperdock/plan/BruteForce.java
@@ -20,7 +20,7 @@
             for (Conflict.Work w : some) {
                 boolean inside = true;
                 for (int n : p.ranges().get(w.range()).holders()) {
-                    inside &= !p.open(w.zone(), n) || (set >> n & 1) == 1;
+                    inside &= !p.mayServe(w.zone(), n) || (set >> n & 1) == 1;
                 }
                 if (inside) {
                     work = work.add(BigInteger.valueOf(p.ranges().get(w.range()).work())
--- a/src/test/java/pepperdock/plan/PlannerTest.java
+++ b/src/test/java/pepperdock/plan/PlannerTest.java
@@ -67,13 +67,14 @@
                     int node = p.ranges().get(r).holders().get(i);
                     double share = plan.shares().get(r).get(z)[i];
                     assertTrue(
-                            share >= 0 && (share == 0 || p.open(z, node)), "a share for a node that may not have one");
+                            share >= 0 && (share == 0 || p.mayServe(z, node)),
+                            "a share for a node that may not have one");
                     sum += share;
                     load[node] += share * p.ranges().get(r).work() * p.rates()[z] / rates;
                 }
                 boolean open = false;
                 for (int n : p.ranges().get(r).holders()) {
-                    open |= p.open(z, n);
+                    open |= p.mayServe(z, n);
                 }
                 assertEquals(open ? 1 : 0, sum, NEAR);
             }
--- a/src/test/java/pepperdock/platform/ClientGoneBenchmark.java
+++ b/src/test/java/pepperdock/platform/ClientGoneBenchmark.java
@@ -14,7 +14,7 @@
 import pepperdock.codec.http.HttpException;
 import pepperdock.codec.http.HttpMessage;
 import pepperdock.config.DeploymentSettings;
-import pepperdock.config.Sites;
+import pepperdock.config.TestDeploymentSettings;
 import pepperdock.core.Attempt;
 import pepperdock.core.Backend;
 import pepperdock.core.Gatherer;
@@ -59,10 +59,11 @@
     }
 
     private void run(int queries, int busyMs) throws Exception {
-        DeploymentSettings site = Sites.with(Sites.SETTINGS.replace("\"MostHeld\":40", "\"MostHeld\":400"));
+        DeploymentSettings site = TestDeploymentSettings.with(
+                TestDeploymentSettings.SETTINGS.replace("\"MostHeld\":40", "\"MostHeld\":400"));
         Loop loop = new Loop(500, 1 << 18);
         WorkerPool pool = new WorkerPool(loop, site);
-        Gatherer core = new Gatherer(site.module(), 3, loop, new AttemptRecorder(pool), () -> {});
+        Gatherer core = new Gatherer(site.scheduler(), 3, loop, new AttemptRecorder(pool), () -> {});
         pool.start(core);
         HttpServer server =
                 PlatformFixtures.listen(loop, 1 << 16, 300, recordDisconnects(new Front(site, core, () -> true)));
--- a/src/test/java/pepperdock/platform/ClientGoneOnBusyLoopTest.java
+++ b/src/test/java/pepperdock/platform/ClientGoneOnBusyLoopTest.java
@@ -21,7 +21,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.EnumSource;
 import pepperdock.config.DeploymentSettings;
-import pepperdock.config.Sites;
+import pepperdock.config.TestDeploymentSettings;
 import pepperdock.core.Attempt;
 import pepperdock.core.Backend;
 import pepperdock.core.Gatherer;
@@ -48,8 +48,8 @@
         RESET
     }
 
-    private final DeploymentSettings site =
-            Sites.with(Sites.SETTINGS.replace("\"DialTimeoutS\":0.25", "\"DialTimeoutS\":30"));
+    private final DeploymentSettings site = TestDeploymentSettings.with(
+            TestDeploymentSettings.SETTINGS.replace("\"DialTimeoutS\":0.25", "\"DialTimeoutS\":30"));
     private final Loop loop = new Loop(100, 1 << 18);
     private Gatherer core;
     private HttpServer server;
@@ -62,7 +62,7 @@
     }
 
     private void serve(Backend backend) throws IOException {
-        core = new Gatherer(site.module(), 3, loop, backend, () -> {});
+        core = new Gatherer(site.scheduler(), 3, loop, backend, () -> {});
         server = PlatformFixtures.listen(loop, 1 << 16, 10, new Front(site, core, () -> true));
     }
 
@@ -127,7 +127,7 @@
             loop.execute(() -> {
                 disconnect(client, how);
                 // The next batch falls due while the loop is busy here, so that it closes before the kernel is polled.
-                double due = loop.now() + 2 * site.module().tickS();
+                double due = loop.now() + 2 * site.scheduler().tickS();
                 while (loop.now() < due) {
                     Thread.onSpinWait();
                 }
--- a/src/test/java/pepperdock/platform/ClientGoneWhileConnectingTest.java
+++ b/src/test/java/pepperdock/platform/ClientGoneWhileConnectingTest.java
@@ -12,7 +12,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 import pepperdock.config.DeploymentSettings;
-import pepperdock.config.Sites;
+import pepperdock.config.TestDeploymentSettings;
 import pepperdock.core.Gatherer;
 import pepperdock.core.Metrics;
 import pepperdock.scheduler.EndpointListKind;
@@ -26,7 +26,7 @@
     private static final int LEAVING_CLIENTS = 50;
     private static final int TIMEOUT_MS = 60_000;
 
-    private static final DeploymentSettings PATIENT = Sites.with(Sites.SETTINGS
+    private static final DeploymentSettings PATIENT = TestDeploymentSettings.with(TestDeploymentSettings.SETTINGS
             .replace("\"DialTimeoutS\":0.25", "\"DialTimeoutS\":60")
             .replace("\"MostHeld\":40", "\"MostHeld\":400")
             .replace("\"GoalTimeS\":2.5,\"DeadlineS\":6", "\"GoalTimeS\":60,\"DeadlineS\":60"));
@@ -63,7 +63,7 @@
                 queueFillers.add(new Socket(worker.getInetAddress(), worker.getLocalPort()));
             }
             WorkerPool pool = new WorkerPool(loop, PATIENT);
-            Gatherer core = new Gatherer(PATIENT.module(), 3, loop, pool, () -> {});
+            Gatherer core = new Gatherer(PATIENT.scheduler(), 3, loop, pool, () -> {});
             pool.start(core);
             HttpServer server = PlatformFixtures.listen(loop, 1 << 16, 100, new Front(PATIENT, core, () -> true));
             loop.execute(() -> core.onEndpointList(
--- a/src/test/java/pepperdock/platform/EdgeSettingsTest.java
+++ b/src/test/java/pepperdock/platform/EdgeSettingsTest.java
@@ -16,7 +16,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.MethodSource;
 import pepperdock.config.DeploymentSettings;
-import pepperdock.config.Sites;
+import pepperdock.config.TestDeploymentSettings;
 import pepperdock.core.Gatherer;
 import pepperdock.core.WorkerEndpoint;
 import pepperdock.scheduler.EndpointListKind;
@@ -30,7 +30,7 @@
     private final FakeWorkerBehaviour behaviour = new FakeWorkerBehaviour();
 
     private static JsonObject settings() {
-        return JsonParser.parseString(Sites.SETTINGS
+        return JsonParser.parseString(TestDeploymentSettings.SETTINGS
                         .replace("\"GoalTimeS\":1.5,\"DeadlineS\":3", "\"GoalTimeS\":5,\"DeadlineS\":30")
                         .replace("\"GoalTimeS\":2.5,\"DeadlineS\":6", "\"GoalTimeS\":5,\"DeadlineS\":30"))
                 .getAsJsonObject();
@@ -82,17 +82,17 @@
     /** Sends a query for the first shards to a gatherer with these settings, and reads the one answer. */
     private String query(JsonObject settings, String queryClass, String text, int shards, int timeoutMs)
             throws Exception {
-        DeploymentSettings site = Sites.with(settings.toString());
+        DeploymentSettings site = TestDeploymentSettings.with(settings.toString());
         List<FakeWorker> workers = new ArrayList<>();
         try (Loop loop = new Loop(200, 1 << 18)) {
             List<WorkerEndpoint> endpoints = new ArrayList<>();
-            for (int cell = 0; cell < site.module().layout().cells(); cell++) {
+            for (int cell = 0; cell < site.scheduler().layout().cells(); cell++) {
                 workers.add(new FakeWorker(behaviour));
                 endpoints.add(PlatformFixtures.endpoint(
                         "w" + cell, cell, workers.get(cell).address()));
             }
             WorkerPool pool = new WorkerPool(loop, site);
-            Gatherer core = new Gatherer(site.module(), 3, loop, pool, () -> {});
+            Gatherer core = new Gatherer(site.scheduler(), 3, loop, pool, () -> {});
             pool.start(core);
             HttpServer server = PlatformFixtures.listen(loop, 1 << 16, 8, new Front(site, core, () -> true));
             loop.execute(() -> core.onEndpointList(EndpointListKind.CACHED, endpoints));
@@ -119,10 +119,10 @@
     @ParameterizedTest
     @MethodSource("edges")
     void everyClassIsServedCompletely(JsonObject settings) throws Exception {
-        DeploymentSettings site = Sites.with(settings.toString());
-        int shards = Math.min(4, site.module().layout().shards());
+        DeploymentSettings site = TestDeploymentSettings.with(settings.toString());
+        int shards = Math.min(4, site.scheduler().layout().shards());
         for (int c = 0; c < site.classes().size(); c++) {
-            double deadlineS = site.module().classes().get(c).deadlineS();
+            double deadlineS = site.scheduler().classes().get(c).deadlineS();
             String answer = query(settings, site.classes().get(c), "t" + c, shards, (int) (deadlineS * 1000));
             assertTrue(answer.startsWith("HTTP/1.1 200"), settings + "\n" + answer);
             JsonObject body = JsonParser.parseString(answer.substring(answer.indexOf("\r\n\r\n")))
--- a/src/test/java/pepperdock/platform/EndpointWatchTest.java
+++ b/src/test/java/pepperdock/platform/EndpointWatchTest.java
@@ -21,7 +21,7 @@
 import org.junit.jupiter.params.provider.EnumSource;
 import org.junit.jupiter.params.provider.ValueSource;
 import pepperdock.config.DeploymentSettings;
-import pepperdock.config.Sites;
+import pepperdock.config.TestDeploymentSettings;
 import pepperdock.core.Gatherer;
 import pepperdock.core.WorkerEndpoint;
 import pepperdock.scheduler.EndpointListKind;
@@ -38,12 +38,12 @@
 
     private static final long KNOWN_VERSION = 41;
 
-    private final DeploymentSettings site = Sites.small();
+    private final DeploymentSettings site = TestDeploymentSettings.small();
     private final Loop loop = new Loop(100, 1 << 16);
     private final ServerSocket server = new ServerSocket(0, 50, InetAddress.getLoopbackAddress());
     private final BlockingQueue<Collection<WorkerEndpoint>> lists = new LinkedBlockingQueue<>();
     private final EndpointWatch watch = new EndpointWatch(loop, addressOf(server), site, KNOWN_VERSION);
-    private final Gatherer core = new Gatherer(site.module(), 3, loop, new WorkerPool(loop, site), watch);
+    private final Gatherer core = new Gatherer(site.scheduler(), 3, loop, new WorkerPool(loop, site), watch);
 
     EndpointWatchTest() throws IOException {
         server.setSoTimeout(30_000);
@@ -309,17 +309,18 @@
     void theNextPollOfAnAgentFitsIntoTheDrainGrace() {
         double longestPauseS = 1.5 * EndpointWatch.MAX_AGENT_BACKOFF_S;
         assertTrue(
-                longestPauseS < site.module().rules().drainGraceS() - 0.1, "with its jitter, and time for an answer");
+                longestPauseS < site.scheduler().rules().drainGraceS() - 0.1,
+                "with its jitter, and time for an answer");
     }
 
     /** Where lists are pushed the core never polls. Found by reading: no watch was ever opened. */
     @Test
     void whereListsArePushedTheWatchStartsAndRetriesByItself() throws Exception {
-        DeploymentSettings pushed =
-                Sites.with(Sites.SETTINGS.replace("\"Discovery\":\"subscribe\"", "\"Discovery\":\"automatic\""));
+        DeploymentSettings pushed = TestDeploymentSettings.with(
+                TestDeploymentSettings.SETTINGS.replace("\"Discovery\":\"subscribe\"", "\"Discovery\":\"automatic\""));
         try (ServerSocket agent = listen()) {
             EndpointWatch agentWatch = new EndpointWatch(loop, addressOf(agent), pushed, KNOWN_VERSION);
-            agentWatch.start(new Gatherer(pushed.module(), 3, loop, new WorkerPool(loop, pushed), agentWatch));
+            agentWatch.start(new Gatherer(pushed.scheduler(), 3, loop, new WorkerPool(loop, pushed), agentWatch));
             for (int i = 0; i < 3; i++) {
                 try (DiscoveryConnection discovery = DiscoveryConnection.accept(agent)) {
                     assertEquals("/api/targets?since=41", discovery.readTarget());
--- a/src/test/java/pepperdock/platform/FrontTest.java
+++ b/src/test/java/pepperdock/platform/FrontTest.java
@@ -15,7 +15,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 import pepperdock.config.DeploymentSettings;
-import pepperdock.config.Sites;
+import pepperdock.config.TestDeploymentSettings;
 import pepperdock.core.Gatherer;
 import pepperdock.core.WorkerEndpoint;
 import pepperdock.scheduler.EndpointListKind;
@@ -33,10 +33,10 @@
 
     /** Serves at most eight clients, with these workers, while the conversation lasts. */
     private static void serve(List<WorkerEndpoint> workers, Conversation conversation) throws Exception {
-        DeploymentSettings site = Sites.small();
+        DeploymentSettings site = TestDeploymentSettings.small();
         try (Loop loop = new Loop(100, 1 << 16)) {
             WorkerPool pool = new WorkerPool(loop, site);
-            Gatherer core = new Gatherer(site.module(), 3, loop, pool, () -> {});
+            Gatherer core = new Gatherer(site.scheduler(), 3, loop, pool, () -> {});
             pool.start(core);
             HttpServer server = PlatformFixtures.listen(loop, 1000, 8, new Front(site, core, () -> true));
             loop.execute(() -> core.onEndpointList(EndpointListKind.CACHED, workers));
--- a/src/test/java/pepperdock/platform/JvmWarmupTest.java
+++ b/src/test/java/pepperdock/platform/JvmWarmupTest.java
@@ -3,7 +3,7 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 
 import org.junit.jupiter.api.Test;
-import pepperdock.config.Sites;
+import pepperdock.config.TestDeploymentSettings;
 import pepperdock.core.ManualClock;
 
 /** A query that is rejected or malformed would warm nothing: each must be answered. */
@@ -11,7 +11,7 @@
 
     @Test
     void everyQueryIsAnswered() {
-        JvmWarmup warmup = new JvmWarmup(Sites.small());
+        JvmWarmup warmup = new JvmWarmup(TestDeploymentSettings.small());
         assertEquals(JvmWarmup.QUERIES_BEFORE_READY, warmup.runQueries(JvmWarmup.QUERIES_BEFORE_READY));
         ManualClock loop = new ManualClock(0);
         warmup.runRemainingQueries(loop, () -> true);
@@ -21,7 +21,7 @@
 
     @Test
     void remainingQueriesAreSkippedWhileTheGathererIsBusy() {
-        JvmWarmup warmup = new JvmWarmup(Sites.small());
+        JvmWarmup warmup = new JvmWarmup(TestDeploymentSettings.small());
         ManualClock loop = new ManualClock(0);
         warmup.runRemainingQueries(loop, () -> false);
         loop.advance(60);
--- a/src/test/java/pepperdock/platform/OneWorkerFixture.java
+++ b/src/test/java/pepperdock/platform/OneWorkerFixture.java
@@ -46,7 +46,7 @@
         server.setSoTimeout(PATIENCE_MS);
         loop = new Loop(100, maxBufferBytes);
         pool = new WorkerPool(loop, site);
-        gatherer = new Gatherer(site.module(), 3, loop, pool, () -> {});
+        gatherer = new Gatherer(site.scheduler(), 3, loop, pool, () -> {});
         pool.start(gatherer);
     }
 
--- a/src/test/java/pepperdock/platform/WorkerConnectionTest.java
+++ b/src/test/java/pepperdock/platform/WorkerConnectionTest.java
@@ -21,7 +21,7 @@
 import org.junit.jupiter.params.provider.ValueSource;
 import pepperdock.codec.frame.Frames;
 import pepperdock.config.DeploymentSettings;
-import pepperdock.config.Sites;
+import pepperdock.config.TestDeploymentSettings;
 import pepperdock.core.Query;
 import pepperdock.scheduler.AttemptOutcome;
 import pepperdock.scheduler.EndpointListKind;
@@ -30,7 +30,7 @@
 /** Frames and calls on one connection to a worker, each in the order or the form that is hardest. */
 class WorkerConnectionTest {
 
-    private static final DeploymentSettings ONE_ATTEMPT = Sites.with(Sites.SETTINGS
+    private static final DeploymentSettings ONE_ATTEMPT = TestDeploymentSettings.with(TestDeploymentSettings.SETTINGS
             .replace("\"MaxAttempts\":4", "\"MaxAttempts\":1")
             .replace("\"DialTimeoutS\":0.25", "\"DialTimeoutS\":20"));
 
@@ -225,8 +225,8 @@
      */
     @Test
     void anIdleConnectionIsClosedWithHalfALateResult() throws Exception {
-        DeploymentSettings shortIdle =
-                Sites.with(Sites.SETTINGS.replace("\"DialTimeoutS\":0.25", "\"DialTimeoutS\":20,\"ConnIdleS\":0.2"));
+        DeploymentSettings shortIdle = TestDeploymentSettings.with(TestDeploymentSettings.SETTINGS.replace(
+                "\"DialTimeoutS\":0.25", "\"DialTimeoutS\":20,\"ConnIdleS\":0.2"));
         try (OneWorkerFixture worker = new OneWorkerFixture(shortIdle, SMALL_BUFFER)) {
             worker.listWorker();
             Query left = worker.submit(
@@ -266,8 +266,8 @@
      */
     @Test
     void aFrameThatArrivesByteByByteTimesOut() throws Exception {
-        DeploymentSettings shortTimeout =
-                Sites.with(Sites.SETTINGS.replace("\"DialTimeoutS\":0.25", "\"DialTimeoutS\":0.1"));
+        DeploymentSettings shortTimeout = TestDeploymentSettings.with(
+                TestDeploymentSettings.SETTINGS.replace("\"DialTimeoutS\":0.25", "\"DialTimeoutS\":0.1"));
         try (OneWorkerFixture worker = new OneWorkerFixture(shortTimeout, SMALL_BUFFER)) {
             worker.listWorker();
             worker.submit(OneWorkerFixture.request("q", OneWorkerFixture.IDEMPOTENT_CLASS, 600, new byte[] {'t'}));
--- a/src/test/java/pepperdock/platform/WorkerPoolTest.java
+++ b/src/test/java/pepperdock/platform/WorkerPoolTest.java
@@ -13,7 +13,7 @@
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.Test;
 import pepperdock.config.DeploymentSettings;
-import pepperdock.config.Sites;
+import pepperdock.config.TestDeploymentSettings;
 import pepperdock.core.Query;
 import pepperdock.scheduler.AttemptOutcome;
 import pepperdock.scheduler.EndpointListKind;
@@ -22,7 +22,7 @@
 /** How attempts end when their worker does not answer them, by the protocol's table; which connection a call takes. */
 class WorkerPoolTest {
 
-    private static final DeploymentSettings ONE_ATTEMPT = Sites.with(Sites.SETTINGS
+    private static final DeploymentSettings ONE_ATTEMPT = TestDeploymentSettings.with(TestDeploymentSettings.SETTINGS
             .replace("\"MaxAttempts\":4", "\"MaxAttempts\":1")
             .replace("\"DialTimeoutS\":0.25", "\"DialTimeoutS\":20"));
 
@@ -74,8 +74,8 @@
      */
     @Test
     void anUnresponsiveConnectionGetsNoNewCalls() throws Exception {
-        DeploymentSettings shortTimeout =
-                Sites.with(Sites.SETTINGS.replace("\"DialTimeoutS\":0.25", "\"DialTimeoutS\":0.1"));
+        DeploymentSettings shortTimeout = TestDeploymentSettings.with(
+                TestDeploymentSettings.SETTINGS.replace("\"DialTimeoutS\":0.25", "\"DialTimeoutS\":0.1"));
         try (OneWorkerFixture own = new OneWorkerFixture(shortTimeout, 1 << 16)) {
             own.listWorker();
             own.submit(OneWorkerFixture.request("first", OneWorkerFixture.KEYED_CLASS));
--- a/src/test/java/pepperdock/service/ConfigReloaderTest.java
+++ b/src/test/java/pepperdock/service/ConfigReloaderTest.java
@@ -16,7 +16,7 @@
 import org.junit.jupiter.params.provider.MethodSource;
 import org.junit.jupiter.params.provider.ValueSource;
 import pepperdock.config.Config;
-import pepperdock.config.Sites;
+import pepperdock.config.TestDeploymentSettings;
 
 class ConfigReloaderTest {
 
@@ -41,7 +41,7 @@
                         null,
                         n -> changed.add("sockets " + n),
                         to -> changed.add("classes " + to.site().classes() + " attempts "
-                                + to.site().module().limits().maxAttempts())),
+                                + to.site().scheduler().limits().maxAttempts())),
                 told::add);
     }
 
@@ -52,14 +52,14 @@
     /** The address that the environment had at the start must not hide the file's. */
     @Test
     void whatDiffersIsPutIntoUseAndNothingElse() throws Exception {
-        ConfigReloader reload = begin(FILE.formatted(1, 256, Sites.SETTINGS));
+        ConfigReloader reload = begin(FILE.formatted(1, 256, TestDeploymentSettings.SETTINGS));
         reload.reload();
         assertEquals(List.of(), changed);
-        write(FILE.formatted(2, 256, Sites.SETTINGS));
+        write(FILE.formatted(2, 256, TestDeploymentSettings.SETTINGS));
         reload.reload();
         reload.reload();
         assertEquals(List.of("discovery 2"), changed);
-        write(FILE.formatted(2, 512, Sites.SETTINGS.replace("0.005", "0.006")));
+        write(FILE.formatted(2, 512, TestDeploymentSettings.SETTINGS.replace("0.005", "0.006")));
         reload.reload();
         assertEquals(
                 List.of(
@@ -73,11 +73,11 @@
     /** Classes added, dropped, with another effect, and fewer attempts: in use from here on. */
     @Test
     void otherClassesAndFewerAttemptsArePutIntoUse() throws Exception {
-        ConfigReloader reload = begin(FILE.formatted(1, 256, Sites.SETTINGS));
+        ConfigReloader reload = begin(FILE.formatted(1, 256, TestDeploymentSettings.SETTINGS));
         write(FILE.formatted(
                 1,
                 256,
-                Sites.SETTINGS
+                TestDeploymentSettings.SETTINGS
                         .replace("balance-adjust", "wallet-move")
                         .replace("idempotency_key", "non_idempotent")
                         .replace("\"MaxAttempts\":4", "\"MaxAttempts\":2")));
@@ -86,7 +86,7 @@
     }
 
     static Stream<String> faults() {
-        String all = Sites.SETTINGS;
+        String all = TestDeploymentSettings.SETTINGS;
         return Stream.of(
                 all.replace("\"DeadlineS\":6", "\"DeadlineS\":0"),
                 all.replace("\"DeadlineS\":6", "\"DeadlineS\":\"6\""),
@@ -105,7 +105,7 @@
     @ParameterizedTest
     @MethodSource("faults")
     void settingsWithAFaultAreTurnedDownWholeWithAllElseInTheirFile(String settings) throws Exception {
-        ConfigReloader reload = begin(FILE.formatted(1, 256, Sites.SETTINGS));
+        ConfigReloader reload = begin(FILE.formatted(1, 256, TestDeploymentSettings.SETTINGS));
         write(FILE.formatted(2, 512, settings));
         reload.reload();
         assertEquals(List.of(), changed);
@@ -116,9 +116,9 @@
     @ParameterizedTest
     @ValueSource(strings = {"name", "listen", "discovery", "limits", "settings"})
     void aFileThatLacksAKeyOfThePlatformIsTurnedDown(String key) throws Exception {
-        ConfigReloader reload = begin(FILE.formatted(1, 256, Sites.SETTINGS));
-        JsonObject cut =
-                JsonParser.parseString(FILE.formatted(2, 512, Sites.SETTINGS)).getAsJsonObject();
+        ConfigReloader reload = begin(FILE.formatted(1, 256, TestDeploymentSettings.SETTINGS));
+        JsonObject cut = JsonParser.parseString(FILE.formatted(2, 512, TestDeploymentSettings.SETTINGS))
+                .getAsJsonObject();
         cut.remove(key);
         write(cut.toString());
         reload.reload();
@@ -129,21 +129,21 @@
     /** Empty, truncated and otherwise faulty files come, then none at all; the next sound file is put in use all the same. */
     @Test
     void aFaultyFileLeavesAllAsItWas() throws Exception {
-        ConfigReloader reload = begin(FILE.formatted(1, 256, Sites.SETTINGS));
+        ConfigReloader reload = begin(FILE.formatted(1, 256, TestDeploymentSettings.SETTINGS));
         for (String faulty : List.of(
                 "",
                 "{",
                 "[]",
-                FILE.formatted(2, 8, Sites.SETTINGS),
+                FILE.formatted(2, 8, TestDeploymentSettings.SETTINGS),
                 FILE.formatted(70000, 512, "{}"),
-                FILE.formatted(2, 256, Sites.SETTINGS.replace("\"Slices\":12", "\"Slices\":-1")))) {
+                FILE.formatted(2, 256, TestDeploymentSettings.SETTINGS.replace("\"Slices\":12", "\"Slices\":-1")))) {
             write(faulty);
             reload.reload();
         }
         Files.delete(folder.resolve("config.json"));
         reload.reload();
         assertEquals(List.of(), changed);
-        write(FILE.formatted(3, 256, Sites.SETTINGS));
+        write(FILE.formatted(3, 256, TestDeploymentSettings.SETTINGS));
         reload.reload();
         assertEquals(List.of("discovery 3"), changed);
     }
--- a/src/test/java/pepperdock/service/ReadyTest.java
+++ b/src/test/java/pepperdock/service/ReadyTest.java
@@ -24,7 +24,7 @@
 import org.junit.jupiter.api.Timeout;
 import pepperdock.config.Config;
 import pepperdock.config.ConfigReader;
-import pepperdock.config.Sites;
+import pepperdock.config.TestDeploymentSettings;
 import pepperdock.events.Events;
 import pepperdock.store.Store;
 import pepperdock.transport.Loop;
@@ -34,7 +34,7 @@
 class ReadyTest {
 
     private static final String UNASKED =
-            Sites.SETTINGS.replace("\"Discovery\":\"subscribe\"", "\"Discovery\":\"automatic\"");
+            TestDeploymentSettings.SETTINGS.replace("\"Discovery\":\"subscribe\"", "\"Discovery\":\"automatic\"");
     private static final String LIST = "{\"seq\":1,\"whole\":true,\"hosts\":[]}";
 
     private final Loop loop = new Loop(100, 1 << 18);
@@ -65,7 +65,9 @@
         ConfigReader keys = ConfigReader.of("", Config.parse(file, "test"));
         startedAt = loop.now();
         return GathererService.start(
-                        keys, false, new Startup.Base(env, loop, new Store(null, loop), Events.of(false), null))
+                        keys,
+                        false,
+                        new Startup.ProcessContext(env, loop, new Store(null, loop), Events.of(false), null))
                 .get(0)
                 .address();
     }
@@ -129,10 +131,10 @@
 
     @Test
     void whereTheListIsAskedForAGathererIsReadyWhateverDiscoveryDoes() throws Exception {
-        InetSocketAddress silent = start(Sites.SETTINGS);
+        InetSocketAddress silent = start(TestDeploymentSettings.SETTINGS);
         awaitReady(silent);
         discovery.close();
-        awaitReady(start(Sites.SETTINGS));
+        awaitReady(start(TestDeploymentSettings.SETTINGS));
     }
 
     private static String everyCell(ServerSocket worker, String health) {
--- a/tools/ListCalls.java
+++ b/tools/ListCalls.java
@@ -105,7 +105,7 @@
 
         Watch(Service service, DeploymentSettings site, int seed) {
             this.service = service;
-            core = new Gatherer(site.module(), seed, service.clock, this, this::subscribe);
+            core = new Gatherer(site.scheduler(), seed, service.clock, this, this::subscribe);
             core.onEndpointList(EndpointListKind.CACHED, List.of());
         }
 
