--- a/src/main/java/pepperdock/cli/MembersCommand.java
+++ b/src/main/java/pepperdock/cli/MembersCommand.java
@@ -30,7 +30,7 @@
         description = "Print the members as a running gatherer sees them, and why.")
 final class MembersCommand implements Callable<Integer> {
 
-    private static final Duration PATIENCE = Duration.ofSeconds(5);
+    private static final Duration REQUEST_TIMEOUT = Duration.ofSeconds(5);
 
     @Parameters(paramLabel = "ADDRESS", description = "Where it may be asked: members.ask of its file, on loopback.")
     private String address;
@@ -53,13 +53,14 @@
         if (watch != null && !(watch >= 0.1 && watch <= 3600)) {
             throw new ConfigException("--watch", "not between 0.1 and 3600");
         }
-        HttpClient client = HttpClient.newBuilder().connectTimeout(PATIENCE).build();
+        HttpClient client =
+                HttpClient.newBuilder().connectTimeout(REQUEST_TIMEOUT).build();
         PrintWriter out = spec.commandLine().getOut();
         while (true) {
             try {
                 String answer = client.send(
                                 HttpRequest.newBuilder(URI.create("http://" + Config.text(at) + "/members"))
-                                        .timeout(PATIENCE)
+                                        .timeout(REQUEST_TIMEOUT)
                                         .build(),
                                 HttpResponse.BodyHandlers.ofString(StandardCharsets.UTF_8))
                         .body();
@@ -90,18 +91,18 @@
         }
     }
 
-    private static void print(PrintWriter out, Keys v) {
+    private static void print(PrintWriter out, Keys view) {
         out.printf(
                 Locale.ROOT,
                 "fleet %s as %s sees it, view %d: reaching %d of %d%s%n",
-                v.text("fleet"),
-                v.text("self"),
-                (long) v.number("number"),
-                (int) v.number("reached"),
-                (int) v.number("of"),
-                v.flag("sure", true) ? "" : ", may be the one cut off, calls nobody gone");
-        if (v.has("name_taken_by")) {
-            out.println("its name is used by another process too, at " + v.text("name_taken_by") + ": it stays out");
+                view.text("fleet"),
+                view.text("self"),
+                (long) view.number("number"),
+                (int) view.number("reached"),
+                (int) view.number("of"),
+                view.flag("sure", true) ? "" : ", may be the one cut off, calls nobody gone");
+        if (view.has("name_taken_by")) {
+            out.println("its name is used by another process too, at " + view.text("name_taken_by") + ": it stays out");
         }
         out.printf(
                 Locale.ROOT,
@@ -114,25 +115,26 @@
                 "machine",
                 "address",
                 "said by observers");
-        for (Keys m : v.objects("members")) {
-            Keys said = m.within("said_by");
-            StringBuilder words = new StringBuilder();
-            said.names()
-                    .forEach(n -> words.append(words.length() == 0 ? "" : ", ")
-                            .append(n)
+        for (Keys member : view.objects("members")) {
+            Keys observations = member.within("said_by");
+            StringBuilder text = new StringBuilder();
+            observations
+                    .names()
+                    .forEach(observer -> text.append(text.length() == 0 ? "" : ", ")
+                            .append(observer)
                             .append(' ')
-                            .append(said.text(n)));
+                            .append(observations.text(observer)));
             out.printf(
                     Locale.ROOT,
                     "%-20s %-9s %9.1f %5d %-12s %-12s %-22s %s%n",
-                    m.text("name"),
-                    m.text("standing"),
-                    m.number("for_s"),
-                    (long) m.number("incarnation"),
-                    m.text("zone"),
-                    m.text("machine"),
-                    m.text("address"),
-                    words);
+                    member.text("name"),
+                    member.text("standing"),
+                    member.number("for_s"),
+                    (long) member.number("incarnation"),
+                    member.text("zone"),
+                    member.text("machine"),
+                    member.text("address"),
+                    text);
         }
     }
 }
--- a/src/main/java/pepperdock/faultinjection/MembersChecker.java
+++ b/src/main/java/pepperdock/faultinjection/MembersChecker.java
@@ -28,7 +28,7 @@
 
     private static final Hasher64 HASH = Hashing.xxh3_64();
 
-    private record Held(String life, long incarnation, String standing) {}
+    private record Held(String generation, long incarnation, String state) {}
 
     /** One process's view, as it told it. */
     private static final class Seen {
@@ -43,7 +43,7 @@
     /** The name that each process has had, its own as a rule; and each process's newest life. */
     private final Map<String, String> names = new TreeMap<>();
 
-    private final Map<String, String> lives = new TreeMap<>();
+    private final Map<String, String> generations = new TreeMap<>();
     /** By name: lives of processes that run. */
     private final Map<String, Set<String>> running = new TreeMap<>();
     /** By name: all lives ever begun, and those that anybody told of. */
@@ -76,64 +76,64 @@
     }
 
     @Override
-    public void see(long number, Event e) {
+    public void see(long number, Event event) {
         last = number;
-        metrics.memberSeconds += (e.at() - at) * up.size();
-        at = e.at();
-        if (e.ofRig()) {
-            rig(number, e);
+        metrics.memberSeconds += (event.at() - at) * up.size();
+        at = event.at();
+        if (event.ofRig()) {
+            rig(number, event);
         } else {
-            member(number, e);
+            member(number, event);
         }
     }
 
-    private void rig(long number, Event e) {
-        switch (e.what()) {
+    private void rig(long number, Event event) {
+        switch (event.what()) {
             case "kill", "term" -> {
-                fault(e);
-                for (String m : e.members()) {
-                    down(m);
-                    endedAt.put(names.getOrDefault(m, m), e.at());
-                    if (exposures.containsKey(m)) {
-                        exposures.get(m).ended();
+                fault(event);
+                for (String member : event.members()) {
+                    down(member);
+                    endedAt.put(names.getOrDefault(member, member), event.at());
+                    if (exposures.containsKey(member)) {
+                        exposures.get(member).ended();
                     }
                 }
             }
             case "exit" -> {
-                down(e.text("member"));
-                views.remove(e.text("member"));
+                down(event.text("member"));
+                views.remove(event.text("member"));
             }
             case "reached" -> {
                 gathered = true;
                 views.values().forEach(v -> rosters.add(v.roster));
             }
             case "stop", "cont" -> {
-                fault(e);
-                for (String m : e.members()) {
-                    if (e.what().equals("cont")) {
-                        exposure(m).continued(e.at());
+                fault(event);
+                for (String member : event.members()) {
+                    if (event.what().equals("cont")) {
+                        exposure(member).continued(event.at());
                     } else {
-                        exposure(m).stopped(e.at());
+                        exposure(member).stopped(event.at());
                     }
                 }
             }
             case "fault on", "fault off" -> {
-                fault(e);
-                fault((int) e.whole("number"), e);
+                fault(event);
+                fault((int) event.whole("number"), event);
             }
-            case "start", "reset", "clock" -> fault(e);
+            case "start", "reset", "clock" -> fault(event);
             case "traffic" -> {
-                double[] budget = budgets.get(e.text("member"));
+                double[] budget = budgets.get(event.text("member"));
                 if (budget != null) {
-                    double span = e.number("over_s") + SAVED_S;
-                    metrics.datagrams.recordValue(Math.round(e.number("datagrams") / e.number("over_s")));
-                    long bytes = Math.round(e.number("bytes") / e.number("over_s"));
+                    double span = event.number("over_s") + SAVED_S;
+                    metrics.datagrams.recordValue(Math.round(event.number("datagrams") / event.number("over_s")));
+                    long bytes = Math.round(event.number("bytes") / event.number("over_s"));
                     metrics.bytes.recordValue(bytes);
                     if (gathered) {
                         metrics.bytesTogether.recordValue(bytes);
                     }
-                    if (e.number("datagrams") > budget[0] * span || e.number("bytes") > budget[1] * span) {
-                        found.add(new Finding("members", number, e.text("member") + " sent more than its budget"));
+                    if (event.number("datagrams") > budget[0] * span || event.number("bytes") > budget[1] * span) {
+                        found.add(new Finding("members", number, event.text("member") + " sent more than its budget"));
                     }
                 }
             }
@@ -141,130 +141,132 @@
         }
     }
 
-    private void fault(Event e) {
+    private void fault(Event event) {
         metrics.faults++;
-        faultAt = e.at();
+        faultAt = event.at();
         agreed = false;
     }
 
-    private void fault(int number, Event e) {
-        if (e.what().equals("fault off")) {
+    private void fault(int number, Event event) {
+        if (event.what().equals("fault off")) {
             exposures.values().forEach(h -> h.off(number));
             return;
         }
-        LinkFaults.Kind kind = LinkFaults.Kind.valueOf(e.text("kind").toUpperCase(Locale.ROOT));
+        LinkFaults.Kind kind = LinkFaults.Kind.valueOf(event.text("kind").toUpperCase(Locale.ROOT));
         Map<String, Set<LinkFaults.Pair>> touched = new HashMap<>();
-        for (LinkFaults.Pair p : LinkFaults.pairs(e.text("links"))) {
+        for (LinkFaults.Pair p : LinkFaults.pairs(event.text("links"))) {
             touched.computeIfAbsent(p.from(), x -> new HashSet<>()).add(p);
             if (kind != LinkFaults.Kind.CUT) {
                 touched.computeIfAbsent(p.to(), x -> new HashSet<>()).add(p);
             }
         }
         touched.forEach((who, pairs) ->
-                exposure(who).on(who, number, new LinkFaults.Fault(kind, pairs, e.number("amount"), 0)));
+                exposure(who).on(who, number, new LinkFaults.Fault(kind, pairs, event.number("amount"), 0)));
     }
 
     /** What befalls this process adds to what came before, unless all was well again with it. */
     private FaultExposure exposure(String who) {
-        FaultExposure h = exposures.get(who);
-        if (h == null || h.over() && up.contains(who) && wrongOf.getOrDefault(names.get(who), 0) == 0) {
-            h = new FaultExposure();
-            exposures.put(who, h);
+        FaultExposure exposure = exposures.get(who);
+        if (exposure == null || exposure.over() && up.contains(who) && wrongOf.getOrDefault(names.get(who), 0) == 0) {
+            exposure = new FaultExposure();
+            exposures.put(who, exposure);
         }
-        return h;
+        return exposure;
     }
 
     private void down(String process) {
         if (up.remove(process)) {
-            running.get(names.get(process)).remove(lives.get(process));
+            running.get(names.get(process)).remove(generations.get(process));
             lookAtAll(process);
         }
     }
 
-    private void member(long number, Event e) {
-        switch (e.what()) {
+    private void member(long number, Event event) {
+        switch (event.what()) {
             case "life" -> {
-                down(e.who());
-                views.put(e.who(), new Seen());
-                names.put(e.who(), e.text("name"));
-                lives.put(e.who(), e.text("life"));
-                borneS.put(e.who(), e.number("bears_s"));
-                running.computeIfAbsent(e.text("name"), n -> new HashSet<>()).add(e.text("life"));
-                begun.computeIfAbsent(e.text("name"), n -> new HashSet<>()).add(e.text("life"));
-                up.add(e.who());
-                lookAtAll(e.who());
-                budgets.put(e.who(), new double[] {e.number("datagrams_per_s"), e.number("bytes_per_s")});
+                down(event.who());
+                views.put(event.who(), new Seen());
+                names.put(event.who(), event.text("name"));
+                generations.put(event.who(), event.text("life"));
+                borneS.put(event.who(), event.number("bears_s"));
+                running.computeIfAbsent(event.text("name"), n -> new HashSet<>())
+                        .add(event.text("life"));
+                begun.computeIfAbsent(event.text("name"), n -> new HashSet<>()).add(event.text("life"));
+                up.add(event.who());
+                lookAtAll(event.who());
+                budgets.put(event.who(), new double[] {event.number("datagrams_per_s"), event.number("bytes_per_s")});
             }
             case "told" -> {
                 if (gathered) {
-                    rosters.add(views.get(e.who()).roster);
+                    rosters.add(views.get(event.who()).roster);
                 }
             }
-            case "refuted" -> metrics.refuted++;
-            case "change" -> change(number, e);
+            case "refuted" -> metrics.refutations++;
+            case "change" -> change(number, event);
             default -> {}
         }
-        if (!agreed && e.what().equals("change") && !Double.isNaN(faultAt) && wrongs == 0 && divided() == null) {
+        if (!agreed && event.what().equals("change") && !Double.isNaN(faultAt) && wrongs == 0 && divided() == null) {
             agreed = true;
-            metrics.agreement.recordValue(Math.round((e.at() - faultAt) * 1e3));
+            metrics.agreementMs.recordValue(Math.round((event.at() - faultAt) * 1e3));
         }
     }
 
-    private void change(long number, Event e) {
-        Seen seen = views.computeIfAbsent(e.who(), w -> new Seen());
-        String name = e.text("name");
+    private void change(long number, Event event) {
+        Seen seen = views.computeIfAbsent(event.who(), w -> new Seen());
+        String name = event.text("name");
         metrics.changes++;
-        if (e.whole("no") != seen.number + 1) {
+        if (event.whole("no") != seen.number + 1) {
             found.add(new Finding(
-                    "members", number, e.who() + " told change " + e.whole("no") + " after " + seen.number));
+                    "members", number, event.who() + " told change " + event.whole("no") + " after " + seen.number));
         }
-        seen.number = e.whole("no");
+        seen.number = event.whole("no");
         Held before = seen.of.get(name);
-        boolean gone = e.text("to").equals("GONE");
-        if (before != null && !before.standing().equals(e.text("from"))
-                || before == null && !e.text("from").isEmpty()) {
+        boolean gone = event.text("to").equals("GONE");
+        if (before != null && !before.state().equals(event.text("from"))
+                || before == null && !event.text("from").isEmpty()) {
             found.add(new Finding(
                     "members",
                     number,
-                    e.who() + " told a change of " + name + " from " + e.text("from") + ", which it had told as "
-                            + (before == null ? "unknown" : before.standing())));
+                    event.who() + " told a change of " + name + " from " + event.text("from")
+                            + ", which it had told as " + (before == null ? "unknown" : before.state())));
         }
-        if (before != null && e.whole("incarnation") < before.incarnation()) {
+        if (before != null && event.whole("incarnation") < before.incarnation()) {
             found.add(new Finding(
                     "members",
                     number,
-                    e.who() + " saw the incarnation of " + name + " go back from " + before.incarnation() + " to "
-                            + e.whole("incarnation")));
+                    event.who() + " saw the incarnation of " + name + " go back from " + before.incarnation() + " to "
+                            + event.whole("incarnation")));
         }
-        seen.of.put(name, new Held(e.text("life"), e.whole("incarnation"), e.text("to")));
-        toldOf.computeIfAbsent(name, n -> new HashSet<>()).add(e.text("life"));
-        if (up.contains(e.who())) {
-            look(e.who(), name);
+        seen.of.put(name, new Held(event.text("life"), event.whole("incarnation"), event.text("to")));
+        toldOf.computeIfAbsent(name, n -> new HashSet<>()).add(event.text("life"));
+        if (up.contains(event.who())) {
+            look(event.who(), name);
         }
-        if (gone && !e.text("why").startsWith("another life")) {
-            if (running.getOrDefault(name, Set.of()).contains(e.text("life"))) {
+        if (gone && !event.text("why").startsWith("another life")) {
+            if (running.getOrDefault(name, Set.of()).contains(event.text("life"))) {
                 String process = up.stream()
-                        .filter(p -> e.text("life").equals(lives.get(p)))
+                        .filter(p -> event.text("life").equals(generations.get(p)))
                         .findFirst()
                         .orElseThrow();
                 String why = exposures
                         .getOrDefault(process, new FaultExposure())
-                        .why(e.at(), borneS.get(process), names.size() - 1);
-                metrics.falseGone(why);
+                        .why(event.at(), borneS.get(process), names.size() - 1);
+                metrics.falseVerdicts(why);
                 if (strict || why.equals(FaultExposure.BORNE)) {
-                    found.add(new Finding("members", number, e.who() + " called " + name + " gone, which was running"));
+                    found.add(new Finding(
+                            "members", number, event.who() + " called " + name + " gone, which was running"));
                 }
             } else if (endedAt.containsKey(name)
                     && running.getOrDefault(name, Set.of()).isEmpty()) {
-                metrics.noticed.recordValue(Math.round((e.at() - endedAt.get(name)) * 1e3));
+                metrics.detectionMs.recordValue(Math.round((event.at() - endedAt.get(name)) * 1e3));
             }
         }
         seen.roster ^= share(name, before) ^ share(name, seen.of.get(name));
     }
 
     /** A member's share of a roster's sum: rosters are told apart by the sums of those in them. */
-    private static long share(String name, Held h) {
-        return h == null || away(h.standing()) ? 0 : HASH.hashCharsToLong(name + '/' + h.life());
+    private static long share(String name, Held held) {
+        return held == null || away(held.state()) ? 0 : HASH.hashCharsToLong(name + '/' + held.generation());
     }
 
     private static boolean away(String standing) {
@@ -273,15 +275,19 @@
 
     /** What keeps the views from being one and true; null where nothing does. */
     private String disagreement() {
-        for (Map.Entry<String, Set<String>> w : wrong.entrySet()) {
-            if (!w.getValue().isEmpty()) {
-                String m = w.getValue().iterator().next();
-                Held h = views.get(w.getKey()).of.get(m);
-                Set<String> of = running.getOrDefault(m, Set.of());
-                return w.getKey() + " sees " + m + ' '
-                        + (h == null ? "not at all" : h.standing().toLowerCase(Locale.ROOT) + " in life " + h.life())
+        for (Map.Entry<String, Set<String>> mistaken : wrong.entrySet()) {
+            if (!mistaken.getValue().isEmpty()) {
+                String member = mistaken.getValue().iterator().next();
+                Held held = views.get(mistaken.getKey()).of.get(member);
+                Set<String> runningGenerations = running.getOrDefault(member, Set.of());
+                return mistaken.getKey() + " sees " + member + ' '
+                        + (held == null
+                                ? "not at all"
+                                : held.state().toLowerCase(Locale.ROOT) + " in life " + held.generation())
                         + ", and it is "
-                        + (of.isEmpty() ? "not running" : "running in life " + String.join(" and ", of));
+                        + (runningGenerations.isEmpty()
+                                ? "not running"
+                                : "running in life " + String.join(" and ", runningGenerations));
             }
         }
         return divided();
@@ -294,7 +300,7 @@
                 Set<String> held = new TreeSet<>();
                 up.forEach(v -> held.add(
                         views.get(v).of.containsKey(r.getKey())
-                                ? views.get(v).of.get(r.getKey()).life()
+                                ? views.get(v).of.get(r.getKey()).generation()
                                 : ""));
                 if (held.size() > 1) {
                     return r.getKey() + " is one process in some views and another in others: lives " + held;
@@ -305,23 +311,23 @@
     }
 
     private boolean isWrong(String viewer, String name) {
-        Held h = views.get(viewer).of.get(name);
-        Set<String> of = running.getOrDefault(name, Set.of());
-        return of.isEmpty()
-                ? h != null && !away(h.standing())
-                : h == null || !h.standing().equals("HERE") || !of.contains(h.life());
+        Held held = views.get(viewer).of.get(name);
+        Set<String> runningGenerations = running.getOrDefault(name, Set.of());
+        return runningGenerations.isEmpty()
+                ? held != null && !away(held.state())
+                : held == null || !held.state().equals("HERE") || !runningGenerations.contains(held.generation());
     }
 
-    private void look(String viewer, String m) {
-        Set<String> of = wrong.computeIfAbsent(viewer, v -> new HashSet<>());
-        if (isWrong(viewer, m) ? of.add(m) : of.remove(m)) {
-            count(m, of.contains(m) ? 1 : -1);
+    private void look(String viewer, String member) {
+        Set<String> mistaken = wrong.computeIfAbsent(viewer, v -> new HashSet<>());
+        if (isWrong(viewer, member) ? mistaken.add(member) : mistaken.remove(member)) {
+            count(member, mistaken.contains(member) ? 1 : -1);
         }
     }
 
-    private void count(String m, int more) {
+    private void count(String member, int more) {
         wrongs += more;
-        wrongOf.merge(m, more, Integer::sum);
+        wrongOf.merge(member, more, Integer::sum);
     }
 
     /** A process has come or gone: what all see of its name is looked at anew, and what it sees. */
@@ -344,23 +350,23 @@
                 up.stream()
                         .filter(v -> !members.contains(v))
                         .allMatch(v -> members.stream().allMatch(m -> {
-                            Held h = held(v, m);
-                            return h != null && away(h.standing());
+                            Held held = held(v, m);
+                            return held != null && away(held.state());
                         }));
             case "cut off" ->
                 members.stream()
                         .allMatch(m -> up.stream().filter(v -> !v.equals(m)).allMatch(v -> {
-                            Held h = held(v, m);
-                            return h != null && h.standing().equals("CUT_OFF");
+                            Held held = held(v, m);
+                            return held != null && held.state().equals("CUT_OFF");
                         }));
             case "replaced" ->
                 up.stream()
                         .filter(v -> !members.contains(v))
                         .allMatch(v -> members.stream().allMatch(m -> {
-                            Held h = held(v, m);
-                            return h != null
-                                    && h.standing().equals("HERE")
-                                    && !h.life().equals(lives.get(m));
+                            Held held = held(v, m);
+                            return held != null
+                                    && held.state().equals("HERE")
+                                    && !held.generation().equals(generations.get(m));
                         }));
             default -> null;
         };
--- a/src/main/java/pepperdock/faultinjection/MembershipMetrics.java
+++ b/src/main/java/pepperdock/faultinjection/MembershipMetrics.java
@@ -10,8 +10,8 @@
 /** What a run of membership is measured by, and several runs together. Times in milliseconds. */
 final class MembershipMetrics {
 
-    final Histogram noticed = new Histogram(3);
-    final Histogram agreement = new Histogram(3);
+    final Histogram detectionMs = new Histogram(3);
+    final Histogram agreementMs = new Histogram(3);
     final Histogram datagrams = new Histogram(3);
     final Histogram bytes = new Histogram(3);
     /** The same, since the fleet was first together. */
@@ -22,21 +22,21 @@
     double memberSeconds;
     long changes;
     long faults;
-    long falseGone;
+    long falseVerdicts;
     /** Of these, by what had befallen the member. */
-    final Map<String, Long> because = new TreeMap<>();
+    final Map<String, Long> falseVerdictsByCause = new TreeMap<>();
 
-    long refuted;
+    long refutations;
 
-    void falseGone(String why) {
-        falseGone++;
-        because.merge(why, 1L, Long::sum);
+    void falseVerdicts(String cause) {
+        falseVerdicts++;
+        falseVerdictsByCause.merge(cause, 1L, Long::sum);
     }
 
     void add(MembershipMetrics other) {
-        other.because.forEach((why, n) -> because.merge(why, n, Long::sum));
-        noticed.add(other.noticed);
-        agreement.add(other.agreement);
+        other.falseVerdictsByCause.forEach((cause, count) -> falseVerdictsByCause.merge(cause, count, Long::sum));
+        detectionMs.add(other.detectionMs);
+        agreementMs.add(other.agreementMs);
         datagrams.add(other.datagrams);
         bytes.add(other.bytes);
         bytesTogether.add(other.bytesTogether);
@@ -44,49 +44,49 @@
         memberSeconds += other.memberSeconds;
         changes += other.changes;
         faults += other.faults;
-        falseGone += other.falseGone;
-        refuted += other.refuted;
+        falseVerdicts += other.falseVerdicts;
+        refutations += other.refutations;
     }
 
     List<String> lines() {
         return List.of(
-                "true deaths noticed " + seconds(noticed),
+                "true deaths noticed " + seconds(detectionMs),
                 String.format(
                         Locale.ROOT,
                         "running members called gone %d times in %.3f member-hours, refuted %d times%s",
-                        falseGone,
+                        falseVerdicts,
                         memberSeconds / 3600,
-                        refuted,
-                        because.isEmpty()
+                        refutations,
+                        falseVerdictsByCause.isEmpty()
                                 ? ""
                                 : ": "
-                                        + because.entrySet().stream()
-                                                .map(b -> b.getKey() + ' ' + b.getValue())
+                                        + falseVerdictsByCause.entrySet().stream()
+                                                .map(cause -> cause.getKey() + ' ' + cause.getValue())
                                                 .collect(Collectors.joining(", "))),
                 String.format(Locale.ROOT, "changes told %d, faults and ends of faults %d", changes, faults),
-                "all agreed after the last fault " + seconds(agreement),
+                "all agreed after the last fault " + seconds(agreementMs),
                 "rosters seen in a run, once together: " + plain(rosters),
                 "datagrams a second of a member: " + plain(datagrams),
                 "bytes a second of a member: " + plain(bytes),
                 "bytes a second of a member, once together: " + plain(bytesTogether));
     }
 
-    private static String seconds(Histogram h) {
+    private static String seconds(Histogram histogram) {
         return String.format(
                 Locale.ROOT,
                 "%d times: median %.2f s, p99 %.2f s, worst %.2f s",
-                h.getTotalCount(),
-                h.getValueAtPercentile(50) / 1e3,
-                h.getValueAtPercentile(99) / 1e3,
-                h.getMaxValue() / 1e3);
+                histogram.getTotalCount(),
+                histogram.getValueAtPercentile(50) / 1e3,
+                histogram.getValueAtPercentile(99) / 1e3,
+                histogram.getMaxValue() / 1e3);
     }
 
-    private static String plain(Histogram h) {
+    private static String plain(Histogram histogram) {
         return String.format(
                 Locale.ROOT,
                 "median %d, p99 %d, most %d",
-                h.getValueAtPercentile(50),
-                h.getValueAtPercentile(99),
-                h.getMaxValue());
+                histogram.getValueAtPercentile(50),
+                histogram.getValueAtPercentile(99),
+                histogram.getMaxValue());
     }
 }
--- a/src/main/java/pepperdock/faultinjection/Seeds.java
+++ b/src/main/java/pepperdock/faultinjection/Seeds.java
@@ -13,7 +13,7 @@
 import pepperdock.config.ConfigException;
 import pepperdock.config.Keys;
 import pepperdock.config.MembersConfig;
-import pepperdock.membership.Settings;
+import pepperdock.membership.MembershipSettings;
 
 /** A script in simulated time over many seeds, side by side, each seed by itself the same as ever. */
 public final class Seeds {
@@ -25,22 +25,22 @@
         ONE_OBSERVER,
         PLAIN;
 
-        Settings of(Settings s) {
+        MembershipSettings of(MembershipSettings settings) {
             boolean one = this == ONE_OBSERVER || this == PLAIN;
-            return new Settings(
-                    s.probeS(),
-                    s.doubtS(),
-                    s.confirmS(),
-                    s.observers(),
-                    one ? 0.01 : s.high(),
-                    one ? 1 : s.low(),
-                    s.helpers(),
-                    s.slowS(),
-                    s.syncS(),
-                    s.forgetS(),
-                    s.datagramsPerS(),
-                    s.bytesPerS(),
-                    s.membersMost(),
+            return new MembershipSettings(
+                    settings.probeIntervalS(),
+                    settings.suspicionTimeoutS(),
+                    settings.confirmationS(),
+                    settings.observers(),
+                    one ? 0.01 : settings.highWatermark(),
+                    one ? 1 : settings.lowWatermark(),
+                    settings.indirectProbes(),
+                    settings.slowThresholdS(),
+                    settings.syncIntervalS(),
+                    settings.retentionS(),
+                    settings.datagramsPerS(),
+                    settings.bytesPerS(),
+                    settings.maxMembers(),
                     this == FULL || this == ONE_OBSERVER);
         }
     }
@@ -57,7 +57,8 @@
     public static Outcome run(Path file, long first, int count, int members, Arm arm, int threads)
             throws IOException, InterruptedException {
         Script script = ScriptReader.read(file, members);
-        Settings settings = arm.of(MembersConfig.timings(new Keys("config", script.config()).needed("members")));
+        MembershipSettings settings =
+                arm.of(MembersConfig.timings(new Keys("config", script.config()).needed("members")));
         ExecutorService pool = Executors.newFixedThreadPool(threads);
         try {
             List<Future<Run>> runs = new ArrayList<>();
--- a/src/main/java/pepperdock/faultinjection/Sim.java
+++ b/src/main/java/pepperdock/faultinjection/Sim.java
@@ -16,13 +16,13 @@
 import java.util.stream.Collectors;
 import pepperdock.events.Events;
 import pepperdock.faultinjection.LinkFaults.Pair;
-import pepperdock.membership.Card;
+import pepperdock.membership.MemberRecord;
 import pepperdock.membership.Membership;
+import pepperdock.membership.MembershipOutput;
+import pepperdock.membership.MembershipSettings;
 import pepperdock.membership.Message;
-import pepperdock.membership.Output;
-import pepperdock.membership.Settings;
-import pepperdock.membership.Status;
-import pepperdock.membership.transport.MemberEvents;
+import pepperdock.membership.RecordStatus;
+import pepperdock.membership.transport.MembershipEvents;
 
 /**
  * A script played in simulated time: the real machines of membership, the rig's own links between them, one queue of events.
@@ -89,25 +89,25 @@
         }
 
         private void carryOut() {
-            List<Output> all = machine.taken();
-            for (Output o : all) {
-                if (o instanceof Output.Send s) {
-                    datagram(this, s);
-                } else if (o instanceof Output.Exchange e) {
-                    Node to = byAddress(e.address());
+            List<MembershipOutput> outputs = machine.takeOutputs();
+            for (MembershipOutput output : outputs) {
+                if (output instanceof MembershipOutput.SendDatagram datagram) {
+                    datagram(this, datagram);
+                } else if (output instanceof MembershipOutput.OpenExchange exchange) {
+                    Node to = byAddress(exchange.address());
                     if (to != null) {
-                        stream(this, to, machine.digest());
+                        stream(this, to, machine.openExchange());
                     }
                 } else {
-                    MemberEvents.tell(events, o);
+                    MembershipEvents.publish(events, output);
                 }
             }
-            MemberEvents.told(events, all);
+            MembershipEvents.outputsPublished(events, outputs);
         }
     }
 
     private final Script script;
-    private final Settings settings;
+    private final MembershipSettings settings;
     private final Consumer<Event> listener;
     private final Random chance;
     private final LinkFaults links = new LinkFaults();
@@ -118,7 +118,7 @@
     private long count;
     private double now;
 
-    Sim(Script script, Settings settings, Consumer<Event> listener) {
+    Sim(Script script, MembershipSettings settings, Consumer<Event> listener) {
         this.script = script;
         this.settings = settings;
         this.listener = listener;
@@ -150,15 +150,15 @@
         tell(Event.RIG, Events.event(what, keysAndValues));
     }
 
-    private void datagram(Node from, Output.Send s) {
-        Node to = byAddress(s.address());
+    private void datagram(Node from, MembershipOutput.SendDatagram datagram) {
+        Node to = byAddress(datagram.address());
         if (to == null || to == from) {
             return;
         }
         for (double in : links.on(new Pair(from.name, to.name)).fate(chance)) {
             at(
                     now + LEAST_S + SPREAD_S * chance.nextDouble() + in,
-                    () -> to.on(() -> to.machine.received(s.message(), to.clock())));
+                    () -> to.on(() -> to.machine.onDatagram(datagram.message(), to.clock())));
         }
     }
 
@@ -172,7 +172,7 @@
         at(
                 now + LEAST_S + SPREAD_S * chance.nextDouble() + links.on(way).delay(),
                 () -> to.on(() -> {
-                    Message back = to.machine.exchanged(m, to.clock());
+                    Message back = to.machine.onStreamMessage(m, to.clock());
                     if (back != null) {
                         stream(to, from, back);
                     }
@@ -193,11 +193,11 @@
             n.life++;
             n.machine = null;
             int number = Relay.number(name);
-            Card card = new Card(
+            MemberRecord memberRecord = new MemberRecord(
                     script.named(name),
                     chance.nextLong(),
                     0,
-                    Status.HERE,
+                    RecordStatus.ALIVE,
                     n.address,
                     script.zones().get((number - 1) % script.zones().size()),
                     "m" + ((number - 1) % script.machines() + 1));
@@ -212,10 +212,10 @@
             long life = n.life;
             at(begins, () -> {
                 if (n.life == life && n.up) {
-                    n.machine = new Membership(settings, FLEET, card, seeds, chance.nextLong(), n.clock());
+                    n.machine = new Membership(settings, FLEET, memberRecord, seeds, chance.nextLong(), n.clock());
                     n.counted = new long[4];
                     n.countedAt = now;
-                    MemberEvents.begins(n.events, card, settings);
+                    MembershipEvents.processStarted(n.events, memberRecord, settings);
                     n.events.tell("ready");
                     n.on(() -> {});
                     ticks(n, life);
--- a/src/main/java/pepperdock/membership/AntiEntropy.java
+++ b/src/main/java/pepperdock/membership/AntiEntropy.java
@@ -7,13 +7,13 @@
 import java.util.List;
 import java.util.Random;
 import java.util.Set;
-import pepperdock.membership.Message.Digest;
-import pepperdock.membership.Message.Head;
-import pepperdock.membership.Message.Reply;
-import pepperdock.membership.Message.Rest;
-import pepperdock.membership.Message.Slices;
-import pepperdock.membership.Message.Summary;
-import pepperdock.membership.Message.Welcome;
+import pepperdock.membership.Message.DigestRequest;
+import pepperdock.membership.Message.DigestResponse;
+import pepperdock.membership.Message.Header;
+import pepperdock.membership.Message.JoinResponse;
+import pepperdock.membership.Message.MissingItems;
+import pepperdock.membership.Message.SliceDigests;
+import pepperdock.membership.Message.SliceSelection;
 
 /**
  * Writes the messages of an exchange from the table, none larger than the room that the budget leaves. What does not fit waits
@@ -23,77 +23,80 @@
 final class AntiEntropy {
 
     /** Names in one digest of some slices, as a rule: what an exchange can move anyway. */
-    private static final int NAMES_MOST = 24;
+    private static final int MAX_NAMES = 24;
 
     /** A table of so many names at most is compared by names at once. */
-    private static final int SMALL = 64;
+    private static final int SMALL_TABLE = 64;
 
     /** Members that one who is new is told of at once; from these it learns of the others. */
-    private static final int WELCOMED_WITH = 4;
+    private static final int JOIN_RESPONSE_MEMBERS = 4;
 
     /** Bytes below which answering is not worth a stream. */
-    static final int LEAST_ROOM = 400;
+    static final int MIN_RESPONSE_BYTES = 400;
 
-    private final Table table;
-    private final Random chance;
+    private final MembershipTable table;
+    private final Random random;
 
-    AntiEntropy(Table table, Random chance) {
+    AntiEntropy(MembershipTable table, Random random) {
         this.table = table;
-        this.chance = chance;
+        this.random = random;
     }
 
     /** For one that is new: what is held of its name, and some drawn of those here, within the room. */
-    Welcome welcome(Head head, String newcomer, boolean joined, int room) {
-        List<String> here = new ArrayList<>(table.rings().names());
-        here.remove(newcomer);
+    JoinResponse joinResponse(Header header, String newcomer, boolean joined, int maxBytes) {
+        List<String> alive = new ArrayList<>(table.rings().names());
+        alive.remove(newcomer);
         if (!joined) {
-            here.remove(head.name());
+            alive.remove(header.name());
         }
         Set<String> names = new LinkedHashSet<>(List.of(newcomer));
-        for (int i = 0; i < WELCOMED_WITH && !here.isEmpty(); i++) {
-            names.add(here.remove(chance.nextInt(here.size())));
+        for (int i = 0; i < JOIN_RESPONSE_MEMBERS && !alive.isEmpty(); i++) {
+            names.add(alive.remove(random.nextInt(alive.size())));
         }
-        return new Welcome(head, items(names, room - new Welcome(head, List.of()).size()));
+        return new JoinResponse(
+                header, itemsWithin(names, maxBytes - new JoinResponse(header, List.of()).maxEncodedBytes()));
     }
 
     /** What an exchange is opened with. */
-    Message opening(Head head) {
-        return table.size() <= SMALL
-                ? new Digest(head, Message.ALL_SLICES, table.sums(Message.ALL_SLICES))
-                : new Summary(head, table.slices());
+    Message opening(Header header) {
+        return table.size() <= SMALL_TABLE
+                ? new DigestRequest(header, Message.ALL_SLICES, table.digests(Message.ALL_SLICES))
+                : new SliceDigests(header, table.sliceDigests());
     }
 
     /** By name, of some of the slices asked for; what is in the others waits. */
-    Digest digest(Head head, Slices asked) {
-        int slices = chosen(asked.slices(), List.of(head.name(), asked.head().name()));
-        return new Digest(head, slices, table.sums(slices));
+    DigestRequest digestRequest(Header header, SliceSelection selection) {
+        int slices = chooseSlices(
+                selection.slices(), List.of(header.name(), selection.header().name()));
+        return new DigestRequest(header, slices, table.digests(slices));
     }
 
     /** Which of the slices that differ are to be compared by name; null where none differs. */
-    Slices differing(Head head, Summary s) {
-        List<Long> own = table.slices();
+    SliceSelection differingSlices(Header header, SliceDigests digests) {
+        List<Long> own = table.sliceDigests();
         int differing = 0;
-        for (int i = 0; i < Message.SLICE_COUNT; i++) {
-            differing |= own.get(i).equals(s.sums().get(i)) ? 0 : 1 << i;
+        for (int slice = 0; slice < Message.SLICE_COUNT; slice++) {
+            differing |= own.get(slice).equals(digests.digests().get(slice)) ? 0 : 1 << slice;
         }
-        int slices = chosen(differing, List.of(s.head().name(), head.name()));
-        return slices == 0 ? null : new Slices(head, slices);
+        int slices = chooseSlices(differing, List.of(digests.header().name(), header.name()));
+        return slices == 0 ? null : new SliceSelection(header, slices);
     }
 
     /** Of these slices so many as have names enough here: those of the names given first, then in an order drawn. */
-    private int chosen(int slices, List<String> first) {
+    private int chooseSlices(int slices, List<String> first) {
         List<Integer> order = new ArrayList<>();
-        for (int i = 0; i < Message.SLICE_COUNT; i++) {
-            order.add(i);
+        for (int slice = 0; slice < Message.SLICE_COUNT; slice++) {
+            order.add(slice);
         }
-        Collections.shuffle(order, chance);
-        first.forEach(name -> Collections.swap(order, order.indexOf(Table.slice(name)), first.indexOf(name)));
+        Collections.shuffle(order, random);
+        first.forEach(
+                name -> Collections.swap(order, order.indexOf(MembershipTable.sliceOf(name)), first.indexOf(name)));
         int chosen = 0;
         int names = 0;
-        for (int i : order) {
-            if ((slices >>> i & 1) == 1 && (chosen == 0 || names < NAMES_MOST)) {
-                chosen |= 1 << i;
-                names += table.names(i).size();
+        for (int slice : order) {
+            if ((slices >>> slice & 1) == 1 && (chosen == 0 || names < MAX_NAMES)) {
+                chosen |= 1 << slice;
+                names += table.namesInSlice(slice).size();
             }
         }
         return chosen;
@@ -103,51 +106,52 @@
      * What the sender of a digest lacks or holds otherwise, and whose it is asked for. What is held under its name, and under
      * one's own, goes first: neither may speak for itself before it knows.
      */
-    Reply reply(Head head, Digest d, boolean joined, int room) {
-        List<String> first = List.of(d.head().name(), head.name());
-        int left = room - new Reply(head, List.of(), List.of()).size();
-        List<String> wanted = new ArrayList<>();
-        for (String name : drawn(first, table.lacking(d.sums()))) {
-            int size = Message.text(name);
-            if (wanted.size() < SMALL && size <= left / 2) {
-                wanted.add(name);
-                left -= size;
+    DigestResponse digestResponse(Header header, DigestRequest request, boolean joined, int maxBytes) {
+        List<String> first = List.of(request.header().name(), header.name());
+        int bytesLeft = maxBytes - new DigestResponse(header, List.of(), List.of()).maxEncodedBytes();
+        List<String> requestedNames = new ArrayList<>();
+        for (String name : rotatedAtRandom(first, table.namesToRequest(request.digests()))) {
+            int size = Message.maxTextBytes(name);
+            if (requestedNames.size() < SMALL_TABLE && size <= bytesLeft / 2) {
+                requestedNames.add(name);
+                bytesLeft -= size;
             }
         }
-        Collection<String> names = table.against(d.sums(), d.slices());
+        Collection<String> names = table.namesToSend(request.digests(), request.slices());
         if (!joined) {
-            names.remove(head.name());
+            names.remove(header.name());
         }
-        return new Reply(head, items(drawn(first, names), left), wanted);
+        return new DigestResponse(header, itemsWithin(rotatedAtRandom(first, names), bytesLeft), requestedNames);
     }
 
     /** What was asked for, and this member's own. */
-    Rest rest(Head head, Reply r, int room) {
-        Set<String> names = new LinkedHashSet<>(List.of(head.name()));
-        names.addAll(r.wanted());
-        return new Rest(head, items(names, room - new Rest(head, List.of()).size()));
+    MissingItems missingItems(Header header, DigestResponse response, int maxBytes) {
+        Set<String> names = new LinkedHashSet<>(List.of(header.name()));
+        names.addAll(response.requestedNames());
+        return new MissingItems(
+                header, itemsWithin(names, maxBytes - new MissingItems(header, List.of()).maxEncodedBytes()));
     }
 
     /** The names in their order from one drawn on, but the first ones first. */
-    private Collection<String> drawn(List<String> first, Collection<String> names) {
+    private Collection<String> rotatedAtRandom(List<String> first, Collection<String> names) {
         Set<String> all = new LinkedHashSet<>(first);
         all.retainAll(names);
         List<String> rest = new ArrayList<>(names);
-        Collections.rotate(rest, rest.isEmpty() ? 0 : chance.nextInt(rest.size()));
+        Collections.rotate(rest, rest.isEmpty() ? 0 : random.nextInt(rest.size()));
         all.addAll(rest);
         return all;
     }
 
-    private List<Item> items(Collection<String> names, int room) {
-        List<Item> items = new ArrayList<>();
-        int left = room;
+    private List<GossipItem> itemsWithin(Collection<String> names, int maxBytes) {
+        List<GossipItem> items = new ArrayList<>();
+        int bytesLeft = maxBytes;
         for (String name : names) {
-            for (Item i : table.of(name)) {
-                if (i.size() > left) {
+            for (GossipItem item : table.itemsOf(name)) {
+                if (item.maxEncodedBytes() > bytesLeft) {
                     return items;
                 }
-                left -= i.size();
-                items.add(i);
+                bytesLeft -= item.maxEncodedBytes();
+                items.add(item);
             }
         }
         return items;
--- a/src/main/java/pepperdock/membership/Budget.java
+++ b/src/main/java/pepperdock/membership/BandwidthBudget.java
@@ -6,19 +6,19 @@
  * what lies above its floor, so what goes before it always finds the rest. Uses that could take all that gossip is to have
  * are held to a share of the rate beside.
  */
-final class Budget {
+final class BandwidthBudget {
 
     /** What is sent, each with its floor, a part of a full bucket, and its share of the rate at most. */
     enum Use {
         /** Answers to probes, and what came of a probe for another. */
-        ANSWER(0, 1),
+        ACK(0, 1),
         PROBE(0.1, 1),
         /** Asking others to probe, and probing for others. */
         INDIRECT(0.2, 0.2),
         /** Messages of exchanges, on streams. */
         EXCHANGE(0.15, 0.35),
         /** Answers to those who are new. */
-        WELCOME(0.3, 0.4),
+        JOIN_RESPONSE(0.3, 0.4),
         /** Gossip that rides on probes and answers. */
         GOSSIP(0.6, 1);
 
@@ -32,70 +32,70 @@
     }
 
     /** Seconds of the rate that a bucket holds. */
-    private static final double DEPTH_S = 0.5;
+    private static final double BUCKET_DEPTH_S = 0.5;
 
     /** Seconds of its share that a use can save up. */
     private static final double SHARE_DEPTH_S = 1;
 
     private final double datagramsPerS;
     private final double bytesPerS;
-    private double datagrams;
-    private double bytes;
-    private final double[] shares = new double[Use.values().length];
-    private double filledAt;
+    private double datagramTokens;
+    private double byteTokens;
+    private final double[] shareTokens = new double[Use.values().length];
+    private double refilledAt;
     private long sentDatagrams;
     private long sentBytes;
     private long withheld;
 
-    Budget(Settings settings, double now) {
+    BandwidthBudget(MembershipSettings settings, double now) {
         datagramsPerS = settings.datagramsPerS();
         bytesPerS = settings.bytesPerS();
-        filledAt = now;
-        datagrams = DEPTH_S * datagramsPerS;
-        bytes = DEPTH_S * bytesPerS;
+        refilledAt = now;
+        datagramTokens = BUCKET_DEPTH_S * datagramsPerS;
+        byteTokens = BUCKET_DEPTH_S * bytesPerS;
         for (Use use : Use.values()) {
-            shares[use.ordinal()] = SHARE_DEPTH_S * use.share * bytesPerS;
+            shareTokens[use.ordinal()] = SHARE_DEPTH_S * use.share * bytesPerS;
         }
     }
 
     /** Adds what the time since the last call gives. */
-    void fill(double now) {
-        double passed = Math.max(0, now - filledAt);
-        filledAt = now;
-        datagrams = Math.min(DEPTH_S * datagramsPerS, datagrams + passed * datagramsPerS);
-        bytes = Math.min(DEPTH_S * bytesPerS, bytes + passed * bytesPerS);
+    void refill(double now) {
+        double passed = Math.max(0, now - refilledAt);
+        refilledAt = now;
+        datagramTokens = Math.min(BUCKET_DEPTH_S * datagramsPerS, datagramTokens + passed * datagramsPerS);
+        byteTokens = Math.min(BUCKET_DEPTH_S * bytesPerS, byteTokens + passed * bytesPerS);
         for (Use use : Use.values()) {
             double rate = use.share * bytesPerS;
-            shares[use.ordinal()] = Math.min(SHARE_DEPTH_S * rate, shares[use.ordinal()] + passed * rate);
+            shareTokens[use.ordinal()] = Math.min(SHARE_DEPTH_S * rate, shareTokens[use.ordinal()] + passed * rate);
         }
     }
 
     /** Bytes that this use may take now. */
-    int room(Use use) {
-        double above = bytes - use.floor * DEPTH_S * bytesPerS;
-        return (int) Math.max(0, use.share < 1 ? Math.min(above, shares[use.ordinal()]) : above);
+    int availableBytes(Use use) {
+        double above = byteTokens - use.floor * BUCKET_DEPTH_S * bytesPerS;
+        return (int) Math.max(0, use.share < 1 ? Math.min(above, shareTokens[use.ordinal()]) : above);
     }
 
     /** Takes one datagram of so many bytes, headers included; false, and counted, where the budget has no room for it. */
-    boolean datagram(Use use, int size) {
-        if (datagrams < 1 + use.floor * DEPTH_S * datagramsPerS || room(use) < size) {
+    boolean tryAcquireDatagram(Use use, int size) {
+        if (datagramTokens < 1 + use.floor * BUCKET_DEPTH_S * datagramsPerS || availableBytes(use) < size) {
             withheld++;
             return false;
         }
-        datagrams--;
+        datagramTokens--;
         sentDatagrams++;
-        spend(use, size);
+        charge(use, size);
         return true;
     }
 
-    /** Takes bytes sent on a stream, which the caller has cut to {@link #room}. */
-    void stream(int size) {
-        spend(Use.EXCHANGE, size);
+    /** Takes bytes sent on a stream, which the caller has cut to {@link #availableBytes}. */
+    void chargeStream(int size) {
+        charge(Use.EXCHANGE, size);
     }
 
-    private void spend(Use use, int size) {
-        bytes -= size;
-        shares[use.ordinal()] -= size;
+    private void charge(Use use, int size) {
+        byteTokens -= size;
+        shareTokens[use.ordinal()] -= size;
         sentBytes += size;
     }
 
--- a/src/main/java/pepperdock/membership/Judge.java
+++ b/src/main/java/pepperdock/membership/CutDetector.java
@@ -15,12 +15,12 @@
  * majority of the fleet, those lately gone counted in. Two thresholds: {@code low} observers put a member in doubt, and what
  * it says of others then counts no more; {@code high} of those whose word counts agree on a verdict.
  */
-final class Judge {
+final class CutDetector {
 
     /** So many times {@code confirmS} a verdict waits for others that are half way. */
-    private static final double WAIT = 3;
+    private static final double UNSTABLE_WAIT_FACTOR = 3;
 
-    private static final int RELAPSES_MOST = 3;
+    private static final int MAX_DOUBLINGS = 3;
 
     /**
      * @param sure whether this member reaches a majority of the fleet
@@ -28,66 +28,66 @@
      * @param fleet those here, and those gone a short while ago
      * @param gone to be called gone, once enough of the others have been heard after this was so
      */
-    record Verdicts(boolean sure, int reached, int fleet, List<String> gone) {}
+    record Detection(boolean hasMajority, int reachable, int fleetSize, List<String> faulty) {}
 
-    private final Settings settings;
-    private final Table table;
+    private final MembershipSettings settings;
+    private final MembershipTable table;
     private final Map<String, Double> pending = new HashMap<>();
-    private long version = -1;
-    private boolean halfWay;
-    private int reached;
+    private long countedVersion = -1;
+    private boolean unstable;
+    private int reachable;
 
-    Judge(Settings settings, Table table) {
+    CutDetector(MembershipSettings settings, MembershipTable table) {
         this.settings = settings;
         this.table = table;
     }
 
     /** Of a member's observers, those that say that they do not reach it. */
-    private Set<String> unreachedBy(String subject, Set<String> observers) {
-        Set<String> all = new HashSet<>();
-        table.saidOf(subject).forEach((o, w) -> {
-            if (w == Word.UNREACHED
-                    && observers.contains(o)
-                    && !table.get(o).links().ill()) {
-                all.add(o);
+    private Set<String> accusersOf(String subject, Set<String> observers) {
+        Set<String> accusers = new HashSet<>();
+        table.observationsOf(subject).forEach((observer, observation) -> {
+            if (observation == Observation.UNREACHABLE
+                    && observers.contains(observer)
+                    && !table.get(observer).observations().unhealthy()) {
+                accusers.add(observer);
             }
         });
-        return all;
+        return accusers;
     }
 
-    Verdicts judge(String self, boolean ill, double now) {
-        if (table.version() != version) {
-            version = table.version();
-            count(self, now);
+    Detection detect(String self, boolean unhealthy, double now) {
+        if (table.version() != countedVersion) {
+            countedVersion = table.version();
+            recount(self, now);
         }
-        int lately = 0;
-        for (String g : table.gone()) {
-            lately += now - table.get(g).since() < settings.memoryS() ? 1 : 0;
+        int recentlyFaulty = 0;
+        for (String name : table.faulty()) {
+            recentlyFaulty += now - table.get(name).since() < settings.faultyMemoryS() ? 1 : 0;
         }
-        int fleet = table.rings().names().size() + lately;
-        boolean sure = !ill && 2 * reached > fleet;
-        if (!sure) {
+        int fleetSize = table.rings().names().size() + recentlyFaulty;
+        boolean hasMajority = !unhealthy && 2 * reachable > fleetSize;
+        if (!hasMajority) {
             // What was said while this member was cut off is old when it no longer is: the time counts from then.
             pending.replaceAll((name, since) -> now);
         }
-        return new Verdicts(sure, reached, fleet, sure ? due(now) : List.of());
+        return new Detection(hasMajority, reachable, fleetSize, hasMajority ? confirmed(now) : List.of());
     }
 
-    private void count(String self, double now) {
+    private void recount(String self, double now) {
         Map<String, Set<String>> against = new HashMap<>();
         Set<String> doubted = new HashSet<>();
-        for (String s : table.spokenOf()) {
-            if (table.get(s).here()) {
+        for (String s : table.observedSubjects()) {
+            if (table.get(s).isAlive()) {
                 Set<String> of = table.rings().observersOf(s);
-                Set<String> by = unreachedBy(s, of);
+                Set<String> by = accusersOf(s, of);
                 against.put(s, by);
-                if (by.size() >= Math.min(settings.low(), Math.max(1, of.size()))) {
+                if (by.size() >= Math.min(settings.lowWatermark(), Math.max(1, of.size()))) {
                     doubted.add(s);
                 }
             }
         }
         Set<String> agreed = new HashSet<>();
-        halfWay = false;
+        unstable = false;
         for (String s : doubted) {
             if (s.equals(self)) {
                 continue;
@@ -95,20 +95,20 @@
             int credible = 0;
             int saying = 0;
             for (String o : table.rings().observersOf(s)) {
-                if (!doubted.contains(o) && !table.get(o).links().ill()) {
+                if (!doubted.contains(o) && !table.get(o).observations().unhealthy()) {
                     credible++;
                     saying += against.get(s).contains(o) ? 1 : 0;
                 }
             }
-            if (saying > 0 && saying >= settings.high() * credible) {
+            if (saying > 0 && saying >= settings.highWatermark() * credible) {
                 agreed.add(s);
             } else {
-                halfWay = true;
+                unstable = true;
             }
         }
         pending.keySet().retainAll(agreed);
         agreed.forEach(s -> pending.putIfAbsent(s, now));
-        reached = doubted.isEmpty() ? table.rings().names().size() : reached(self);
+        reachable = doubted.isEmpty() ? table.rings().names().size() : countReachable(self);
     }
 
     /**
@@ -116,15 +116,16 @@
      * would take in those of the other side of a partition whose observers are all over there: their word, that all is well, is
      * the last that was heard of them.
      */
-    private int reached(String self) {
+    private int countReachable(String self) {
         Set<String> found = new HashSet<>(Set.of(self));
-        Deque<String> open = new ArrayDeque<>(found);
-        while (!open.isEmpty()) {
-            String o = open.poll();
-            for (String s : table.rings().subjectsOf(o)) {
-                if (!found.contains(s) && table.saidOf(s).get(o) != Word.UNREACHED) {
-                    found.add(s);
-                    open.add(s);
+        Deque<String> unvisited = new ArrayDeque<>(found);
+        while (!unvisited.isEmpty()) {
+            String observer = unvisited.poll();
+            for (String subject : table.rings().subjectsOf(observer)) {
+                if (!found.contains(subject)
+                        && table.observationsOf(subject).get(observer) != Observation.UNREACHABLE) {
+                    found.add(subject);
+                    unvisited.add(subject);
                 }
             }
         }
@@ -132,16 +133,16 @@
     }
 
     /** Those whose time is over, unless others are still on their way: these are waited for, but not for ever. */
-    private List<String> due(double now) {
-        List<String> gone = new ArrayList<>();
-        boolean wait = halfWay;
+    private List<String> confirmed(double now) {
+        List<String> faulty = new ArrayList<>();
+        boolean wait = unstable;
         boolean longEnough = false;
-        for (Map.Entry<String, Double> p : pending.entrySet()) {
-            double waited = now - p.getValue();
-            double needed = needed(p.getKey());
+        for (Map.Entry<String, Double> candidate : pending.entrySet()) {
+            double waited = now - candidate.getValue();
+            double needed = confirmationTime(candidate.getKey());
             if (waited >= needed) {
-                gone.add(p.getKey());
-                longEnough |= waited >= WAIT * needed;
+                faulty.add(candidate.getKey());
+                longEnough |= waited >= UNSTABLE_WAIT_FACTOR * needed;
             } else {
                 wait = true;
             }
@@ -149,13 +150,13 @@
         if (wait && !longEnough) {
             return List.of();
         }
-        gone.sort(null);
-        return gone;
+        faulty.sort(null);
+        return faulty;
     }
 
     /** Longer for one that came back from gone in this life: it was called so wrongly before. */
-    private double needed(String name) {
-        return settings.confirmS()
-                * (1 << Math.min(RELAPSES_MOST, table.get(name).relapses()));
+    private double confirmationTime(String name) {
+        return settings.confirmationS()
+                * (1 << Math.min(MAX_DOUBLINGS, table.get(name).refutations()));
     }
 }
--- a/src/main/java/pepperdock/membership/Membership.java
+++ b/src/main/java/pepperdock/membership/Membership.java
@@ -10,21 +10,21 @@
 import java.util.Set;
 import java.util.TreeMap;
 import pepperdock.membership.Message.Ack;
-import pepperdock.membership.Message.Ask;
-import pepperdock.membership.Message.Digest;
-import pepperdock.membership.Message.Head;
+import pepperdock.membership.Message.DigestRequest;
+import pepperdock.membership.Message.Header;
+import pepperdock.membership.Message.IndirectAck;
+import pepperdock.membership.Message.IndirectPing;
 import pepperdock.membership.Message.Join;
-import pepperdock.membership.Message.Other;
+import pepperdock.membership.Message.JoinResponse;
 import pepperdock.membership.Message.Ping;
-import pepperdock.membership.Message.Told;
-import pepperdock.membership.Message.Welcome;
+import pepperdock.membership.Message.WrongAddressee;
 
 /**
- * One member's half of the agreement about who is there. Messages and the time come in, {@link Output} goes out; no clock, no
+ * One member's half of the agreement about who is there. Messages and the time come in, {@link MembershipOutput} goes out; no clock, no
  * sockets, no threads, and chance only from the seed: the same inputs give the same outputs.
  *
- * <p>The caller hands every datagram to {@link #received}, what comes on streams to {@link #exchanged}, the time to
- * {@link #tick} every {@link Settings#tickS} or as soon after as it can, and carries out what {@link #taken} returns after
+ * <p>The caller hands every datagram to {@link #onDatagram}, what comes on streams to {@link #onStreamMessage}, the time to
+ * {@link #tick} every {@link MembershipSettings#tickS} or as soon after as it can, and carries out what {@link #takeOutputs} returns after
  * each of these. Times are seconds of any clock that never goes back. All calls come from one thread.
  *
  * <p>Promised: changes are told once each and in the order of their numbers; a member's incarnation never goes back; a member
@@ -52,20 +52,20 @@
 
     private record Errand(String asker, String subject, long life, long seq, double until) {}
 
-    private final Settings settings;
+    private final MembershipSettings settings;
     private final String fleet;
     private final List<String> seeds;
     private final Random chance;
-    private final Table table;
-    private final Judge judge;
-    private final Gossip gossip = new Gossip();
-    private final Map<String, Probe> probes = new TreeMap<>();
+    private final MembershipTable table;
+    private final CutDetector judge;
+    private final GossipQueue gossip = new GossipQueue();
+    private final Map<String, SubjectMonitor> probes = new TreeMap<>();
     private final Map<Long, Errand> errands = new HashMap<>();
-    private final MemberStates states;
-    private final List<Output> outputs = new ArrayList<>();
-    private Card self;
-    private Card rival;
-    private Probe rivalProbe;
+    private final MemberStateTracker states;
+    private final List<MembershipOutput> outputs = new ArrayList<>();
+    private MemberRecord self;
+    private MemberRecord rival;
+    private SubjectMonitor rivalProbe;
     private boolean leaving;
     /** Has heard from another what is held of this name: until then whoever has it was there first. */
     private boolean joined;
@@ -91,7 +91,7 @@
     private double nextFull;
     private double nextGone;
     private double nextForget;
-    private final Budget budget;
+    private final BandwidthBudget budget;
     private final AntiEntropy antiEntropy;
     /** Exchanges opened since one brought anything. */
     private int fruitless;
@@ -103,20 +103,21 @@
     private long foreign;
 
     /** {@code seeds} are addresses of members that may be there already; one's own among them is passed over. */
-    public Membership(Settings settings, String fleet, Card self, List<String> seeds, long seed, double now) {
+    public Membership(
+            MembershipSettings settings, String fleet, MemberRecord self, List<String> seeds, long seed, double now) {
         this.settings = settings;
         this.fleet = fleet;
         this.self = self;
         this.seeds = seeds.stream().filter(s -> !s.equals(self.address())).toList();
         chance = new Random(seed);
-        table = new Table(settings.membersMost(), settings.observers());
-        judge = new Judge(settings, table);
-        states = new MemberStates(table, change -> outputs.add(new Output.Changed(change)));
+        table = new MembershipTable(settings.maxMembers(), settings.observers());
+        judge = new CutDetector(settings, table);
+        states = new MemberStateTracker(table, change -> outputs.add(new MembershipOutput.MemberChanged(change)));
         lastTick = now;
-        budget = new Budget(settings, now);
+        budget = new BandwidthBudget(settings, now);
         antiEntropy = new AntiEntropy(table, chance);
         nextSeed = now;
-        nextFull = now + settings.syncS() * (0.5 + chance.nextDouble());
+        nextFull = now + settings.syncIntervalS() * (0.5 + chance.nextDouble());
         nextGone = now;
         nextForget = now;
         publish(self, now);
@@ -125,38 +126,38 @@
     // ---- What the caller sees ------------------------------------------------------------
 
     /** What is to be done and told since the last call. */
-    public List<Output> taken() {
-        List<Output> all = List.copyOf(outputs);
+    public List<MembershipOutput> takeOutputs() {
+        List<MembershipOutput> all = List.copyOf(outputs);
         outputs.clear();
         return all;
     }
 
-    public View view() {
-        List<View.Member> members = new ArrayList<>();
-        for (Table.Entry e : table.all()) {
-            Card c = e.card();
-            members.add(new View.Member(
+    public MembershipView view() {
+        List<MembershipView.Member> members = new ArrayList<>();
+        for (MembershipTable.Entry e : table.entries()) {
+            MemberRecord c = e.memberRecord();
+            members.add(new MembershipView.Member(
                     c.name(),
                     c.zone(),
                     c.machine(),
                     c.address(),
-                    c.life(),
+                    c.generation(),
                     c.incarnation(),
                     states.of(c.name()),
                     e.since(),
-                    Map.copyOf(table.saidOf(c.name()))));
+                    Map.copyOf(table.observationsOf(c.name()))));
         }
-        return new View(
+        return new MembershipView(
                 states.number(), self.name(), sure, reached, known, rival == null ? "" : rival.address(), members);
     }
 
-    public Card self() {
+    public MemberRecord self() {
         return self;
     }
 
     /** Equal for two members that hold the same of all who are here. */
-    public long state() {
-        return table.state();
+    public long stateDigest() {
+        return table.stateDigest();
     }
 
     /** Datagrams sent, their bytes with headers, datagrams withheld for the budget, messages of other fleets: all so far. */
@@ -168,33 +169,33 @@
     public void leave(double now) {
         leaving = true;
         if (rival == null) {
-            publish(self.with(Status.LEFT), now);
+            publish(self.withStatus(RecordStatus.LEFT), now);
             for (String s : table.rings().names()) {
                 if (!s.equals(self.name())) {
-                    ping(table.get(s).card(), 0);
+                    ping(table.get(s).memberRecord(), 0);
                 }
             }
-            states.tell();
+            states.publish();
         }
     }
 
     // ---- Time ------------------------------------------------------------
 
     public void tick(double now) {
-        budget.fill(now);
+        budget.refill(now);
         double elapsed = now - lastTick;
         double by = elapsed - settings.tickS();
         lastTick = now;
-        if (settings.selfDoubt()) {
+        if (settings.localHealthEnabled()) {
             lateness(by, now);
         }
         if (now >= nextForget) {
-            nextForget = now + settings.doubtS();
-            table.forget(now - settings.forgetS(), self.name());
+            nextForget = now + settings.suspicionTimeoutS();
+            table.removeExpired(now - settings.retentionS(), self.name());
             states.forgetUnknown();
             errands.values().removeIf(e -> e.until() < now);
         }
-        gossip.expire(now - GOSSIP_PROBES * settings.probeS());
+        gossip.expire(now - GOSSIP_PROBES * settings.probeIntervalS());
         seek(now);
         if (rival != null) {
             contest(elapsed, now);
@@ -203,7 +204,7 @@
             speak(now);
             verdicts(now);
         }
-        states.tell();
+        states.publish();
     }
 
     /**
@@ -214,10 +215,10 @@
         if (by > settings.tickS()) {
             late = Math.min(LATE_MOST, late + 1);
             onTime = 0;
-            probes.values().forEach(p -> p.paused(by));
-            if (by > settings.probeS()) {
-                graceUntil = now + settings.doubtS();
-                outputs.add(new Output.Noted("paused", "late by its own clock", by));
+            probes.values().forEach(p -> p.extendDeadlines(by));
+            if (by > settings.probeIntervalS()) {
+                graceUntil = now + settings.suspicionTimeoutS();
+                outputs.add(new MembershipOutput.Notice("paused", "late by its own clock", by));
             }
         } else if (late > 0 && ++onTime >= LATE_MOST) {
             late--;
@@ -233,34 +234,35 @@
     private void seek(double now) {
         boolean alone = table.rings().names().size() < 2 || rival != null;
         if (!seeds.isEmpty() && now >= nextSeed) {
-            nextSeed = now + settings.probeS() * (alone ? 2 << backOff() : 20) * (0.75 + chance.nextDouble() / 2);
+            nextSeed =
+                    now + settings.probeIntervalS() * (alone ? 2 << backOff() : 20) * (0.75 + chance.nextDouble() / 2);
             List<String> open = new ArrayList<>(seeds);
             if (!alone) {
-                table.all().stream()
-                        .filter(Table.Entry::here)
-                        .forEach(e -> open.remove(e.card().address()));
+                table.entries().stream()
+                        .filter(MembershipTable.Entry::isAlive)
+                        .forEach(e -> open.remove(e.memberRecord().address()));
             }
             if (!open.isEmpty()) {
                 ask(open.get(chance.nextInt(open.size())), now);
             }
         }
         if (now >= nextFull) {
-            nextFull = now + settings.syncS() * (0.75 + chance.nextDouble() / 2);
+            nextFull = now + settings.syncIntervalS() * (0.75 + chance.nextDouble() / 2);
             List<String> others = new ArrayList<>(table.rings().names());
             others.remove(self.name());
             if (!others.isEmpty()) {
                 exchange(
                         table.get(others.get(chance.nextInt(others.size())))
-                                .card()
+                                .memberRecord()
                                 .address(),
                         now);
             }
         }
         if (now >= nextGone) {
-            nextGone = now + settings.probeS() * 4;
-            List<String> gone = List.copyOf(table.gone());
+            nextGone = now + settings.probeIntervalS() * 4;
+            List<String> gone = List.copyOf(table.faulty());
             if (!gone.isEmpty() && rival == null) {
-                ping(table.get(gone.get(chance.nextInt(gone.size()))).card(), 0);
+                ping(table.get(gone.get(chance.nextInt(gone.size()))).memberRecord(), 0);
             }
         }
     }
@@ -271,27 +273,29 @@
      */
     private void ask(String seed, double now) {
         if (!joined && rival == null && fruitless > 0) {
-            send(seed, new Join(head()), Budget.Use.PROBE);
+            send(seed, new Join(head()), BandwidthBudget.Use.PROBE);
         } else {
             exchange(seed, now);
         }
     }
 
     private void welcome(String newcomer, String address) {
-        int room = Math.min(Settings.DATAGRAM_BYTES, budget.room(Budget.Use.WELCOME) - UDP_AND_IP);
-        if (room >= AntiEntropy.LEAST_ROOM) {
-            send(address, antiEntropy.welcome(head(), newcomer, joined, room), Budget.Use.WELCOME);
+        int room = Math.min(
+                MembershipSettings.DATAGRAM_BYTES,
+                budget.availableBytes(BandwidthBudget.Use.JOIN_RESPONSE) - UDP_AND_IP);
+        if (room >= AntiEntropy.MIN_RESPONSE_BYTES) {
+            send(address, antiEntropy.joinResponse(head(), newcomer, joined, room), BandwidthBudget.Use.JOIN_RESPONSE);
         }
     }
 
     /** Opens an exchange, unless the budget has no room for one; the next later and later while none brings anything. */
     private void exchange(String address, double now) {
-        nextExchange = now + 2 * settings.probeS() * (1 << backOff()) * (0.75 + chance.nextDouble() / 2);
-        if (budget.room(Budget.Use.EXCHANGE)
-                >= STREAM_BYTES + antiEntropy.opening(head()).size()) {
+        nextExchange = now + 2 * settings.probeIntervalS() * (1 << backOff()) * (0.75 + chance.nextDouble() / 2);
+        if (budget.availableBytes(BandwidthBudget.Use.EXCHANGE)
+                >= STREAM_BYTES + antiEntropy.opening(head()).maxEncodedBytes()) {
             fruitless++;
             mismatchSince = Double.NaN;
-            outputs.add(new Output.Exchange(address));
+            outputs.add(new MembershipOutput.OpenExchange(address));
         }
     }
 
@@ -307,82 +311,85 @@
             Set<String> subjects = table.rings().subjectsOf(self.name());
             probes.entrySet()
                     .removeIf(p -> !subjects.contains(p.getKey())
-                            || p.getValue().life()
-                                    != table.get(p.getKey()).card().life());
+                            || p.getValue().generation()
+                                    != table.get(p.getKey()).memberRecord().generation());
             for (String s : subjects) {
                 probes.computeIfAbsent(
                         s,
-                        x -> new Probe(
+                        x -> new SubjectMonitor(
                                 settings,
-                                table.get(s).card().life(),
+                                table.get(s).memberRecord().generation(),
                                 now,
-                                now + settings.probeS() * chance.nextDouble()));
+                                now + settings.probeIntervalS() * chance.nextDouble()));
             }
         }
-        probes.forEach((subject, p) -> probe(p, table.get(subject).card(), elapsed, now));
+        probes.forEach((subject, p) -> probe(p, table.get(subject).memberRecord(), elapsed, now));
     }
 
     /**
      * Pings a subject when it is time to, and has others ping it when it did not answer in time. A ping that the budget
      * withholds was not sent: that nothing came back says nothing of the subject.
      */
-    private void probe(Probe p, Card subject, double elapsed, double now) {
-        if (p.due(now)) {
-            boolean same = p.held() == table.state();
-            if (ping(subject, p.lastSeq() + 1, same)) {
-                p.sent(now);
+    private void probe(SubjectMonitor p, MemberRecord subject, double elapsed, double now) {
+        if (p.isPingDue(now)) {
+            boolean same = p.stateDigest() == table.stateDigest();
+            if (ping(subject, p.lastSequence() + 1, same)) {
+                p.onPingSent(now);
             } else {
-                p.paused(elapsed);
+                p.extendDeadlines(elapsed);
             }
-        } else if (p.wantsHelp(now)) {
+        } else if (p.startIndirectProbe(now)) {
             List<String> others = new ArrayList<>(table.rings().names());
             others.remove(self.name());
             others.remove(subject.name());
-            for (int i = 0; i < settings.helpers() && !others.isEmpty(); i++) {
+            for (int i = 0; i < settings.indirectProbes() && !others.isEmpty(); i++) {
                 String helper = others.remove(chance.nextInt(others.size()));
                 send(
-                        table.get(helper).card().address(),
-                        new Ask(head(), subject.name(), subject.life(), subject.address(), p.lastSeq()),
-                        Budget.Use.INDIRECT);
+                        table.get(helper).memberRecord().address(),
+                        new IndirectPing(
+                                head(), subject.name(), subject.generation(), subject.address(), p.lastSequence()),
+                        BandwidthBudget.Use.INDIRECT);
             }
         }
     }
 
     /** What this member says as an observer, told to all when it changes. */
     private void speak(double now) {
-        Map<String, Links.Said> said = Map.of();
+        Map<String, Observations.SubjectObservation> said = Map.of();
         int unreached = 0;
-        for (Map.Entry<String, Probe> p : probes.entrySet()) {
-            Word w = p.getValue().word(now, stretch());
+        for (Map.Entry<String, SubjectMonitor> p : probes.entrySet()) {
+            Observation w = p.getValue().observation(now, stretch());
             if (w != null) {
                 said = said.isEmpty() ? new HashMap<>() : said;
-                said.put(p.getKey(), new Links.Said(p.getValue().life(), w));
-                unreached += w == Word.UNREACHED ? 1 : 0;
+                said.put(
+                        p.getKey(),
+                        new Observations.SubjectObservation(p.getValue().generation(), w));
+                unreached += w == Observation.UNREACHABLE ? 1 : 0;
             }
         }
-        boolean ill = settings.selfDoubt() && (now < graceUntil || 2 * unreached > probes.size());
-        Links before = table.get(self.name()).links();
-        if (!said.equals(before.said()) || ill != before.ill()) {
-            merged(new Links(self.name(), self.life(), before.revision() + 1, ill, said), now);
+        boolean ill = settings.localHealthEnabled() && (now < graceUntil || 2 * unreached > probes.size());
+        Observations before = table.get(self.name()).observations();
+        if (!said.equals(before.bySubject()) || ill != before.unhealthy()) {
+            merged(new Observations(self.name(), self.generation(), before.revision() + 1, ill, said), now);
         }
     }
 
     private void verdicts(double now) {
-        Judge.Verdicts v =
-                judge.judge(self.name(), table.get(self.name()).links().ill(), now);
-        if (v.sure() != sure) {
-            outputs.add(new Output.Sure(v.sure(), v.reached(), v.fleet()));
-        }
-        sure = v.sure();
-        reached = v.reached();
-        known = v.fleet();
-        if (!v.gone().equals(due)) {
-            due = v.gone();
+        CutDetector.Detection v =
+                judge.detect(self.name(), table.get(self.name()).observations().unhealthy(), now);
+        if (v.hasMajority() != sure) {
+            outputs.add(new MembershipOutput.MajorityChanged(v.hasMajority(), v.reachable(), v.fleetSize()));
+        }
+        sure = v.hasMajority();
+        reached = v.reachable();
+        known = v.fleetSize();
+        if (!v.faulty().equals(due)) {
+            due = v.faulty();
             dueSince = now;
         }
         if (!due.isEmpty() && othersHeard()) {
             for (String name : due) {
-                merged(table.get(name).card().with(Status.GONE), now);
+                merged(table.get(name).memberRecord().withStatus(RecordStatus.FAULTY), now);
             }
             due = List.of();
         }
@@ -395,7 +402,7 @@
     private boolean othersHeard() {
         int others = 0;
         int heard = 0;
-        for (Map.Entry<String, Probe> p : probes.entrySet()) {
+        for (Map.Entry<String, SubjectMonitor> p : probes.entrySet()) {
             if (!due.contains(p.getKey())) {
                 others++;
                 heard += p.getValue().heardAfter(dueSince) ? 1 : 0;
@@ -408,16 +415,16 @@
 
     /** Another process has this member's name, and goes before it: found out whether it lives, and the name claimed if not. */
     private void contest(double elapsed, double now) {
-        Card held = table.get(self.name()).card();
-        if (held.life() != self.life()) {
+        MemberRecord held = table.get(self.name()).memberRecord();
+        if (held.generation() != self.generation()) {
             rival = held;
         }
-        if (rivalProbe == null || rivalProbe.life() != rival.life()) {
-            rivalProbe = new Probe(settings, rival.life(), now, now);
+        if (rivalProbe == null || rivalProbe.generation() != rival.generation()) {
+            rivalProbe = new SubjectMonitor(settings, rival.generation(), now, now);
         }
-        if (rival.status() != Status.HERE
+        if (rival.status() != RecordStatus.ALIVE
                 || rival.address().equals(self.address())
-                || rivalProbe.word(now, stretch()) == Word.UNREACHED) {
+                || rivalProbe.observation(now, stretch()) == Observation.UNREACHABLE) {
             claim(rival.incarnation() + 1, now);
         } else {
             probe(rivalProbe, rival, elapsed, now);
@@ -426,40 +433,44 @@
 
     private void claim(long incarnation, double now) {
         if (rival != null) {
-            outputs.add(new Output.Noted("claimed", "the other process of this name does not answer", incarnation));
+            outputs.add(new MembershipOutput.Notice(
+                    "claimed", "the other process of this name does not answer", incarnation));
         }
         rival = null;
         rivalProbe = null;
-        publish(self.at(incarnation), now);
+        publish(self.aliveIn(incarnation), now);
     }
 
-    private void publish(Card card, double now) {
+    private void publish(MemberRecord card, double now) {
         self = card;
         merged(card, now);
     }
 
     /** A card with this member's own name. */
-    private void own(Card c, double now) {
-        if (c.life() == self.life()) {
-            if (c.status() == Status.GONE && c.incarnation() >= self.incarnation() && !leaving && rival == null) {
-                outputs.add(new Output.Noted("refuted", "called gone", c.incarnation() + 1));
+    private void own(MemberRecord c, double now) {
+        if (c.generation() == self.generation()) {
+            if (c.status() == RecordStatus.FAULTY
+                    && c.incarnation() >= self.incarnation()
+                    && !leaving
+                    && rival == null) {
+                outputs.add(new MembershipOutput.Notice("refuted", "called gone", c.incarnation() + 1));
                 claim(c.incarnation() + 1, now);
             }
         } else if (rival != null) {
             merged(c, now);
-        } else if ((c.beats(self) || !joined) && !leaving) {
-            if (c.status() != Status.HERE || c.address().equals(self.address())) {
+        } else if ((c.supersedes(self) || !joined) && !leaving) {
+            if (c.status() != RecordStatus.ALIVE || c.address().equals(self.address())) {
                 // An earlier life of this very member.
                 claim(c.incarnation() + 1, now);
             } else {
                 rival = c;
                 probes.clear();
                 observedAt = -1;
-                outputs.add(new Output.Noted("taken", c.address(), c.incarnation()));
+                outputs.add(new MembershipOutput.Notice("taken", c.address(), c.incarnation()));
                 if (joined) {
                     merged(c, now);
                 } else {
-                    table.yield(c, now);
+                    table.replaceUnpublished(c, now);
                     states.recordChanged(c.name());
                     // In place of this one's own, which nobody has heard yet.
                     gossip.add(c, now);
@@ -470,84 +481,88 @@
 
     // ---- Messages ------------------------------------------------------------
 
-    private Head head() {
-        return new Head(fleet, self.name(), self.life(), self.incarnation(), self.address(), table.state());
+    private Header head() {
+        return new Header(
+                fleet, self.name(), self.generation(), self.incarnation(), self.address(), table.stateDigest());
     }
 
     /** A datagram. Whatever it says, late, twice or out of order, does no harm. */
-    public void received(Message m, double now) {
-        if (!accepted(m.head())) {
+    public void onDatagram(Message m, double now) {
+        if (!accepted(m.header())) {
             return;
         }
-        budget.fill(now);
-        Probe from = probes.get(m.head().name());
-        if (from != null && from.life() == m.head().life()) {
-            from.heard(now);
-            from.holds(m.head().state());
+        budget.refill(now);
+        SubjectMonitor from = probes.get(m.header().name());
+        if (from != null && from.generation() == m.header().generation()) {
+            from.onMessage(now);
+            from.onStateDigest(m.header().stateDigest());
         }
         if (m instanceof Join j) {
-            welcome(j.head().name(), j.head().address());
+            welcome(j.header().name(), j.header().address());
             return;
         }
-        if (m instanceof Welcome w) {
+        if (m instanceof JoinResponse w) {
             taken(w.items(), now);
-            states.tell();
+            states.publish();
             return;
         }
         if (m instanceof Ping p) {
-            if (p.to().equals(self.name()) && p.life() == self.life()) {
+            if (p.target().equals(self.name()) && p.generation() == self.generation()) {
                 answer(p);
             } else {
-                send(m.head().address(), new Other(head(), p.to(), p.life()), Budget.Use.ANSWER);
+                send(
+                        m.header().address(),
+                        new WrongAddressee(head(), p.target(), p.generation()),
+                        BandwidthBudget.Use.ACK);
             }
             items(p.gossip(), now);
         } else if (m instanceof Ack a) {
             acked(a, now);
             items(a.gossip(), now);
-        } else if (m instanceof Ask a) {
+        } else if (m instanceof IndirectPing a) {
             help(a, now);
-        } else if (m instanceof Told t) {
-            Probe p = t.subject().equals(self.name()) ? rivalProbe : probes.get(t.subject());
-            if (p != null && p.life() == t.life()) {
-                p.toldOf(now);
+        } else if (m instanceof IndirectAck t) {
+            SubjectMonitor p = t.subject().equals(self.name()) ? rivalProbe : probes.get(t.subject());
+            if (p != null && p.generation() == t.generation()) {
+                p.onIndirectAck(now);
             }
-        } else if (m instanceof Other o) {
-            Probe p = o.wanted().equals(self.name()) ? rivalProbe : probes.get(o.wanted());
-            if (p != null && p.life() == o.life()) {
-                p.notThere();
+        } else if (m instanceof WrongAddressee o) {
+            SubjectMonitor p = o.target().equals(self.name()) ? rivalProbe : probes.get(o.target());
+            if (p != null && p.generation() == o.generation()) {
+                p.onWrongAddressee();
             }
         }
-        compare(m.head(), now);
-        states.tell();
+        compare(m.header(), now);
+        states.publish();
     }
 
-    private boolean accepted(Head h) {
+    private boolean accepted(Header h) {
         if (!h.fleet().equals(fleet)) {
             foreign++;
             return false;
         }
-        return h.life() != self.life();
+        return h.generation() != self.generation();
     }
 
     private void acked(Ack a, double now) {
-        if (a.seq() >= ERRANDS) {
-            Errand e = errands.remove(a.seq());
+        if (a.sequence() >= ERRANDS) {
+            Errand e = errands.remove(a.sequence());
             if (e != null
-                    && e.subject().equals(a.head().name())
-                    && e.life() == a.head().life()) {
-                send(e.asker(), new Told(head(), e.subject(), e.life(), e.seq()), Budget.Use.ANSWER);
+                    && e.subject().equals(a.header().name())
+                    && e.life() == a.header().generation()) {
+                send(e.asker(), new IndirectAck(head(), e.subject(), e.life(), e.seq()), BandwidthBudget.Use.ACK);
             }
             return;
         }
-        Probe p = a.head().name().equals(self.name())
+        SubjectMonitor p = a.header().name().equals(self.name())
                 ? rivalProbe
-                : probes.get(a.head().name());
-        if (p != null && p.life() == a.head().life()) {
-            p.acked(a.seq(), now);
+                : probes.get(a.header().name());
+        if (p != null && p.generation() == a.header().generation()) {
+            p.onAck(a.sequence(), now);
         }
     }
 
-    private void help(Ask a, double now) {
+    private void help(IndirectPing a, double now) {
         if (errands.size() >= ERRANDS_MOST) {
             for (Iterator<Errand> i = errands.values().iterator(); i.hasNext(); ) {
                 if (i.next().until() < now) {
@@ -557,36 +572,45 @@
         }
         if (errands.size() < ERRANDS_MOST) {
             errands.put(
-                    ++errand, new Errand(a.head().address(), a.subject(), a.life(), a.seq(), now + settings.doubtS()));
-            send(a.address(), new Ping(head(), a.subject(), a.life(), errand, List.of()), Budget.Use.INDIRECT);
+                    ++errand,
+                    new Errand(
+                            a.header().address(),
+                            a.subject(),
+                            a.generation(),
+                            a.sequence(),
+                            now + settings.suspicionTimeoutS()));
+            send(
+                    a.address(),
+                    new Ping(head(), a.subject(), a.generation(), errand, List.of()),
+                    BandwidthBudget.Use.INDIRECT);
         }
     }
 
     /** Where a sender holds other than this member, for longer than gossip takes, all is exchanged with it. */
-    private void compare(Head h, double now) {
-        Table.Entry e = table.get(h.name());
+    private void compare(Header h, double now) {
+        MembershipTable.Entry e = table.get(h.name());
         boolean stranger = e == null
-                || !e.here()
-                || e.card().life() != h.life()
-                || e.card().incarnation() < h.incarnation();
-        if (h.state() == table.state() && !stranger) {
+                || !e.isAlive()
+                || e.memberRecord().generation() != h.generation()
+                || e.memberRecord().incarnation() < h.incarnation();
+        if (h.stateDigest() == table.stateDigest() && !stranger) {
             mismatchSince = Double.NaN;
             return;
         }
         if (Double.isNaN(mismatchSince)) {
             mismatchSince = now;
         }
-        double quiet = 2 * settings.probeS();
+        double quiet = 2 * settings.probeIntervalS();
         boolean settled = now - lastChange > quiet && now - mismatchSince > quiet || now - mismatchSince > 5 * quiet;
         if ((stranger || settled || behind) && now >= nextExchange) {
             exchange(h.address(), now);
         }
     }
 
-    private void items(Collection<Item> items, double now) {
-        for (Item i : items) {
+    private void items(Collection<GossipItem> items, double now) {
+        for (GossipItem i : items) {
             if (i.name().equals(self.name())) {
-                if (i instanceof Card c) {
+                if (i instanceof MemberRecord c) {
                     own(c, now);
                 } else if (rival != null) {
                     merged(i, now);
@@ -598,15 +622,16 @@
     }
 
     /** Takes an item in, and passes on what is new. */
-    private void merged(Item i, double now) {
-        Table.Entry entry = table.get(i.name());
-        Links before = entry == null ? null : entry.links();
-        if ((i instanceof Card c ? table.merge(c, now) : table.merge((Links) i)) == Table.Merged.NOTHING) {
+    private void merged(GossipItem i, double now) {
+        MembershipTable.Entry entry = table.get(i.name());
+        Observations before = entry == null ? null : entry.observations();
+        if ((i instanceof MemberRecord c ? table.merge(c, now) : table.merge((Observations) i))
+                == MembershipTable.MergeResult.UNCHANGED) {
             return;
         }
-        if (i instanceof Links l) {
-            states.observationsChanged(before.said().keySet());
-            states.observationsChanged(l.said().keySet());
+        if (i instanceof Observations l) {
+            states.observationsChanged(before.bySubject().keySet());
+            states.observationsChanged(l.bySubject().keySet());
         } else {
             states.recordChanged(i.name());
         }
@@ -617,9 +642,9 @@
     // ---- Full exchange ------------------------------------------------------------
 
     /** The first message of an exchange that this member opens. */
-    public Message digest() {
+    public Message openExchange() {
         Message first = antiEntropy.opening(head());
-        budget.stream(STREAM_BYTES + first.size());
+        budget.chargeStream(STREAM_BYTES + first.maxEncodedBytes());
         return first;
     }
 
@@ -627,48 +652,49 @@
      * What came on a stream; returns what goes back on it, null where the stream is to be closed: after the last message, or
      * where the budget has no room for an answer. The other side tries again, there or elsewhere.
      */
-    public Message exchanged(Message m, double now) {
-        if (!accepted(m.head())) {
+    public Message onStreamMessage(Message m, double now) {
+        if (!accepted(m.header())) {
             return null;
         }
-        budget.fill(now);
+        budget.refill(now);
         Message back = answered(m, now);
         if (back != null) {
-            boolean first = back instanceof Message.Slices || back instanceof Message.Reply;
-            budget.stream(back.size() + (first ? STREAM_BYTES : 0));
+            boolean first = back instanceof Message.SliceSelection || back instanceof Message.DigestResponse;
+            budget.chargeStream(back.maxEncodedBytes() + (first ? STREAM_BYTES : 0));
         }
-        states.tell();
+        states.publish();
         return back;
     }
 
     private Message answered(Message m, double now) {
-        int room = budget.room(Budget.Use.EXCHANGE) - STREAM_BYTES;
-        if (m instanceof Message.Rest r) {
+        int room = budget.availableBytes(BandwidthBudget.Use.EXCHANGE) - STREAM_BYTES;
+        if (m instanceof Message.MissingItems r) {
             taken(r.items(), now);
             return null;
         }
-        if (m instanceof Message.Reply r) {
+        if (m instanceof Message.DigestResponse r) {
             taken(r.items(), now);
-            return antiEntropy.rest(head(), r, Math.max(room, AntiEntropy.LEAST_ROOM));
+            return antiEntropy.missingItems(head(), r, Math.max(room, AntiEntropy.MIN_RESPONSE_BYTES));
         }
-        if (room < AntiEntropy.LEAST_ROOM) {
+        if (room < AntiEntropy.MIN_RESPONSE_BYTES) {
             return null;
         }
-        if (m instanceof Message.Summary s) {
-            return antiEntropy.differing(head(), s);
+        if (m instanceof Message.SliceDigests s) {
+            return antiEntropy.differingSlices(head(), s);
         }
-        if (m instanceof Message.Slices s) {
-            return antiEntropy.digest(head(), s);
+        if (m instanceof Message.SliceSelection s) {
+            return antiEntropy.digestRequest(head(), s);
         }
-        if (m instanceof Digest d) {
+        if (m instanceof DigestRequest d) {
             // Of those who have just begun many may come at once: half of the room is left to the next.
-            boolean newcomer = d.sums().size() <= 1;
-            return antiEntropy.reply(head(), d, joined, newcomer ? Math.max(room / 2, AntiEntropy.LEAST_ROOM) : room);
+            boolean newcomer = d.digests().size() <= 1;
+            return antiEntropy.digestResponse(
+                    head(), d, joined, newcomer ? Math.max(room / 2, AntiEntropy.MIN_RESPONSE_BYTES) : room);
         }
         return null;
     }
 
-    private void taken(List<Item> items, double now) {
+    private void taken(List<GossipItem> items, double now) {
         long before = table.version();
         items(items, now);
         joined = true;
@@ -680,33 +706,37 @@
 
     // ---- Sending, within the budget ------------------------------------------------------------
 
-    private void ping(Card to, long seq) {
+    private void ping(MemberRecord to, long seq) {
         ping(to, seq, false);
     }
 
     /** {@code same}: the one pinged holds the same of all who are here, so that gossip would tell it nothing. */
-    private boolean ping(Card to, long seq, boolean same) {
-        Ping bare = new Ping(head(), to.name(), to.life(), seq, List.of());
-        List<Item> gossip = same ? List.of() : rides(bare);
-        return send(to.address(), new Ping(bare.head(), to.name(), to.life(), seq, gossip), Budget.Use.PROBE);
+    private boolean ping(MemberRecord to, long seq, boolean same) {
+        Ping bare = new Ping(head(), to.name(), to.generation(), seq, List.of());
+        List<GossipItem> gossip = same ? List.of() : rides(bare);
+        return send(
+                to.address(),
+                new Ping(bare.header(), to.name(), to.generation(), seq, gossip),
+                BandwidthBudget.Use.PROBE);
     }
 
     private void answer(Ping p) {
-        Ack bare = new Ack(head(), p.seq(), List.of());
-        List<Item> gossip = p.head().state() == table.state() ? List.of() : rides(bare);
-        send(p.head().address(), new Ack(bare.head(), p.seq(), gossip), Budget.Use.ANSWER);
+        Ack bare = new Ack(head(), p.sequence(), List.of());
+        List<GossipItem> gossip = p.header().stateDigest() == table.stateDigest() ? List.of() : rides(bare);
+        send(p.header().address(), new Ack(bare.header(), p.sequence(), gossip), BandwidthBudget.Use.ACK);
     }
 
     /** Gossip for one datagram, of what the budget leaves beside those that probe and answer. */
-    private List<Item> rides(Message bare) {
-        int room = Math.min(Settings.DATAGRAM_BYTES, budget.room(Budget.Use.GOSSIP) - UDP_AND_IP);
-        return gossip.take(room - bare.size(), table.rings().names().size());
+    private List<GossipItem> rides(Message bare) {
+        int room = Math.min(
+                MembershipSettings.DATAGRAM_BYTES, budget.availableBytes(BandwidthBudget.Use.GOSSIP) - UDP_AND_IP);
+        return gossip.take(room - bare.maxEncodedBytes(), table.rings().names().size());
     }
 
-    private boolean send(String address, Message m, Budget.Use use) {
-        boolean sent = budget.datagram(use, m.size() + UDP_AND_IP);
+    private boolean send(String address, Message m, BandwidthBudget.Use use) {
+        boolean sent = budget.tryAcquireDatagram(use, m.maxEncodedBytes() + UDP_AND_IP);
         if (sent) {
-            outputs.add(new Output.Send(address, m));
+            outputs.add(new MembershipOutput.SendDatagram(address, m));
         }
         return sent;
     }
--- a/src/main/java/pepperdock/membership/Settings.java
+++ b/src/main/java/pepperdock/membership/MembershipSettings.java
@@ -14,55 +14,56 @@
  * @param syncS between two full exchanges with a member drawn
  * @param forgetS after which a member that is gone or left is forgotten
  * @param datagramsPerS sent by this member, at most, half as many again in a single second
- * @param bytesPerS sent, on streams too, at most, half as much again in a single second; what goes first: {@link Budget}
+ * @param bytesPerS sent, on streams too, at most, half as much again in a single second; what goes first: {@link BandwidthBudget}
  * @param membersMost kept in the table; more are refused
  * @param selfDoubt whether a member that is late or reaches few doubts itself before others; off only to measure its worth
  */
-public record Settings(
-        double probeS,
-        double doubtS,
-        double confirmS,
+public record MembershipSettings(
+        double probeIntervalS,
+        double suspicionTimeoutS,
+        double confirmationS,
         int observers,
-        double high,
-        int low,
-        int helpers,
-        double slowS,
-        double syncS,
-        double forgetS,
+        double highWatermark,
+        int lowWatermark,
+        int indirectProbes,
+        double slowThresholdS,
+        double syncIntervalS,
+        double retentionS,
         int datagramsPerS,
         int bytesPerS,
-        int membersMost,
-        boolean selfDoubt) {
+        int maxMembers,
+        boolean localHealthEnabled) {
 
     /** Bytes of one datagram, headers of UDP and IP aside: fits any path that carries IPv6's least, with room. */
     public static final int DATAGRAM_BYTES = 1200;
 
-    public static Settings defaults() {
+    public static MembershipSettings defaults() {
         return of(0.5, 3, 3);
     }
 
     /** The defaults, with other timings. */
-    public static Settings of(double probeS, double doubtS, double confirmS) {
-        return new Settings(probeS, doubtS, confirmS, 8, 0.75, 2, 3, probeS, 30, 3600, 100, 9_000, 2000, true);
+    public static MembershipSettings of(double probeS, double doubtS, double confirmS) {
+        return new MembershipSettings(
+                probeS, doubtS, confirmS, 8, 0.75, 2, 3, probeS, 30, 3600, 100, 9_000, 2000, true);
     }
 
     /** How often the machine wants to be told the time. */
     public double tickS() {
-        return probeS / 4;
+        return probeIntervalS / 4;
     }
 
     /** After which a probe counts as unanswered and helpers are asked. */
-    public double ackS() {
-        return probeS * 0.6;
+    public double pingTimeoutS() {
+        return probeIntervalS * 0.6;
     }
 
     /** A pause of a member that others bear without calling it gone. */
-    public double pauseS() {
-        return doubtS + confirmS - 2 * probeS;
+    public double toleratedPauseS() {
+        return suspicionTimeoutS + confirmationS - 2 * probeIntervalS;
     }
 
     /** For so long those gone still count as the fleet that a majority has to be reached of. */
-    public double memoryS() {
-        return 10 * (doubtS + confirmS);
+    public double faultyMemoryS() {
+        return 10 * (suspicionTimeoutS + confirmationS);
     }
 }
--- a/src/main/java/pepperdock/membership/View.java
+++ b/src/main/java/pepperdock/membership/MembershipView.java
@@ -10,7 +10,14 @@
  * @param reached of {@code fleet}, which counts those gone a short while ago
  * @param taken the address of another process of this member's name, which it gives way to; empty where there is none
  */
-public record View(long number, String self, boolean sure, int reached, int fleet, String taken, List<Member> members) {
+public record MembershipView(
+        long number,
+        String self,
+        boolean hasMajority,
+        int reachable,
+        int fleetSize,
+        String nameConflictAddress,
+        List<Member> members) {
 
     /** {@code since} by the clock of whoever asks; {@code said} is what observers say, by their names. */
     public record Member(
@@ -18,13 +25,19 @@
             String zone,
             String machine,
             String address,
-            long life,
+            long generation,
             long incarnation,
-            Standing standing,
+            MemberState state,
             double since,
-            Map<String, Word> said) {}
+            Map<String, Observation> observations) {}
 
     /** One change; {@code from} is null for a member that was not known. */
     public record Change(
-            long number, String name, long life, long incarnation, Standing from, Standing to, String why) {}
+            long number,
+            String name,
+            long generation,
+            long incarnation,
+            MemberState from,
+            MemberState to,
+            String reason) {}
 }
--- a/src/main/java/pepperdock/membership/Message.java
+++ b/src/main/java/pepperdock/membership/Message.java
@@ -4,9 +4,9 @@
 import java.util.Map;
 
 /**
- * What members say to each other. Datagrams: {@link Ping}, {@link Ack}, {@link Other}, {@link Ask}, {@link Told},
- * {@link Join}, {@link Welcome}. On streams: {@link Summary} and {@link Slices} where the table is large, {@link Digest},
- * {@link Reply}, {@link Rest}, one after the other, and the end. Any of them may come late, twice, out of order, or never.
+ * What members say to each other. Datagrams: {@link Ping}, {@link Ack}, {@link WrongAddressee}, {@link IndirectPing}, {@link IndirectAck},
+ * {@link Join}, {@link JoinResponse}. On streams: {@link SliceDigests} and {@link SliceSelection} where the table is large, {@link DigestRequest},
+ * {@link DigestResponse}, {@link MissingItems}, one after the other, and the end. Any of them may come late, twice, out of order, or never.
  */
 public sealed interface Message {
 
@@ -15,18 +15,18 @@
      *
      * @param state a sum over what the sender holds of those here; equal sums, equal views
      */
-    record Head(String fleet, String name, long life, long incarnation, String address, long state) {
+    record Header(String fleet, String name, long generation, long incarnation, String address, long stateDigest) {
 
         /** Bytes on the wire with version and kind, at most. */
-        int size() {
-            return 3 + 3 * NUMBER + text(fleet) + text(name) + text(address);
+        int maxEncodedBytes() {
+            return 3 + 3 * MAX_NUMBER_BYTES + maxTextBytes(fleet) + maxTextBytes(name) + maxTextBytes(address);
         }
     }
 
     /** Bytes of a number, and of the start of a list or of its end, at most. */
-    int NUMBER = 9;
+    int MAX_NUMBER_BYTES = 9;
 
-    int BRACKET = 1;
+    int BRACKET_BYTES = 1;
 
     /** Parts of the names, by a hash of them, that are compared each as a whole. */
     int SLICE_COUNT = 32;
@@ -35,84 +35,87 @@
     int ALL_SLICES = -1;
 
     /** Bytes of a text of at most 255 letters, at most. */
-    static int text(String s) {
-        return 2 + s.length();
+    static int maxTextBytes(String text) {
+        return 2 + text.length();
     }
 
-    private static int items(List<Item> items) {
-        return 2 * BRACKET + items.stream().mapToInt(Item::size).sum();
+    private static int maxItemsBytes(List<GossipItem> items) {
+        return 2 * BRACKET_BYTES
+                + items.stream().mapToInt(GossipItem::maxEncodedBytes).sum();
     }
 
-    Head head();
+    Header header();
 
     /** Bytes on the wire, at most, headers below it aside. */
-    default int size() {
-        int size = head().size() + BRACKET;
+    default int maxEncodedBytes() {
+        int size = header().maxEncodedBytes() + BRACKET_BYTES;
         if (this instanceof Ping p) {
-            size += text(p.to()) + 2 * NUMBER + items(p.gossip());
+            size += maxTextBytes(p.target()) + 2 * MAX_NUMBER_BYTES + maxItemsBytes(p.gossip());
         } else if (this instanceof Ack a) {
-            size += NUMBER + items(a.gossip());
-        } else if (this instanceof Other o) {
-            size += text(o.wanted()) + NUMBER;
-        } else if (this instanceof Ask a) {
-            size += text(a.subject()) + text(a.address()) + 2 * NUMBER;
-        } else if (this instanceof Told t) {
-            size += text(t.subject()) + 2 * NUMBER;
-        } else if (this instanceof Welcome w) {
-            size += items(w.items());
-        } else if (this instanceof Summary s) {
-            size += 2 * BRACKET + NUMBER * s.sums().size();
-        } else if (this instanceof Slices) {
-            size += NUMBER;
-        } else if (this instanceof Digest d) {
-            size += NUMBER + 2 * BRACKET;
-            for (String name : d.sums().keySet()) {
-                size += text(name) + NUMBER;
+            size += MAX_NUMBER_BYTES + maxItemsBytes(a.gossip());
+        } else if (this instanceof WrongAddressee o) {
+            size += maxTextBytes(o.target()) + MAX_NUMBER_BYTES;
+        } else if (this instanceof IndirectPing a) {
+            size += maxTextBytes(a.subject()) + maxTextBytes(a.address()) + 2 * MAX_NUMBER_BYTES;
+        } else if (this instanceof IndirectAck t) {
+            size += maxTextBytes(t.subject()) + 2 * MAX_NUMBER_BYTES;
+        } else if (this instanceof JoinResponse w) {
+            size += maxItemsBytes(w.items());
+        } else if (this instanceof SliceDigests s) {
+            size += 2 * BRACKET_BYTES + MAX_NUMBER_BYTES * s.digests().size();
+        } else if (this instanceof SliceSelection) {
+            size += MAX_NUMBER_BYTES;
+        } else if (this instanceof DigestRequest d) {
+            size += MAX_NUMBER_BYTES + 2 * BRACKET_BYTES;
+            for (String name : d.digests().keySet()) {
+                size += maxTextBytes(name) + MAX_NUMBER_BYTES;
             }
-        } else if (this instanceof Reply r) {
-            size += items(r.items()) + 2 * BRACKET;
-            for (String name : r.wanted()) {
-                size += text(name);
+        } else if (this instanceof DigestResponse r) {
+            size += maxItemsBytes(r.items()) + 2 * BRACKET_BYTES;
+            for (String name : r.requestedNames()) {
+                size += maxTextBytes(name);
             }
-        } else if (this instanceof Rest r) {
-            size += items(r.items());
+        } else if (this instanceof MissingItems r) {
+            size += maxItemsBytes(r.items());
         }
         return size;
     }
 
     /** Are you there, you of this name and life? Sequence numbers are the sender's own, by subject. */
-    record Ping(Head head, String to, long life, long seq, List<Item> gossip) implements Message {}
+    record Ping(Header header, String target, long generation, long sequence, List<GossipItem> gossip)
+            implements Message {}
 
     /** The answer to a ping. */
-    record Ack(Head head, long seq, List<Item> gossip) implements Message {}
+    record Ack(Header header, long sequence, List<GossipItem> gossip) implements Message {}
 
     /** Answers a ping that wanted another life, or another name, at this address: the one asked for is not here. */
-    record Other(Head head, String wanted, long life) implements Message {}
+    record WrongAddressee(Header header, String target, long generation) implements Message {}
 
     /** Ping this subject for me. */
-    record Ask(Head head, String subject, long life, String address, long seq) implements Message {}
+    record IndirectPing(Header header, String subject, long generation, String address, long sequence)
+            implements Message {}
 
     /** The subject that I was asked to ping has answered. */
-    record Told(Head head, String subject, long life, long seq) implements Message {}
+    record IndirectAck(Header header, String subject, long generation, long sequence) implements Message {}
 
     /** I am new: what is held of my name, and who is there? */
-    record Join(Head head) implements Message {}
+    record Join(Header header) implements Message {}
 
     /** Answers that: what the sender holds of the name, and a few of those here. */
-    record Welcome(Head head, List<Item> items) implements Message {}
+    record JoinResponse(Header header, List<GossipItem> items) implements Message {}
 
     /** All that the sender holds, as one sum for each slice of the names. */
-    record Summary(Head head, List<Long> sums) implements Message {}
+    record SliceDigests(Header header, List<Long> digests) implements Message {}
 
     /** Of a summary's slices, those to be compared by name, as bits. */
-    record Slices(Head head, int slices) implements Message {}
+    record SliceSelection(Header header, int slices) implements Message {}
 
     /** All that the sender holds in these slices, by name, as sums. */
-    record Digest(Head head, int slices, Map<String, Long> sums) implements Message {}
+    record DigestRequest(Header header, int slices, Map<String, Long> digests) implements Message {}
 
     /** What the other lacks or holds otherwise, and the names of which the sender wants the same. */
-    record Reply(Head head, List<Item> items, List<String> wanted) implements Message {}
+    record DigestResponse(Header header, List<GossipItem> items, List<String> requestedNames) implements Message {}
 
     /** The items that a reply asked for. */
-    record Rest(Head head, List<Item> items) implements Message {}
+    record MissingItems(Header header, List<GossipItem> items) implements Message {}
 }
--- a/src/main/java/pepperdock/membership/Rings.java
+++ b/src/main/java/pepperdock/membership/ObserverRings.java
@@ -17,7 +17,7 @@
  * members everyone observes all. The same set of names gives the same observers wherever it is held; one that joins or goes
  * changes its neighbours only. The graph is an expander, as in Rapid: any part of the fleet has observers outside of it.
  */
-final class Rings {
+final class ObserverRings {
 
     private static final Hasher64 HASH = Hashing.xxh3_64();
 
@@ -28,35 +28,35 @@
 
     private final Map<String, Set<String>> subjects = new HashMap<>();
 
-    Rings(int count) {
-        for (int i = 0; i < count; i++) {
+    ObserverRings(int count) {
+        for (int ring = 0; ring < count; ring++) {
             rings.add(new TreeMap<>());
         }
     }
 
-    private static long place(int ring, String name) {
+    private static long position(int ring, String name) {
         return HASH.hashCharsToLong(ring + "/" + name);
     }
 
     void add(String name) {
         if (names.add(name)) {
-            changed();
-            for (int i = 0; i < rings.size(); i++) {
-                rings.get(i).put(place(i, name), name);
+            clearCache();
+            for (int ring = 0; ring < rings.size(); ring++) {
+                rings.get(ring).put(position(ring, name), name);
             }
         }
     }
 
     void remove(String name) {
         if (names.remove(name)) {
-            changed();
-            for (int i = 0; i < rings.size(); i++) {
-                rings.get(i).remove(place(i, name));
+            clearCache();
+            for (int ring = 0; ring < rings.size(); ring++) {
+                rings.get(ring).remove(position(ring, name));
             }
         }
     }
 
-    private void changed() {
+    private void clearCache() {
         observers.clear();
         subjects.clear();
     }
@@ -67,23 +67,25 @@
 
     /** In a fixed order; without the member itself. */
     Set<String> observersOf(String name) {
-        return observers.computeIfAbsent(name, n -> neighbours(n, false));
+        return observers.computeIfAbsent(name, member -> neighbours(member, false));
     }
 
     Set<String> subjectsOf(String name) {
-        return subjects.computeIfAbsent(name, n -> neighbours(n, true));
+        return subjects.computeIfAbsent(name, member -> neighbours(member, true));
     }
 
-    private Set<String> neighbours(String name, boolean next) {
+    private Set<String> neighbours(String name, boolean successors) {
         Set<String> found = new LinkedHashSet<>();
         if (names.size() <= rings.size() + 1) {
             found.addAll(names);
         } else {
-            for (int i = 0; i < rings.size(); i++) {
-                TreeMap<Long, String> ring = rings.get(i);
-                long here = place(i, name);
-                Map.Entry<Long, String> e = next ? ring.higherEntry(here) : ring.lowerEntry(here);
-                found.add((e != null ? e : next ? ring.firstEntry() : ring.lastEntry()).getValue());
+            for (int ring = 0; ring < rings.size(); ring++) {
+                TreeMap<Long, String> positions = rings.get(ring);
+                long ownPosition = position(ring, name);
+                Map.Entry<Long, String> neighbour =
+                        successors ? positions.higherEntry(ownPosition) : positions.lowerEntry(ownPosition);
+                found.add((neighbour != null ? neighbour : successors ? positions.firstEntry() : positions.lastEntry())
+                        .getValue());
             }
         }
         found.remove(name);
--- a/src/main/java/pepperdock/service/Startup.java
+++ b/src/main/java/pepperdock/service/Startup.java
@@ -7,7 +7,7 @@
 import pepperdock.config.Keys;
 import pepperdock.config.StoreConfig;
 import pepperdock.events.Events;
-import pepperdock.membership.transport.Members;
+import pepperdock.membership.transport.MembershipService;
 import pepperdock.store.Store;
 import pepperdock.transport.Loop;
 
@@ -27,7 +27,7 @@
     private static final String ENDPOINTS_KEY = "nodes";
 
     /** What is open before there are settings; {@code members} is null where the file has none. */
-    public record Base(Map<String, String> env, Loop loop, Store store, Events events, Members members) {}
+    public record Base(Map<String, String> env, Loop loop, Store store, Events events, MembershipService members) {}
 
     private final Keys file;
     private final Base base;
@@ -56,7 +56,7 @@
                         : MAX_BUFFER_BYTES);
         Store store = new Store(members, loop);
         Events events = Events.of(Config.events(file));
-        Members fleet = file.has("members") ? Members.open(file, loop, events) : null;
+        MembershipService fleet = file.has("members") ? MembershipService.open(file, loop, events) : null;
         new Startup(file, new Base(env, loop, store, events, fleet)).begin();
     }
 
--- a/src/test/java/pepperdock/config/ConfigTest.java
+++ b/src/test/java/pepperdock/config/ConfigTest.java
@@ -188,7 +188,7 @@
     @Test
     void eachFaultyKeyOfMembersIsNamed() {
         String sound = "'fleet':'f','address':'127.0.0.1:7400'";
-        assertEquals(6 * 0.5, members(sound).settings().doubtS());
+        assertEquals(6 * 0.5, members(sound).settings().suspicionTimeoutS());
         for (String[] bad : new String[][] {
             {"members.fleet", "'fleet':'a fleet','address':'127.0.0.1:7400'"},
             {"members.address", "'fleet':'f'"},
--- a/src/test/java/pepperdock/faultinjection/SimTest.java
+++ b/src/test/java/pepperdock/faultinjection/SimTest.java
@@ -11,12 +11,12 @@
 import org.junit.jupiter.params.provider.CsvSource;
 import pepperdock.config.Config;
 import pepperdock.config.Keys;
-import pepperdock.membership.Settings;
+import pepperdock.membership.MembershipSettings;
 
 /** Membership in simulated time, at its default timings: the hard cases over seeds, each fault found once among them. */
 class SimTest {
 
-    private static final Settings SETTINGS = Settings.of(0.5, 3, 3);
+    private static final MembershipSettings SETTINGS = MembershipSettings.of(0.5, 3, 3);
 
     private static Script script(int members, boolean strict, String acts) {
         String checker = strict ? "members-strict" : "members";
@@ -32,7 +32,7 @@
     }
 
     /** What was found over so many seeds, and the figures of all. */
-    private static List<String> found(Script script, Settings settings, int seeds, MembershipMetrics all) {
+    private static List<String> found(Script script, MembershipSettings settings, int seeds, MembershipMetrics all) {
         List<String> found = new ArrayList<>();
         for (int seed = 1; seed <= seeds; seed++) {
             Checkers judge = new Checkers(script.checkers());
@@ -92,8 +92,8 @@
     void aFleetOfSixtyLosesAThirdWithinItsBudgetAndInOneChange() {
         MembershipMetrics metrics = new MembershipMetrics();
         assertEquals(List.of(), found(script(60, false, "{'fault':'kill','members':20}"), SETTINGS, 2, metrics));
-        assertEquals(2 * 20 * 40, metrics.noticed.getTotalCount());
-        assertEquals(0, metrics.falseGone);
+        assertEquals(2 * 20 * 40, metrics.detectionMs.getTotalCount());
+        assertEquals(0, metrics.falseVerdicts);
     }
 
     /**
@@ -102,11 +102,12 @@
      */
     @Test
     void aFleetOfSixtyJoinsAtOnceWithinASmallBudget() {
-        Settings small = new Settings(0.5, 3, 3, 8, 0.75, 2, 3, 0.5, 30, 3600, 50, 15_000, 2000, true);
+        MembershipSettings small =
+                new MembershipSettings(0.5, 3, 3, 8, 0.75, 2, 3, 0.5, 30, 3600, 50, 15_000, 2000, true);
         MembershipMetrics figures = new MembershipMetrics();
         assertEquals(List.of(), found(script(60, true, "{'fault':'kill','members':1}"), small, 2, figures));
-        assertEquals(2 * 59, figures.noticed.getTotalCount());
-        assertTrue(figures.noticed.getMaxValue() < 7_500, figures.lines()::toString);
+        assertEquals(2 * 59, figures.detectionMs.getTotalCount());
+        assertTrue(figures.detectionMs.getMaxValue() < 7_500, figures.lines()::toString);
     }
 
     /** Joining, ten deaths and whatever is exchanged for it: in no second more than half as much again as the budget. */
@@ -114,7 +115,7 @@
     void aFleetOfHundredAndFiftyKeepsItsBudgetInEverySecond() {
         MembershipMetrics figures = new MembershipMetrics();
         assertEquals(List.of(), found(script(150, true, "{'fault':'kill','members':10}"), SETTINGS, 1, figures));
-        assertEquals(10 * 140, figures.noticed.getTotalCount());
+        assertEquals(10 * 140, figures.detectionMs.getTotalCount());
         assertTrue(figures.bytes.getMaxValue() <= 1.5 * SETTINGS.bytesPerS(), figures.lines()::toString);
     }
 
@@ -131,7 +132,7 @@
     private static long falseGone(Seeds.Arm arm, String acts) {
         MembershipMetrics metrics = new MembershipMetrics();
         found(script(10, false, acts), arm.of(SETTINGS), 5, metrics);
-        return metrics.falseGone;
+        return metrics.falseVerdicts;
     }
 
     @Test
--- /dev/null
+++ b/src/test/java/pepperdock/membership/BandwidthBudgetTest.java
@@ -0,0 +1,70 @@
+package pepperdock.membership;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertFalse;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+
+import java.util.ArrayList;
+import java.util.List;
+import org.junit.jupiter.api.Test;
+
+/** What goes before what when a member may send little. */
+class BandwidthBudgetTest {
+
+    private static final MembershipSettings SETTINGS =
+            new MembershipSettings(0.5, 3, 3, 8, 0.75, 2, 3, 0.5, 30, 3600, 100, 10_000, 2000, true);
+
+    private static int drained(BandwidthBudget budget, BandwidthBudget.Use use) {
+        int sent = 0;
+        while (budget.tryAcquireDatagram(use, 100)) {
+            sent++;
+        }
+        return sent;
+    }
+
+    @Test
+    void whatGoesBeforeFindsRoomWhateverWasTakenAfterIt() {
+        BandwidthBudget budget = new BandwidthBudget(SETTINGS, 0);
+        for (BandwidthBudget.Use use : List.of(
+                BandwidthBudget.Use.GOSSIP,
+                BandwidthBudget.Use.JOIN_RESPONSE,
+                BandwidthBudget.Use.INDIRECT,
+                BandwidthBudget.Use.PROBE,
+                BandwidthBudget.Use.ACK)) {
+            assertTrue(drained(budget, use) > 0, use + " finds none");
+            assertEquals(0, budget.availableBytes(use) / 100, use + " leaves some");
+        }
+        assertFalse(budget.tryAcquireDatagram(BandwidthBudget.Use.ACK, 100));
+    }
+
+    @Test
+    void whatIsHeldToAShareLeavesTheRest() {
+        BandwidthBudget budget = new BandwidthBudget(SETTINGS, 0);
+        int room = budget.availableBytes(BandwidthBudget.Use.EXCHANGE);
+        assertEquals(3500, room);
+        budget.chargeStream(room);
+        assertEquals(0, budget.availableBytes(BandwidthBudget.Use.EXCHANGE));
+        assertTrue(budget.availableBytes(BandwidthBudget.Use.PROBE) >= 1000);
+        budget.refill(0.1);
+        assertEquals(350, budget.availableBytes(BandwidthBudget.Use.EXCHANGE));
+    }
+
+    /** Whatever is tried, in no second more than half as much again goes out as the rate says. */
+    @Test
+    void noSecondHasMoreThanHalfAsMuchAgain() {
+        BandwidthBudget budget = new BandwidthBudget(SETTINGS, 0);
+        List<Long> sent = new ArrayList<>();
+        for (int tick = 0; tick < 80; tick++) {
+            budget.refill(tick / 8.0);
+            for (BandwidthBudget.Use use : BandwidthBudget.Use.values()) {
+                drained(budget, use);
+            }
+            budget.chargeStream(budget.availableBytes(BandwidthBudget.Use.EXCHANGE));
+            sent.add(budget.sentBytes());
+            if (tick >= 8) {
+                assertTrue(sent.get(tick) - sent.get(tick - 8) <= 15_000);
+            }
+        }
+        assertTrue(budget.sentBytes() > 9 * 10_000);
+    }
+}
--- a/src/test/java/pepperdock/membership/GossipTest.java
+++ b/src/test/java/pepperdock/membership/GossipQueueTest.java
@@ -8,36 +8,36 @@
 import org.junit.jupiter.api.Test;
 
 /** What is told first, and what is given up. */
-class GossipTest {
+class GossipQueueTest {
 
     private static final int FLEET = 500;
 
-    private static Card card(String name, Status status) {
-        return new Card(name, 1, 0, status, "10.0.0.1:7400", "z", "m");
+    private static MemberRecord memberRecord(String name, RecordStatus status) {
+        return new MemberRecord(name, 1, 0, status, "10.0.0.1:7400", "z", "m");
     }
 
     @Test
     void whatWasToldAndIsOldIsGivenUpWhatWasNotToldIsNot() {
-        Gossip gossip = new Gossip();
-        Card told = card("told", Status.HERE);
-        Card untold = card("untold", Status.HERE);
+        GossipQueue gossip = new GossipQueue();
+        MemberRecord told = memberRecord("told", RecordStatus.ALIVE);
+        MemberRecord untold = memberRecord("untold", RecordStatus.ALIVE);
         gossip.add(told, 0);
         assertEquals(List.of(told), gossip.take(1000, FLEET));
         gossip.add(untold, 0);
         gossip.expire(0);
         assertEquals(List.of(untold, told), gossip.take(1000, FLEET));
-        gossip.add(card("other", Status.HERE), 2);
+        gossip.add(memberRecord("other", RecordStatus.ALIVE), 2);
         gossip.expire(1);
-        assertEquals(List.of(card("other", Status.HERE)), gossip.take(1000, FLEET));
+        assertEquals(List.of(memberRecord("other", RecordStatus.ALIVE)), gossip.take(1000, FLEET));
         gossip.expire(3);
         assertTrue(gossip.isEmpty());
     }
 
     @Test
     void thatAMemberIsGoneGoesBeforeWhatObserversSay() {
-        Gossip gossip = new Gossip();
-        Links said = new Links("observer", 1, 1, false, Map.of());
-        Card gone = card("gone", Status.GONE);
+        GossipQueue gossip = new GossipQueue();
+        Observations said = new Observations("observer", 1, 1, false, Map.of());
+        MemberRecord gone = memberRecord("gone", RecordStatus.FAULTY);
         gossip.add(said, 0);
         gossip.add(gone, 0);
         assertEquals(List.of(gone, said), gossip.take(1000, FLEET));
--- /dev/null
+++ b/src/test/java/pepperdock/membership/transport/MembershipMessageCodecTest.java
@@ -0,0 +1,127 @@
+package pepperdock.membership.transport;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertThrows;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+
+import java.util.ArrayList;
+import java.util.HashMap;
+import java.util.List;
+import java.util.Map;
+import java.util.Random;
+import net.jqwik.api.ForAll;
+import net.jqwik.api.Property;
+import org.junit.jupiter.api.Test;
+import pepperdock.membership.GossipItem;
+import pepperdock.membership.MemberRecord;
+import pepperdock.membership.Message;
+import pepperdock.membership.Observation;
+import pepperdock.membership.Observations;
+import pepperdock.membership.RecordStatus;
+
+class MembershipMessageCodecTest {
+
+    private static String name(Random random) {
+        return random.nextInt(4) == 0 ? "x".repeat(64) : "g" + random.nextInt(1000);
+    }
+
+    private static GossipItem item(Random random) {
+        if (random.nextBoolean()) {
+            return new MemberRecord(
+                    name(random),
+                    random.nextLong(),
+                    random.nextInt(1 << 20),
+                    RecordStatus.values()[random.nextInt(3)],
+                    "127.255.255.255:65535",
+                    name(random),
+                    name(random));
+        }
+        Map<String, Observations.SubjectObservation> said = new HashMap<>();
+        for (int i = random.nextInt(9); i > 0; i--) {
+            said.put(
+                    name(random),
+                    new Observations.SubjectObservation(random.nextLong(), Observation.values()[random.nextInt(4)]));
+        }
+        return new Observations(name(random), random.nextLong(), random.nextInt(1 << 30), random.nextBoolean(), said);
+    }
+
+    private static Message message(Random random) {
+        Message.Header head = new Message.Header(
+                "fleet", name(random), random.nextLong(), random.nextInt(100), "[::1]:7400", random.nextLong());
+        List<GossipItem> items = new ArrayList<>();
+        for (int i = random.nextInt(5); i > 0; i--) {
+            items.add(item(random));
+        }
+        return switch (random.nextInt(13)) {
+            case 0 -> new Message.Ping(head, name(random), random.nextLong(), 8, items);
+            case 1 -> new Message.Ack(head, random.nextInt(9), items);
+            case 2 -> new Message.WrongAddressee(head, name(random), random.nextLong());
+            case 3 -> new Message.IndirectPing(head, name(random), random.nextLong(), "127.0.0.1:1", 1L << 40);
+            case 4 -> new Message.IndirectAck(head, name(random), random.nextLong(), 5);
+            case 5 -> new Message.DigestRequest(head, Message.ALL_SLICES, Map.of(name(random), random.nextLong()));
+            case 7 ->
+                new Message.SliceDigests(
+                        head, random.longs(Message.SLICE_COUNT).boxed().toList());
+            case 8 -> new Message.SliceSelection(head, random.nextInt());
+            case 10 -> new Message.Join(head);
+            case 11 -> new Message.JoinResponse(head, items);
+            case 9 ->
+                new Message.DigestRequest(head, random.nextInt() & 0xFFFF, Map.of(name(random), random.nextLong()));
+            case 6 -> new Message.DigestResponse(head, items, List.of(name(random), "a"));
+            default -> new Message.MissingItems(head, items);
+        };
+    }
+
+    @Property(seed = "71", tries = 500)
+    void whatIsWrittenIsRead(@ForAll long seed) {
+        Message message = message(new Random(seed));
+        byte[] bytes = MembershipMessageCodec.encode(message);
+        assertEquals(message, MembershipMessageCodec.decode(bytes, 0, bytes.length));
+    }
+
+    @Property(seed = "74", tries = 500)
+    void aMessageIsNoLargerThanItSays(@ForAll long seed) {
+        Message message = message(new Random(seed));
+        assertTrue(MembershipMessageCodec.encode(message).length <= message.maxEncodedBytes(), message.toString());
+    }
+
+    @Property(seed = "72", tries = 500)
+    void anItemIsNoLargerThanItSays(@ForAll long seed) {
+        GossipItem item = item(new Random(seed));
+        Message.Header header = new Message.Header("f", "n", 1, 1, "127.0.0.1:1", 1);
+        int alone = MembershipMessageCodec.encode(new Message.MissingItems(header, List.of())).length;
+        assertTrue(
+                MembershipMessageCodec.encode(new Message.MissingItems(header, List.of(item))).length - alone
+                        <= item.maxEncodedBytes(),
+                item.toString());
+    }
+
+    @Property(seed = "73", tries = 2000)
+    void whatWasSpoiltIsRefusedOrReadAndNothingElse(@ForAll long seed) {
+        Random random = new Random(seed);
+        byte[] bytes = MembershipMessageCodec.encode(message(random));
+        int length = random.nextInt(bytes.length + 1);
+        for (int i = random.nextInt(4); i > 0; i--) {
+            bytes[random.nextInt(bytes.length)] = (byte) random.nextInt();
+        }
+        try {
+            MembershipMessageCodec.decode(bytes, 0, length);
+        } catch (IllegalArgumentException refused) {
+            assertTrue(refused.getMessage() != null);
+        }
+    }
+
+    @Test
+    void anotherVersionAndTwoMessagesAndRubbishAreRefused() {
+        byte[] sound = MembershipMessageCodec.encode(
+                new Message.WrongAddressee(new Message.Header("f", "n", 1, 1, "127.0.0.1:1", 1), "m", 2));
+        byte[] twice = java.util.Arrays.copyOf(sound, 2 * sound.length);
+        System.arraycopy(sound, 0, twice, sound.length, sound.length);
+        byte[] newer = sound.clone();
+        // The first byte begins the array, the second is the version.
+        newer[1] = 2;
+        for (byte[] bad : List.of(twice, newer, new byte[0], new byte[2048])) {
+            assertThrows(IllegalArgumentException.class, () -> MembershipMessageCodec.decode(bad, 0, bad.length));
+        }
+    }
+}
--- a/src/test/java/pepperdock/membership/transport/MembersTest.java
+++ b/src/test/java/pepperdock/membership/transport/MembershipServiceTest.java
@@ -19,12 +19,12 @@
 import pepperdock.config.Config;
 import pepperdock.config.Keys;
 import pepperdock.events.Events;
-import pepperdock.membership.View;
+import pepperdock.membership.MembershipView;
 import pepperdock.transport.Loop;
 
 /** Members on real sockets in this process, and asked as an operator would. */
 @Timeout(120)
-class MembersTest {
+class MembershipServiceTest {
 
     /** A host of its own for each run of the tests, so that the ports are free. */
     private static final String HOSTS = "127.200." + ProcessHandle.current().pid() % 250 + '.';
@@ -36,7 +36,7 @@
         loops.forEach(Loop::close);
     }
 
-    private Members open(int number, List<View.Change> changes) throws Exception {
+    private MembershipService open(int number, List<MembershipView.Change> changes) throws Exception {
         Loop loop = new Loop(100, 1 << 20);
         loops.add(loop);
         Keys file = Keys.of(
@@ -47,12 +47,12 @@
                                 + ":7400\",\"seeds\":[\""
                                 + HOSTS + "1:7400\"],\"ask\":\"" + HOSTS + number + ":7500\"}}",
                         ""));
-        Members m = Members.open(file, loop, Events.of(false));
+        MembershipService m = MembershipService.open(file, loop, Events.of(false));
         loop.execute(() -> m.watch(changes::add));
         return m;
     }
 
-    private static void await(List<View.Change> changes, String what) throws InterruptedException {
+    private static void await(List<MembershipView.Change> changes, String what) throws InterruptedException {
         while (changes.stream().noneMatch(c -> (c.name() + ' ' + c.to()).equals(what))) {
             Thread.sleep(10);
         }
@@ -66,10 +66,10 @@
 
     @Test
     void twoFindEachOtherAreAskedAndOneLeaves() throws Exception {
-        List<View.Change> changes = new CopyOnWriteArrayList<>();
+        List<MembershipView.Change> changes = new CopyOnWriteArrayList<>();
         open(1, changes);
-        Members two = open(2, new CopyOnWriteArrayList<>());
-        await(changes, "n2 HERE");
+        MembershipService two = open(2, new CopyOnWriteArrayList<>());
+        await(changes, "n2 ALIVE");
         String words = asked("members", HOSTS + "1:7500");
         assertTrue(words.startsWith("fleet f as n1 sees it"), words);
         assertTrue(words.contains("reaching 2 of 2"), words);
--- a/tools/TableHeap.java
+++ b/tools/TableHeap.java
@@ -1,11 +1,11 @@
 import java.util.ArrayList;
 import java.util.List;
-import pepperdock.membership.Card;
-import pepperdock.membership.Item;
+import pepperdock.membership.MemberRecord;
+import pepperdock.membership.GossipItem;
 import pepperdock.membership.Membership;
 import pepperdock.membership.Message;
-import pepperdock.membership.Settings;
-import pepperdock.membership.Status;
+import pepperdock.membership.MembershipSettings;
+import pepperdock.membership.RecordStatus;
 
 /**
  * Heap of one member's half of membership by the size of the fleet, each with cards of its own as they come off the wire:
@@ -17,24 +17,24 @@
 
     private TableHeap() {}
 
-    private static Card card(int i) {
+    private static MemberRecord memberRecord(int i) {
         String address = "10.0." + (i >> 8) + '.' + (i & 255) + ":7400";
-        return new Card("gatherer-" + i, 1000 + i, 0, Status.HERE, address, "zone-1", "machine-" + i);
+        return new MemberRecord("gatherer-" + i, 1000 + i, 0, RecordStatus.ALIVE, address, "zone-1", "machine-" + i);
     }
 
     private static Membership member(int fleet) {
-        Membership m = new Membership(Settings.defaults(), "fleet", card(0), List.of(), 1, 0);
-        List<Item> all = new ArrayList<>();
+        Membership membership = new Membership(MembershipSettings.defaults(), "fleet", memberRecord(0), List.of(), 1, 0);
+        List<GossipItem> all = new ArrayList<>();
         for (int i = 1; i < fleet; i++) {
-            all.add(card(i));
+            all.add(memberRecord(i));
         }
-        m.exchanged(new Message.Rest(new Message.Head("fleet", "gatherer-1", 1001, 0, "10.0.0.1:7400", 0), all), 0);
-        m.taken();
+        membership.onStreamMessage(new Message.MissingItems(new Message.Header("fleet", "gatherer-1", 1001, 0, "10.0.0.1:7400", 0), all), 0);
+        membership.takeOutputs();
         for (int tick = 1; tick < 100; tick++) {
-            m.tick(tick / 8.0);
-            m.taken();
+            membership.tick(tick / 8.0);
+            membership.takeOutputs();
         }
-        return m;
+        return membership;
     }
 
     private static long used() throws InterruptedException {
