--- a/src/main/java/pepperdock/cli/MembersCommand.java
+++ b/src/main/java/pepperdock/cli/MembersCommand.java
@@ -22,7 +22,7 @@
 import picocli.CommandLine.Parameters;
 import picocli.CommandLine.Spec;
 
-/** The view of a running gatherer, its links and its reasons (docs/membership.md). */
+/** Prints the view of a running gatherer with its reasons, as {@code GET /members} answers it (docs/membership.md). */
 @Command(
         name = "members",
         mixinStandardHelpOptions = true,
@@ -31,6 +31,9 @@
 final class MembersCommand implements Callable<Integer> {
 
     private static final Duration REQUEST_TIMEOUT = Duration.ofSeconds(5);
+    private static final double MIN_WATCH_S = 0.1;
+    private static final double MAX_WATCH_S = 3600;
+    private static final String ROW = "%-20s %-9s %9s %5s %-12s %-12s %-22s %s%n";
 
     @Parameters(paramLabel = "ADDRESS", description = "Where it may be asked: members.ask of its file, on loopback.")
     private String address;
@@ -46,51 +49,54 @@
 
     @Override
     public Integer call() throws InterruptedException {
-        InetSocketAddress at = Config.address("ADDRESS", address);
-        if (!at.getAddress().isLoopbackAddress()) {
+        InetSocketAddress endpoint = Config.address("ADDRESS", address);
+        if (!endpoint.getAddress().isLoopbackAddress()) {
             throw new ConfigException("ADDRESS", "not a loopback address");
         }
-        if (watch != null && !(watch >= 0.1 && watch <= 3600)) {
+        if (watch != null && !(watch >= MIN_WATCH_S && watch <= MAX_WATCH_S)) {
             throw new ConfigException("--watch", "not between 0.1 and 3600");
         }
         HttpClient client =
                 HttpClient.newBuilder().connectTimeout(REQUEST_TIMEOUT).build();
-        PrintWriter out = spec.commandLine().getOut();
         while (true) {
-            try {
-                String answer = client.send(
-                                HttpRequest.newBuilder(URI.create("http://" + Config.text(at) + "/members"))
-                                        .timeout(REQUEST_TIMEOUT)
-                                        .build(),
-                                HttpResponse.BodyHandlers.ofString(StandardCharsets.UTF_8))
-                        .body();
-                Keys view = Keys.of("answer", Config.parse(answer, "answer"));
-                if (json) {
-                    out.println(new GsonBuilder().setPrettyPrinting().create().toJson(Config.parse(answer, "answer")));
-                } else {
-                    print(out, view);
-                }
-            } catch (ConnectException e) {
-                spec.commandLine()
-                        .getErr()
-                        .println("nobody answers on " + address + "; is members.ask set in its file?");
-                if (watch == null) {
-                    return 1;
-                }
-            } catch (IOException e) {
-                spec.commandLine().getErr().println("no answer from " + address + ": " + e.getMessage());
-                if (watch == null) {
-                    return 1;
-                }
-            }
+            boolean answered = printView(client, endpoint);
             if (watch == null) {
-                return 0;
+                return answered ? 0 : 1;
             }
-            out.flush();
+            spec.commandLine().getOut().flush();
             Thread.sleep(Math.round(watch * 1000));
         }
     }
 
+    /** Asks once, and prints the answer; false, and an error printed, where there is none. */
+    private boolean printView(HttpClient client, InetSocketAddress endpoint) throws InterruptedException {
+        try {
+            String answer = request(client, endpoint);
+            Keys view = Keys.of("answer", Config.parse(answer, "answer"));
+            PrintWriter out = spec.commandLine().getOut();
+            if (json) {
+                out.println(new GsonBuilder().setPrettyPrinting().create().toJson(Config.parse(answer, "answer")));
+            } else {
+                print(out, view);
+            }
+            return true;
+        } catch (ConnectException e) {
+            spec.commandLine().getErr().println("nobody answers on " + address + "; is members.ask set in its file?");
+        } catch (IOException e) {
+            spec.commandLine().getErr().println("no answer from " + address + ": " + e.getMessage());
+        }
+        return false;
+    }
+
+    private static String request(HttpClient client, InetSocketAddress endpoint)
+            throws IOException, InterruptedException {
+        HttpRequest request = HttpRequest.newBuilder(URI.create("http://" + Config.text(endpoint) + "/members"))
+                .timeout(REQUEST_TIMEOUT)
+                .build();
+        return client.send(request, HttpResponse.BodyHandlers.ofString(StandardCharsets.UTF_8))
+                .body();
+    }
+
     private static void print(PrintWriter out, Keys view) {
         out.printf(
                 Locale.ROOT,
@@ -106,7 +112,7 @@
         }
         out.printf(
                 Locale.ROOT,
-                "%-20s %-9s %9s %5s %-12s %-12s %-22s %s%n",
+                ROW,
                 "member",
                 "standing",
                 "for s",
@@ -115,26 +121,28 @@
                 "machine",
                 "address",
                 "said by observers");
-        for (Keys member : view.objects("members")) {
-            Keys observations = member.within("said_by");
-            StringBuilder text = new StringBuilder();
-            observations
-                    .names()
-                    .forEach(observer -> text.append(text.length() == 0 ? "" : ", ")
-                            .append(observer)
-                            .append(' ')
-                            .append(observations.text(observer)));
-            out.printf(
-                    Locale.ROOT,
-                    "%-20s %-9s %9.1f %5d %-12s %-12s %-22s %s%n",
-                    member.text("name"),
-                    member.text("standing"),
-                    member.number("for_s"),
-                    (long) member.number("incarnation"),
-                    member.text("zone"),
-                    member.text("machine"),
-                    member.text("address"),
-                    text);
+        view.objects("members").forEach(member -> printMember(out, member));
+    }
+
+    private static void printMember(PrintWriter out, Keys member) {
+        Keys observations = member.within("said_by");
+        StringBuilder text = new StringBuilder();
+        for (String observer : observations.names()) {
+            text.append(text.length() == 0 ? "" : ", ")
+                    .append(observer)
+                    .append(' ')
+                    .append(observations.text(observer));
         }
+        out.printf(
+                Locale.ROOT,
+                "%-20s %-9s %9.1f %5d %-12s %-12s %-22s %s%n",
+                member.text("name"),
+                member.text("standing"),
+                member.number("for_s"),
+                (long) member.number("incarnation"),
+                member.text("zone"),
+                member.text("machine"),
+                member.text("address"),
+                text);
     }
 }
--- a/src/main/java/pepperdock/membership/AntiEntropy.java
+++ b/src/main/java/pepperdock/membership/AntiEntropy.java
@@ -16,22 +16,23 @@
 import pepperdock.membership.Message.SliceSelection;
 
 /**
- * Writes the messages of an exchange from the table, none larger than the room that the budget leaves. What does not fit waits
- * for the next exchange: where it begins is drawn, so that several get through all. A small table is compared by the sums of
- * its names at once; a large one by the sums of slices first, and by names only in some of those that differ.
+ * Writes the messages of an anti-entropy exchange (Demers and others 1987) from the table, none larger than the budget allows.
+ * What does not fit waits for the next exchange: where it begins is drawn, so that several get through all. A small table is
+ * compared by the digests of its names at once; a large one by the digests of slices first, and by names only in some of those
+ * that differ. Owned by the thread that calls {@link Membership}.
  */
 final class AntiEntropy {
 
-    /** Names in one digest of some slices, as a rule: what an exchange can move anyway. */
+    /** Names in one digest request of some slices, as a rule: what an exchange can move anyway. */
     private static final int MAX_NAMES = 24;
 
-    /** A table of so many names at most is compared by names at once. */
+    /** A table of so many names at most is compared by names at once; also the names requested at most. */
     private static final int SMALL_TABLE = 64;
 
-    /** Members that one who is new is told of at once; from these it learns of the others. */
+    /** Members that a new one is told of at once; from these it learns of the others. */
     private static final int JOIN_RESPONSE_MEMBERS = 4;
 
-    /** Bytes below which answering is not worth a stream. */
+    /** Bytes below which a response is not worth a stream. */
     static final int MIN_RESPONSE_BYTES = 400;
 
     private final MembershipTable table;
@@ -42,7 +43,7 @@
         this.random = random;
     }
 
-    /** For one that is new: what is held of its name, and some drawn of those here, within the room. */
+    /** For a new member: what is held of its name, and some members drawn of those that are alive. */
     JoinResponse joinResponse(Header header, String newcomer, boolean joined, int maxBytes) {
         List<String> alive = new ArrayList<>(table.rings().names());
         alive.remove(newcomer);
@@ -53,8 +54,8 @@
         for (int i = 0; i < JOIN_RESPONSE_MEMBERS && !alive.isEmpty(); i++) {
             names.add(alive.remove(random.nextInt(alive.size())));
         }
-        return new JoinResponse(
-                header, itemsWithin(names, maxBytes - new JoinResponse(header, List.of()).maxEncodedBytes()));
+        int emptyBytes = new JoinResponse(header, List.of()).maxEncodedBytes();
+        return new JoinResponse(header, itemsWithin(names, maxBytes - emptyBytes));
     }
 
     /** What an exchange is opened with. */
@@ -64,10 +65,10 @@
                 : new SliceDigests(header, table.sliceDigests());
     }
 
-    /** By name, of some of the slices asked for; what is in the others waits. */
+    /** By name, of some of the slices selected; what is in the others waits. */
     DigestRequest digestRequest(Header header, SliceSelection selection) {
-        int slices = chooseSlices(
-                selection.slices(), List.of(header.name(), selection.header().name()));
+        List<String> first = List.of(header.name(), selection.header().name());
+        int slices = chooseSlices(selection.slices(), first);
         return new DigestRequest(header, slices, table.digests(slices));
     }
 
@@ -82,7 +83,7 @@
         return slices == 0 ? null : new SliceSelection(header, slices);
     }
 
-    /** Of these slices so many as have names enough here: those of the names given first, then in an order drawn. */
+    /** Of these slices as many as have names enough here: those of the names given first, then in an order drawn. */
     private int chooseSlices(int slices, List<String> first) {
         List<Integer> order = new ArrayList<>();
         for (int slice = 0; slice < Message.SLICE_COUNT; slice++) {
@@ -103,8 +104,8 @@
     }
 
     /**
-     * What the sender of a digest lacks or holds otherwise, and whose it is asked for. What is held under its name, and under
-     * one's own, goes first: neither may speak for itself before it knows.
+     * What the sender of a request lacks or holds otherwise, and whose items are requested of it. What is held under its name,
+     * and under one's own, goes first: neither may speak for itself before it knows.
      */
     DigestResponse digestResponse(Header header, DigestRequest request, boolean joined, int maxBytes) {
         List<String> first = List.of(request.header().name(), header.name());
@@ -124,12 +125,12 @@
         return new DigestResponse(header, itemsWithin(rotatedAtRandom(first, names), bytesLeft), requestedNames);
     }
 
-    /** What was asked for, and this member's own. */
+    /** What was requested, and this member's own. */
     MissingItems missingItems(Header header, DigestResponse response, int maxBytes) {
         Set<String> names = new LinkedHashSet<>(List.of(header.name()));
         names.addAll(response.requestedNames());
-        return new MissingItems(
-                header, itemsWithin(names, maxBytes - new MissingItems(header, List.of()).maxEncodedBytes()));
+        int emptyBytes = new MissingItems(header, List.of()).maxEncodedBytes();
+        return new MissingItems(header, itemsWithin(names, maxBytes - emptyBytes));
     }
 
     /** The names in their order from one drawn on, but the first ones first. */
--- a/src/main/java/pepperdock/membership/BandwidthBudget.java
+++ b/src/main/java/pepperdock/membership/BandwidthBudget.java
@@ -2,24 +2,25 @@
 
 /**
  * What a member may send: a token bucket of datagrams and one of bytes, filled at the settings' rates and as deep as half a
- * second of them, so that no second has more than one and a half times the rate. Priority is kept by floors: a use takes only
- * what lies above its floor, so what goes before it always finds the rest. Uses that could take all that gossip is to have
- * are held to a share of the rate beside.
+ * second of them, so that no second has more than one and a half times the rate. Priorities are kept by floors: a use takes only
+ * what lies above its floor, so that a use of higher priority always finds the rest. Uses that could take all that gossip is to
+ * have are limited to a share of the rate as well. Owned by the thread that calls {@link Membership}.
  */
 final class BandwidthBudget {
 
     /** What is sent, each with its floor, a part of a full bucket, and its share of the rate at most. */
     enum Use {
-        /** Answers to probes, and what came of a probe for another. */
+        /** Acknowledgements, direct and indirect, and answers to pings for others. */
         ACK(0, 1),
+        /** Pings to this member's subjects. */
         PROBE(0.1, 1),
-        /** Asking others to probe, and probing for others. */
+        /** Asking others to ping, and pinging for others. */
         INDIRECT(0.2, 0.2),
         /** Messages of exchanges, on streams. */
         EXCHANGE(0.15, 0.35),
-        /** Answers to those who are new. */
+        /** Answers to new members. */
         JOIN_RESPONSE(0.3, 0.4),
-        /** Gossip that rides on probes and answers. */
+        /** Gossip that rides on pings and acknowledgements. */
         GOSSIP(0.6, 1);
 
         private final double floor;
@@ -72,8 +73,8 @@
 
     /** Bytes that this use may take now. */
     int availableBytes(Use use) {
-        double above = byteTokens - use.floor * BUCKET_DEPTH_S * bytesPerS;
-        return (int) Math.max(0, use.share < 1 ? Math.min(above, shareTokens[use.ordinal()]) : above);
+        double aboveFloor = byteTokens - use.floor * BUCKET_DEPTH_S * bytesPerS;
+        return (int) Math.max(0, use.share < 1 ? Math.min(aboveFloor, shareTokens[use.ordinal()]) : aboveFloor);
     }
 
     /** Takes one datagram of so many bytes, headers included; false, and counted, where the budget has no room for it. */
--- a/src/main/java/pepperdock/membership/CutDetector.java
+++ b/src/main/java/pepperdock/membership/CutDetector.java
@@ -10,31 +10,39 @@
 import java.util.Set;
 
 /**
- * Reads verdicts from the table. A member is to be called gone when enough of its credible observers have said so for long
- * enough, nobody else is half way there (so that many who went together go in one change), and the one who judges reaches a
- * majority of the fleet, those lately gone counted in. Two thresholds: {@code low} observers put a member in doubt, and what
- * it says of others then counts no more; {@code high} of those whose word counts agree on a verdict.
+ * Multi-process cut detection after Rapid, section 4.2: reads from the table which members are to be declared faulty. Members
+ * with {@code lowWatermark} accusers or more are accused, and their own observations no longer count. Where the accusers reach
+ * {@code highWatermark}, a share of the observers that count, the member is agreed on. Verdicts wait for accused members that
+ * are not agreed on, so that many that fail together go in one change. Nobody is declared faulty by a member that does not
+ * reach a majority of the fleet, those declared faulty recently included. Owned by the thread that calls {@link Membership}.
  */
 final class CutDetector {
 
-    /** So many times {@code confirmS} a verdict waits for others that are half way. */
+    /** Times its confirmation that a verdict waits for others that are accused and not agreed on. */
     private static final double UNSTABLE_WAIT_FACTOR = 3;
 
+    /** The confirmation doubles with each refutation of the member, so often at most. */
     private static final int MAX_DOUBLINGS = 3;
 
     /**
-     * @param sure whether this member reaches a majority of the fleet
-     * @param reached by way of members that reach each other, this one included
-     * @param fleet those here, and those gone a short while ago
-     * @param gone to be called gone, once enough of the others have been heard after this was so
+     * What was detected.
+     *
+     * @param hasMajority whether this member reaches a majority of the fleet
+     * @param reachable members reached by way of observers that reach their subjects, this one included
+     * @param fleetSize members that are alive, and those declared faulty recently
+     * @param faulty to be declared faulty, once enough of the others have been heard after this was so
      */
     record Detection(boolean hasMajority, int reachable, int fleetSize, List<String> faulty) {}
 
     private final MembershipSettings settings;
     private final MembershipTable table;
+    /** Members agreed on, and since when. */
     private final Map<String, Double> pending = new HashMap<>();
+    /** The table's version when accusations were last counted. */
     private long countedVersion = -1;
+    /** Whether a member is accused and not agreed on. */
     private boolean unstable;
+
     private int reachable;
 
     CutDetector(MembershipSettings settings, MembershipTable table) {
@@ -42,19 +50,7 @@
         this.table = table;
     }
 
-    /** Of a member's observers, those that say that they do not reach it. */
-    private Set<String> accusersOf(String subject, Set<String> observers) {
-        Set<String> accusers = new HashSet<>();
-        table.observationsOf(subject).forEach((observer, observation) -> {
-            if (observation == Observation.UNREACHABLE
-                    && observers.contains(observer)
-                    && !table.get(observer).observations().unhealthy()) {
-                accusers.add(observer);
-            }
-        });
-        return accusers;
-    }
-
+    /** Detects from the table as it is; {@code unhealthy}: whether this member doubts itself. */
     Detection detect(String self, boolean unhealthy, double now) {
         if (table.version() != countedVersion) {
             countedVersion = table.version();
@@ -74,47 +70,65 @@
     }
 
     private void recount(String self, double now) {
-        Map<String, Set<String>> against = new HashMap<>();
-        Set<String> doubted = new HashSet<>();
-        for (String s : table.observedSubjects()) {
-            if (table.get(s).isAlive()) {
-                Set<String> of = table.rings().observersOf(s);
-                Set<String> by = accusersOf(s, of);
-                against.put(s, by);
-                if (by.size() >= Math.min(settings.lowWatermark(), Math.max(1, of.size()))) {
-                    doubted.add(s);
+        Map<String, Set<String>> accusers = new HashMap<>();
+        Set<String> accused = new HashSet<>();
+        for (String subject : table.observedSubjects()) {
+            if (table.get(subject).isAlive()) {
+                Set<String> observers = table.rings().observersOf(subject);
+                Set<String> accusing = accusersOf(subject, observers);
+                accusers.put(subject, accusing);
+                if (accusing.size() >= Math.min(settings.lowWatermark(), Math.max(1, observers.size()))) {
+                    accused.add(subject);
                 }
             }
         }
         Set<String> agreed = new HashSet<>();
         unstable = false;
-        for (String s : doubted) {
-            if (s.equals(self)) {
+        for (String subject : accused) {
+            if (subject.equals(self)) {
                 continue;
             }
-            int credible = 0;
-            int saying = 0;
-            for (String o : table.rings().observersOf(s)) {
-                if (!doubted.contains(o) && !table.get(o).observations().unhealthy()) {
-                    credible++;
-                    saying += against.get(s).contains(o) ? 1 : 0;
-                }
-            }
-            if (saying > 0 && saying >= settings.highWatermark() * credible) {
-                agreed.add(s);
+            if (isAgreed(subject, accusers.get(subject), accused)) {
+                agreed.add(subject);
             } else {
                 unstable = true;
             }
         }
         pending.keySet().retainAll(agreed);
-        agreed.forEach(s -> pending.putIfAbsent(s, now));
-        reachable = doubted.isEmpty() ? table.rings().names().size() : countReachable(self);
+        agreed.forEach(subject -> pending.putIfAbsent(subject, now));
+        reachable = accused.isEmpty() ? table.rings().names().size() : countReachable(self);
+    }
+
+    /** Of a member's observers, those that say that they do not reach it and do not doubt themselves. */
+    private Set<String> accusersOf(String subject, Set<String> observers) {
+        Set<String> accusers = new HashSet<>();
+        table.observationsOf(subject).forEach((observer, observation) -> {
+            if (observation == Observation.UNREACHABLE
+                    && observers.contains(observer)
+                    && !table.get(observer).observations().unhealthy()) {
+                accusers.add(observer);
+            }
+        });
+        return accusers;
+    }
+
+    private boolean isAgreed(String subject, Set<String> accusers, Set<String> accused) {
+        int credible = 0;
+        int accusing = 0;
+        for (String observer : table.rings().observersOf(subject)) {
+            if (!accused.contains(observer)
+                    && !table.get(observer).observations().unhealthy()) {
+                credible++;
+                accusing += accusers.contains(observer) ? 1 : 0;
+            }
+        }
+        return accusing > 0 && accusing >= settings.highWatermark() * credible;
     }
 
     /**
-     * How many are reached from this member by way of observers that reach their subjects. Counting whoever is not in doubt
-     * would take in those of the other side of a partition whose observers are all over there: their word, that all is well, is
-     * the last that was heard of them.
+     * How many are reached from this member by way of observers that reach their subjects. Counting all that are not accused
+     * would take in those on the other side of a partition whose observers are all over there: the last that was heard of
+     * these observers is that all is well.
      */
     private int countReachable(String self) {
         Set<String> found = new HashSet<>(Set.of(self));
@@ -132,7 +146,7 @@
         return found.size();
     }
 
-    /** Those whose time is over, unless others are still on their way: these are waited for, but not for ever. */
+    /** Those whose confirmation is over, unless others are still on their way: these are waited for, but not for ever. */
     private List<String> confirmed(double now) {
         List<String> faulty = new ArrayList<>();
         boolean wait = unstable;
@@ -154,7 +168,7 @@
         return faulty;
     }
 
-    /** Longer for one that came back from gone in this life: it was called so wrongly before. */
+    /** Longer for a member that has refuted a verdict in this generation: it was wrongly declared faulty before. */
     private double confirmationTime(String name) {
         return settings.confirmationS()
                 * (1 << Math.min(MAX_DOUBLINGS, table.get(name).refutations()));
--- /dev/null
+++ b/src/main/java/pepperdock/membership/FailureDetector.java
@@ -0,0 +1,227 @@
+package pepperdock.membership;
+
+import java.util.ArrayList;
+import java.util.Collection;
+import java.util.HashMap;
+import java.util.List;
+import java.util.Map;
+import java.util.Random;
+import java.util.Set;
+import java.util.TreeMap;
+import pepperdock.membership.Message.Ack;
+import pepperdock.membership.Message.Header;
+import pepperdock.membership.Message.IndirectAck;
+import pepperdock.membership.Message.IndirectPing;
+import pepperdock.membership.Message.WrongAddressee;
+
+/**
+ * Probes this member's subjects and publishes what it observes of them. Pings, and indirect pings where one is not
+ * acknowledged in time, are those of SWIM, section 3.1; the fixed subjects in place of a random round are those of Rapid,
+ * section 4.1; a member that trusts its own timers less waits longer, as in Lifeguard (LHA-Probe). Owned by the thread that
+ * calls {@link Membership}.
+ */
+final class FailureDetector {
+
+    private final MembershipSettings settings;
+    private final LocalMember local;
+    private final MembershipTable table;
+    private final Random random;
+    private final Outbox outbox;
+    private final Disseminator disseminator;
+    private final LocalHealth health;
+    private final Map<String, SubjectMonitor> monitors = new TreeMap<>();
+    /** Of another process that holds this member's name. */
+    private SubjectMonitor rivalMonitor;
+    /** The table's version when subjects were last looked up. */
+    private long subjectsVersion = -1;
+
+    FailureDetector(
+            MembershipSettings settings,
+            LocalMember local,
+            MembershipTable table,
+            Random random,
+            Outbox outbox,
+            Disseminator disseminator) {
+        this.settings = settings;
+        this.local = local;
+        this.table = table;
+        this.random = random;
+        this.outbox = outbox;
+        this.disseminator = disseminator;
+        health = new LocalHealth(settings);
+    }
+
+    // ---- Time ------------------------------------------------------------
+
+    /** Notes by how much a tick came late: what was not heard meanwhile says nothing of the subjects. */
+    void onTick(double lateBy, double now) {
+        if (!health.onTick(lateBy, now)) {
+            return;
+        }
+        monitors.values().forEach(monitor -> monitor.extendDeadlines(lateBy));
+        if (health.isPause(lateBy)) {
+            outbox.emit(new MembershipOutput.Notice(MembershipOutput.Notice.PAUSED, "late by its own clock", lateBy));
+        }
+    }
+
+    /** Pings each subject that is due, {@code elapsed} after the last time. */
+    void probeSubjects(double elapsed, double now) {
+        if (table.version() != subjectsVersion) {
+            subjectsVersion = table.version();
+            refreshMonitors(now);
+        }
+        monitors.forEach((subject, monitor) -> probe(monitor, table.get(subject).memberRecord(), elapsed, now));
+    }
+
+    private void refreshMonitors(double now) {
+        Set<String> subjects = table.rings().subjectsOf(local.name());
+        monitors.entrySet()
+                .removeIf(monitor -> !subjects.contains(monitor.getKey())
+                        || monitor.getValue().generation() != generationOf(monitor.getKey()));
+        for (String subject : subjects) {
+            monitors.computeIfAbsent(
+                    subject,
+                    name -> new SubjectMonitor(
+                            settings, generationOf(name), now, now + settings.probeIntervalS() * random.nextDouble()));
+        }
+    }
+
+    private long generationOf(String name) {
+        return table.get(name).memberRecord().generation();
+    }
+
+    /**
+     * Pings a subject when it is due, and has others ping it when it did not acknowledge in time. A ping that the budget
+     * withholds was not sent: that nothing came back says nothing of the subject.
+     */
+    private void probe(SubjectMonitor monitor, MemberRecord subject, double elapsed, double now) {
+        if (monitor.isPingDue(now)) {
+            boolean sameState = monitor.stateDigest() == table.stateDigest();
+            if (outbox.ping(subject, monitor.lastSequence() + 1, sameState)) {
+                monitor.onPingSent(now);
+            } else {
+                monitor.extendDeadlines(elapsed);
+            }
+        } else if (monitor.startIndirectProbe(now)) {
+            requestIndirectPings(subject, monitor.lastSequence());
+        }
+    }
+
+    private void requestIndirectPings(MemberRecord subject, long sequence) {
+        List<String> others = new ArrayList<>(table.rings().names());
+        others.remove(local.name());
+        others.remove(subject.name());
+        for (int i = 0; i < settings.indirectProbes() && !others.isEmpty(); i++) {
+            String helper = others.remove(random.nextInt(others.size()));
+            outbox.send(
+                    table.get(helper).memberRecord().address(),
+                    new IndirectPing(
+                            outbox.header(), subject.name(), subject.generation(), subject.address(), sequence),
+                    BandwidthBudget.Use.INDIRECT);
+        }
+    }
+
+    // ---- Observations ------------------------------------------------------------
+
+    /** Publishes what this member observes of its subjects, where that has changed. */
+    void publishObservations(double now) {
+        Map<String, Observations.SubjectObservation> bySubject = Map.of();
+        int unreachable = 0;
+        for (Map.Entry<String, SubjectMonitor> monitor : monitors.entrySet()) {
+            Observation observation = monitor.getValue().observation(now, health.timeoutFactor());
+            if (observation != null) {
+                bySubject = bySubject.isEmpty() ? new HashMap<>() : bySubject;
+                bySubject.put(
+                        monitor.getKey(),
+                        new Observations.SubjectObservation(monitor.getValue().generation(), observation));
+                unreachable += observation == Observation.UNREACHABLE ? 1 : 0;
+            }
+        }
+        boolean unhealthy =
+                settings.localHealthEnabled() && (health.recentlyPaused(now) || 2 * unreachable > monitors.size());
+        Observations before = table.get(local.name()).observations();
+        if (!bySubject.equals(before.bySubject()) || unhealthy != before.unhealthy()) {
+            disseminator.merge(
+                    new Observations(local.name(), local.generation(), before.revision() + 1, unhealthy, bySubject),
+                    now);
+        }
+    }
+
+    /** Whether most of the subjects, but for those excluded, have been heard after that time. */
+    boolean majorityHeardAfter(double then, Collection<String> excluded) {
+        int subjects = 0;
+        int heard = 0;
+        for (Map.Entry<String, SubjectMonitor> monitor : monitors.entrySet()) {
+            if (!excluded.contains(monitor.getKey())) {
+                subjects++;
+                heard += monitor.getValue().heardAfter(then) ? 1 : 0;
+            }
+        }
+        return subjects == 0 || 2 * heard > subjects;
+    }
+
+    // ---- Messages ------------------------------------------------------------
+
+    /** Any datagram shows that its sender speaks. */
+    void onHeader(Header header, double now) {
+        SubjectMonitor monitor = monitors.get(header.name());
+        if (monitor != null && monitor.generation() == header.generation()) {
+            monitor.onMessage(now);
+            monitor.onStateDigest(header.stateDigest());
+        }
+    }
+
+    void onAck(Ack ack, double now) {
+        SubjectMonitor monitor = monitorOf(ack.header().name(), ack.header().generation());
+        if (monitor != null) {
+            monitor.onAck(ack.sequence(), now);
+        }
+    }
+
+    void onIndirectAck(IndirectAck ack, double now) {
+        SubjectMonitor monitor = monitorOf(ack.subject(), ack.generation());
+        if (monitor != null) {
+            monitor.onIndirectAck(now);
+        }
+    }
+
+    void onWrongAddressee(WrongAddressee message) {
+        SubjectMonitor monitor = monitorOf(message.target(), message.generation());
+        if (monitor != null) {
+            monitor.onWrongAddressee();
+        }
+    }
+
+    /** The monitor of that member in that generation, null where it is not probed. */
+    private SubjectMonitor monitorOf(String name, long generation) {
+        SubjectMonitor monitor = name.equals(local.name()) ? rivalMonitor : monitors.get(name);
+        return monitor != null && monitor.generation() == generation ? monitor : null;
+    }
+
+    // ---- A rival for this member's name ------------------------------------------------------------
+
+    /** Forgets all subjects: a member whose name another process holds observes nobody. */
+    void stopObserving() {
+        monitors.clear();
+        subjectsVersion = -1;
+    }
+
+    /** Begins to monitor the rival, unless it does already. */
+    void monitorRival(MemberRecord rival, double now) {
+        if (rivalMonitor == null || rivalMonitor.generation() != rival.generation()) {
+            rivalMonitor = new SubjectMonitor(settings, rival.generation(), now, now);
+        }
+    }
+
+    boolean isRivalUnreachable(double now) {
+        return rivalMonitor.observation(now, health.timeoutFactor()) == Observation.UNREACHABLE;
+    }
+
+    void probeRival(MemberRecord rival, double elapsed, double now) {
+        probe(rivalMonitor, rival, elapsed, now);
+    }
+
+    void stopMonitoringRival() {
+        rivalMonitor = null;
+    }
+}
--- a/src/main/java/pepperdock/membership/GossipItem.java
+++ b/src/main/java/pepperdock/membership/GossipItem.java
@@ -1,9 +1,9 @@
 package pepperdock.membership;
 
-/** What is gossiped. */
+/** What is gossiped and exchanged: a member's record, or its observations. Both are written by the member that they name. */
 public sealed interface GossipItem permits MemberRecord, Observations {
 
-    /** Whose it is. */
+    /** The member that it is of. */
     String name();
 
     /** Bytes that it takes on the wire, at most. */
--- a/src/main/java/pepperdock/membership/GossipQueue.java
+++ b/src/main/java/pepperdock/membership/GossipQueue.java
@@ -8,37 +8,39 @@
 import java.util.Map;
 
 /**
- * What is new and rides on datagrams: each item so many times as it takes to reach a fleet of that size with a margin, the
- * least often sent first; a newer item of the same kind and name takes the place of an older. At most two for each member.
+ * Items that wait to ride on datagrams, as the dissemination buffer of SWIM, section 4.1: each is sent a number of times that
+ * grows with the logarithm of the fleet, those sent least often first; a newer item of the same kind and name takes the place
+ * of an older. At most two items for each member. Owned by the thread that calls {@link Membership}.
  */
 final class GossipQueue {
 
+    /** Transmissions of an item for each doubling of the fleet (lambda of SWIM, section 4.1). */
     private static final double RETRANSMIT_FACTOR = 3;
     /** Items looked at in vain for one datagram: those left are too large for what room is left. */
     private static final int MAX_MISFITS = 8;
 
+    /** Bytes of the smallest item. */
     private static final int MIN_ITEM_BYTES = 28;
 
-    /** Where an item begins: that a member is gone or has left goes before all else, once. */
+    /** Where an item begins: that a member is faulty or has left goes before all else, once. */
     private static final int VERDICT_PRIORITY = 0;
 
     private static final int UNSENT_PRIORITY = 1;
 
     private record ItemKey(String name, boolean isRecord) {}
 
-    /** By how often they were sent, each in the order in which they came there. */
+    /** By transmissions, each in the order in which the items came there. */
     private final List<LinkedHashMap<ItemKey, GossipItem>> byTransmissions = new ArrayList<>();
 
     private final Map<ItemKey, Integer> transmissions = new HashMap<>();
 
-    /** When each came here; those longest here first. */
+    /** When each was added; the oldest first. */
     private final LinkedHashMap<ItemKey, Double> addedAt = new LinkedHashMap<>();
 
+    /** Adds a new item. */
     void add(GossipItem item, double now) {
         ItemKey key = new ItemKey(item.name(), item instanceof MemberRecord);
-        int first = item instanceof MemberRecord memberRecord && memberRecord.status() != RecordStatus.ALIVE
-                ? VERDICT_PRIORITY
-                : UNSENT_PRIORITY;
+        int first = isVerdict(item) ? VERDICT_PRIORITY : UNSENT_PRIORITY;
         Integer before = transmissions.put(key, first);
         if (before != null) {
             byTransmissions.get(before).remove(key);
@@ -48,9 +50,13 @@
         addedAt.put(key, now);
     }
 
+    private static boolean isVerdict(GossipItem item) {
+        return item instanceof MemberRecord memberRecord && memberRecord.status() != RecordStatus.ALIVE;
+    }
+
     /**
-     * Gives up what came before that and was sent at least once: it would take the room of what is new, and where it is still
-     * lacking, the sums differ and an exchange brings it.
+     * Drops items that were added before that time and sent at least once: they would take the room of new ones, and where they
+     * are still lacking, digests differ and an exchange brings them.
      */
     void expire(double before) {
         for (Iterator<Map.Entry<ItemKey, Double>> iterator = addedAt.entrySet().iterator(); iterator.hasNext(); ) {
@@ -58,44 +64,42 @@
             if (oldest.getValue() >= before) {
                 return;
             }
-            int times = transmissions.get(oldest.getKey());
-            if (times > UNSENT_PRIORITY) {
-                byTransmissions.get(times).remove(oldest.getKey());
+            int sent = transmissions.get(oldest.getKey());
+            if (sent > UNSENT_PRIORITY) {
+                byTransmissions.get(sent).remove(oldest.getKey());
                 transmissions.remove(oldest.getKey());
                 iterator.remove();
             }
         }
     }
 
-    private void put(int times, ItemKey key, GossipItem item) {
-        while (byTransmissions.size() <= times) {
+    private void put(int sent, ItemKey key, GossipItem item) {
+        while (byTransmissions.size() <= sent) {
             byTransmissions.add(new LinkedHashMap<>());
         }
-        byTransmissions.get(times).put(key, item);
+        byTransmissions.get(sent).put(key, item);
     }
 
     boolean isEmpty() {
         return transmissions.isEmpty();
     }
 
-    /** Items for one datagram, of so many bytes at most, for a fleet of that size. */
+    /** Takes items for one datagram, of so many bytes at most, for a fleet of that size. */
     List<GossipItem> take(int maxBytes, int members) {
         if (transmissions.isEmpty()) {
             return List.of();
         }
-        int maxTransmissions =
-                UNSENT_PRIORITY + (int) Math.ceil(RETRANSMIT_FACTOR * (Math.log(members + 1.0) / Math.log(2)));
         List<GossipItem> taken = new ArrayList<>();
         List<Map.Entry<ItemKey, Integer>> moved = new ArrayList<>();
         int bytesLeft = maxBytes;
         int misfits = 0;
-        for (int times = 0;
-                times < byTransmissions.size() && bytesLeft >= MIN_ITEM_BYTES && misfits < MAX_MISFITS;
-                times++) {
-            for (Iterator<Map.Entry<ItemKey, GossipItem>> i =
-                            byTransmissions.get(times).entrySet().iterator();
-                    i.hasNext() && bytesLeft >= MIN_ITEM_BYTES && misfits < MAX_MISFITS; ) {
-                Map.Entry<ItemKey, GossipItem> entry = i.next();
+        for (int sent = 0;
+                sent < byTransmissions.size() && bytesLeft >= MIN_ITEM_BYTES && misfits < MAX_MISFITS;
+                sent++) {
+            for (Iterator<Map.Entry<ItemKey, GossipItem>> iterator =
+                            byTransmissions.get(sent).entrySet().iterator();
+                    iterator.hasNext() && bytesLeft >= MIN_ITEM_BYTES && misfits < MAX_MISFITS; ) {
+                Map.Entry<ItemKey, GossipItem> entry = iterator.next();
                 int size = entry.getValue().maxEncodedBytes();
                 if (size > bytesLeft) {
                     misfits++;
@@ -103,21 +107,30 @@
                 }
                 bytesLeft -= size;
                 taken.add(entry.getValue());
-                moved.add(Map.entry(entry.getKey(), times + 1));
-                i.remove();
+                moved.add(Map.entry(entry.getKey(), sent + 1));
+                iterator.remove();
             }
         }
+        requeue(moved, taken, maxTransmissions(members));
+        return taken;
+    }
+
+    private static int maxTransmissions(int members) {
+        return UNSENT_PRIORITY + (int) Math.ceil(RETRANSMIT_FACTOR * (Math.log(members + 1.0) / Math.log(2)));
+    }
+
+    /** Puts items that were taken back under their new number of transmissions, and drops those sent often enough. */
+    private void requeue(List<Map.Entry<ItemKey, Integer>> moved, List<GossipItem> taken, int maxTransmissions) {
         for (int i = 0; i < moved.size(); i++) {
             ItemKey key = moved.get(i).getKey();
-            int times = moved.get(i).getValue();
-            if (times >= maxTransmissions) {
+            int sent = moved.get(i).getValue();
+            if (sent >= maxTransmissions) {
                 transmissions.remove(key);
                 addedAt.remove(key);
             } else {
-                transmissions.put(key, times);
-                put(times, key, taken.get(i));
+                transmissions.put(key, sent);
+                put(sent, key, taken.get(i));
             }
         }
-        return taken;
     }
 }
--- a/src/main/java/pepperdock/membership/MemberRecord.java
+++ b/src/main/java/pepperdock/membership/MemberRecord.java
@@ -1,10 +1,13 @@
 package pepperdock.membership;
 
 /**
- * Who a member is. Written by itself, but for {@link RecordStatus#FAULTY}.
+ * Who a member is and where it is reached. Written by the member itself, but for {@link RecordStatus#FAULTY}.
+ *
+ * <p>Two numbers tell versions apart. The <em>generation</em> is drawn when the process starts: two processes of one name differ
+ * in it. The <em>incarnation</em> is SWIM's (section 4.2): only the member raises it, with every refutation, and the next
+ * process of the name goes on where the last one left it. On the wire and for operators the generation is called
+ * {@code life}.
  *
- * @param life drawn when the process starts: two processes of one name differ in it
- * @param incarnation grows with every refutation, and goes on where the last life of the name left it
  * @param address HOST:PORT, as announced, of datagrams and streams alike
  */
 public record MemberRecord(
@@ -20,20 +23,24 @@
     /** Names of members, fleets, zones and machines: what fits a datagram and needs no quoting anywhere. */
     public static final String NAME_PATTERN = "[A-Za-z0-9._-]{1,64}";
 
+    /** Bytes on the wire beside the texts, at most: their lengths, the kind, two numbers and the status. */
+    private static final int FIXED_BYTES = 30;
+
     @Override
     public int maxEncodedBytes() {
-        return 30 + name.length() + zone.length() + machine.length() + address.length();
+        return FIXED_BYTES + name.length() + zone.length() + machine.length() + address.length();
     }
 
     MemberRecord withStatus(RecordStatus newStatus) {
         return new MemberRecord(name, generation, incarnation, newStatus, address, zone, machine);
     }
 
+    /** The same process, alive in another incarnation. */
     MemberRecord aliveIn(long newIncarnation) {
         return new MemberRecord(name, generation, newIncarnation, RecordStatus.ALIVE, address, zone, machine);
     }
 
-    /** Whether this says something newer of that name than the other does. */
+    /** Whether this is newer than another record of the same name: the higher incarnation, then generation, then status. */
     boolean supersedes(MemberRecord other) {
         if (incarnation != other.incarnation) {
             return incarnation > other.incarnation;
--- a/src/main/java/pepperdock/membership/MemberStateTracker.java
+++ b/src/main/java/pepperdock/membership/MemberStateTracker.java
@@ -10,15 +10,15 @@
 import java.util.stream.Collectors;
 
 /**
- * The state of each member as it was last told, read from the table by one rule, and the changes of it: each told once, under
- * numbers that count up.
+ * The state of each member as it was last published, read from the table by one rule, and the changes of it: each published
+ * once, under numbers that count up. Owned by the thread that calls {@link Membership}.
  */
 final class MemberStateTracker {
 
     private final MembershipTable table;
     private final Consumer<MembershipView.Change> changes;
     private final Map<String, MemberState> states = new TreeMap<>();
-    /** Those slow or cut off: looked at again with each change, as what was said of them may have been taken back. */
+    /** Those slow or suspect: read anew with each change, as what was said of them may have been taken back. */
     private final Set<String> impaired = new TreeSet<>();
 
     private final Map<String, Long> generations = new HashMap<>();
@@ -33,12 +33,12 @@
         this.changes = changes;
     }
 
-    /** The number of the last change told. */
+    /** The number of the last change published. */
     long number() {
         return number;
     }
 
-    /** The state last told; here where none was. */
+    /** The state last published; alive where none was. */
     MemberState of(String name) {
         return states.getOrDefault(name, MemberState.ALIVE);
     }
@@ -61,7 +61,7 @@
         touched.addAll(names);
     }
 
-    /** Tells what has changed since the last call. */
+    /** Publishes what has changed since the last call. */
     void publish() {
         if (touched.isEmpty()) {
             return;
@@ -77,31 +77,30 @@
     }
 
     private void publish(MembershipTable.Entry entry) {
-        MemberRecord memberRecord = entry.memberRecord();
-        MemberState before = states.get(memberRecord.name());
-        Long generation = generations.put(memberRecord.name(), memberRecord.generation());
-        if (generation != null
-                && generation != memberRecord.generation()
-                && before != MemberState.FAULTY
-                && before != MemberState.LEFT) {
-            change(memberRecord, generation, before, MemberState.FAULTY, "another life of it has taken its place");
+        MemberRecord member = entry.memberRecord();
+        MemberState before = states.get(member.name());
+        Long generation = generations.put(member.name(), member.generation());
+        boolean replaced = generation != null && generation != member.generation();
+        if (replaced && before != MemberState.FAULTY && before != MemberState.LEFT) {
+            change(member, generation, before, MemberState.FAULTY, "another life of it has taken its place");
             before = MemberState.FAULTY;
         }
         MemberState current = stateOf(entry);
         if (current != before) {
-            change(memberRecord, memberRecord.generation(), before, current, reasonFor(entry, current));
+            change(member, member.generation(), before, current, reasonFor(entry, current));
         }
     }
 
-    private void change(MemberRecord memberRecord, long generation, MemberState from, MemberState to, String reason) {
-        states.put(memberRecord.name(), to);
+    private void change(MemberRecord member, long generation, MemberState from, MemberState to, String reason) {
+        states.put(member.name(), to);
         if (to == MemberState.SLOW || to == MemberState.SUSPECT) {
-            impaired.add(memberRecord.name());
+            impaired.add(member.name());
         } else {
-            impaired.remove(memberRecord.name());
+            impaired.remove(member.name());
         }
-        changes.accept(new MembershipView.Change(
-                ++number, memberRecord.name(), generation, memberRecord.incarnation(), from, to, reason));
+        number++;
+        changes.accept(
+                new MembershipView.Change(number, member.name(), generation, member.incarnation(), from, to, reason));
     }
 
     private MemberState stateOf(MembershipTable.Entry entry) {
@@ -124,13 +123,13 @@
         return slow > 0 && 2 * slow >= observers ? MemberState.SLOW : MemberState.ALIVE;
     }
 
-    private String reasonFor(MembershipTable.Entry entry, MemberState current) {
-        MemberRecord memberRecord = entry.memberRecord();
-        return switch (current) {
-            case ALIVE -> memberRecord.incarnation() > 0 ? "incarnation " + memberRecord.incarnation() : "";
+    private String reasonFor(MembershipTable.Entry entry, MemberState state) {
+        MemberRecord member = entry.memberRecord();
+        return switch (state) {
+            case ALIVE -> member.incarnation() > 0 ? "incarnation " + member.incarnation() : "";
             case LEFT -> "it said so";
             case SLOW, SUSPECT, FAULTY ->
-                table.observationsOf(memberRecord.name()).entrySet().stream()
+                table.observationsOf(member.name()).entrySet().stream()
                         .map(observation -> observation.getKey()
                                 + ' '
                                 + observation.getValue().operatorsWord())
--- a/src/main/java/pepperdock/membership/MembershipSettings.java
+++ b/src/main/java/pepperdock/membership/MembershipSettings.java
@@ -1,22 +1,24 @@
 package pepperdock.membership;
 
 /**
- * Timings and bounds; seconds, bytes and counts. The defaults notice a death in some 6.5 s and bear pauses of 5 s.
+ * Timings and bounds of membership: keys, defaults and units. All members of a fleet should have the same timings. The defaults
+ * detect a death in some 6.5 s and tolerate pauses of 5 s. Immutable.
  *
- * @param probeS between two probes of a subject
- * @param doubtS without a sign of life over any way, an observer says that it does not reach its subject
- * @param confirmS for so long enough observers have to say so before the member is gone
- * @param observers of each member, at most
- * @param high of an observed member's credible observers, the share that has to agree
- * @param low that many observers put a member in doubt, so that what it says of others counts no more
- * @param helpers asked to probe a subject that did not answer in time
- * @param slowS a subject whose answers take longer than this on the mean is slow
- * @param syncS between two full exchanges with a member drawn
- * @param forgetS after which a member that is gone or left is forgotten
+ * @param probeIntervalS seconds between two pings to a subject
+ * @param suspicionTimeoutS seconds without any sign of life after which an observer says that it does not reach its subject
+ * @param confirmationS seconds that enough observers have to say so before a member is declared faulty
+ * @param observers of each member, at most (K of Rapid, section 4.1)
+ * @param highWatermark share of a member's credible observers that has to agree (H of Rapid, section 4.2, as a share)
+ * @param lowWatermark observers that put a member in doubt, so that what it says of others no longer counts (L of Rapid)
+ * @param indirectProbes members asked to ping a subject that did not acknowledge in time (k of SWIM, section 3.1)
+ * @param slowThresholdS seconds; a subject whose acknowledgements take longer than this on the mean is slow
+ * @param syncIntervalS seconds between two full exchanges with a member drawn
+ * @param retentionS seconds after which a member that is faulty or left is forgotten
  * @param datagramsPerS sent by this member, at most, half as many again in a single second
- * @param bytesPerS sent, on streams too, at most, half as much again in a single second; what goes first: {@link BandwidthBudget}
- * @param membersMost kept in the table; more are refused
- * @param selfDoubt whether a member that is late or reaches few doubts itself before others; off only to measure its worth
+ * @param bytesPerS sent, on streams too, at most, half as much again in a single second; priorities: {@link BandwidthBudget}
+ * @param maxMembers kept in the table; more are rejected
+ * @param localHealthEnabled whether a member that is late or reaches few doubts itself before others, as in Lifeguard; off only
+ *     to measure what it is worth
  */
 public record MembershipSettings(
         double probeIntervalS,
@@ -34,36 +36,105 @@
         int maxMembers,
         boolean localHealthEnabled) {
 
-    /** Bytes of one datagram, headers of UDP and IP aside: fits any path that carries IPv6's least, with room. */
+    /** The keys of these settings in {@code members} of a gatherer's file; those in seconds end in {@code _s}. */
+    public static final class Key {
+        public static final String PROBE_INTERVAL = "probe_s";
+        public static final String SUSPICION_TIMEOUT = "doubt_s";
+        public static final String CONFIRMATION = "confirm_s";
+        public static final String OBSERVERS = "observers";
+        public static final String HIGH_WATERMARK = "agree";
+        public static final String LOW_WATERMARK = "doubters";
+        public static final String INDIRECT_PROBES = "helpers";
+        public static final String SLOW_THRESHOLD = "slow_s";
+        public static final String SYNC_INTERVAL = "exchange_s";
+        public static final String RETENTION = "forget_s";
+        public static final String DATAGRAM_RATE = "datagrams_per_s";
+        public static final String BYTE_RATE = "bytes_per_s";
+        public static final String MAX_MEMBERS = "most";
+
+        private Key() {}
+    }
+
+    /** Bytes of one datagram without the headers of UDP and IP: within IPv6's least MTU of 1280 on any path. */
     public static final int DATAGRAM_BYTES = 1200;
 
+    /** Suspicion timeouts in probe intervals, where only the latter is given. */
+    public static final int SUSPICION_PROBES = 6;
+
+    /** Exchange intervals in probe intervals, where only the latter is given. */
+    public static final int SYNC_PROBES = 60;
+
+    /** Datagrams for each ping to a subject: the ping, the acknowledgement owed to an observer, and indirect pings. */
+    public static final int DATAGRAMS_PER_PROBE = 3;
+
+    /** Bytes of a ping, an acknowledgement or an indirect ping, with headers and names of usual length. */
+    public static final int TYPICAL_DATAGRAM_BYTES = 170;
+
+    private static final double DEFAULT_PROBE_INTERVAL_S = 0.5;
+    /** Six probe intervals: several datagrams in a row may be lost. */
+    private static final double DEFAULT_SUSPICION_TIMEOUT_S = 3;
+
+    private static final double DEFAULT_CONFIRMATION_S = 3;
+    private static final int DEFAULT_OBSERVERS = 8;
+    private static final double DEFAULT_HIGH_WATERMARK = 0.75;
+    private static final int DEFAULT_LOW_WATERMARK = 2;
+    private static final int DEFAULT_INDIRECT_PROBES = 3;
+    private static final double DEFAULT_SYNC_INTERVAL_S = 30;
+    private static final double DEFAULT_RETENTION_S = 3600;
+    private static final int DEFAULT_DATAGRAMS_PER_S = 100;
+    /** Above what pings, acknowledgements and indirect pings need: 170 bytes for each of some 48 a second. */
+    private static final int DEFAULT_BYTES_PER_S = 9_000;
+
+    private static final int DEFAULT_MAX_MEMBERS = 2000;
+
+    /** Ticks in a probe interval: how exactly pings are spaced. */
+    private static final int TICKS_PER_PROBE = 4;
+    /** Share of the probe interval after which a ping counts as not acknowledged, so that indirect pings fit the rest. */
+    private static final double PING_TIMEOUT_SHARE = 0.6;
+    /** Times of a verdict for which those declared faulty count in the fleet. */
+    private static final int FAULTY_MEMORY_FACTOR = 10;
+
+    /** The defaults. */
     public static MembershipSettings defaults() {
-        return of(0.5, 3, 3);
+        return of(DEFAULT_PROBE_INTERVAL_S, DEFAULT_SUSPICION_TIMEOUT_S, DEFAULT_CONFIRMATION_S);
     }
 
     /** The defaults, with other timings. */
-    public static MembershipSettings of(double probeS, double doubtS, double confirmS) {
+    public static MembershipSettings of(double probeIntervalS, double suspicionTimeoutS, double confirmationS) {
         return new MembershipSettings(
-                probeS, doubtS, confirmS, 8, 0.75, 2, 3, probeS, 30, 3600, 100, 9_000, 2000, true);
+                probeIntervalS,
+                suspicionTimeoutS,
+                confirmationS,
+                DEFAULT_OBSERVERS,
+                DEFAULT_HIGH_WATERMARK,
+                DEFAULT_LOW_WATERMARK,
+                DEFAULT_INDIRECT_PROBES,
+                probeIntervalS,
+                DEFAULT_SYNC_INTERVAL_S,
+                DEFAULT_RETENTION_S,
+                DEFAULT_DATAGRAMS_PER_S,
+                DEFAULT_BYTES_PER_S,
+                DEFAULT_MAX_MEMBERS,
+                true);
     }
 
-    /** How often the machine wants to be told the time. */
+    /** Seconds between two calls of {@link Membership#tick}. */
     public double tickS() {
-        return probeIntervalS / 4;
+        return probeIntervalS / TICKS_PER_PROBE;
     }
 
-    /** After which a probe counts as unanswered and helpers are asked. */
+    /** Seconds after which a ping counts as not acknowledged, and indirect pings are asked for. */
     public double pingTimeoutS() {
-        return probeIntervalS * 0.6;
+        return probeIntervalS * PING_TIMEOUT_SHARE;
     }
 
-    /** A pause of a member that others bear without calling it gone. */
+    /** Seconds of a pause that others tolerate without declaring a member faulty. */
     public double toleratedPauseS() {
         return suspicionTimeoutS + confirmationS - 2 * probeIntervalS;
     }
 
-    /** For so long those gone still count as the fleet that a majority has to be reached of. */
+    /** Seconds for which those declared faulty still count in the fleet that a majority has to be reached of. */
     public double faultyMemoryS() {
-        return 10 * (suspicionTimeoutS + confirmationS);
+        return FAULTY_MEMORY_FACTOR * (suspicionTimeoutS + confirmationS);
     }
 }
--- a/src/main/java/pepperdock/membership/MembershipTable.java
+++ b/src/main/java/pepperdock/membership/MembershipTable.java
@@ -15,15 +15,16 @@
 import java.util.TreeSet;
 
 /**
- * What is held of all members: for each name its newest card and what it last said as an observer. Merging is idempotent and
- * takes items in any order, so members that have heard the same hold the same. Bounded; gone and left members are forgotten
- * after a while, and what is told of such a one that is not known is not taken in again.
+ * What is known of all members: for each name its newest record and its newest observations. Merging is idempotent and takes
+ * items in any order, so members that have received the same items hold the same. Bounded: faulty and left members are
+ * forgotten after a while, and an item of such a member that is not known is not taken in again. Owned by the thread that calls
+ * {@link Membership}.
  */
 final class MembershipTable {
 
     private static final Hasher64 HASH = Hashing.xxh3_64();
 
-    /** A member as held here. */
+    /** What is known of one member. */
     static final class Entry {
         private MemberRecord memberRecord;
         private Observations observations;
@@ -31,10 +32,10 @@
         private double since;
 
         private long digest;
-        /** Its part of the state: its sum while it is here, else none. */
+        /** Its part of the state digest: its digest while it is alive, else none. */
         private long countedDigest;
 
-        /** How often it came back from gone, in this life. */
+        /** How often it refuted a faulty verdict, in this generation. */
         private int refutations;
 
         MemberRecord memberRecord() {
@@ -66,19 +67,21 @@
         CHANGED,
         /** Unknown until now. */
         ADDED,
-        /** Another life of a known name has taken its place. */
+        /** Another process of a known name has taken its place. */
         REPLACED
     }
 
     private final int maxMembers;
     private final Map<String, Entry> entries = new TreeMap<>();
+    /** By subject and observer, of the subject's present generation alone. */
     private final Map<String, Map<String, Observation>> observationsBySubject = new HashMap<>();
+
     private final ObserverRings rings;
     private final Set<String> faulty = new TreeSet<>();
-    /** Observers that say anything. */
+    /** Observers that say anything of anybody. */
     private final Set<String> activeObservers = new TreeSet<>();
 
-    /** Of all, here or not, by slice of the names: the sums of those in it. */
+    /** Of all members, alive or not, by slice of the names: the combined digests of those in it. */
     private final long[] sliceDigests = new long[Message.SLICE_COUNT];
 
     private long stateDigest;
@@ -90,25 +93,27 @@
         rings = new ObserverRings(observers);
     }
 
+    /** Null where the member is not known. */
     Entry get(String name) {
         return entries.get(name);
     }
 
+    /** All members known, by name. */
     Collection<Entry> entries() {
         return Collections.unmodifiableCollection(entries.values());
     }
 
-    /** Those here, and who observes whom among them. */
+    /** The members that are alive, and who observes whom among them. */
     ObserverRings rings() {
         return rings;
     }
 
-    /** Those called gone and not forgotten yet. */
+    /** Members declared faulty and not forgotten yet. */
     Collection<String> faulty() {
         return faulty;
     }
 
-    /** Equal for two members that hold the same of those here. */
+    /** Equal for two members that hold the same of all members that are alive. */
     long stateDigest() {
         return stateDigest;
     }
@@ -123,7 +128,7 @@
         return rejected;
     }
 
-    /** What was said of a subject's present life, by observer, whoever that is. */
+    /** What is said of a subject's present generation, by observer, whoever that is. */
     Map<String, Observation> observationsOf(String subject) {
         return observationsBySubject.getOrDefault(subject, Map.of());
     }
@@ -133,30 +138,39 @@
         return observationsBySubject.keySet();
     }
 
+    // ---- Merging ------------------------------------------------------------
+
+    /** Merges a member's record. */
     MergeResult merge(MemberRecord received, double now) {
         Entry entry = entries.get(received.name());
-        if (entry == null) {
-            if (received.status() != RecordStatus.ALIVE) {
-                return MergeResult.UNCHANGED;
-            }
-            if (entries.size() >= maxMembers) {
-                rejected++;
-                return MergeResult.UNCHANGED;
-            }
-            entry = new Entry();
-            entries.put(received.name(), entry);
-            entry.memberRecord = received;
-            entry.observations = Observations.none(received);
-            entry.since = now;
-            // Observers may have been heard of before their subject.
-            reindexObservationsOf(received.name());
-            onEntryChanged(entry);
-            return MergeResult.ADDED;
+        if (entry != null) {
+            return received.supersedes(entry.memberRecord)
+                    ? replaceRecord(entry, received, now)
+                    : MergeResult.UNCHANGED;
+        }
+        if (received.status() != RecordStatus.ALIVE) {
+            return MergeResult.UNCHANGED;
         }
-        return received.supersedes(entry.memberRecord) ? replaceRecord(entry, received, now) : MergeResult.UNCHANGED;
+        if (entries.size() >= maxMembers) {
+            rejected++;
+            return MergeResult.UNCHANGED;
+        }
+        add(received, now);
+        return MergeResult.ADDED;
     }
 
-    /** Puts a card in place of one that was told to nobody yet, whichever would go before the other. */
+    private void add(MemberRecord received, double now) {
+        Entry entry = new Entry();
+        entries.put(received.name(), entry);
+        entry.memberRecord = received;
+        entry.observations = Observations.none(received);
+        entry.since = now;
+        // Observations may have come before the record of their subject.
+        reindexObservationsOf(received.name());
+        onEntryChanged(entry);
+    }
+
+    /** Replaces a record that was sent to nobody yet, whichever of the two supersedes the other. */
     void replaceUnpublished(MemberRecord successor, double now) {
         replaceRecord(entries.get(successor.name()), successor, now);
     }
@@ -175,13 +189,14 @@
         }
         entry.memberRecord = newRecord;
         if (replaced) {
-            // What observers said of the life before is no longer said of this one.
+            // What observers said of the generation before is no longer said of this one.
             reindexObservationsOf(newRecord.name());
         }
         onEntryChanged(entry);
         return replaced ? MergeResult.REPLACED : MergeResult.CHANGED;
     }
 
+    /** Merges an observer's observations. */
     MergeResult merge(Observations received) {
         Entry entry = entries.get(received.name());
         if (entry == null || !received.supersedes(entry.observations)) {
@@ -230,28 +245,30 @@
         }
     }
 
-    /** An entry's share of the sum is taken out and put in anew, and its place in the rings set right. */
+    /** Replaces an entry's part of the digests, and puts its name where its status belongs. */
     private void onEntryChanged(Entry entry) {
         version++;
-        int sliceIndex = sliceOf(entry.memberRecord.name());
-        sliceDigests[sliceIndex] ^= entry.digest;
+        String name = entry.memberRecord.name();
+        int slice = sliceOf(name);
+        sliceDigests[slice] ^= entry.digest;
         entry.digest = digestOf(entry);
-        sliceDigests[sliceIndex] ^= entry.digest;
+        sliceDigests[slice] ^= entry.digest;
         stateDigest ^= entry.countedDigest;
         entry.countedDigest = entry.isAlive() ? entry.digest : 0;
         stateDigest ^= entry.countedDigest;
         if (entry.isAlive()) {
-            rings.add(entry.memberRecord.name());
+            rings.add(name);
         } else {
-            rings.remove(entry.memberRecord.name());
+            rings.remove(name);
         }
         if (entry.memberRecord.status() == RecordStatus.FAULTY) {
-            faulty.add(entry.memberRecord.name());
+            faulty.add(name);
         } else {
-            faulty.remove(entry.memberRecord.name());
+            faulty.remove(name);
         }
     }
 
+    /** Compared between members, so its text is part of the wire format. */
     private static long digestOf(Entry entry) {
         MemberRecord memberRecord = entry.memberRecord;
         return HASH.hashCharsToLong(memberRecord.name()
@@ -265,24 +282,23 @@
                 + entry.observations.revision());
     }
 
-    /** Forgets those that went long ago, one excepted. */
+    /** Forgets members that have not been alive since before that time, one excepted. */
     void removeExpired(double before, String except) {
         for (Iterator<Entry> iterator = entries.values().iterator(); iterator.hasNext(); ) {
             Entry entry = iterator.next();
-            if (!entry.isAlive()
-                    && entry.since < before
-                    && !entry.memberRecord.name().equals(except)) {
+            String name = entry.memberRecord.name();
+            if (!entry.isAlive() && entry.since < before && !name.equals(except)) {
                 removeObservations(entry.observations);
-                observationsBySubject.remove(entry.memberRecord.name());
-                faulty.remove(entry.memberRecord.name());
-                sliceDigests[sliceOf(entry.memberRecord.name())] ^= entry.digest;
+                observationsBySubject.remove(name);
+                faulty.remove(name);
+                sliceDigests[sliceOf(name)] ^= entry.digest;
                 version++;
                 iterator.remove();
             }
         }
     }
 
-    // ---- Full exchange ------------------------------------------------------------
+    // ---- Anti-entropy ------------------------------------------------------------
 
     /** Which slice a name is in. */
     static int sliceOf(String name) {
@@ -293,20 +309,22 @@
         return slices == Message.ALL_SLICES || (slices >>> sliceOf(name) & 1) == 1;
     }
 
+    /** Members known. */
     int size() {
         return entries.size();
     }
 
+    /** One digest for each slice. */
     List<Long> sliceDigests() {
         return Arrays.stream(sliceDigests).boxed().toList();
     }
 
-    /** Names held, in one slice. */
+    /** Names known, in one slice. */
     List<String> namesInSlice(int slice) {
         return entries.keySet().stream().filter(name -> sliceOf(name) == slice).toList();
     }
 
-    /** By name, in these slices. */
+    /** Digests by name, of these slices. */
     Map<String, Long> digests(int slices) {
         Map<String, Long> digests = new TreeMap<>();
         entries.forEach((name, entry) -> {
@@ -317,7 +335,7 @@
         return digests;
     }
 
-    /** Names that another lacks or holds otherwise, by its sums of these slices. */
+    /** Names that another member lacks or holds otherwise, by its digests of these slices. */
     List<String> namesToSend(Map<String, Long> digests, int slices) {
         List<String> names = new ArrayList<>();
         entries.forEach((name, entry) -> {
@@ -329,7 +347,7 @@
         return names;
     }
 
-    /** Names that another holds, and this does not or holds otherwise. */
+    /** Names that another member holds, and this table lacks or holds otherwise. */
     List<String> namesToRequest(Map<String, Long> digests) {
         return digests.entrySet().stream()
                 .filter(digest -> {
@@ -340,13 +358,14 @@
                 .toList();
     }
 
-    /** A member's card, and what it said where it said anything. */
+    /** A member's record, and its observations where it has said anything. */
     List<GossipItem> itemsOf(String name) {
         Entry entry = entries.get(name);
-        return entry == null
-                ? List.of()
-                : entry.observations.revision() == 0
-                        ? List.of(entry.memberRecord)
-                        : List.of(entry.memberRecord, entry.observations);
+        if (entry == null) {
+            return List.of();
+        }
+        return entry.observations.revision() == 0
+                ? List.of(entry.memberRecord)
+                : List.of(entry.memberRecord, entry.observations);
     }
 }
--- a/src/main/java/pepperdock/membership/MembershipView.java
+++ b/src/main/java/pepperdock/membership/MembershipView.java
@@ -6,9 +6,10 @@
 /**
  * The fleet as one member sees it. Numbers count this member's own changes; two members' views are compared by what they say.
  *
- * @param sure whether this member reaches a majority of the fleet; where not, it may be the one cut off, and calls nobody gone
- * @param reached of {@code fleet}, which counts those gone a short while ago
- * @param taken the address of another process of this member's name, which it gives way to; empty where there is none
+ * @param hasMajority whether this member reaches a majority of the fleet; where not, it may be the one cut off, and declares
+ *     nobody faulty
+ * @param reachable of {@code fleetSize}, which counts those declared faulty recently
+ * @param nameConflictAddress of another process of this member's name, which it gives way to; empty where there is none
  */
 public record MembershipView(
         long number,
@@ -19,7 +20,12 @@
         String nameConflictAddress,
         List<Member> members) {
 
-    /** {@code since} by the clock of whoever asks; {@code said} is what observers say, by their names. */
+    /**
+     * One member.
+     *
+     * @param since by the clock of the member that is asked
+     * @param observations of it, by the observers' names
+     */
     public record Member(
             String name,
             String zone,
@@ -31,7 +37,11 @@
             double since,
             Map<String, Observation> observations) {}
 
-    /** One change; {@code from} is null for a member that was not known. */
+    /**
+     * One change.
+     *
+     * @param from null for a member that was not known
+     */
     public record Change(
             long number,
             String name,
--- a/src/main/java/pepperdock/membership/Message.java
+++ b/src/main/java/pepperdock/membership/Message.java
@@ -4,16 +4,30 @@
 import java.util.Map;
 
 /**
- * What members say to each other. Datagrams: {@link Ping}, {@link Ack}, {@link WrongAddressee}, {@link IndirectPing}, {@link IndirectAck},
- * {@link Join}, {@link JoinResponse}. On streams: {@link SliceDigests} and {@link SliceSelection} where the table is large, {@link DigestRequest},
- * {@link DigestResponse}, {@link MissingItems}, one after the other, and the end. Any of them may come late, twice, out of order, or never.
+ * Messages between members. Datagrams: {@link Ping}, {@link Ack}, {@link IndirectPing} and {@link IndirectAck} (SWIM, section
+ * 3.1), {@link WrongAddressee}, {@link Join}, {@link JoinResponse}. On streams, one after the other: {@link SliceDigests} and
+ * {@link SliceSelection} where the table is large, {@link DigestRequest}, {@link DigestResponse}, {@link MissingItems}. Any of
+ * them may come late, twice, out of order, or never.
  */
 public sealed interface Message {
 
+    /** Bytes of a number, at most. */
+    int MAX_NUMBER_BYTES = 9;
+
+    /** Bytes of the start of a list, or of its end. */
+    int BRACKET_BYTES = 1;
+
+    /** Slices that names are divided into by a hash; each slice is compared as a whole. */
+    int SLICE_COUNT = 32;
+
+    /** Every slice, as bits. */
+    int ALL_SLICES = -1;
+
     /**
-     * On every message. A stranger's fleet is refused by its name before anything else is read.
+     * The first part of every message. One of another fleet is rejected by the fleet's name.
      *
-     * @param state a sum over what the sender holds of those here; equal sums, equal views
+     * @param generation of the sender
+     * @param stateDigest a digest of all that the sender holds of members that are alive; equal digests, equal views
      */
     record Header(String fleet, String name, long generation, long incarnation, String address, long stateDigest) {
 
@@ -23,18 +37,18 @@
         }
     }
 
-    /** Bytes of a number, and of the start of a list or of its end, at most. */
-    int MAX_NUMBER_BYTES = 9;
-
-    int BRACKET_BYTES = 1;
+    /** Who sent it, and what of. */
+    Header header();
 
-    /** Parts of the names, by a hash of them, that are compared each as a whole. */
-    int SLICE_COUNT = 32;
+    /** Bytes after the header, at most. */
+    int maxBodyBytes();
 
-    /** Every slice of the names, as bits. */
-    int ALL_SLICES = -1;
+    /** Bytes on the wire, at most, without the headers of UDP or TCP. */
+    default int maxEncodedBytes() {
+        return header().maxEncodedBytes() + BRACKET_BYTES + maxBodyBytes();
+    }
 
-    /** Bytes of a text of at most 255 letters, at most. */
+    /** Bytes of a text of at most 255 characters, at most. */
     static int maxTextBytes(String text) {
         return 2 + text.length();
     }
@@ -44,78 +58,109 @@
                 + items.stream().mapToInt(GossipItem::maxEncodedBytes).sum();
     }
 
-    Header header();
-
-    /** Bytes on the wire, at most, headers below it aside. */
-    default int maxEncodedBytes() {
-        int size = header().maxEncodedBytes() + BRACKET_BYTES;
-        if (this instanceof Ping p) {
-            size += maxTextBytes(p.target()) + 2 * MAX_NUMBER_BYTES + maxItemsBytes(p.gossip());
-        } else if (this instanceof Ack a) {
-            size += MAX_NUMBER_BYTES + maxItemsBytes(a.gossip());
-        } else if (this instanceof WrongAddressee o) {
-            size += maxTextBytes(o.target()) + MAX_NUMBER_BYTES;
-        } else if (this instanceof IndirectPing a) {
-            size += maxTextBytes(a.subject()) + maxTextBytes(a.address()) + 2 * MAX_NUMBER_BYTES;
-        } else if (this instanceof IndirectAck t) {
-            size += maxTextBytes(t.subject()) + 2 * MAX_NUMBER_BYTES;
-        } else if (this instanceof JoinResponse w) {
-            size += maxItemsBytes(w.items());
-        } else if (this instanceof SliceDigests s) {
-            size += 2 * BRACKET_BYTES + MAX_NUMBER_BYTES * s.digests().size();
-        } else if (this instanceof SliceSelection) {
-            size += MAX_NUMBER_BYTES;
-        } else if (this instanceof DigestRequest d) {
-            size += MAX_NUMBER_BYTES + 2 * BRACKET_BYTES;
-            for (String name : d.digests().keySet()) {
-                size += maxTextBytes(name) + MAX_NUMBER_BYTES;
-            }
-        } else if (this instanceof DigestResponse r) {
-            size += maxItemsBytes(r.items()) + 2 * BRACKET_BYTES;
-            for (String name : r.requestedNames()) {
-                size += maxTextBytes(name);
-            }
-        } else if (this instanceof MissingItems r) {
-            size += maxItemsBytes(r.items());
+    private static int maxNamesBytes(Iterable<String> names, int bytesWithEach) {
+        int size = 2 * BRACKET_BYTES;
+        for (String name : names) {
+            size += maxTextBytes(name) + bytesWithEach;
         }
         return size;
     }
 
-    /** Are you there, you of this name and life? Sequence numbers are the sender's own, by subject. */
+    /** Asks a member of this name and generation for an {@link Ack}. Sequence numbers are the sender's own, by subject. */
     record Ping(Header header, String target, long generation, long sequence, List<GossipItem> gossip)
-            implements Message {}
+            implements Message {
+        @Override
+        public int maxBodyBytes() {
+            return maxTextBytes(target) + 2 * MAX_NUMBER_BYTES + maxItemsBytes(gossip);
+        }
+    }
 
-    /** The answer to a ping. */
-    record Ack(Header header, long sequence, List<GossipItem> gossip) implements Message {}
+    /** Acknowledges a ping. */
+    record Ack(Header header, long sequence, List<GossipItem> gossip) implements Message {
+        @Override
+        public int maxBodyBytes() {
+            return MAX_NUMBER_BYTES + maxItemsBytes(gossip);
+        }
+    }
 
-    /** Answers a ping that wanted another life, or another name, at this address: the one asked for is not here. */
-    record WrongAddressee(Header header, String target, long generation) implements Message {}
+    /** Answers a ping for another name or generation than the one at this address. */
+    record WrongAddressee(Header header, String target, long generation) implements Message {
+        @Override
+        public int maxBodyBytes() {
+            return maxTextBytes(target) + MAX_NUMBER_BYTES;
+        }
+    }
 
-    /** Ping this subject for me. */
+    /** Asks the receiver to ping a subject on the sender's behalf. */
     record IndirectPing(Header header, String subject, long generation, String address, long sequence)
-            implements Message {}
+            implements Message {
+        @Override
+        public int maxBodyBytes() {
+            return maxTextBytes(subject) + maxTextBytes(address) + 2 * MAX_NUMBER_BYTES;
+        }
+    }
 
-    /** The subject that I was asked to ping has answered. */
-    record IndirectAck(Header header, String subject, long generation, long sequence) implements Message {}
+    /** Tells the requester of an {@link IndirectPing} that the subject has acknowledged it. */
+    record IndirectAck(Header header, String subject, long generation, long sequence) implements Message {
+        @Override
+        public int maxBodyBytes() {
+            return maxTextBytes(subject) + 2 * MAX_NUMBER_BYTES;
+        }
+    }
 
-    /** I am new: what is held of my name, and who is there? */
-    record Join(Header header) implements Message {}
+    /** A new member asks what is held of its name, and for other members. */
+    record Join(Header header) implements Message {
+        @Override
+        public int maxBodyBytes() {
+            return 0;
+        }
+    }
 
-    /** Answers that: what the sender holds of the name, and a few of those here. */
-    record JoinResponse(Header header, List<GossipItem> items) implements Message {}
+    /** Answers a {@link Join}: what the sender holds of the name, and a few of the members that are alive. */
+    record JoinResponse(Header header, List<GossipItem> items) implements Message {
+        @Override
+        public int maxBodyBytes() {
+            return maxItemsBytes(items);
+        }
+    }
 
-    /** All that the sender holds, as one sum for each slice of the names. */
-    record SliceDigests(Header header, List<Long> digests) implements Message {}
+    /** All that the sender holds, as one digest for each slice of the names. */
+    record SliceDigests(Header header, List<Long> digests) implements Message {
+        @Override
+        public int maxBodyBytes() {
+            return 2 * BRACKET_BYTES + MAX_NUMBER_BYTES * digests.size();
+        }
+    }
 
-    /** Of a summary's slices, those to be compared by name, as bits. */
-    record SliceSelection(Header header, int slices) implements Message {}
+    /** The slices that differ and are to be compared by name, as bits. */
+    record SliceSelection(Header header, int slices) implements Message {
+        @Override
+        public int maxBodyBytes() {
+            return MAX_NUMBER_BYTES;
+        }
+    }
 
-    /** All that the sender holds in these slices, by name, as sums. */
-    record DigestRequest(Header header, int slices, Map<String, Long> digests) implements Message {}
+    /** All that the sender holds in these slices, by name, as digests. */
+    record DigestRequest(Header header, int slices, Map<String, Long> digests) implements Message {
+        @Override
+        public int maxBodyBytes() {
+            return MAX_NUMBER_BYTES + maxNamesBytes(digests.keySet(), MAX_NUMBER_BYTES);
+        }
+    }
 
-    /** What the other lacks or holds otherwise, and the names of which the sender wants the same. */
-    record DigestResponse(Header header, List<GossipItem> items, List<String> requestedNames) implements Message {}
+    /** What the other side lacks or holds otherwise, and the names of which the sender wants the same. */
+    record DigestResponse(Header header, List<GossipItem> items, List<String> requestedNames) implements Message {
+        @Override
+        public int maxBodyBytes() {
+            return maxItemsBytes(items) + maxNamesBytes(requestedNames, 0);
+        }
+    }
 
-    /** The items that a reply asked for. */
-    record MissingItems(Header header, List<GossipItem> items) implements Message {}
+    /** The items that a {@link DigestResponse} asked for. */
+    record MissingItems(Header header, List<GossipItem> items) implements Message {
+        @Override
+        public int maxBodyBytes() {
+            return maxItemsBytes(items);
+        }
+    }
 }
--- a/src/main/java/pepperdock/membership/ObserverRings.java
+++ b/src/main/java/pepperdock/membership/ObserverRings.java
@@ -13,9 +13,10 @@
 import java.util.TreeSet;
 
 /**
- * Who observes whom: in each of several rings, ordered by a hash of ring and name, a member observes the next. With few
- * members everyone observes all. The same set of names gives the same observers wherever it is held; one that joins or goes
- * changes its neighbours only. The graph is an expander, as in Rapid: any part of the fleet has observers outside of it.
+ * Who observes whom: the expander-based monitoring overlay of Rapid, section 4.1. In each of several rings, ordered by a hash of
+ * ring and name, a member observes the next one; with few members all observe all. The same set of names gives the same
+ * observers at every member, and one that joins or goes changes its neighbours only. Any part of the fleet has observers outside
+ * of it. Owned by the thread that calls {@link Membership}.
  */
 final class ObserverRings {
 
@@ -23,7 +24,7 @@
 
     private final List<TreeMap<Long, String>> rings = new ArrayList<>();
     private final Set<String> names = new TreeSet<>();
-    /** Worked out already, until the next change. */
+    /** Cached until the next change. */
     private final Map<String, Set<String>> observers = new HashMap<>();
 
     private final Map<String, Set<String>> subjects = new HashMap<>();
@@ -61,6 +62,7 @@
         subjects.clear();
     }
 
+    /** All members in the rings, by name. */
     Collection<String> names() {
         return names;
     }
@@ -70,6 +72,7 @@
         return observers.computeIfAbsent(name, member -> neighbours(member, false));
     }
 
+    /** In a fixed order; without the member itself. */
     Set<String> subjectsOf(String name) {
         return subjects.computeIfAbsent(name, member -> neighbours(member, true));
     }
@@ -80,15 +83,21 @@
             found.addAll(names);
         } else {
             for (int ring = 0; ring < rings.size(); ring++) {
-                TreeMap<Long, String> positions = rings.get(ring);
-                long ownPosition = position(ring, name);
-                Map.Entry<Long, String> neighbour =
-                        successors ? positions.higherEntry(ownPosition) : positions.lowerEntry(ownPosition);
-                found.add((neighbour != null ? neighbour : successors ? positions.firstEntry() : positions.lastEntry())
-                        .getValue());
+                long own = position(ring, name);
+                found.add(successors ? successor(rings.get(ring), own) : predecessor(rings.get(ring), own));
             }
         }
         found.remove(name);
         return found;
     }
+
+    private static String successor(TreeMap<Long, String> ring, long position) {
+        Map.Entry<Long, String> next = ring.higherEntry(position);
+        return (next != null ? next : ring.firstEntry()).getValue();
+    }
+
+    private static String predecessor(TreeMap<Long, String> ring, long position) {
+        Map.Entry<Long, String> previous = ring.lowerEntry(position);
+        return (previous != null ? previous : ring.lastEntry()).getValue();
+    }
 }
--- /dev/null
+++ b/src/main/java/pepperdock/membership/Outbox.java
@@ -0,0 +1,80 @@
+package pepperdock.membership;
+
+import java.util.List;
+import pepperdock.membership.Message.Ack;
+import pepperdock.membership.Message.Header;
+import pepperdock.membership.Message.Ping;
+
+/**
+ * Collects what the caller is to carry out, and sends datagrams within the bandwidth budget. Owned by the thread that calls
+ * {@link Membership}.
+ */
+final class Outbox {
+
+    /** Headers of UDP and of IP version 4. */
+    static final int UDP_AND_IP_BYTES = 28;
+
+    private final LocalMember local;
+    private final MembershipTable table;
+    private final BandwidthBudget budget;
+    private final Disseminator disseminator;
+    private final List<MembershipOutput> outputs;
+
+    Outbox(
+            LocalMember local,
+            MembershipTable table,
+            BandwidthBudget budget,
+            Disseminator disseminator,
+            List<MembershipOutput> outputs) {
+        this.local = local;
+        this.table = table;
+        this.budget = budget;
+        this.disseminator = disseminator;
+        this.outputs = outputs;
+    }
+
+    /** The header of a message sent now. */
+    Header header() {
+        return local.header(table.stateDigest());
+    }
+
+    /** Adds an output that the budget does not limit. */
+    void emit(MembershipOutput output) {
+        outputs.add(output);
+    }
+
+    /** Sends a datagram; false where the budget withholds it. */
+    boolean send(String address, Message message, BandwidthBudget.Use use) {
+        boolean sent = budget.tryAcquireDatagram(use, message.maxEncodedBytes() + UDP_AND_IP_BYTES);
+        if (sent) {
+            emit(new MembershipOutput.SendDatagram(address, message));
+        }
+        return sent;
+    }
+
+    /** Pings a member only to carry gossip to it: nobody waits for the acknowledgement. */
+    void pingUntracked(MemberRecord target) {
+        ping(target, 0, false);
+    }
+
+    /**
+     * Pings a member, with gossip on it; false where the budget withholds it.
+     *
+     * @param sameState whether the target holds the same of all members that are alive, so that gossip would tell it nothing
+     */
+    boolean ping(MemberRecord target, long sequence, boolean sameState) {
+        Ping bare = new Ping(header(), target.name(), target.generation(), sequence, List.of());
+        List<GossipItem> gossip = sameState ? List.of() : disseminator.piggyback(bare);
+        Ping ping = new Ping(bare.header(), target.name(), target.generation(), sequence, gossip);
+        return send(target.address(), ping, BandwidthBudget.Use.PROBE);
+    }
+
+    /** Acknowledges a ping, with gossip on it where the sender holds something else. */
+    void acknowledge(Ping ping) {
+        Ack bare = new Ack(header(), ping.sequence(), List.of());
+        boolean sameState = ping.header().stateDigest() == table.stateDigest();
+        List<GossipItem> gossip = sameState ? List.of() : disseminator.piggyback(bare);
+        Ack ack = new Ack(bare.header(), ping.sequence(), gossip);
+        send(ping.header().address(), ack, BandwidthBudget.Use.ACK);
+    }
+}
--- a/src/main/java/pepperdock/membership/SubjectMonitor.java
+++ b/src/main/java/pepperdock/membership/SubjectMonitor.java
@@ -1,15 +1,21 @@
 package pepperdock.membership;
 
 /**
- * One observer's watch on one subject: when it is to be pinged, what its answers say, and the word that comes of it. Worse is
- * said as soon as it is so; better only after the subject has been reached without a break for a while, longer each time it
- * fell back, so that a link that comes and goes is said once.
+ * One observer's monitor of one subject: when it is to be pinged, what its acknowledgements show, and the observation that
+ * comes of it. A worse observation holds at once; a better one only after the subject has been reached without a break for a
+ * while, longer each time it fell back, so that a flapping link is observed once. Owned by the thread that calls
+ * {@link Membership}.
  */
 final class SubjectMonitor {
 
+    /** Pings whose acknowledgement may still come: some seconds of them. */
     private static final int PINGS_TRACKED = 16;
+
+    /** The time to recover doubles with each fall, so often at most. */
     private static final int MAX_FALLS = 4;
-    /** Of the mean of answers' times, the newest's weight. */
+    /** Suspicion timeouts after which falls are forgotten. */
+    private static final int FALLS_MEMORY_FACTOR = 10;
+    /** Weight of the newest acknowledgement in the mean latency. */
     private static final double NEWEST_WEIGHT = 0.25;
 
     private final MembershipSettings settings;
@@ -17,30 +23,33 @@
     private final double[] sentAt = new double[PINGS_TRACKED];
     private long sequence;
     private double nextPingAt;
-    private boolean indirectPingsSent = true;
+    private boolean indirectProbeStarted = true;
     private boolean acknowledged = true;
     private double lastDirectAck;
     private double lastIndirectAck = Double.NEGATIVE_INFINITY;
     private double lastHeard;
-    /** The same, whatever pauses of our own there were. */
+    /** The same, not extended by pauses of our own. */
     private double lastHeardUnadjusted = Double.NEGATIVE_INFINITY;
     /** Since when it has been reached directly without a break. */
     private double steadySince;
 
     private double meanLatency;
+    /** Another process answers at its address. */
     private boolean replacedAtAddress;
-    /** The sum of all that it held when it last spoke. */
+    /** What the subject held when it last spoke. */
     private long stateDigest;
 
-    private Observation observation;
+    /** The last observation; null for reached. */
+    private Observation last;
+
     private int falls;
     private double fellAt = Double.NEGATIVE_INFINITY;
 
-    /** A new watch takes the subject for reached. */
-    SubjectMonitor(MembershipSettings settings, long life, double now, double firstAt) {
+    /** A new monitor takes the subject for reached. */
+    SubjectMonitor(MembershipSettings settings, long generation, double now, double firstPingAt) {
         this.settings = settings;
-        this.generation = life;
-        nextPingAt = firstAt;
+        this.generation = generation;
+        nextPingAt = firstPingAt;
         lastDirectAck = now;
         lastHeard = now;
         steadySince = now;
@@ -50,6 +59,8 @@
         return generation;
     }
 
+    // ---- Pinging ------------------------------------------------------------
+
     boolean isPingDue(double now) {
         return now >= nextPingAt;
     }
@@ -59,18 +70,18 @@
         nextPingAt = Math.max(nextPingAt + settings.probeIntervalS(), now + settings.probeIntervalS() / 2);
         sequence++;
         sentAt[(int) (sequence % PINGS_TRACKED)] = now;
-        indirectPingsSent = false;
+        indirectProbeStarted = false;
         acknowledged = false;
     }
 
-    /** Whether it is time to ask helpers, once for a ping. */
+    /** Whether it is time to ask for indirect pings; true once for a ping. */
     boolean startIndirectProbe(double now) {
-        if (indirectPingsSent
+        if (indirectProbeStarted
                 || acknowledged
                 || now - sentAt[(int) (sequence % PINGS_TRACKED)] < settings.pingTimeoutS()) {
             return false;
         }
-        indirectPingsSent = true;
+        indirectProbeStarted = true;
         steadySince = Double.POSITIVE_INFINITY;
         return true;
     }
@@ -79,13 +90,17 @@
         return sequence;
     }
 
-    void onAck(long number, double now) {
-        if (number > sequence || number <= sequence - PINGS_TRACKED || number <= 0) {
+    // ---- What comes of the subject ------------------------------------------------------------
+
+    void onAck(long acknowledgedSequence, double now) {
+        if (acknowledgedSequence > sequence
+                || acknowledgedSequence <= sequence - PINGS_TRACKED
+                || acknowledgedSequence <= 0) {
             return;
         }
-        double took = now - sentAt[(int) (number % PINGS_TRACKED)];
-        meanLatency += NEWEST_WEIGHT * (took - meanLatency);
-        acknowledged |= number == sequence;
+        double latency = now - sentAt[(int) (acknowledgedSequence % PINGS_TRACKED)];
+        meanLatency += NEWEST_WEIGHT * (latency - meanLatency);
+        acknowledged |= acknowledgedSequence == sequence;
         lastDirectAck = now;
         onMessage(now);
         replacedAtAddress = false;
@@ -105,8 +120,8 @@
         lastHeardUnadjusted = now;
     }
 
-    void onStateDigest(long state) {
-        stateDigest = state;
+    void onStateDigest(long newDigest) {
+        stateDigest = newDigest;
     }
 
     long stateDigest() {
@@ -117,56 +132,60 @@
         return lastHeardUnadjusted > then;
     }
 
-    /** Someone else answers at its address. */
+    /** Another process answers at its address. */
     void onWrongAddressee() {
         replacedAtAddress = true;
     }
 
-    /** A pause of our own, or no budget for a ping: what we did not hear meanwhile says nothing of the subject. */
+    /** After a pause of our own, or a ping that the budget withheld: silence meanwhile says nothing of the subject. */
     void extendDeadlines(double by) {
         lastDirectAck += by;
         lastHeard += by;
         lastIndirectAck += by;
     }
 
-    /** Whether a whole limit has gone by without an answer, by that stretch of it. */
-    boolean silent(double now, double stretch) {
-        return now - lastDirectAck > settings.suspicionTimeoutS() * stretch;
-    }
-
-    /** What is to be said now; null where the subject is simply reached. {@code stretch} is at least 1. */
-    Observation observation(double now, double stretch) {
-        double timeout = settings.suspicionTimeoutS() * stretch;
-        Observation current = replacedAtAddress
-                ? Observation.UNREACHABLE
-                : now - lastDirectAck <= timeout
-                        ? meanLatency
-                                        > (observation == Observation.SLOW
-                                                ? settings.slowThresholdS() / 2
-                                                : settings.slowThresholdS())
-                                ? Observation.SLOW
-                                : null
-                        : now - lastIndirectAck <= timeout
-                                ? Observation.INDIRECT
-                                : now - lastHeard <= timeout ? Observation.UNRESPONSIVE : Observation.UNREACHABLE;
-        if (current == observation) {
-            return observation;
+    // ---- The observation ------------------------------------------------------------
+
+    /** What is to be said now, null where the subject is simply reached. {@code timeoutFactor} is at least 1. */
+    Observation observation(double now, double timeoutFactor) {
+        Observation current = current(now, settings.suspicionTimeoutS() * timeoutFactor);
+        if (current == last) {
+            return last;
         }
-        boolean better = observation != null && (current == null || current.compareTo(observation) < 0);
-        if (better
-                && (current == null || current == Observation.SLOW)
-                && observation != Observation.SLOW
-                && now - steadySince < recoveryTime()) {
+        boolean better = last != null && (current == null || current.compareTo(last) < 0);
+        boolean acknowledges = current == null || current == Observation.SLOW;
+        if (better && acknowledges && last != Observation.SLOW && now - steadySince < recoveryTime()) {
             // Alive beyond doubt, but not yet to be called reached again.
-            observation = observation == Observation.UNREACHABLE ? Observation.INDIRECT : observation;
-            return observation;
+            last = last == Observation.UNREACHABLE ? Observation.INDIRECT : last;
+            return last;
         }
-        if (!better && observation == null && current != Observation.SLOW) {
-            falls = now - fellAt > 10 * settings.suspicionTimeoutS() ? 0 : Math.min(MAX_FALLS, falls + 1);
+        if (last == null && current != Observation.SLOW) {
+            boolean fallsForgotten = now - fellAt > FALLS_MEMORY_FACTOR * settings.suspicionTimeoutS();
+            falls = fallsForgotten ? 0 : Math.min(MAX_FALLS, falls + 1);
             fellAt = now;
         }
-        observation = current;
-        return observation;
+        last = current;
+        return last;
+    }
+
+    /** What the times alone show. */
+    private Observation current(double now, double timeout) {
+        if (replacedAtAddress) {
+            return Observation.UNREACHABLE;
+        }
+        if (now - lastDirectAck <= timeout) {
+            return isSlow() ? Observation.SLOW : null;
+        }
+        if (now - lastIndirectAck <= timeout) {
+            return Observation.INDIRECT;
+        }
+        return now - lastHeard <= timeout ? Observation.UNRESPONSIVE : Observation.UNREACHABLE;
+    }
+
+    /** A slow subject is slow until its latency is below half of the threshold. */
+    private boolean isSlow() {
+        double threshold = last == Observation.SLOW ? settings.slowThresholdS() / 2 : settings.slowThresholdS();
+        return meanLatency > threshold;
     }
 
     private double recoveryTime() {
--- /dev/null
+++ b/src/main/java/pepperdock/membership/transport/MembershipLog.java
@@ -0,0 +1,69 @@
+package pepperdock.membership.transport;
+
+import java.util.Locale;
+import pepperdock.membership.MemberState;
+import pepperdock.membership.MembershipOutput;
+import pepperdock.membership.MembershipView;
+
+/** Writes what membership notifies into the log, in the operators' words. */
+final class MembershipLog {
+
+    static final System.Logger LOG = System.getLogger("pepperdock.membership");
+
+    private final String name;
+
+    /** {@code name} is this member's own. */
+    MembershipLog(String name) {
+        this.name = name;
+    }
+
+    /** Logs an output, where it is one that operators should see. */
+    void log(MembershipOutput output) {
+        if (output instanceof MembershipOutput.MemberChanged changed) {
+            log(changed.change());
+        } else if (output instanceof MembershipOutput.MajorityChanged majority) {
+            log(majority);
+        } else if (output instanceof MembershipOutput.Notice notice) {
+            log(notice);
+        }
+    }
+
+    private static void log(MembershipView.Change change) {
+        boolean expected = change.to() == MemberState.ALIVE || change.to() == MemberState.LEFT;
+        LOG.log(
+                expected ? System.Logger.Level.INFO : System.Logger.Level.WARNING,
+                "member {0} {1}{2}",
+                change.name(),
+                OperatorWords.of(change.to()),
+                change.reason().isEmpty() ? "" : ": " + change.reason());
+    }
+
+    private static void log(MembershipOutput.MajorityChanged majority) {
+        LOG.log(
+                majority.hasMajority() ? System.Logger.Level.INFO : System.Logger.Level.WARNING,
+                majority.hasMajority()
+                        ? "reaching {0} of {1} members again"
+                        : "may be cut off: reaching {0} of {1} members, nobody is called gone",
+                majority.reachable(),
+                majority.fleetSize());
+    }
+
+    private void log(MembershipOutput.Notice notice) {
+        switch (notice.kind()) {
+            case MembershipOutput.Notice.NAME_TAKEN ->
+                LOG.log(
+                        System.Logger.Level.ERROR,
+                        "name {0} is used twice, by {1} too: this one stays out",
+                        name,
+                        notice.reason());
+            case MembershipOutput.Notice.NAME_CLAIMED ->
+                LOG.log(System.Logger.Level.WARNING, "name {0} is this one''s again: {1}", name, notice.reason());
+            case MembershipOutput.Notice.PAUSED ->
+                LOG.log(
+                        System.Logger.Level.WARNING,
+                        "was paused for {0} s, says nothing of others for a while",
+                        String.format(Locale.ROOT, "%.1f", notice.amount()));
+            default -> LOG.log(System.Logger.Level.INFO, "{0}: {1}", notice.kind(), notice.reason());
+        }
+    }
+}
--- a/src/main/java/pepperdock/membership/transport/MembershipMessageCodec.java
+++ b/src/main/java/pepperdock/membership/transport/MembershipMessageCodec.java
@@ -21,15 +21,23 @@
 import pepperdock.membership.RecordStatus;
 
 /**
- * Messages as CBOR (RFC 8949): one array, the version and the kind first, then the head, then what the kind has. Strict: what
- * is not exactly a message of this version, down to names and addresses, is refused as a whole, whatever it is.
+ * Membership messages as CBOR (RFC 8949): one array, the version and the kind first, then the header, then what the kind has.
+ * Strict: what is not exactly a message of this version, down to names and addresses, is rejected as a whole.
  */
 final class MembershipMessageCodec {
 
-    /** Of the wire; a member that speaks another is refused, and counted. */
+    /** Of the wire; a member that speaks another is rejected, and counted. */
     static final int VERSION = 1;
-    /** Entries of a list that a stream may bring, and of one in a datagram. */
+    /** Entries of a list, at most. */
     private static final int MAX_LIST_ENTRIES = 100_000;
+    /** Incarnations, revisions and sequence numbers, at most: none can be driven to the end of its range by one message. */
+    private static final long MAX_COUNT = 1L << 48;
+
+    private static final int MAX_NESTING = 8;
+    private static final int MAX_TEXT_LENGTH = 256;
+    private static final int MAX_NUMBER_LENGTH = 32;
+    /** Bytes that a buffer for encoding begins with: most datagrams fit. */
+    private static final int INITIAL_BUFFER_BYTES = 256;
 
     private static final int PING = 1;
     private static final int ACK = 2;
@@ -41,7 +49,7 @@
     private static final int MISSING_ITEMS = 8;
     private static final int SLICE_DIGESTS = 9;
     private static final int SLICE_SELECTION = 10;
-    /** A digest of some slices; one of all has the kind that it had before there were slices. */
+    /** A digest request of some slices; one of all slices is a {@link #DIGEST_REQUEST}, which has no slices on the wire. */
     private static final int PARTIAL_DIGEST_REQUEST = 11;
 
     private static final int JOIN = 12;
@@ -53,84 +61,25 @@
             Pattern.compile("([0-9]{1,3}(\\.[0-9]{1,3}){3}|\\[?[0-9A-Fa-f:.]{2,45}]?):[0-9]{1,5}");
     private static final CBORFactory CBOR = CBORFactory.builder()
             .streamReadConstraints(StreamReadConstraints.builder()
-                    .maxNestingDepth(8)
-                    .maxStringLength(256)
-                    .maxNumberLength(32)
+                    .maxNestingDepth(MAX_NESTING)
+                    .maxStringLength(MAX_TEXT_LENGTH)
+                    .maxNumberLength(MAX_NUMBER_LENGTH)
                     .build())
             .build();
 
     private MembershipMessageCodec() {}
 
-    /** Whether it can be announced to others. */
-    static boolean isAddress(String text) {
-        return ADDRESS.matcher(text).matches();
-    }
-
-    // ---- Writing ------------------------------------------------------------
+    // ---- Encoding ------------------------------------------------------------
 
+    /** Encodes a message. */
     static byte[] encode(Message message) {
-        ByteArrayOutputStream out = new ByteArrayOutputStream(256);
+        ByteArrayOutputStream out = new ByteArrayOutputStream(INITIAL_BUFFER_BYTES);
         try (CBORGenerator generator = CBOR.createGenerator(out)) {
+            Writer writer = new Writer(generator);
             generator.writeStartArray();
             generator.writeNumber(VERSION);
-            if (message instanceof Message.Ping p) {
-                writeHeader(generator, PING, p.header());
-                writeNameAndNumber(generator, p.target(), p.generation());
-                generator.writeNumber(p.sequence());
-                writeItems(generator, p.gossip());
-            } else if (message instanceof Message.Ack a) {
-                writeHeader(generator, ACK, a.header());
-                generator.writeNumber(a.sequence());
-                writeItems(generator, a.gossip());
-            } else if (message instanceof Message.WrongAddressee o) {
-                writeHeader(generator, WRONG_ADDRESSEE, o.header());
-                writeNameAndNumber(generator, o.target(), o.generation());
-            } else if (message instanceof Message.IndirectPing a) {
-                writeHeader(generator, INDIRECT_PING, a.header());
-                writeNameAndNumber(generator, a.subject(), a.generation());
-                generator.writeString(a.address());
-                generator.writeNumber(a.sequence());
-            } else if (message instanceof Message.IndirectAck t) {
-                writeHeader(generator, INDIRECT_ACK, t.header());
-                writeNameAndNumber(generator, t.subject(), t.generation());
-                generator.writeNumber(t.sequence());
-            } else if (message instanceof Message.DigestRequest d) {
-                boolean all = d.slices() == Message.ALL_SLICES;
-                writeHeader(generator, all ? DIGEST_REQUEST : PARTIAL_DIGEST_REQUEST, d.header());
-                if (!all) {
-                    generator.writeNumber(d.slices());
-                }
-                generator.writeStartArray();
-                for (Map.Entry<String, Long> e : d.digests().entrySet()) {
-                    writeNameAndNumber(generator, e.getKey(), e.getValue());
-                }
-                generator.writeEndArray();
-            } else if (message instanceof Message.Join j) {
-                writeHeader(generator, JOIN, j.header());
-            } else if (message instanceof Message.JoinResponse w) {
-                writeHeader(generator, JOIN_RESPONSE, w.header());
-                writeItems(generator, w.items());
-            } else if (message instanceof Message.SliceDigests s) {
-                writeHeader(generator, SLICE_DIGESTS, s.header());
-                generator.writeStartArray();
-                for (long sum : s.digests()) {
-                    generator.writeNumber(sum);
-                }
-                generator.writeEndArray();
-            } else if (message instanceof Message.SliceSelection s) {
-                writeHeader(generator, SLICE_SELECTION, s.header());
-                generator.writeNumber(s.slices());
-            } else if (message instanceof Message.DigestResponse r) {
-                writeHeader(generator, DIGEST_RESPONSE, r.header());
-                writeItems(generator, r.items());
-                generator.writeStartArray();
-                for (String name : r.requestedNames()) {
-                    generator.writeString(name);
-                }
-                generator.writeEndArray();
-            } else if (message instanceof Message.MissingItems r) {
-                writeHeader(generator, MISSING_ITEMS, r.header());
-                writeItems(generator, r.items());
+            if (!writer.writeDatagram(message)) {
+                writer.writeExchange(message);
             }
             generator.writeEndArray();
         } catch (IOException e) {
@@ -139,54 +88,149 @@
         return out.toByteArray();
     }
 
-    private static void writeHeader(CBORGenerator generator, int kind, Header header) throws IOException {
-        generator.writeNumber(kind);
-        generator.writeString(header.fleet());
-        writeNameAndNumber(generator, header.name(), header.generation());
-        generator.writeNumber(header.incarnation());
-        generator.writeString(header.address());
-        generator.writeNumber(header.stateDigest());
-    }
+    private record Writer(CBORGenerator generator) {
+
+        /** Writes a message that goes by datagram; false where it is none. */
+        boolean writeDatagram(Message message) throws IOException {
+            if (message instanceof Message.Ping ping) {
+                writeHeader(PING, ping.header());
+                writeNameAndNumber(ping.target(), ping.generation());
+                generator.writeNumber(ping.sequence());
+                writeItems(ping.gossip());
+            } else if (message instanceof Message.Ack ack) {
+                writeHeader(ACK, ack.header());
+                generator.writeNumber(ack.sequence());
+                writeItems(ack.gossip());
+            } else if (message instanceof Message.WrongAddressee wrongAddressee) {
+                writeHeader(WRONG_ADDRESSEE, wrongAddressee.header());
+                writeNameAndNumber(wrongAddressee.target(), wrongAddressee.generation());
+            } else if (message instanceof Message.IndirectPing ping) {
+                writeHeader(INDIRECT_PING, ping.header());
+                writeNameAndNumber(ping.subject(), ping.generation());
+                generator.writeString(ping.address());
+                generator.writeNumber(ping.sequence());
+            } else if (message instanceof Message.IndirectAck ack) {
+                writeHeader(INDIRECT_ACK, ack.header());
+                writeNameAndNumber(ack.subject(), ack.generation());
+                generator.writeNumber(ack.sequence());
+            } else if (message instanceof Message.Join join) {
+                writeHeader(JOIN, join.header());
+            } else if (message instanceof Message.JoinResponse response) {
+                writeHeader(JOIN_RESPONSE, response.header());
+                writeItems(response.items());
+            } else {
+                return false;
+            }
+            return true;
+        }
 
-    private static void writeNameAndNumber(CBORGenerator generator, String name, long life) throws IOException {
-        generator.writeString(name);
-        generator.writeNumber(life);
-    }
+        /** Writes a message of an exchange. */
+        void writeExchange(Message message) throws IOException {
+            if (message instanceof Message.SliceDigests digests) {
+                writeHeader(SLICE_DIGESTS, digests.header());
+                writeNumbers(digests.digests());
+            } else if (message instanceof Message.SliceSelection selection) {
+                writeHeader(SLICE_SELECTION, selection.header());
+                generator.writeNumber(selection.slices());
+            } else if (message instanceof Message.DigestRequest request) {
+                writeDigestRequest(request);
+            } else if (message instanceof Message.DigestResponse response) {
+                writeHeader(DIGEST_RESPONSE, response.header());
+                writeItems(response.items());
+                writeNames(response.requestedNames());
+            } else if (message instanceof Message.MissingItems missing) {
+                writeHeader(MISSING_ITEMS, missing.header());
+                writeItems(missing.items());
+            }
+        }
+
+        private void writeDigestRequest(Message.DigestRequest request) throws IOException {
+            boolean all = request.slices() == Message.ALL_SLICES;
+            writeHeader(all ? DIGEST_REQUEST : PARTIAL_DIGEST_REQUEST, request.header());
+            if (!all) {
+                generator.writeNumber(request.slices());
+            }
+            generator.writeStartArray();
+            for (Map.Entry<String, Long> digest : request.digests().entrySet()) {
+                writeNameAndNumber(digest.getKey(), digest.getValue());
+            }
+            generator.writeEndArray();
+        }
+
+        private void writeHeader(int kind, Header header) throws IOException {
+            generator.writeNumber(kind);
+            generator.writeString(header.fleet());
+            writeNameAndNumber(header.name(), header.generation());
+            generator.writeNumber(header.incarnation());
+            generator.writeString(header.address());
+            generator.writeNumber(header.stateDigest());
+        }
+
+        private void writeNameAndNumber(String name, long number) throws IOException {
+            generator.writeString(name);
+            generator.writeNumber(number);
+        }
 
-    private static void writeItems(CBORGenerator generator, List<GossipItem> items) throws IOException {
-        generator.writeStartArray();
-        for (GossipItem item : items) {
-            if (item instanceof MemberRecord memberRecord) {
-                generator.writeNumber(MEMBER_RECORD);
-                writeNameAndNumber(generator, memberRecord.name(), memberRecord.generation());
-                generator.writeNumber(memberRecord.incarnation());
-                generator.writeNumber(memberRecord.status().ordinal());
-                generator.writeString(memberRecord.address());
-                generator.writeString(memberRecord.zone());
-                generator.writeString(memberRecord.machine());
-            } else if (item instanceof Observations observations) {
-                generator.writeNumber(OBSERVATIONS);
-                writeNameAndNumber(generator, observations.name(), observations.generation());
-                generator.writeNumber(observations.revision());
-                generator.writeBoolean(observations.unhealthy());
-                generator.writeStartArray();
-                for (Map.Entry<String, Observations.SubjectObservation> observation :
-                        observations.bySubject().entrySet()) {
-                    writeNameAndNumber(
-                            generator,
-                            observation.getKey(),
-                            observation.getValue().generation());
-                    generator.writeNumber(observation.getValue().observation().ordinal());
+        private void writeNumbers(List<Long> numbers) throws IOException {
+            generator.writeStartArray();
+            for (long number : numbers) {
+                generator.writeNumber(number);
+            }
+            generator.writeEndArray();
+        }
+
+        private void writeNames(List<String> names) throws IOException {
+            generator.writeStartArray();
+            for (String name : names) {
+                generator.writeString(name);
+            }
+            generator.writeEndArray();
+        }
+
+        private void writeItems(List<GossipItem> items) throws IOException {
+            generator.writeStartArray();
+            for (GossipItem item : items) {
+                if (item instanceof MemberRecord memberRecord) {
+                    writeMemberRecord(memberRecord);
+                } else if (item instanceof Observations observations) {
+                    writeObservations(observations);
                 }
-                generator.writeEndArray();
             }
+            generator.writeEndArray();
+        }
+
+        private void writeMemberRecord(MemberRecord memberRecord) throws IOException {
+            generator.writeNumber(MEMBER_RECORD);
+            writeNameAndNumber(memberRecord.name(), memberRecord.generation());
+            generator.writeNumber(memberRecord.incarnation());
+            generator.writeNumber(memberRecord.status().ordinal());
+            generator.writeString(memberRecord.address());
+            generator.writeString(memberRecord.zone());
+            generator.writeString(memberRecord.machine());
+        }
+
+        private void writeObservations(Observations observations) throws IOException {
+            generator.writeNumber(OBSERVATIONS);
+            writeNameAndNumber(observations.name(), observations.generation());
+            generator.writeNumber(observations.revision());
+            generator.writeBoolean(observations.unhealthy());
+            generator.writeStartArray();
+            for (Map.Entry<String, Observations.SubjectObservation> subject :
+                    observations.bySubject().entrySet()) {
+                writeNameAndNumber(subject.getKey(), subject.getValue().generation());
+                generator.writeNumber(subject.getValue().observation().ordinal());
+            }
+            generator.writeEndArray();
         }
-        generator.writeEndArray();
     }
 
-    // ---- Reading ------------------------------------------------------------
+    // ---- Decoding ------------------------------------------------------------
 
-    /** @throws IllegalArgumentException for whatever is not a message of this version */
+    /**
+     * Decodes the bytes from {@code from} up to {@code to}.
+     *
+     * @throws IllegalArgumentException for whatever is not a message of this version
+     */
     static Message decode(byte[] bytes, int from, int to) {
         try (CBORParser parser = CBOR.createParser(bytes, from, to - from)) {
             Reader reader = new Reader(parser);
@@ -237,21 +281,21 @@
             }
         }
 
-        long readLong() throws IOException {
+        private long readLong() throws IOException {
             expect(JsonToken.VALUE_NUMBER_INT);
             return parser.getLongValue();
         }
 
         /** A number that grows from nothing, and not by leaps up to its end. */
-        long readCount() throws IOException {
+        private long readCount() throws IOException {
             long number = readLong();
-            if (number < 0 || number > 1L << 48) {
+            if (number < 0 || number > MAX_COUNT) {
                 throw new IllegalArgumentException("count " + number);
             }
             return number;
         }
 
-        String readText(Pattern pattern) throws IOException {
+        private String readText(Pattern pattern) throws IOException {
             expect(JsonToken.VALUE_STRING);
             String text = parser.getText();
             if (!pattern.matcher(text).matches()) {
@@ -260,15 +304,15 @@
             return text;
         }
 
-        String readName() throws IOException {
+        private String readName() throws IOException {
             return readText(NAME);
         }
 
-        String readAddress() throws IOException {
+        private String readAddress() throws IOException {
             return readText(ADDRESS);
         }
 
-        List<GossipItem> readItems() throws IOException {
+        private List<GossipItem> readItems() throws IOException {
             List<GossipItem> items = new ArrayList<>();
             expect(JsonToken.START_ARRAY);
             while (parser.nextToken() != JsonToken.END_ARRAY) {
@@ -277,24 +321,29 @@
                     throw new IllegalArgumentException("no kind of item");
                 }
                 switch (parser.getIntValue()) {
-                    case MEMBER_RECORD ->
-                        items.add(new MemberRecord(
-                                readName(),
-                                readLong(),
-                                readCount(),
-                                readConstant(RecordStatus.values()),
-                                readAddress(),
-                                readName(),
-                                readName()));
-                    case OBSERVATIONS ->
-                        items.add(new Observations(
-                                readName(), readLong(), readCount(), readBoolean(), readObservations()));
+                    case MEMBER_RECORD -> items.add(readMemberRecord());
+                    case OBSERVATIONS -> items.add(readObservations());
                     default -> throw new IllegalArgumentException("kind of item");
                 }
             }
             return items;
         }
 
+        private MemberRecord readMemberRecord() throws IOException {
+            return new MemberRecord(
+                    readName(),
+                    readLong(),
+                    readCount(),
+                    readConstant(RecordStatus.values()),
+                    readAddress(),
+                    readName(),
+                    readName());
+        }
+
+        private Observations readObservations() throws IOException {
+            return new Observations(readName(), readLong(), readCount(), readBoolean(), readBySubject());
+        }
+
         private <T> T readConstant(T[] constants) throws IOException {
             long number = readLong();
             if (number < 0 || number >= constants.length) {
@@ -311,13 +360,13 @@
             return token == JsonToken.VALUE_TRUE;
         }
 
-        private Map<String, Observations.SubjectObservation> readObservations() throws IOException {
+        private Map<String, Observations.SubjectObservation> readBySubject() throws IOException {
             Map<String, Observations.SubjectObservation> bySubject = new HashMap<>();
             expect(JsonToken.START_ARRAY);
             while (parser.nextToken() != JsonToken.END_ARRAY) {
                 checkListSize(bySubject.size());
                 bySubject.put(
-                        currentText(NAME),
+                        currentName(),
                         new Observations.SubjectObservation(readLong(), readConstant(Observation.values())));
             }
             return bySubject;
@@ -328,7 +377,7 @@
             expect(JsonToken.START_ARRAY);
             while (parser.nextToken() != JsonToken.END_ARRAY) {
                 checkListSize(digests.size());
-                digests.put(currentText(NAME), readLong());
+                digests.put(currentName(), readLong());
             }
             return digests;
         }
@@ -349,7 +398,7 @@
                 digests.add(parser.getLongValue());
             }
             if (parser.currentToken() != JsonToken.END_ARRAY || digests.size() != Message.SLICE_COUNT) {
-                throw new IllegalArgumentException("not one sum for each slice");
+                throw new IllegalArgumentException("not one digest for each slice");
             }
             return digests;
         }
@@ -359,14 +408,14 @@
             expect(JsonToken.START_ARRAY);
             while (parser.nextToken() != JsonToken.END_ARRAY) {
                 checkListSize(names.size());
-                names.add(currentText(NAME));
+                names.add(currentName());
             }
             return names;
         }
 
-        private String currentText(Pattern pattern) throws IOException {
+        private String currentName() throws IOException {
             if (parser.currentToken() != JsonToken.VALUE_STRING
-                    || !pattern.matcher(parser.getText()).matches()) {
+                    || !NAME.matcher(parser.getText()).matches()) {
                 throw new IllegalArgumentException("a text not as it should be");
             }
             return parser.getText();
--- a/src/main/java/pepperdock/membership/transport/MembershipService.java
+++ b/src/main/java/pepperdock/membership/transport/MembershipService.java
@@ -5,7 +5,6 @@
 import java.security.SecureRandom;
 import java.util.ArrayList;
 import java.util.List;
-import java.util.Locale;
 import java.util.function.Consumer;
 import pepperdock.codec.frame.Frame;
 import pepperdock.codec.frame.FrameException;
@@ -18,7 +17,6 @@
 import pepperdock.core.LogRateLimiter;
 import pepperdock.events.Events;
 import pepperdock.membership.MemberRecord;
-import pepperdock.membership.MemberState;
 import pepperdock.membership.Membership;
 import pepperdock.membership.MembershipOutput;
 import pepperdock.membership.MembershipView;
@@ -30,31 +28,35 @@
 import pepperdock.transport.Loop;
 
 /**
- * Membership in service: its sockets on the loop, its clock, its log, its events, and where it may be asked. All decisions are
- * {@link Membership}'s. Everything is called on the loop.
+ * Runs {@link Membership} on a loop: its sockets, its clock, its log, its events, and the endpoint for operators. All decisions
+ * are {@link Membership}'s. All methods are called on the loop, which owns the state.
  */
 public final class MembershipService {
 
-    private static final System.Logger LOG = System.getLogger("pepperdock.membership");
+    /** Bytes of one message on a stream, at most. */
     private static final int MAX_FRAME_BYTES = 8 << 20;
+
     private static final char FRAME_TYPE = 'x';
     private static final int MAX_STREAMS = 16;
+    /** Seconds that an exchange may take. */
     private static final double STREAM_TIMEOUT_S = 5;
+
     private static final int MAX_REQUEST_BODY_BYTES = 1 << 10;
     private static final int MAX_HTTP_CONNECTIONS = 16;
-    /** Between saying that it leaves and its end, a member says so more often than once. */
+    /** Seconds after which a member that leaves says so again: the first datagrams may be lost. */
     private static final double LEAVE_REPEAT_S = 0.2;
 
     private final MembersConfig config;
     private final Loop loop;
     private final Events events;
     private final Membership membership;
+    private final MembershipLog log;
     private final Datagrams datagrams;
     private final LogRateLimiter rejectedMessages;
     private final List<Consumer<MembershipView.Change>> watchers = new ArrayList<>();
     private int streams;
     private long malformedMessages;
-    /** Set on the loop, after the first event is told: what came before is lost, as on a socket that is not open yet. */
+    /** Set on the loop, after the first event: what comes before is lost, as on a socket that is not open yet. */
     private boolean started;
 
     /** Opens what the file's {@code members} says; null where it has none. */
@@ -67,13 +69,19 @@
         this.config = config;
         this.loop = loop;
         this.events = events;
+        log = new MembershipLog(config.name());
         SecureRandom random = new SecureRandom();
-        String address = Config.text(config.address());
         MemberRecord self = new MemberRecord(
-                config.name(), random.nextLong(), 0, RecordStatus.ALIVE, address, config.zone(), config.machine());
+                config.name(),
+                random.nextLong(),
+                0,
+                RecordStatus.ALIVE,
+                Config.text(config.address()),
+                config.zone(),
+                config.machine());
         membership =
                 new Membership(config.settings(), config.fleet(), self, config.seeds(), random.nextLong(), loop.now());
-        rejectedMessages = new LogRateLimiter(LOG, loop, "messages of members not taken");
+        rejectedMessages = new LogRateLimiter(MembershipLog.LOG, loop, "messages of members not taken");
         datagrams = loop.datagrams(config.address(), this::onDatagram);
         loop.listen(config.address(), () -> started && streams < MAX_STREAMS, Exchange::new);
         if (config.ask() != null) {
@@ -92,11 +100,12 @@
         });
     }
 
-    /** Tells of each change from now on, once and in order, on the loop. */
+    /** Notifies the watcher of each change from now on, once and in order, on the loop. */
     public void watch(Consumer<MembershipView.Change> watcher) {
         watchers.add(watcher);
     }
 
+    /** All members as this one sees them now. */
     public MembershipView view() {
         return membership.view();
     }
@@ -109,13 +118,13 @@
         return loop;
     }
 
-    /** Datagrams sent, bytes sent, withheld, of other fleets, and not to be read. */
+    /** Datagrams sent, bytes sent, withheld, of other fleets, and malformed. */
     long[] counts() {
-        long[] c = membership.counts();
-        return new long[] {c[0], c[1], c[2], c[3], malformedMessages};
+        long[] counts = membership.counts();
+        return new long[] {counts[0], counts[1], counts[2], counts[3], malformedMessages};
     }
 
-    /** Says to all that this member leaves; goes on answering until the program's end. */
+    /** Tells all members that this one leaves; goes on answering until the program's end. */
     public void leave() {
         membership.leave(loop.now());
         processOutputs();
@@ -139,63 +148,24 @@
             } else if (output instanceof MembershipOutput.OpenExchange exchange) {
                 openExchange(exchange.address());
             } else {
-                MembershipEvents.publish(events, output);
-                log(output);
-                if (output instanceof MembershipOutput.MemberChanged changed) {
-                    watchers.forEach(watcher -> watcher.accept(changed.change()));
-                }
+                notifyOf(output);
             }
         }
         MembershipEvents.outputsPublished(events, outputs);
     }
 
-    private InetSocketAddress resolve(String announced) {
-        return config.reach().of(Config.address("address", announced));
-    }
-
-    private void log(MembershipOutput output) {
+    private void notifyOf(MembershipOutput output) {
+        MembershipEvents.publish(events, output);
+        log.log(output);
         if (output instanceof MembershipOutput.MemberChanged changed) {
-            MembershipView.Change change = changed.change();
-            LOG.log(
-                    change.to() == MemberState.ALIVE || change.to() == MemberState.LEFT
-                            ? System.Logger.Level.INFO
-                            : System.Logger.Level.WARNING,
-                    "member {0} {1}{2}",
-                    change.name(),
-                    OperatorWords.of(change.to()),
-                    change.reason().isEmpty() ? "" : ": " + change.reason());
-        } else if (output instanceof MembershipOutput.MajorityChanged majority) {
-            LOG.log(
-                    majority.hasMajority() ? System.Logger.Level.INFO : System.Logger.Level.WARNING,
-                    majority.hasMajority()
-                            ? "reaching {0} of {1} members again"
-                            : "may be cut off: reaching {0} of {1} members, nobody is called gone",
-                    majority.reachable(),
-                    majority.fleetSize());
-        } else if (output instanceof MembershipOutput.Notice notice) {
-            switch (notice.kind()) {
-                case "taken" ->
-                    LOG.log(
-                            System.Logger.Level.ERROR,
-                            "name {0} is used twice, by {1} too: this one stays out",
-                            config.name(),
-                            notice.reason());
-                case "claimed" ->
-                    LOG.log(
-                            System.Logger.Level.WARNING,
-                            "name {0} is this one''s again: {1}",
-                            config.name(),
-                            notice.reason());
-                case "paused" ->
-                    LOG.log(
-                            System.Logger.Level.WARNING,
-                            "was paused for {0} s, says nothing of others for a while",
-                            String.format(Locale.ROOT, "%.1f", notice.amount()));
-                default -> LOG.log(System.Logger.Level.INFO, "{0}: {1}", notice.kind(), notice.reason());
-            }
+            watchers.forEach(watcher -> watcher.accept(changed.change()));
         }
     }
 
+    private InetSocketAddress resolve(String announced) {
+        return config.reach().of(Config.address("address", announced));
+    }
+
     // ---- Sockets ------------------------------------------------------------
 
     private void onDatagram(byte[] bytes, int length) {
@@ -206,6 +176,7 @@
         }
     }
 
+    /** Null, and counted, where the bytes are no message. */
     private Message decode(byte[] bytes, int from, int to) {
         try {
             return MembershipMessageCodec.decode(bytes, from, to);
@@ -223,18 +194,18 @@
         }
         loop.dial(resolve(address), config.settings().suspicionTimeoutS(), new Loop.Dialled() {
             @Override
-            public void up(Connection c) {
-                new Exchange(c).write(membership.openExchange());
+            public void up(Connection connection) {
+                new Exchange(connection).write(membership.openExchange());
             }
 
             @Override
             public void failed() {
-                // It is tried again, there or elsewhere, when the machine wants it.
+                // Membership opens another one, there or elsewhere, when it needs it.
             }
         });
     }
 
-    /** One full exchange on a stream, from either side: messages by turns, and the end; bounded in time. */
+    /** One anti-entropy exchange on a stream, from either side: messages by turns, and the end; bounded in time. */
     private final class Exchange implements Connection.Handler {
         private final Connection connection;
         private final FrameParser parser = new FrameParser(MAX_FRAME_BYTES, "" + FRAME_TYPE);
@@ -260,19 +231,7 @@
                         return;
                     }
                     stream.consume(used);
-                    Frame frame = parser.take();
-                    Message message = decode(frame.rest(), 0, frame.rest().length);
-                    Message response = message == null ? null : membership.onStreamMessage(message, loop.now());
-                    processOutputs();
-                    if (response == null) {
-                        finish();
-                    } else {
-                        write(response);
-                        if (response instanceof Message.MissingItems) {
-                            // The last word; the other side closes when it has read it.
-                            stream.lingerAfterWrites();
-                        }
-                    }
+                    onFrame(parser.take(), stream);
                 }
             } catch (FrameException e) {
                 malformedMessages++;
@@ -280,8 +239,23 @@
             }
         }
 
+        private void onFrame(Frame frame, Connection stream) {
+            Message message = decode(frame.rest(), 0, frame.rest().length);
+            Message response = message == null ? null : membership.onStreamMessage(message, loop.now());
+            processOutputs();
+            if (response == null) {
+                finish();
+                return;
+            }
+            write(response);
+            if (response instanceof Message.MissingItems) {
+                // The last message of an exchange: the other side closes when it has read it.
+                stream.lingerAfterWrites();
+            }
+        }
+
         @Override
-        public void ended(Connection c) {
+        public void ended(Connection stream) {
             finish();
         }
 
--- a/src/test/java/pepperdock/faultinjection/MembersCheckerTest.java
+++ b/src/test/java/pepperdock/faultinjection/MembersCheckerTest.java
@@ -93,6 +93,7 @@
         assertEquals(List.of(), found(true));
     }
 
+    /** A stale record overwrites a newer one, so that a view goes back in time. */
     @Test
     void anIncarnationThatGoesBack() {
         change("a", 3, "b", "b1", 4, "HERE", "CUT_OFF");
@@ -100,12 +101,14 @@
         assertFound("go back from 4 to 3");
     }
 
+    /** A member restarts, and another one never learns of the new process. */
     @Test
     void aDeadMemberBelievedAfterItsReturn() {
         bDiesAndReturns();
         assertFound("a sees b gone in life b1, and it is running in life b2");
     }
 
+    /** A member restarts, and a late message brings back the process that ended. */
     @Test
     void anOlderLifeBelievedAfterItsReturn() {
         bDiesAndReturns();
@@ -113,6 +116,7 @@
         assertFound("a sees b here in life b1, and it is running in life b2");
     }
 
+    /** A view publishes a change twice, leaves one out, and begins one at a state that it never published. */
     @Test
     void aChangeToldTwiceOrOutOfOrderOrFromSomewhereElse() {
         change("a", 2, "b", "b1", 0, "HERE", "SLOW");
@@ -123,6 +127,7 @@
         assertFound("from CUT_OFF, which it had told as HERE");
     }
 
+    /** A member refutes a false verdict, and the other one never hears of it. */
     @Test
     void aRefutationThatIsLost() {
         change("a", 3, "b", "b1", 0, "HERE", "GONE");
@@ -130,6 +135,7 @@
         assertFound("views never met: a sees b gone");
     }
 
+    /** A member dies and nobody ever detects it. */
     @Test
     void aDeadMemberThatNobodyMisses() {
         rig("kill", "members", "b");
@@ -137,12 +143,17 @@
         assertFound("a sees b here in life b1, and it is not running");
     }
 
+    /** A member sends more datagrams in a second than its budget allows. */
     @Test
     void aBudgetExceeded() {
         rig("traffic", "member", "b", "over_s", 1, "datagrams", 22, "bytes", 900);
         assertFound("b sent more than its budget");
     }
 
+    /**
+     * A paused member is declared faulty. That is false, but to be expected after so long a pause: only the strict form
+     * finds it.
+     */
     @Test
     void aRunningMemberCalledGoneIsAFindingOfTheStrictFormOnly() {
         rig("stop", "members", "b");
@@ -153,6 +164,10 @@
         assertEquals(List.of("a called b gone, which was running"), found(true));
     }
 
+    /**
+     * A member is declared faulty twice, once for cut links and once for a long pause; the metrics tell the two causes
+     * apart.
+     */
     @Test
     void whyARunningMemberWasCalledGoneIsToldByWhatHadBefallenIt() {
         rig("fault on", "number", 1, "kind", "cut", "amount", 0, "links", "a>b b>a");
@@ -172,6 +187,9 @@
         assertEquals(List.of(), checker.findings(false));
     }
 
+    /**
+     * A member is declared faulty after loss and a pause that membership promises to tolerate: a finding in any form.
+     */
     @Test
     void aRunningMemberCalledGoneForWhatIsPromisedToBeBorne() {
         rig("fault on", "number", 2, "kind", "loss", "amount", 0.3, "links", "a>b b>a");
@@ -183,6 +201,7 @@
         assertEquals(List.of("a called b gone, which was running"), found(false));
     }
 
+    /** Two processes have one name, and two views do not agree on which of them holds it. */
     @Test
     void aNameThatIsOneProcessHereAndAnotherThere() {
         rig("start", "members", "c");
@@ -195,6 +214,7 @@
         assertFound("b is one process in some views and another in others: lives [b1, c1]");
     }
 
+    /** A view publishes a process that never existed. */
     @Test
     void aLifeThatNoProcessHasHad() {
         change("a", 3, "b", "b9", 1, "HERE", "GONE");
--- a/src/test/java/pepperdock/faultinjection/SimTest.java
+++ b/src/test/java/pepperdock/faultinjection/SimTest.java
@@ -47,6 +47,10 @@
         return found;
     }
 
+    /**
+     * Pauses, loss and cut links that membership promises to tolerate: no member that runs is declared faulty, and all views
+     * agree afterwards.
+     */
     @ParameterizedTest(name = "{0}")
     @CsvSource(delimiter = '|', textBlock = """
             a pause under the bound         | {'fault':'stop','members':1,'for':4.5}, {'at':12,'fault':'stop','members':1,'for':0.2}
@@ -70,6 +74,10 @@
         assertEquals(List.of(), found(script(10, true, acts), SETTINGS, 10, new MembershipMetrics()));
     }
 
+    /**
+     * Failures beyond what is tolerated, deaths and restarts: members may be declared faulty, but all views agree
+     * afterwards.
+     */
     @ParameterizedTest(name = "{0}")
     @CsvSource(delimiter = '|', textBlock = """
             a pause beyond the bound        | {'fault':'stop','members':1,'for':30}
@@ -88,6 +96,10 @@
         assertEquals(List.of(), found(script(10, false, acts), SETTINGS, 10, new MembershipMetrics()));
     }
 
+    /**
+     * A zone with a third of the fleet loses power. Every other member detects every death, and nobody else is declared
+     * faulty.
+     */
     @Test
     void aFleetOfSixtyLosesAThirdWithinItsBudgetAndInOneChange() {
         MembershipMetrics metrics = new MembershipMetrics();
--- a/src/test/java/pepperdock/membership/AntiEntropyTest.java
+++ b/src/test/java/pepperdock/membership/AntiEntropyTest.java
@@ -82,6 +82,10 @@
         return true;
     }
 
+    /**
+     * A partition has kept two halves of a large fleet apart from the start. When it heals, exchanges within a small budget
+     * bring both to the same table.
+     */
     @Test
     void twoHalvesBecomeOneInMessagesOfLittleSize() {
         MembershipTable left = holding(0, MEMBERS / 2);
@@ -96,6 +100,7 @@
         assertFalse(exchange(left, right), "nothing is left to exchange");
     }
 
+    /** Gossip of one verdict was lost. The exchange that brings it must not send the whole table. */
     @Test
     void oneChangeAmongFiveHundredCostsLittle() {
         MembershipTable left = holding(0, MEMBERS);
@@ -106,6 +111,10 @@
         assertTrue(largest < 1000, largest + " bytes in one message");
     }
 
+    /**
+     * A process starts with a name that another one holds. Even an answer with hardly any room has to tell it so, or it
+     * would speak for that name.
+     */
     @Test
     void whoIsNewHearsOfItsNameFirstWhateverTheRoom() {
         MembershipTable seed = holding(0, MEMBERS);
--- a/src/test/java/pepperdock/membership/BandwidthBudgetTest.java
+++ b/src/test/java/pepperdock/membership/BandwidthBudgetTest.java
@@ -22,6 +22,10 @@
         return sent;
     }
 
+    /**
+     * A burst of gossip uses up its part of the budget. Acknowledgements and pings still go out: their delay would look like
+     * a failure.
+     */
     @Test
     void whatGoesBeforeFindsRoomWhateverWasTakenAfterIt() {
         BandwidthBudget budget = new BandwidthBudget(SETTINGS, 0);
@@ -37,6 +41,7 @@
         assertFalse(budget.tryAcquireDatagram(BandwidthBudget.Use.ACK, 100));
     }
 
+    /** Many members open exchanges at once. Exchanges stop at their share, and pings still find room. */
     @Test
     void whatIsHeldToAShareLeavesTheRest() {
         BandwidthBudget budget = new BandwidthBudget(SETTINGS, 0);
--- a/src/test/java/pepperdock/membership/GossipQueueTest.java
+++ b/src/test/java/pepperdock/membership/GossipQueueTest.java
@@ -16,6 +16,10 @@
         return new MemberRecord(name, 1, 0, status, "10.0.0.1:7400", "z", "m");
     }
 
+    /**
+     * Changes come faster than the budget lets gossip out. Old items that were sent already make room; those that nobody was
+     * sent yet stay.
+     */
     @Test
     void whatWasToldAndIsOldIsGivenUpWhatWasNotToldIsNot() {
         GossipQueue gossip = new GossipQueue();
@@ -33,6 +37,9 @@
         assertTrue(gossip.isEmpty());
     }
 
+    /**
+     * Many members fail at once and all their observers speak. The verdicts go first: they end the need for the rest.
+     */
     @Test
     void thatAMemberIsGoneGoesBeforeWhatObserversSay() {
         GossipQueue gossip = new GossipQueue();
--- a/src/test/java/pepperdock/membership/MembershipTest.java
+++ b/src/test/java/pepperdock/membership/MembershipTest.java
@@ -84,6 +84,10 @@
                         && notice.kind().equals(what));
     }
 
+    /**
+     * An operator starts a second process with a name that is in use. It stays out for as long as the first one answers,
+     * takes the name once the first one is gone, and the first one gives way when it comes back.
+     */
     @Test
     void aNameUsedTwiceIsToldAsSuchAndNeverMerged() {
         Membership a = add("a", "h1:1", 1);
@@ -110,6 +114,10 @@
         assertEquals("h3:1", seen(a, "b").address());
     }
 
+    /**
+     * A member of another fleet has the address by mistake, and the network repeats datagrams and delivers old ones late.
+     * Nothing of the table changes.
+     */
     @Test
     void anotherFleetAndLateOrRepeatedMessagesDoNoHarm() {
         Membership a = add("a", "h1:1", 1);
@@ -146,6 +154,10 @@
         assertEquals(2, a.view().members().size());
     }
 
+    /**
+     * A member is shut down with notice and started again later. The others see it as left, not as faulty, and the new
+     * process goes on with the next incarnation.
+     */
     @Test
     void whoLeavesIsNeitherMissedNorCalledGoneAndComesBackInItsNextIncarnation() {
         Membership a = add("a", "h1:1", 1);
@@ -164,6 +176,10 @@
         assertEquals(1, seen(again, "b").incarnation());
     }
 
+    /**
+     * More members are announced than the table may hold: the rest is rejected. One that is faulty is forgotten, and a late
+     * verdict on it does not bring it back.
+     */
     @Test
     void whatIsKeptIsBoundedAndThoseGoneAreForgotten() {
         MembershipSettings few = new MembershipSettings(0.5, 3, 3, 8, 0.75, 2, 3, 0.5, 30, 60, 100, 64 << 10, 5, true);
--- a/src/test/java/pepperdock/membership/transport/MembershipMessageCodecTest.java
+++ b/src/test/java/pepperdock/membership/transport/MembershipMessageCodecTest.java
@@ -96,6 +96,10 @@
                 item.toString());
     }
 
+    /**
+     * A datagram arrives damaged or cut short, or somebody sends rubbish to the port. The codec rejects it by its one
+     * exception; no other exception reaches the loop.
+     */
     @Property(seed = "73", tries = 2000)
     void whatWasSpoiltIsRefusedOrReadAndNothingElse(@ForAll long seed) {
         Random random = new Random(seed);
@@ -111,6 +115,10 @@
         }
     }
 
+    /**
+     * A member of a later version, or a sender of two messages in one datagram, is rejected as a whole: half a message must
+     * not be taken in.
+     */
     @Test
     void anotherVersionAndTwoMessagesAndRubbishAreRefused() {
         byte[] sound = MembershipMessageCodec.encode(
--- a/src/test/java/pepperdock/membership/transport/MembershipServiceTest.java
+++ b/src/test/java/pepperdock/membership/transport/MembershipServiceTest.java
@@ -64,6 +64,10 @@
         return out.toString();
     }
 
+    /**
+     * Two members find each other by a seed, a stranger sends a datagram that is no message, one member leaves. The other
+     * sees each change once and in order, counts the stray datagram, and tells operators all of it.
+     */
     @Test
     void twoFindEachOtherAreAskedAndOneLeaves() throws Exception {
         List<MembershipView.Change> changes = new CopyOnWriteArrayList<>();
