--- a/src/main/java/pepperdock/faultinjection/MembershipMetrics.java
+++ b/src/main/java/pepperdock/faultinjection/MembershipMetrics.java
@@ -7,12 +7,16 @@
 import java.util.stream.Collectors;
 import org.HdrHistogram.Histogram;
 
-/** What a run of membership is measured by, and several runs together. Times in milliseconds. */
+/** Metrics of a run of membership, and of several runs together. */
 final class MembershipMetrics {
 
+    /** From a death to each member's verdict on it. */
     final Histogram detectionMs = new Histogram(3);
+    /** From the last fault until all views agree. */
     final Histogram agreementMs = new Histogram(3);
+    /** Of a member in a second. */
     final Histogram datagrams = new Histogram(3);
+    /** Of a member in a second. */
     final Histogram bytes = new Histogram(3);
     /** The same, since the fleet was first together. */
     final Histogram bytesTogether = new Histogram(3);
@@ -22,17 +26,20 @@
     double memberSeconds;
     long changes;
     long faults;
+    /** Running members declared faulty. */
     long falseVerdicts;
     /** Of these, by what had befallen the member. */
     final Map<String, Long> falseVerdictsByCause = new TreeMap<>();
 
     long refutations;
 
+    /** Counts a running member that was declared faulty. */
     void falseVerdicts(String cause) {
         falseVerdicts++;
         falseVerdictsByCause.merge(cause, 1L, Long::sum);
     }
 
+    /** Adds the metrics of another run. */
     void add(MembershipMetrics other) {
         other.falseVerdictsByCause.forEach((cause, count) -> falseVerdictsByCause.merge(cause, count, Long::sum));
         detectionMs.add(other.detectionMs);
@@ -48,6 +55,7 @@
         refutations += other.refutations;
     }
 
+    /** The metrics as text, a line each. */
     List<String> lines() {
         return List.of(
                 "true deaths noticed " + seconds(detectionMs),
--- a/tools/TableHeap.java
+++ b/tools/TableHeap.java
@@ -8,7 +8,7 @@
 import pepperdock.membership.RecordStatus;
 
 /**
- * Heap of one member's half of membership by the size of the fleet, each with cards of its own as they come off the wire:
+ * Heap of one member's {@link Membership} by the size of the fleet, each with records of its own as they come off the wire:
  * {@code java -cp target/pepperdock.jar tools/TableHeap.java 50 100 200 500}.
  */
 public final class TableHeap {
