--- a/src/main/java/pepperdock/cli/MembersCommand.java
+++ b/src/main/java/pepperdock/cli/MembersCommand.java
@@ -15,7 +15,7 @@
 import java.util.concurrent.Callable;
 import pepperdock.config.Config;
 import pepperdock.config.ConfigException;
-import pepperdock.config.Keys;
+import pepperdock.config.ConfigReader;
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Model.CommandSpec;
 import picocli.CommandLine.Option;
@@ -72,7 +72,7 @@
     private boolean printView(HttpClient client, InetSocketAddress endpoint) throws InterruptedException {
         try {
             String answer = request(client, endpoint);
-            Keys view = Keys.of("answer", Config.parse(answer, "answer"));
+            ConfigReader view = ConfigReader.of("answer", Config.parse(answer, "answer"));
             PrintWriter out = spec.commandLine().getOut();
             if (json) {
                 out.println(new GsonBuilder().setPrettyPrinting().create().toJson(Config.parse(answer, "answer")));
@@ -97,7 +97,7 @@
                 .body();
     }
 
-    private static void print(PrintWriter out, Keys view) {
+    private static void print(PrintWriter out, ConfigReader view) {
         out.printf(
                 Locale.ROOT,
                 "fleet %s as %s sees it, view %d: reaching %d of %d%s%n",
@@ -124,8 +124,8 @@
         view.objects("members").forEach(member -> printMember(out, member));
     }
 
-    private static void printMember(PrintWriter out, Keys member) {
-        Keys observations = member.within("said_by");
+    private static void printMember(PrintWriter out, ConfigReader member) {
+        ConfigReader observations = member.within("said_by");
         StringBuilder text = new StringBuilder();
         for (String observer : observations.names()) {
             text.append(text.length() == 0 ? "" : ", ")
--- a/src/main/java/pepperdock/config/MembersConfig.java
+++ b/src/main/java/pepperdock/config/MembersConfig.java
@@ -36,11 +36,11 @@
     private static final int MAX_MAX_MEMBERS = 100_000;
 
     /** Reads and checks {@code members}; null where the file has none. */
-    public static MembersConfig read(Keys file) {
+    public static MembersConfig read(ConfigReader file) {
         if (!file.has("members")) {
             return null;
         }
-        Keys keys = file.needed("members");
+        ConfigReader keys = file.needed("members");
         checkKeys(keys);
         InetSocketAddress address = address(keys);
         List<String> seeds = keys.texts("seeds");
@@ -60,7 +60,7 @@
                 ask);
     }
 
-    private static void checkKeys(Keys keys) {
+    private static void checkKeys(ConfigReader keys) {
         keys.only(
                 "fleet",
                 "address",
@@ -83,7 +83,7 @@
                 Key.MAX_MEMBERS);
     }
 
-    private static InetSocketAddress address(Keys keys) {
+    private static InetSocketAddress address(ConfigReader keys) {
         InetSocketAddress address = Config.address(keys.key("address"), keys.text("address"));
         if (address.getAddress().isAnyLocalAddress() || address.getPort() == 0) {
             throw new ConfigException(
@@ -92,7 +92,7 @@
         return address;
     }
 
-    private static InetSocketAddress endpoint(Keys keys) {
+    private static InetSocketAddress endpoint(ConfigReader keys) {
         InetSocketAddress ask = keys.has("ask") ? Config.address(keys.key("ask"), keys.text("ask")) : null;
         if (ask != null && !ask.getAddress().isLoopbackAddress()) {
             throw new ConfigException(
@@ -102,7 +102,7 @@
     }
 
     /** Reads and checks the timings and bounds alone. */
-    public static MembershipSettings timings(Keys keys) {
+    public static MembershipSettings timings(ConfigReader keys) {
         MembershipSettings defaults = MembershipSettings.defaults();
         double probe = seconds(keys, Key.PROBE_INTERVAL, defaults.probeIntervalS(), MIN_PROBE_INTERVAL_S);
         double suspicion = suspicionTimeout(keys, probe);
@@ -131,7 +131,7 @@
                 true);
     }
 
-    private static double suspicionTimeout(Keys keys, double probe) {
+    private static double suspicionTimeout(ConfigReader keys, double probe) {
         double suspicion = seconds(keys, Key.SUSPICION_TIMEOUT, MembershipSettings.SUSPICION_PROBES * probe, probe);
         if (suspicion < MIN_SUSPICION_PROBES * probe) {
             throw new ConfigException(
@@ -141,7 +141,7 @@
         return suspicion;
     }
 
-    private static int datagramRate(Keys keys, int observers, double probe) {
+    private static int datagramRate(ConfigReader keys, int observers, double probe) {
         int datagrams = keys.whole(
                 Key.DATAGRAM_RATE,
                 1,
@@ -157,7 +157,7 @@
         return datagrams;
     }
 
-    private static int byteRate(Keys keys, int observers, double probe) {
+    private static int byteRate(ConfigReader keys, int observers, double probe) {
         int bytesPerDatagram = MembershipSettings.TYPICAL_DATAGRAM_BYTES;
         double needed = Math.ceil(bytesPerDatagram * MembershipSettings.DATAGRAMS_PER_PROBE * observers / probe);
         int otherwise = (int) Math.max(MembershipSettings.defaults().bytesPerS(), needed);
@@ -170,7 +170,7 @@
         return bytes;
     }
 
-    private static double seconds(Keys keys, String name, double otherwise, double least) {
+    private static double seconds(ConfigReader keys, String name, double otherwise, double least) {
         double seconds = keys.number(name, otherwise);
         if (!(seconds >= least && seconds <= MAX_SECONDS)) {
             throw new ConfigException(keys.key(name), "not a number of seconds from " + least + " to " + MAX_SECONDS);
@@ -178,7 +178,7 @@
         return seconds;
     }
 
-    private static String checkedName(Keys keys, String key, String given) {
+    private static String checkedName(ConfigReader keys, String key, String given) {
         if (!given.matches(MemberRecord.NAME_PATTERN)) {
             throw new ConfigException(
                     keys.key(key), "not 1 to 64 of letters, digits, dot, line and underscore: " + given);
--- a/src/main/java/pepperdock/faultinjection/Seeds.java
+++ b/src/main/java/pepperdock/faultinjection/Seeds.java
@@ -11,7 +11,7 @@
 import java.util.concurrent.Executors;
 import java.util.concurrent.Future;
 import pepperdock.config.ConfigException;
-import pepperdock.config.Keys;
+import pepperdock.config.ConfigReader;
 import pepperdock.config.MembersConfig;
 import pepperdock.membership.MembershipSettings;
 
@@ -58,7 +58,7 @@
             throws IOException, InterruptedException {
         Script script = ScriptReader.read(file, members);
         MembershipSettings settings =
-                arm.of(MembersConfig.timings(new Keys("config", script.config()).needed("members")));
+                arm.of(MembersConfig.timings(new ConfigReader("config", script.config()).needed("members")));
         ExecutorService pool = Executors.newFixedThreadPool(threads);
         try {
             List<Future<Run>> runs = new ArrayList<>();
