--- a/src/main/java/pepperdock/config/MembersConfig.java
+++ b/src/main/java/pepperdock/config/MembersConfig.java
@@ -2,12 +2,15 @@
 
 import java.net.InetSocketAddress;
 import java.util.List;
-import pepperdock.membership.Card;
-import pepperdock.membership.Settings;
+import pepperdock.membership.MemberRecord;
+import pepperdock.membership.MembershipSettings;
+import pepperdock.membership.MembershipSettings.Key;
 
 /**
- * Membership among the gatherers: which fleet, where this one is reached, whom to ask first. {@code ask} is the loopback
- * address where {@code pepperdock members} asks, null for none.
+ * The {@code members} of a gatherer's file: which fleet, where this member is reached, which seeds, and the settings of
+ * membership. Immutable.
+ *
+ * @param ask the loopback address of the endpoint for {@code pepperdock members}, null for none
  */
 public record MembersConfig(
         String fleet,
@@ -16,124 +19,169 @@
         List<String> seeds,
         String zone,
         String machine,
-        Settings settings,
+        MembershipSettings settings,
         AddressTranslation reach,
         InetSocketAddress ask) {
 
-    private static final double SECONDS_MOST = 86_400;
-    /** Of a probe, an answer or a question for help, with headers and names of usual length. */
-    private static final int BYTES_LEAST = 170;
+    private static final double MAX_SECONDS = 86_400;
+    private static final double MIN_PROBE_INTERVAL_S = 0.02;
+    private static final double MIN_SLOW_THRESHOLD_S = 0.001;
+    /** Suspicion timeouts in probe intervals, at least: one lost datagram must not put a member in doubt. */
+    private static final int MIN_SUSPICION_PROBES = 3;
 
-    /** Null where the file has no {@code members}. */
-    public static MembersConfig read(ConfigReader all) {
-        if (!all.has("members")) {
+    private static final int MAX_OBSERVERS = 32;
+    private static final int MAX_INDIRECT_PROBES = 16;
+    private static final int MAX_DATAGRAMS_PER_S = 1 << 20;
+    private static final int MAX_BYTES_PER_S = 1 << 30;
+    private static final int MAX_MAX_MEMBERS = 100_000;
+
+    /** Reads and checks {@code members}; null where the file has none. */
+    public static MembersConfig read(ConfigReader file) {
+        if (!file.has("members")) {
             return null;
         }
-        ConfigReader k = all.needed("members");
-        k.only(
+        ConfigReader keys = file.needed("members");
+        checkKeys(keys);
+        InetSocketAddress address = address(keys);
+        List<String> seeds = keys.texts("seeds");
+        for (String seed : seeds) {
+            Config.address(keys.key("seeds"), seed);
+        }
+        InetSocketAddress ask = endpoint(keys);
+        return new MembersConfig(
+                checkedName(keys, "fleet", keys.text("fleet")),
+                checkedName(file, "name", file.text("name")),
+                address,
+                List.copyOf(seeds),
+                checkedName(keys, "zone", keys.text("zone", "-")),
+                checkedName(keys, "machine", keys.text("machine", "-")),
+                timings(keys),
+                AddressTranslation.read(file),
+                ask);
+    }
+
+    private static void checkKeys(ConfigReader keys) {
+        keys.only(
                 "fleet",
                 "address",
                 "seeds",
                 "zone",
                 "machine",
                 "ask",
-                "probe_s",
-                "doubt_s",
-                "confirm_s",
-                "observers",
-                "agree",
-                "doubters",
-                "helpers",
-                "slow_s",
-                "exchange_s",
-                "forget_s",
-                "datagrams_per_s",
-                "bytes_per_s",
-                "most");
-        InetSocketAddress address = Config.address(k.key("address"), k.text("address"));
+                Key.PROBE_INTERVAL,
+                Key.SUSPICION_TIMEOUT,
+                Key.CONFIRMATION,
+                Key.OBSERVERS,
+                Key.HIGH_WATERMARK,
+                Key.LOW_WATERMARK,
+                Key.INDIRECT_PROBES,
+                Key.SLOW_THRESHOLD,
+                Key.SYNC_INTERVAL,
+                Key.RETENTION,
+                Key.DATAGRAM_RATE,
+                Key.BYTE_RATE,
+                Key.MAX_MEMBERS);
+    }
+
+    private static InetSocketAddress address(ConfigReader keys) {
+        InetSocketAddress address = Config.address(keys.key("address"), keys.text("address"));
         if (address.getAddress().isAnyLocalAddress() || address.getPort() == 0) {
             throw new ConfigException(
-                    k.key("address"), "announced to others, so it has to be one host's, with its port");
-        }
-        List<String> seeds = k.texts("seeds");
-        for (String s : seeds) {
-            Config.address(k.key("seeds"), s);
+                    keys.key("address"), "announced to others, so it has to be one host's, with its port");
         }
-        InetSocketAddress ask = k.has("ask") ? Config.address(k.key("ask"), k.text("ask")) : null;
+        return address;
+    }
+
+    private static InetSocketAddress endpoint(ConfigReader keys) {
+        InetSocketAddress ask = keys.has("ask") ? Config.address(keys.key("ask"), keys.text("ask")) : null;
         if (ask != null && !ask.getAddress().isLoopbackAddress()) {
             throw new ConfigException(
-                    k.key("ask"), "not a loopback address; whoever can ask there is not asked who it is");
+                    keys.key("ask"), "not a loopback address; whoever can ask there is not asked who it is");
         }
-        return new MembersConfig(
-                word(k, "fleet", k.text("fleet")),
-                word(all, "name", all.text("name")),
-                address,
-                List.copyOf(seeds),
-                word(k, "zone", k.text("zone", "-")),
-                word(k, "machine", k.text("machine", "-")),
-                timings(k),
-                AddressTranslation.read(all),
-                ask);
+        return ask;
     }
 
-    /** The timings and bounds alone, checked. */
-    public static Settings timings(ConfigReader k) {
-        Settings d = Settings.defaults();
-        double probe = seconds(k, "probe_s", d.probeS(), 0.02);
-        double doubt = seconds(k, "doubt_s", 6 * probe, probe);
-        if (doubt < 3 * probe) {
-            throw new ConfigException(
-                    k.key("doubt_s"), "less than three times probe_s: one lost datagram would be a doubt");
+    /** Reads and checks the timings and bounds alone. */
+    public static MembershipSettings timings(ConfigReader keys) {
+        MembershipSettings defaults = MembershipSettings.defaults();
+        double probe = seconds(keys, Key.PROBE_INTERVAL, defaults.probeIntervalS(), MIN_PROBE_INTERVAL_S);
+        double suspicion = suspicionTimeout(keys, probe);
+        double highWatermark = keys.number(Key.HIGH_WATERMARK, defaults.highWatermark());
+        if (!(highWatermark > 0.5 && highWatermark <= 1)) {
+            throw new ConfigException(keys.key(Key.HIGH_WATERMARK), "not above 0.5 and at most 1");
         }
-        double high = k.number("agree", d.high());
-        if (!(high > 0.5 && high <= 1)) {
-            throw new ConfigException(k.key("agree"), "not above 0.5 and at most 1");
-        }
-        int observers = k.whole("observers", 1, 32, d.observers());
-        int low = k.whole("doubters", 1, observers, Math.min(observers, d.low()));
-        int datagrams = k.whole("datagrams_per_s", 1, 1 << 20, d.datagramsPerS());
-        if (datagrams < 3 * observers / probe) {
-            throw new ConfigException(
-                    k.key("datagrams_per_s"),
-                    "less than three times observers / probe_s, which probes, their" + " answers and help need: "
-                            + Math.ceil(3 * observers / probe));
-        }
-        double least = Math.ceil(BYTES_LEAST * 3 * observers / probe);
-        int bytes = k.whole("bytes_per_s", 1, 1 << 30, (int) Math.max(d.bytesPerS(), least));
-        if (bytes < least) {
-            throw new ConfigException(
-                    k.key("bytes_per_s"),
-                    "less than " + BYTES_LEAST + " bytes for each of those datagrams, which is " + least);
-        }
-        return new Settings(
+        int observers = keys.whole(Key.OBSERVERS, 1, MAX_OBSERVERS, defaults.observers());
+        int lowWatermark = keys.whole(Key.LOW_WATERMARK, 1, observers, Math.min(observers, defaults.lowWatermark()));
+        int datagrams = datagramRate(keys, observers, probe);
+        int bytes = byteRate(keys, observers, probe);
+        return new MembershipSettings(
                 probe,
-                doubt,
-                seconds(k, "confirm_s", doubt, 2 * probe),
+                suspicion,
+                seconds(keys, Key.CONFIRMATION, suspicion, 2 * probe),
                 observers,
-                high,
-                low,
-                k.whole("helpers", 0, 16, d.helpers()),
-                seconds(k, "slow_s", probe, 0.001),
-                seconds(k, "exchange_s", 60 * probe, probe),
-                seconds(k, "forget_s", d.forgetS(), 10 * doubt),
+                highWatermark,
+                lowWatermark,
+                keys.whole(Key.INDIRECT_PROBES, 0, MAX_INDIRECT_PROBES, defaults.indirectProbes()),
+                seconds(keys, Key.SLOW_THRESHOLD, probe, MIN_SLOW_THRESHOLD_S),
+                seconds(keys, Key.SYNC_INTERVAL, MembershipSettings.SYNC_PROBES * probe, probe),
+                seconds(keys, Key.RETENTION, defaults.retentionS(), 10 * suspicion),
                 datagrams,
                 bytes,
-                k.whole("most", 2, 100_000, d.membersMost()),
+                keys.whole(Key.MAX_MEMBERS, 2, MAX_MAX_MEMBERS, defaults.maxMembers()),
                 true);
     }
 
-    private static double seconds(ConfigReader k, String name, double otherwise, double least) {
-        double s = k.number(name, otherwise);
-        if (!(s >= least && s <= SECONDS_MOST)) {
-            throw new ConfigException(k.key(name), "not a number of seconds from " + least + " to " + SECONDS_MOST);
+    private static double suspicionTimeout(ConfigReader keys, double probe) {
+        double suspicion = seconds(keys, Key.SUSPICION_TIMEOUT, MembershipSettings.SUSPICION_PROBES * probe, probe);
+        if (suspicion < MIN_SUSPICION_PROBES * probe) {
+            throw new ConfigException(
+                    keys.key(Key.SUSPICION_TIMEOUT),
+                    "less than three times probe_s: one lost datagram would be a doubt");
+        }
+        return suspicion;
+    }
+
+    private static int datagramRate(ConfigReader keys, int observers, double probe) {
+        int datagrams = keys.whole(
+                Key.DATAGRAM_RATE,
+                1,
+                MAX_DATAGRAMS_PER_S,
+                MembershipSettings.defaults().datagramsPerS());
+        double needed = MembershipSettings.DATAGRAMS_PER_PROBE * observers / probe;
+        if (datagrams < needed) {
+            throw new ConfigException(
+                    keys.key(Key.DATAGRAM_RATE),
+                    "less than three times observers / probe_s, which probes, their answers and help need: "
+                            + Math.ceil(needed));
+        }
+        return datagrams;
+    }
+
+    private static int byteRate(ConfigReader keys, int observers, double probe) {
+        int bytesPerDatagram = MembershipSettings.TYPICAL_DATAGRAM_BYTES;
+        double needed = Math.ceil(bytesPerDatagram * MembershipSettings.DATAGRAMS_PER_PROBE * observers / probe);
+        int otherwise = (int) Math.max(MembershipSettings.defaults().bytesPerS(), needed);
+        int bytes = keys.whole(Key.BYTE_RATE, 1, MAX_BYTES_PER_S, otherwise);
+        if (bytes < needed) {
+            throw new ConfigException(
+                    keys.key(Key.BYTE_RATE),
+                    "less than " + bytesPerDatagram + " bytes for each of those datagrams, which is " + needed);
+        }
+        return bytes;
+    }
+
+    private static double seconds(ConfigReader keys, String name, double otherwise, double least) {
+        double seconds = keys.number(name, otherwise);
+        if (!(seconds >= least && seconds <= MAX_SECONDS)) {
+            throw new ConfigException(keys.key(name), "not a number of seconds from " + least + " to " + MAX_SECONDS);
         }
-        return s;
+        return seconds;
     }
 
-    private static String word(ConfigReader k, String name, String given) {
-        if (!given.matches(Card.NAME)) {
+    private static String checkedName(ConfigReader keys, String key, String given) {
+        if (!given.matches(MemberRecord.NAME_PATTERN)) {
             throw new ConfigException(
-                    k.key(name), "not 1 to 64 of letters, digits, dot, line and underscore: " + given);
+                    keys.key(key), "not 1 to 64 of letters, digits, dot, line and underscore: " + given);
         }
         return given;
     }
--- /dev/null
+++ b/src/main/java/pepperdock/membership/GossipQueue.java
@@ -0,0 +1,136 @@
+package pepperdock.membership;
+
+import java.util.ArrayList;
+import java.util.HashMap;
+import java.util.Iterator;
+import java.util.LinkedHashMap;
+import java.util.List;
+import java.util.Map;
+
+/**
+ * Items that wait to ride on datagrams, as the dissemination buffer of SWIM, section 4.1: each is sent a number of times that
+ * grows with the logarithm of the fleet, those sent least often first; a newer item of the same kind and name takes the place
+ * of an older. At most two items for each member. Owned by the thread that calls {@link Membership}.
+ */
+final class GossipQueue {
+
+    /** Transmissions of an item for each doubling of the fleet (lambda of SWIM, section 4.1). */
+    private static final double RETRANSMIT_FACTOR = 3;
+    /** Items looked at in vain for one datagram: those left are too large for what room is left. */
+    private static final int MAX_MISFITS = 8;
+
+    /** Bytes of the smallest item. */
+    private static final int MIN_ITEM_BYTES = 28;
+
+    /** Where an item begins: that a member is faulty or has left goes before all else, once. */
+    private static final int VERDICT_PRIORITY = 0;
+
+    private static final int UNSENT_PRIORITY = 1;
+
+    private record ItemKey(String name, boolean isRecord) {}
+
+    /** By transmissions, each in the order in which the items came there. */
+    private final List<LinkedHashMap<ItemKey, GossipItem>> byTransmissions = new ArrayList<>();
+
+    private final Map<ItemKey, Integer> transmissions = new HashMap<>();
+
+    /** When each was added; the oldest first. */
+    private final LinkedHashMap<ItemKey, Double> addedAt = new LinkedHashMap<>();
+
+    /** Adds a new item. */
+    void add(GossipItem item, double now) {
+        ItemKey key = new ItemKey(item.name(), item instanceof MemberRecord);
+        int first = isVerdict(item) ? VERDICT_PRIORITY : UNSENT_PRIORITY;
+        Integer before = transmissions.put(key, first);
+        if (before != null) {
+            byTransmissions.get(before).remove(key);
+        }
+        put(first, key, item);
+        addedAt.remove(key);
+        addedAt.put(key, now);
+    }
+
+    private static boolean isVerdict(GossipItem item) {
+        return item instanceof MemberRecord memberRecord && memberRecord.status() != RecordStatus.ALIVE;
+    }
+
+    /**
+     * Drops items that were added before that time and sent at least once: they would take the room of new ones, and where they
+     * are still lacking, digests differ and an exchange brings them.
+     */
+    void expire(double before) {
+        for (Iterator<Map.Entry<ItemKey, Double>> iterator = addedAt.entrySet().iterator(); iterator.hasNext(); ) {
+            Map.Entry<ItemKey, Double> oldest = iterator.next();
+            if (oldest.getValue() >= before) {
+                return;
+            }
+            int sent = transmissions.get(oldest.getKey());
+            if (sent > UNSENT_PRIORITY) {
+                byTransmissions.get(sent).remove(oldest.getKey());
+                transmissions.remove(oldest.getKey());
+                iterator.remove();
+            }
+        }
+    }
+
+    private void put(int sent, ItemKey key, GossipItem item) {
+        while (byTransmissions.size() <= sent) {
+            byTransmissions.add(new LinkedHashMap<>());
+        }
+        byTransmissions.get(sent).put(key, item);
+    }
+
+    boolean isEmpty() {
+        return transmissions.isEmpty();
+    }
+
+    /** Takes items for one datagram, of so many bytes at most, for a fleet of that size. */
+    List<GossipItem> take(int maxBytes, int members) {
+        if (transmissions.isEmpty()) {
+            return List.of();
+        }
+        List<GossipItem> taken = new ArrayList<>();
+        List<Map.Entry<ItemKey, Integer>> moved = new ArrayList<>();
+        int bytesLeft = maxBytes;
+        int misfits = 0;
+        for (int sent = 0;
+                sent < byTransmissions.size() && bytesLeft >= MIN_ITEM_BYTES && misfits < MAX_MISFITS;
+                sent++) {
+            for (Iterator<Map.Entry<ItemKey, GossipItem>> iterator =
+                            byTransmissions.get(sent).entrySet().iterator();
+                    iterator.hasNext() && bytesLeft >= MIN_ITEM_BYTES && misfits < MAX_MISFITS; ) {
+                Map.Entry<ItemKey, GossipItem> entry = iterator.next();
+                int size = entry.getValue().maxEncodedBytes();
+                if (size > bytesLeft) {
+                    misfits++;
+                    continue;
+                }
+                bytesLeft -= size;
+                taken.add(entry.getValue());
+                moved.add(Map.entry(entry.getKey(), sent + 1));
+                iterator.remove();
+            }
+        }
+        requeue(moved, taken, maxTransmissions(members));
+        return taken;
+    }
+
+    private static int maxTransmissions(int members) {
+        return UNSENT_PRIORITY + (int) Math.ceil(RETRANSMIT_FACTOR * (Math.log(members + 1.0) / Math.log(2)));
+    }
+
+    /** Puts items that were taken back under their new number of transmissions, and drops those sent often enough. */
+    private void requeue(List<Map.Entry<ItemKey, Integer>> moved, List<GossipItem> taken, int maxTransmissions) {
+        for (int i = 0; i < moved.size(); i++) {
+            ItemKey key = moved.get(i).getKey();
+            int sent = moved.get(i).getValue();
+            if (sent >= maxTransmissions) {
+                transmissions.remove(key);
+                addedAt.remove(key);
+            } else {
+                transmissions.put(key, sent);
+                put(sent, key, taken.get(i));
+            }
+        }
+    }
+}
--- a/src/main/java/pepperdock/membership/Message.java
+++ b/src/main/java/pepperdock/membership/Message.java
@@ -4,115 +4,163 @@
 import java.util.Map;
 
 /**
- * What members say to each other. Datagrams: {@link Ping}, {@link Ack}, {@link Other}, {@link Ask}, {@link Told},
- * {@link Join}, {@link Welcome}. On streams: {@link Summary} and {@link Slices} where the table is large, {@link Digest},
- * {@link Reply}, {@link Rest}, one after the other, and the end. Any of them may come late, twice, out of order, or never.
+ * Messages between members. Datagrams: {@link Ping}, {@link Ack}, {@link IndirectPing} and {@link IndirectAck} (SWIM, section
+ * 3.1), {@link WrongAddressee}, {@link Join}, {@link JoinResponse}. On streams, one after the other: {@link SliceDigests} and
+ * {@link SliceSelection} where the table is large, {@link DigestRequest}, {@link DigestResponse}, {@link MissingItems}. Any of
+ * them may come late, twice, out of order, or never.
  */
 public sealed interface Message {
 
+    /** Bytes of a number, at most. */
+    int MAX_NUMBER_BYTES = 9;
+
+    /** Bytes of the start of a list, or of its end. */
+    int BRACKET_BYTES = 1;
+
+    /** Slices that names are divided into by a hash; each slice is compared as a whole. */
+    int SLICE_COUNT = 32;
+
+    /** Every slice, as bits. */
+    int ALL_SLICES = -1;
+
     /**
-     * On every message. A stranger's fleet is refused by its name before anything else is read.
+     * The first part of every message. One of another fleet is rejected by the fleet's name.
      *
-     * @param state a sum over what the sender holds of those here; equal sums, equal views
+     * @param generation of the sender
+     * @param stateDigest a digest of all that the sender holds of members that are alive; equal digests, equal views
      */
-    record Head(String fleet, String name, long life, long incarnation, String address, long state) {
+    record Header(String fleet, String name, long generation, long incarnation, String address, long stateDigest) {
 
         /** Bytes on the wire with version and kind, at most. */
-        int size() {
-            return 3 + 3 * NUMBER + text(fleet) + text(name) + text(address);
+        int maxEncodedBytes() {
+            return 3 + 3 * MAX_NUMBER_BYTES + maxTextBytes(fleet) + maxTextBytes(name) + maxTextBytes(address);
         }
     }
 
-    /** Bytes of a number, and of the start of a list or of its end, at most. */
-    int NUMBER = 9;
+    /** Who sent it, and what of. */
+    Header header();
 
-    int BRACKET = 1;
+    /** Bytes after the header, at most. */
+    int maxBodyBytes();
 
-    /** Parts of the names, by a hash of them, that are compared each as a whole. */
-    int SLICE_COUNT = 32;
+    /** Bytes on the wire, at most, without the headers of UDP or TCP. */
+    default int maxEncodedBytes() {
+        return header().maxEncodedBytes() + BRACKET_BYTES + maxBodyBytes();
+    }
 
-    /** Every slice of the names, as bits. */
-    int ALL_SLICES = -1;
+    /** Bytes of a text of at most 255 characters, at most. */
+    static int maxTextBytes(String text) {
+        return 2 + text.length();
+    }
+
+    private static int maxItemsBytes(List<GossipItem> items) {
+        return 2 * BRACKET_BYTES
+                + items.stream().mapToInt(GossipItem::maxEncodedBytes).sum();
+    }
 
-    /** Bytes of a text of at most 255 letters, at most. */
-    static int text(String s) {
-        return 2 + s.length();
-    }
-
-    private static int items(List<Item> items) {
-        return 2 * BRACKET + items.stream().mapToInt(Item::size).sum();
-    }
-
-    Head head();
-
-    /** Bytes on the wire, at most, headers below it aside. */
-    default int size() {
-        int size = head().size() + BRACKET;
-        if (this instanceof Ping p) {
-            size += text(p.to()) + 2 * NUMBER + items(p.gossip());
-        } else if (this instanceof Ack a) {
-            size += NUMBER + items(a.gossip());
-        } else if (this instanceof Other o) {
-            size += text(o.wanted()) + NUMBER;
-        } else if (this instanceof Ask a) {
-            size += text(a.subject()) + text(a.address()) + 2 * NUMBER;
-        } else if (this instanceof Told t) {
-            size += text(t.subject()) + 2 * NUMBER;
-        } else if (this instanceof Welcome w) {
-            size += items(w.items());
-        } else if (this instanceof Summary s) {
-            size += 2 * BRACKET + NUMBER * s.sums().size();
-        } else if (this instanceof Slices) {
-            size += NUMBER;
-        } else if (this instanceof Digest d) {
-            size += NUMBER + 2 * BRACKET;
-            for (String name : d.sums().keySet()) {
-                size += text(name) + NUMBER;
-            }
-        } else if (this instanceof Reply r) {
-            size += items(r.items()) + 2 * BRACKET;
-            for (String name : r.wanted()) {
-                size += text(name);
-            }
-        } else if (this instanceof Rest r) {
-            size += items(r.items());
+    private static int maxNamesBytes(Iterable<String> names, int bytesWithEach) {
+        int size = 2 * BRACKET_BYTES;
+        for (String name : names) {
+            size += maxTextBytes(name) + bytesWithEach;
         }
         return size;
     }
 
-    /** Are you there, you of this name and life? Sequence numbers are the sender's own, by subject. */
-    record Ping(Head head, String to, long life, long seq, List<Item> gossip) implements Message {}
+    /** Asks a member of this name and generation for an {@link Ack}. Sequence numbers are the sender's own, by subject. */
+    record Ping(Header header, String target, long generation, long sequence, List<GossipItem> gossip)
+            implements Message {
+        @Override
+        public int maxBodyBytes() {
+            return maxTextBytes(target) + 2 * MAX_NUMBER_BYTES + maxItemsBytes(gossip);
+        }
+    }
 
-    /** The answer to a ping. */
-    record Ack(Head head, long seq, List<Item> gossip) implements Message {}
+    /** Acknowledges a ping. */
+    record Ack(Header header, long sequence, List<GossipItem> gossip) implements Message {
+        @Override
+        public int maxBodyBytes() {
+            return MAX_NUMBER_BYTES + maxItemsBytes(gossip);
+        }
+    }
 
-    /** Answers a ping that wanted another life, or another name, at this address: the one asked for is not here. */
-    record Other(Head head, String wanted, long life) implements Message {}
+    /** Answers a ping for another name or generation than the one at this address. */
+    record WrongAddressee(Header header, String target, long generation) implements Message {
+        @Override
+        public int maxBodyBytes() {
+            return maxTextBytes(target) + MAX_NUMBER_BYTES;
+        }
+    }
 
-    /** Ping this subject for me. */
-    record Ask(Head head, String subject, long life, String address, long seq) implements Message {}
+    /** Asks the receiver to ping a subject on the sender's behalf. */
+    record IndirectPing(Header header, String subject, long generation, String address, long sequence)
+            implements Message {
+        @Override
+        public int maxBodyBytes() {
+            return maxTextBytes(subject) + maxTextBytes(address) + 2 * MAX_NUMBER_BYTES;
+        }
+    }
 
-    /** The subject that I was asked to ping has answered. */
-    record Told(Head head, String subject, long life, long seq) implements Message {}
+    /** Tells the requester of an {@link IndirectPing} that the subject has acknowledged it. */
+    record IndirectAck(Header header, String subject, long generation, long sequence) implements Message {
+        @Override
+        public int maxBodyBytes() {
+            return maxTextBytes(subject) + 2 * MAX_NUMBER_BYTES;
+        }
+    }
 
-    /** I am new: what is held of my name, and who is there? */
-    record Join(Head head) implements Message {}
+    /** A new member asks what is held of its name, and for other members. */
+    record Join(Header header) implements Message {
+        @Override
+        public int maxBodyBytes() {
+            return 0;
+        }
+    }
 
-    /** Answers that: what the sender holds of the name, and a few of those here. */
-    record Welcome(Head head, List<Item> items) implements Message {}
+    /** Answers a {@link Join}: what the sender holds of the name, and a few of the members that are alive. */
+    record JoinResponse(Header header, List<GossipItem> items) implements Message {
+        @Override
+        public int maxBodyBytes() {
+            return maxItemsBytes(items);
+        }
+    }
 
-    /** All that the sender holds, as one sum for each slice of the names. */
-    record Summary(Head head, List<Long> sums) implements Message {}
+    /** All that the sender holds, as one digest for each slice of the names. */
+    record SliceDigests(Header header, List<Long> digests) implements Message {
+        @Override
+        public int maxBodyBytes() {
+            return 2 * BRACKET_BYTES + MAX_NUMBER_BYTES * digests.size();
+        }
+    }
 
-    /** Of a summary's slices, those to be compared by name, as bits. */
-    record Slices(Head head, int slices) implements Message {}
+    /** The slices that differ and are to be compared by name, as bits. */
+    record SliceSelection(Header header, int slices) implements Message {
+        @Override
+        public int maxBodyBytes() {
+            return MAX_NUMBER_BYTES;
+        }
+    }
 
-    /** All that the sender holds in these slices, by name, as sums. */
-    record Digest(Head head, int slices, Map<String, Long> sums) implements Message {}
+    /** All that the sender holds in these slices, by name, as digests. */
+    record DigestRequest(Header header, int slices, Map<String, Long> digests) implements Message {
+        @Override
+        public int maxBodyBytes() {
+            return MAX_NUMBER_BYTES + maxNamesBytes(digests.keySet(), MAX_NUMBER_BYTES);
+        }
+    }
 
-    /** What the other lacks or holds otherwise, and the names of which the sender wants the same. */
-    record Reply(Head head, List<Item> items, List<String> wanted) implements Message {}
+    /** What the other side lacks or holds otherwise, and the names of which the sender wants the same. */
+    record DigestResponse(Header header, List<GossipItem> items, List<String> requestedNames) implements Message {
+        @Override
+        public int maxBodyBytes() {
+            return maxItemsBytes(items) + maxNamesBytes(requestedNames, 0);
+        }
+    }
 
-    /** The items that a reply asked for. */
-    record Rest(Head head, List<Item> items) implements Message {}
+    /** The items that a {@link DigestResponse} asked for. */
+    record MissingItems(Header header, List<GossipItem> items) implements Message {
+        @Override
+        public int maxBodyBytes() {
+            return maxItemsBytes(items);
+        }
+    }
 }
--- /dev/null
+++ b/src/main/java/pepperdock/membership/transport/MembershipService.java
@@ -0,0 +1,270 @@
+package pepperdock.membership.transport;
+
+import java.io.IOException;
+import java.net.InetSocketAddress;
+import java.security.SecureRandom;
+import java.util.ArrayList;
+import java.util.List;
+import java.util.function.Consumer;
+import pepperdock.codec.frame.Frame;
+import pepperdock.codec.frame.FrameException;
+import pepperdock.codec.frame.FrameParser;
+import pepperdock.codec.frame.Frames;
+import pepperdock.config.Config;
+import pepperdock.config.ConfigReader;
+import pepperdock.config.MembersConfig;
+import pepperdock.core.Clock;
+import pepperdock.core.LogRateLimiter;
+import pepperdock.events.Events;
+import pepperdock.membership.MemberRecord;
+import pepperdock.membership.Membership;
+import pepperdock.membership.MembershipOutput;
+import pepperdock.membership.MembershipView;
+import pepperdock.membership.Message;
+import pepperdock.membership.RecordStatus;
+import pepperdock.transport.Connection;
+import pepperdock.transport.Datagrams;
+import pepperdock.transport.HttpServer;
+import pepperdock.transport.Loop;
+
+/**
+ * Runs {@link Membership} on a loop: its sockets, its clock, its log, its events, and the endpoint for operators. All decisions
+ * are {@link Membership}'s. All methods are called on the loop, which owns the state.
+ */
+public final class MembershipService {
+
+    /** Bytes of one message on a stream, at most. */
+    private static final int MAX_FRAME_BYTES = 8 << 20;
+
+    private static final char FRAME_TYPE = 'x';
+    private static final int MAX_STREAMS = 16;
+    /** Seconds that an exchange may take. */
+    private static final double STREAM_TIMEOUT_S = 5;
+
+    private static final int MAX_REQUEST_BODY_BYTES = 1 << 10;
+    private static final int MAX_HTTP_CONNECTIONS = 16;
+    /** Seconds after which a member that leaves says so again: the first datagrams may be lost. */
+    private static final double LEAVE_REPEAT_S = 0.2;
+
+    private final MembersConfig config;
+    private final Loop loop;
+    private final Events events;
+    private final Membership membership;
+    private final MembershipLog log;
+    private final Datagrams datagrams;
+    private final LogRateLimiter rejectedMessages;
+    private final List<Consumer<MembershipView.Change>> watchers = new ArrayList<>();
+    private int streams;
+    private long malformedMessages;
+    /** Set on the loop, after the first event: what comes before is lost, as on a socket that is not open yet. */
+    private boolean started;
+
+    /** Opens what the file's {@code members} says; null where it has none. */
+    public static MembershipService open(ConfigReader file, Loop loop, Events events) throws IOException {
+        MembersConfig config = MembersConfig.read(file);
+        return config == null ? null : new MembershipService(config, loop, events);
+    }
+
+    private MembershipService(MembersConfig config, Loop loop, Events events) throws IOException {
+        this.config = config;
+        this.loop = loop;
+        this.events = events;
+        log = new MembershipLog(config.name());
+        SecureRandom random = new SecureRandom();
+        MemberRecord self = new MemberRecord(
+                config.name(),
+                random.nextLong(),
+                0,
+                RecordStatus.ALIVE,
+                Config.text(config.address()),
+                config.zone(),
+                config.machine());
+        membership =
+                new Membership(config.settings(), config.fleet(), self, config.seeds(), random.nextLong(), loop.now());
+        rejectedMessages = new LogRateLimiter(MembershipLog.LOG, loop, "messages of members not taken");
+        datagrams = loop.datagrams(config.address(), this::onDatagram);
+        loop.listen(config.address(), () -> started && streams < MAX_STREAMS, Exchange::new);
+        if (config.ask() != null) {
+            new HttpServer(
+                    loop,
+                    config.ask(),
+                    MAX_REQUEST_BODY_BYTES,
+                    () -> MAX_HTTP_CONNECTIONS,
+                    new MembershipEndpoint(this));
+        }
+        loop.execute(() -> {
+            started = true;
+            MembershipEvents.processStarted(events, self, config.settings());
+            processOutputs();
+            tick();
+        });
+    }
+
+    /** Notifies the watcher of each change from now on, once and in order, on the loop. */
+    public void watch(Consumer<MembershipView.Change> watcher) {
+        watchers.add(watcher);
+    }
+
+    /** All members as this one sees them now. */
+    public MembershipView view() {
+        return membership.view();
+    }
+
+    MembersConfig config() {
+        return config;
+    }
+
+    Clock clock() {
+        return loop;
+    }
+
+    /** Datagrams sent, bytes sent, withheld, of other fleets, and malformed. */
+    long[] counts() {
+        long[] counts = membership.counts();
+        return new long[] {counts[0], counts[1], counts[2], counts[3], malformedMessages};
+    }
+
+    /** Tells all members that this one leaves; goes on answering until the program's end. */
+    public void leave() {
+        membership.leave(loop.now());
+        processOutputs();
+        loop.after(LEAVE_REPEAT_S, () -> {
+            membership.leave(loop.now());
+            processOutputs();
+        });
+    }
+
+    private void tick() {
+        membership.tick(loop.now());
+        processOutputs();
+        loop.after(config.settings().tickS(), this::tick);
+    }
+
+    private void processOutputs() {
+        List<MembershipOutput> outputs = membership.takeOutputs();
+        for (MembershipOutput output : outputs) {
+            if (output instanceof MembershipOutput.SendDatagram datagram) {
+                datagrams.send(resolve(datagram.address()), MembershipMessageCodec.encode(datagram.message()));
+            } else if (output instanceof MembershipOutput.OpenExchange exchange) {
+                openExchange(exchange.address());
+            } else {
+                notifyOf(output);
+            }
+        }
+        MembershipEvents.outputsPublished(events, outputs);
+    }
+
+    private void notifyOf(MembershipOutput output) {
+        MembershipEvents.publish(events, output);
+        log.log(output);
+        if (output instanceof MembershipOutput.MemberChanged changed) {
+            watchers.forEach(watcher -> watcher.accept(changed.change()));
+        }
+    }
+
+    private InetSocketAddress resolve(String announced) {
+        return config.reach().of(Config.address("address", announced));
+    }
+
+    // ---- Sockets ------------------------------------------------------------
+
+    private void onDatagram(byte[] bytes, int length) {
+        Message message = started ? decode(bytes, 0, length) : null;
+        if (message != null) {
+            membership.onDatagram(message, loop.now());
+            processOutputs();
+        }
+    }
+
+    /** Null, and counted, where the bytes are no message. */
+    private Message decode(byte[] bytes, int from, int to) {
+        try {
+            return MembershipMessageCodec.decode(bytes, from, to);
+        } catch (IllegalArgumentException e) {
+            malformedMessages++;
+            rejectedMessages.log(System.Logger.Level.WARNING, () -> "message of a member not taken: " + e.getMessage());
+            return null;
+        }
+    }
+
+    private void openExchange(String address) {
+        if (streams >= MAX_STREAMS) {
+            return;
+        }
+        loop.dial(resolve(address), config.settings().suspicionTimeoutS(), new Loop.Dialled() {
+            @Override
+            public void up(Connection connection) {
+                new Exchange(connection).write(membership.openExchange());
+            }
+
+            @Override
+            public void failed() {
+                // Membership opens another one, there or elsewhere, when it needs it.
+            }
+        });
+    }
+
+    /** One anti-entropy exchange on a stream, from either side: messages by turns, and the end; bounded in time. */
+    private final class Exchange implements Connection.Handler {
+        private final Connection connection;
+        private final FrameParser parser = new FrameParser(MAX_FRAME_BYTES, "" + FRAME_TYPE);
+        private final Clock.Timer timeout = loop.after(STREAM_TIMEOUT_S, this::finish);
+        private boolean finished;
+
+        Exchange(Connection connection) {
+            this.connection = connection;
+            streams++;
+            connection.start(this);
+        }
+
+        void write(Message message) {
+            connection.write(Frames.frame(FRAME_TYPE, MembershipMessageCodec.encode(message)));
+        }
+
+        @Override
+        public void received(Connection stream) {
+            try {
+                while (!finished) {
+                    int used = parser.feed(stream.bytes(), stream.from(), stream.to());
+                    if (used == 0) {
+                        return;
+                    }
+                    stream.consume(used);
+                    onFrame(parser.take(), stream);
+                }
+            } catch (FrameException e) {
+                malformedMessages++;
+                finish();
+            }
+        }
+
+        private void onFrame(Frame frame, Connection stream) {
+            Message message = decode(frame.rest(), 0, frame.rest().length);
+            Message response = message == null ? null : membership.onStreamMessage(message, loop.now());
+            processOutputs();
+            if (response == null) {
+                finish();
+                return;
+            }
+            write(response);
+            if (response instanceof Message.MissingItems) {
+                // The last message of an exchange: the other side closes when it has read it.
+                stream.lingerAfterWrites();
+            }
+        }
+
+        @Override
+        public void ended(Connection stream) {
+            finish();
+        }
+
+        private void finish() {
+            if (!finished) {
+                finished = true;
+                streams--;
+                timeout.cancel();
+                connection.close();
+            }
+        }
+    }
+}
--- a/src/main/java/pepperdock/service/Startup.java
+++ b/src/main/java/pepperdock/service/Startup.java
@@ -7,7 +7,7 @@
 import pepperdock.config.ConfigReader;
 import pepperdock.config.StoreConfig;
 import pepperdock.events.Events;
-import pepperdock.membership.transport.Members;
+import pepperdock.membership.transport.MembershipService;
 import pepperdock.store.Store;
 import pepperdock.transport.Loop;
 
@@ -27,7 +27,8 @@
     private static final String ENDPOINTS_KEY = "nodes";
 
     /** What is open before there are settings; {@code members} is null where the file has none. */
-    public record ProcessContext(Map<String, String> env, Loop loop, Store store, Events events, Members members) {}
+    public record ProcessContext(
+            Map<String, String> env, Loop loop, Store store, Events events, MembershipService members) {}
 
     private final ConfigReader file;
     private final ProcessContext context;
@@ -56,7 +57,7 @@
                         : MAX_BUFFER_BYTES);
         Store store = new Store(members, loop);
         Events events = Events.of(Config.events(file));
-        Members fleet = file.has("members") ? Members.open(file, loop, events) : null;
+        MembershipService fleet = file.has("members") ? MembershipService.open(file, loop, events) : null;
         new Startup(file, new ProcessContext(env, loop, store, events, fleet)).begin();
     }
 
