--- a/src/main/java/pepperdock/ClassArchiveTraining.java
+++ b/src/main/java/pepperdock/ClassArchiveTraining.java
@@ -21,7 +21,7 @@
 import pepperdock.service.Startup;
 import pepperdock.simulator.SimulatorAdapter;
 import pepperdock.store.Store;
-import pepperdock.transport.Loop;
+import pepperdock.transport.EventLoop;
 
 /**
  * The training run of class data sharing: one short life of the program against stand-ins of its own, on loopback sockets. The
@@ -73,7 +73,7 @@
         int discovery = listen(s -> tell(s, list));
         ConfigReader served = whole.with("discovery", Config.parse("\"127.0.0.1:" + discovery + '"', "discovery"))
                 .with("known", Config.parse(list, "known"));
-        Loop loop = new Loop(200, 1 << 18);
+        EventLoop loop = new EventLoop(200, 1 << 18);
         InetSocketAddress at = GathererService.start(
                         served,
                         false,
--- a/src/main/java/pepperdock/benchmark/LoadGenerator.java
+++ b/src/main/java/pepperdock/benchmark/LoadGenerator.java
@@ -242,7 +242,7 @@
         while (at < come.length && used > 0) {
             used = client.parser.feed(come, at, come.length);
             at += used;
-            if (client.parser.done()) {
+            if (client.parser.isComplete()) {
                 answered(client, client.parser.take());
             }
         }
--- a/src/main/java/pepperdock/codec/http/HttpParser.java
+++ b/src/main/java/pepperdock/codec/http/HttpParser.java
@@ -13,10 +13,10 @@
  */
 public final class HttpParser {
 
-    private static final int LINE_MOST = 8192;
-    private static final int HEAD_MOST = 16384;
+    private static final int MAX_LINE_BYTES = 8192;
+    private static final int MAX_HEAD_BYTES = 16384;
     /** Empty lines that may stand before a message; more are no client's habit but a head that never begins. */
-    private static final int EMPTY_MOST = 4;
+    private static final int MAX_EMPTY_LINES = 4;
 
     private static final Pattern VERSION = Pattern.compile("HTTP/1\\.[01]");
     private static final Pattern METHOD = Pattern.compile("[A-Za-z]+");
@@ -36,21 +36,21 @@
     }
 
     private final boolean responses;
-    private final int bodyMost;
+    private final int maxBodyBytes;
     private At at = At.START;
     private String method;
     private String target;
     private int status;
-    private boolean old;
+    private boolean isHttp10;
     private Map<String, String> headers = new HashMap<>();
     private ByteArrayOutputStream body = new ByteArrayOutputStream(0);
-    private int left;
+    private int bodyBytesLeft;
     private int head;
-    private int empty;
+    private int emptyLines;
 
     private HttpParser(boolean responses, int bodyMost) {
         this.responses = responses;
-        this.bodyMost = bodyMost;
+        this.maxBodyBytes = bodyMost;
     }
 
     public static HttpParser ofRequests(int bodyMost) {
@@ -66,12 +66,12 @@
         int pos = from;
         while (at != At.DONE) {
             if (at == At.BODY || at == At.CHUNK || at == At.TO_END) {
-                int count = at == At.TO_END ? to - pos : Math.min(left, to - pos);
+                int count = at == At.TO_END ? to - pos : Math.min(bodyBytesLeft, to - pos);
                 grow(count);
                 body.write(bytes, pos, count);
                 pos += count;
-                left -= count;
-                if (at == At.TO_END || left > 0) {
+                bodyBytesLeft -= count;
+                if (at == At.TO_END || bodyBytesLeft > 0) {
                     return pos - from;
                 }
                 at = at == At.BODY ? At.DONE : At.CHUNK_END;
@@ -80,7 +80,7 @@
                 while (end < to && bytes[end] != '\n') {
                     end++;
                 }
-                if (end - pos > LINE_MOST) {
+                if (end - pos > MAX_LINE_BYTES) {
                     throw new HttpException(at == At.START ? 414 : 431, "line too long");
                 }
                 if (end == to) {
@@ -98,17 +98,17 @@
         return pos - from;
     }
 
-    public boolean done() {
+    public boolean isComplete() {
         return at == At.DONE;
     }
 
     /** Whether nothing of a next message has been seen. */
-    public boolean fresh() {
+    public boolean isBeforeMessage() {
         return at == At.START && head == 0;
     }
 
     /** The other side has closed; completes a response whose length that marks. */
-    public void end() {
+    public void onEndOfInput() {
         if (at == At.TO_END) {
             at = At.DONE;
         }
@@ -117,7 +117,7 @@
     /** Hands over the message and makes ready for the next. */
     public HttpMessage take() {
         String connection = headers.getOrDefault("connection", "").toLowerCase(Locale.ROOT);
-        boolean keep = old ? connection.contains("keep-alive") : !connection.contains("close");
+        boolean keep = isHttp10 ? connection.contains("keep-alive") : !connection.contains("close");
         HttpMessage m = new HttpMessage(method, target, status, headers, body.toByteArray(), keep);
         at = At.START;
         headers = new HashMap<>();
@@ -138,7 +138,7 @@
 
     private void line(String text) throws HttpException {
         head += text.length() + 2;
-        if (head > HEAD_MOST && (at == At.HEADERS || at == At.TRAILERS)) {
+        if (head > MAX_HEAD_BYTES && (at == At.HEADERS || at == At.TRAILERS)) {
             throw new HttpException(431, "head too large");
         }
         switch (at) {
@@ -151,8 +151,8 @@
                 }
             }
             case CHUNK_SIZE -> {
-                left = chunkSize(text);
-                at = left > 0 ? At.CHUNK : At.TRAILERS;
+                bodyBytesLeft = chunkSize(text);
+                at = bodyBytesLeft > 0 ? At.CHUNK : At.TRAILERS;
             }
             case CHUNK_END -> {
                 if (!text.isEmpty()) {
@@ -171,7 +171,7 @@
     private void start(String text) throws HttpException {
         if (text.isEmpty()) {
             head = 0;
-            if (++empty > EMPTY_MOST) {
+            if (++emptyLines > MAX_EMPTY_LINES) {
                 throw new HttpException(400, "no request line");
             }
             return;
@@ -181,7 +181,7 @@
         if (!VERSION.matcher(version).matches() || !responses && words.length != 3) {
             throw new HttpException(400, "not HTTP/1.1");
         }
-        old = version.endsWith("0");
+        isHttp10 = version.endsWith("0");
         if (responses) {
             status = number(words[1], 10, 999);
         } else {
@@ -192,7 +192,7 @@
             }
         }
         at = At.HEADERS;
-        empty = 0;
+        emptyLines = 0;
     }
 
     private void header(String text) throws HttpException {
@@ -214,16 +214,16 @@
         String length = headers.get("content-length");
         if (coding != null) {
             // Both a length and a coding, or a coding of an old version: another request may hide in the body.
-            if (!coding.equalsIgnoreCase("chunked") || length != null || old) {
+            if (!coding.equalsIgnoreCase("chunked") || length != null || isHttp10) {
                 throw new HttpException(400, "bad framing");
             }
             at = At.CHUNK_SIZE;
         } else if (length != null) {
-            left = number(length, 10, Integer.MAX_VALUE);
-            if (left > bodyMost) {
+            bodyBytesLeft = number(length, 10, Integer.MAX_VALUE);
+            if (bodyBytesLeft > maxBodyBytes) {
                 throw new HttpException(413, "body too large");
             }
-            at = left > 0 ? At.BODY : At.DONE;
+            at = bodyBytesLeft > 0 ? At.BODY : At.DONE;
         } else if (responses && status >= 200 && status != 204 && status != 304) {
             at = At.TO_END;
         } else {
@@ -237,7 +237,7 @@
     }
 
     private void grow(int count) throws HttpException {
-        if (body.size() + (long) Math.max(count, at == At.CHUNK ? left : 0) > bodyMost) {
+        if (body.size() + (long) Math.max(count, at == At.CHUNK ? bodyBytesLeft : 0) > maxBodyBytes) {
             throw new HttpException(413, "body too large");
         }
     }
--- a/src/main/java/pepperdock/distribution/wire/DistributionMessageDecoder.java
+++ b/src/main/java/pepperdock/distribution/wire/DistributionMessageDecoder.java
@@ -16,13 +16,14 @@
      * @throws MalformedMessageException where the bytes are no frame
      */
     static void take(Connection connection, Predicate<DistributionMessage> to) {
-        while (!connection.closed() && connection.to() - connection.from() >= DistributionMessageCodec.LENGTH_BYTES) {
-            int from = connection.from();
+        while (!connection.isClosed()
+                && connection.readEnd() - connection.readStart() >= DistributionMessageCodec.LENGTH_BYTES) {
+            int from = connection.readStart();
             int length = ByteBuffer.wrap(connection.bytes()).getInt(from);
             if (length <= 0 || length > DistributionMessageCodec.MAX_FRAME_BYTES) {
                 throw new MalformedMessageException("a frame of " + length + " bytes");
             }
-            if (connection.to() - from - DistributionMessageCodec.LENGTH_BYTES < length) {
+            if (connection.readEnd() - from - DistributionMessageCodec.LENGTH_BYTES < length) {
                 return;
             }
             DistributionMessage message = DistributionMessageCodec.read(
--- a/src/main/java/pepperdock/distribution/wire/PublisherServer.java
+++ b/src/main/java/pepperdock/distribution/wire/PublisherServer.java
@@ -12,7 +12,7 @@
 import pepperdock.distribution.SubscriberState;
 import pepperdock.distribution.VersionSource;
 import pepperdock.transport.Connection;
-import pepperdock.transport.Loop;
+import pepperdock.transport.EventLoop;
 
 /** A publisher behind a listening address. All state belongs to the loop's thread. */
 public final class PublisherServer implements PublisherOutput, AutoCloseable {
@@ -21,9 +21,9 @@
     private static final double TICK_SECONDS = 0.05;
     private static final double MILLIS_PER_SECOND = 1e3;
 
-    private final Loop loop;
+    private final EventLoop loop;
     private final Publisher publisher;
-    private final Loop.Listening listening;
+    private final EventLoop.ServerSocketHandle listening;
     private final TreeMap<Long, Connection> connections = new TreeMap<>();
     private Clock.Timer timer;
     private long lastNumber;
@@ -31,7 +31,7 @@
 
     /** Listens from now on; {@code maxConnections} subscribers are served, and others closed unserved. */
     public PublisherServer(
-            Loop loop,
+            EventLoop loop,
             InetSocketAddress at,
             int maxConnections,
             PublisherSettings settings,
@@ -40,7 +40,8 @@
             throws IOException {
         this.loop = loop;
         publisher = new Publisher(settings, source, this, seed, now());
-        listening = loop.listen(at, Loop.Kind.OWN, () -> connections.size() < maxConnections, this::accepted);
+        listening = loop.listen(
+                at, EventLoop.SocketScope.EXCLUSIVE, () -> connections.size() < maxConnections, this::accepted);
         timer = loop.after(TICK_SECONDS, this::tick);
     }
 
@@ -79,16 +80,17 @@
     private void accepted(Connection connection) {
         long number = ++lastNumber;
         connections.put(number, connection);
-        connection.limitUnread(DistributionMessageCodec.LENGTH_BYTES + DistributionMessageCodec.MAX_FRAME_BYTES);
+        connection.limitUnconsumedBytes(
+                DistributionMessageCodec.LENGTH_BYTES + DistributionMessageCodec.MAX_FRAME_BYTES);
         publisher.connected(number, now());
         connection.start(new Connection.Handler() {
             @Override
-            public void received(Connection from) {
+            public void onBytes(Connection from) {
                 decode(number, from);
             }
 
             @Override
-            public void ended(Connection from) {
+            public void onClosed(Connection from) {
                 forget(number);
             }
         });
--- a/src/main/java/pepperdock/distribution/wire/SubscriberClient.java
+++ b/src/main/java/pepperdock/distribution/wire/SubscriberClient.java
@@ -14,7 +14,7 @@
 import pepperdock.distribution.SubscriberSettings;
 import pepperdock.distribution.VersionStore;
 import pepperdock.transport.Connection;
-import pepperdock.transport.Loop;
+import pepperdock.transport.EventLoop;
 
 /** A subscriber that dials its control machines. All state belongs to the loop's thread, also its construction. */
 public final class SubscriberClient implements SubscriberOutput, AutoCloseable {
@@ -26,7 +26,7 @@
     private static final double TICK_SECONDS = 0.1;
     private static final double MILLIS_PER_SECOND = 1e3;
 
-    private final Loop loop;
+    private final EventLoop loop;
     private final List<Reach> reaches;
     private final SubscriberSettings settings;
     private final Consumer<ConfigurationSnapshot> inForce;
@@ -43,7 +43,7 @@
 
     /** Begins to dial with the first tick; {@code inForce} gets each configuration that is put in force. */
     public SubscriberClient(
-            Loop loop,
+            EventLoop loop,
             SubscriberIdentity self,
             List<Reach> reaches,
             SubscriberSettings settings,
@@ -94,9 +94,9 @@
                 .findFirst()
                 .orElseThrow()
                 .address();
-        loop.dial(address, settings.connectMillis() / MILLIS_PER_SECOND, new Loop.Dialled() {
+        loop.connect(address, settings.connectMillis() / MILLIS_PER_SECOND, new EventLoop.ConnectListener() {
             @Override
-            public void up(Connection made) {
+            public void onConnected(Connection made) {
                 if (number == attempt && !closed) {
                     opened(number, made);
                 } else {
@@ -105,7 +105,7 @@
             }
 
             @Override
-            public void failed() {
+            public void onFailed() {
                 if (number == attempt && !closed) {
                     subscriber.disconnected(now());
                 }
@@ -145,17 +145,17 @@
 
     private void opened(long number, Connection made) {
         connection = made;
-        made.limitUnread(DistributionMessageCodec.LENGTH_BYTES + DistributionMessageCodec.MAX_FRAME_BYTES);
+        made.limitUnconsumedBytes(DistributionMessageCodec.LENGTH_BYTES + DistributionMessageCodec.MAX_FRAME_BYTES);
         made.start(new Connection.Handler() {
             @Override
-            public void received(Connection from) {
+            public void onBytes(Connection from) {
                 if (number == attempt) {
                     decode(number, from);
                 }
             }
 
             @Override
-            public void ended(Connection from) {
+            public void onClosed(Connection from) {
                 if (number == attempt) {
                     connection = null;
                     subscriber.disconnected(now());
--- a/src/main/java/pepperdock/dnssd/DnsSd.java
+++ b/src/main/java/pepperdock/dnssd/DnsSdDiscovery.java
@@ -45,29 +45,29 @@
  * unicast DNS. Records are kept for their TTL and asked for again when it is over, and no sooner than the configured
  * least pace. All state is owned by the clock's thread; the library's own threads only carry datagrams.
  */
-public final class DnsSd implements EndpointDiscovery {
+public final class DnsSdDiscovery implements EndpointDiscovery {
 
     private static final System.Logger LOG = System.getLogger("pepperdock.dnssd");
 
-    private record Key(Name name, int type) {}
+    private record RecordKey(Name name, int type) {}
 
-    private record Kept(List<Record> records, double until) {}
+    private record CachedRecords(List<Record> records, double expiresAt) {}
 
     private final DnsSdConfig config;
     private final DeploymentSettings site;
     private final Clock clock;
-    private final Executor thread;
+    private final Executor ioThread;
     private final Resolver resolver;
     private final Name service;
-    private final Map<Key, Kept> kept = new HashMap<>();
+    private final Map<RecordKey, CachedRecords> cache = new HashMap<>();
     private Gatherer core;
     private boolean running;
 
-    public DnsSd(DnsSdConfig config, DeploymentSettings site, Clock clock, Executor thread) {
+    public DnsSdDiscovery(DnsSdConfig config, DeploymentSettings site, Clock clock, Executor ioThread) {
         this.config = config;
         this.site = site;
         this.clock = clock;
-        this.thread = thread;
+        this.ioThread = ioThread;
         SimpleResolver simple = new SimpleResolver(config.server());
         simple.setTimeout(Duration.ofMillis((long) (config.timeoutS() * 1e3)));
         resolver = simple;
@@ -86,17 +86,17 @@
     public void watch() {
         if (!running) {
             running = true;
-            round();
+            browse();
         }
     }
 
     /** Browses and resolves whatever is not kept any more, tells the whole list, and sets the next round. */
-    private void round() {
+    private void browse() {
         CompletableFuture<?> unused = lookup(service, Type.PTR)
                 .thenCompose(instances -> {
                     List<CompletableFuture<WorkerEndpoint>> hosts = new ArrayList<>();
-                    for (Record r : instances) {
-                        if (r instanceof PTRRecord ptr) {
+                    for (Record record : instances) {
+                        if (record instanceof PTRRecord ptr) {
                             hosts.add(resolve(ptr.getTarget()));
                         }
                     }
@@ -107,10 +107,10 @@
                                     .sorted(Comparator.comparing(WorkerEndpoint::id))
                                     .toList());
                 })
-                .whenCompleteAsync(this::told, thread);
+                .whenCompleteAsync(this::onBrowsed, ioThread);
     }
 
-    private void told(List<WorkerEndpoint> hosts, Throwable failure) {
+    private void onBrowsed(List<WorkerEndpoint> hosts, Throwable failure) {
         if (failure != null) {
             // The list last told stays; the module decides when to ask again.
             running = false;
@@ -119,8 +119,12 @@
             return;
         }
         core.onEndpointList(EndpointListKind.COMPLETE, hosts);
-        double next = kept.values().stream().mapToDouble(Kept::until).min().orElse(clock.now()) - clock.now();
-        clock.after(Math.max(config.leastS(), next), this::round);
+        double next = cache.values().stream()
+                        .mapToDouble(CachedRecords::expiresAt)
+                        .min()
+                        .orElse(clock.now())
+                - clock.now();
+        clock.after(Math.max(config.leastS(), next), this::browse);
     }
 
     /** One instance: null where its records are gone, or do not say enough to send it anything. */
@@ -135,8 +139,8 @@
                 return CompletableFuture.completedFuture(null);
             }
             return lookup(instance, Type.TXT)
-                    .thenCompose(
-                            txt -> address(srv.getTarget()).thenApply(address -> host(instance, srv, txt, address)));
+                    .thenCompose(txt ->
+                            address(srv.getTarget()).thenApply(address -> endpoint(instance, srv, txt, address)));
         });
     }
 
@@ -148,15 +152,16 @@
                         : CompletableFuture.completedFuture(((ARecord) a.get(0)).getAddress()));
     }
 
-    private WorkerEndpoint host(Name instance, SRVRecord srv, List<Record> txt, InetAddress address) {
-        Map<String, String> says = new LinkedHashMap<>();
+    private WorkerEndpoint endpoint(Name instance, SRVRecord srv, List<Record> txt, InetAddress address) {
+        Map<String, String> attributes = new LinkedHashMap<>();
         if (!txt.isEmpty()) {
             for (byte[] raw : ((TXTRecord) txt.get(0)).getStringsAsByteArrays()) {
                 String pair = new String(raw, StandardCharsets.UTF_8);
-                int is = pair.indexOf('=');
-                if (is > 0) {
+                int separator = pair.indexOf('=');
+                if (separator > 0) {
                     // The first of a key counts, and keys know no case (RFC 6763, 6.4).
-                    says.putIfAbsent(pair.substring(0, is).toLowerCase(Locale.ROOT), pair.substring(is + 1));
+                    attributes.putIfAbsent(
+                            pair.substring(0, separator).toLowerCase(Locale.ROOT), pair.substring(separator + 1));
                 }
             }
         }
@@ -165,25 +170,25 @@
                 throw new IllegalArgumentException("no address");
             }
             byte[] label = instance.getLabel(0);
-            String id = says.getOrDefault("host", new String(label, 1, label.length - 1, StandardCharsets.UTF_8));
+            String id = attributes.getOrDefault("host", new String(label, 1, label.length - 1, StandardCharsets.UTF_8));
             InetSocketAddress at = new InetSocketAddress(address, srv.getPort());
-            String dial = at.getAddress().getHostAddress() + ':' + at.getPort();
-            if (!says.containsKey("block")) {
+            String hostAndPort = at.getAddress().getHostAddress() + ':' + at.getPort();
+            if (!attributes.containsKey("block")) {
                 throw new IllegalArgumentException("TXT has no block");
             }
             return new WorkerEndpoint(
                     id,
-                    dial,
-                    Math.max(0, site.zones().indexOf(says.get("site"))),
-                    Math.max(0, site.kinds().indexOf(says.get("class"))),
-                    Integer.parseInt(says.get("block")),
-                    switch (says.getOrDefault("health", "in_service")) {
+                    hostAndPort,
+                    Math.max(0, site.zones().indexOf(attributes.get("site"))),
+                    Math.max(0, site.kinds().indexOf(attributes.get("class"))),
+                    Integer.parseInt(attributes.get("block")),
+                    switch (attributes.getOrDefault("health", "in_service")) {
                         case "in_service" -> EndpointState.HEALTHY;
                         case "terminating" -> EndpointState.DRAINING;
                         default -> throw new IllegalArgumentException("health unknown");
                     },
-                    Double.parseDouble(says.getOrDefault("share", "1")),
-                    Double.parseDouble(says.getOrDefault("born_ms", "0")) / 1e3);
+                    Double.parseDouble(attributes.getOrDefault("share", "1")),
+                    Double.parseDouble(attributes.getOrDefault("born_ms", "0")) / 1e3);
         } catch (IllegalArgumentException e) {
             LOG.log(System.Logger.Level.WARNING, "instance {0} left out: {1}", instance, e.getMessage());
             return null;
@@ -192,34 +197,34 @@
 
     /** The records of a name, from those kept or from the server; empty where it says that there are none. */
     private CompletableFuture<List<Record>> lookup(Name name, int type) {
-        Key key = new Key(name, type);
-        Kept have = kept.get(key);
-        if (have != null && clock.now() < have.until()) {
-            return CompletableFuture.completedFuture(have.records());
+        RecordKey key = new RecordKey(name, type);
+        CachedRecords cached = cache.get(key);
+        if (cached != null && clock.now() < cached.expiresAt()) {
+            return CompletableFuture.completedFuture(cached.records());
         }
         return resolver.sendAsync(Message.newQuery(Record.newRecord(name, type, DClass.IN)))
-                .thenApplyAsync(answer -> take(key, answer), thread)
+                .thenApplyAsync(answer -> cacheAnswer(key, answer), ioThread)
                 .toCompletableFuture();
     }
 
-    private List<Record> take(Key key, Message answer) {
+    private List<Record> cacheAnswer(RecordKey key, Message answer) {
         int code = answer.getRcode();
         if (code != Rcode.NOERROR && code != Rcode.NXDOMAIN) {
             throw new IllegalStateException(key.name() + ": " + Rcode.string(code));
         }
-        kept.remove(key);
-        kept.values().removeIf(k -> k.until() <= clock.now());
+        cache.remove(key);
+        cache.values().removeIf(cached -> cached.expiresAt() <= clock.now());
         // What comes along in the additional section saves asking for it (RFC 6763, 12).
         for (int section : new int[] {Section.ADDITIONAL, Section.ANSWER}) {
             for (RRset set : answer.getSectionRRsets(section)) {
                 if (set.getType() != Type.OPT) {
-                    kept.put(
-                            new Key(set.getName(), set.getType()),
-                            new Kept(List.copyOf(set.rrs()), clock.now() + set.getTTL()));
+                    cache.put(
+                            new RecordKey(set.getName(), set.getType()),
+                            new CachedRecords(List.copyOf(set.rrs()), clock.now() + set.getTTL()));
                 }
             }
         }
-        Kept found = kept.get(key);
+        CachedRecords found = cache.get(key);
         return found == null ? List.of() : found.records();
     }
 }
--- a/src/main/java/pepperdock/membership/transport/MembershipEndpoint.java
+++ b/src/main/java/pepperdock/membership/transport/MembershipEndpoint.java
@@ -12,7 +12,7 @@
 import pepperdock.transport.HttpServer;
 
 /** {@code GET /members} on a loopback address: the view, with its reasons, as JSON. Called on the loop. */
-final class MembershipEndpoint implements HttpServer.Service {
+final class MembershipEndpoint implements HttpServer.RequestHandler {
 
     private static final String PATH = "/members";
     private static final String JSON = "application/json";
@@ -28,7 +28,7 @@
     }
 
     @Override
-    public Runnable serve(HttpMessage request, HttpServer.Reply reply) throws HttpException {
+    public Runnable serve(HttpMessage request, HttpServer.ResponseSender reply) throws HttpException {
         if (!request.path().equals(PATH)) {
             throw new HttpException(404, "only /members is here");
         }
@@ -40,7 +40,7 @@
     }
 
     @Override
-    public void malformed(int status, String why, HttpServer.Reply reply) {
+    public void rejectMalformed(int status, String why, HttpServer.ResponseSender reply) {
         JsonObject error = new JsonObject();
         error.addProperty("error", why);
         reply.send(status, JSON, "", error.toString().getBytes(StandardCharsets.UTF_8));
--- a/src/main/java/pepperdock/membership/transport/MembershipService.java
+++ b/src/main/java/pepperdock/membership/transport/MembershipService.java
@@ -23,9 +23,9 @@
 import pepperdock.membership.Message;
 import pepperdock.membership.RecordStatus;
 import pepperdock.transport.Connection;
-import pepperdock.transport.Datagrams;
+import pepperdock.transport.DatagramSocket;
+import pepperdock.transport.EventLoop;
 import pepperdock.transport.HttpServer;
-import pepperdock.transport.Loop;
 
 /**
  * Runs {@link Membership} on a loop: its sockets, its clock, its log, its events, and the endpoint for operators. All decisions
@@ -47,11 +47,11 @@
     private static final double LEAVE_REPEAT_S = 0.2;
 
     private final MembersConfig config;
-    private final Loop loop;
+    private final EventLoop loop;
     private final Events events;
     private final Membership membership;
     private final MembershipLog log;
-    private final Datagrams datagrams;
+    private final DatagramSocket datagrams;
     private final LogRateLimiter rejectedMessages;
     private final List<Consumer<MembershipView.Change>> watchers = new ArrayList<>();
     private int streams;
@@ -60,12 +60,12 @@
     private boolean started;
 
     /** Opens what the file's {@code members} says; null where it has none. */
-    public static MembershipService open(ConfigReader file, Loop loop, Events events) throws IOException {
+    public static MembershipService open(ConfigReader file, EventLoop loop, Events events) throws IOException {
         MembersConfig config = MembersConfig.read(file);
         return config == null ? null : new MembershipService(config, loop, events);
     }
 
-    private MembershipService(MembersConfig config, Loop loop, Events events) throws IOException {
+    private MembershipService(MembersConfig config, EventLoop loop, Events events) throws IOException {
         this.config = config;
         this.loop = loop;
         this.events = events;
@@ -191,14 +191,14 @@
         if (streams >= MAX_STREAMS) {
             return;
         }
-        loop.dial(resolve(address), config.settings().suspicionTimeoutS(), new Loop.Dialled() {
+        loop.connect(resolve(address), config.settings().suspicionTimeoutS(), new EventLoop.ConnectListener() {
             @Override
-            public void up(Connection connection) {
+            public void onConnected(Connection connection) {
                 new Exchange(connection).write(membership.openExchange());
             }
 
             @Override
-            public void failed() {
+            public void onFailed() {
                 // Membership opens another one, there or elsewhere, when it needs it.
             }
         });
@@ -222,10 +222,10 @@
         }
 
         @Override
-        public void received(Connection stream) {
+        public void onBytes(Connection stream) {
             try {
                 while (!finished) {
-                    int used = parser.feed(stream.bytes(), stream.from(), stream.to());
+                    int used = parser.feed(stream.bytes(), stream.readStart(), stream.readEnd());
                     if (used == 0) {
                         return;
                     }
@@ -249,12 +249,12 @@
             write(response);
             if (response instanceof Message.MissingItems) {
                 // The last message of an exchange: the other side closes when it has read it.
-                stream.lingerAfterWrites();
+                stream.closeAfterWrites();
             }
         }
 
         @Override
-        public void ended(Connection stream) {
+        public void onClosed(Connection stream) {
             finish();
         }
 
--- a/src/main/java/pepperdock/opensearch/Replies.java
+++ b/src/main/java/pepperdock/opensearch/ApiResponses.java
@@ -8,16 +8,16 @@
 import pepperdock.transport.HttpServer;
 
 /** The API's JSON shapes for answers and errors. */
-final class Replies {
+final class ApiResponses {
 
     private static final String JSON = "application/json; charset=UTF-8";
 
-    private Replies() {}
+    private ApiResponses() {}
 
     /** A shard that is not in the answer, and why. */
-    record Missing(int shard, String type, String reason) {}
+    record ShardFailure(int shard, String type, String reason) {}
 
-    static void error(HttpServer.Reply to, int status, String type, String reason, String extra) {
+    static void error(HttpServer.ResponseSender reply, int status, String type, String reason, String extra) {
         JsonObject cause = new JsonObject();
         cause.addProperty("type", type);
         cause.addProperty("reason", reason);
@@ -30,15 +30,15 @@
         JsonObject body = new JsonObject();
         body.add("error", error);
         body.addProperty("status", status);
-        to.send(status, JSON, extra, bytes(body));
+        reply.send(status, JSON, extra, bytes(body));
     }
 
-    static void ok(HttpServer.Reply to, JsonObject body) {
-        to.send(200, JSON, "", bytes(body));
+    static void ok(HttpServer.ResponseSender reply, JsonObject body) {
+        reply.send(200, JSON, "", bytes(body));
     }
 
-    static void raw(HttpServer.Reply to, byte[] body) {
-        to.send(200, JSON, "", body);
+    static void raw(HttpServer.ResponseSender reply, byte[] body) {
+        reply.send(200, JSON, "", body);
     }
 
     static JsonObject search(
@@ -46,7 +46,7 @@
             long tookMs,
             boolean timedOut,
             int shards,
-            List<Missing> missing,
+            List<ShardFailure> missing,
             long total,
             List<Hit> hits,
             String scrollId) {
@@ -63,12 +63,12 @@
         counts.addProperty("failed", missing.size());
         if (!missing.isEmpty()) {
             JsonArray failures = new JsonArray();
-            for (Missing m : missing) {
+            for (ShardFailure shardFailure : missing) {
                 JsonObject reason = new JsonObject();
-                reason.addProperty("type", m.type());
-                reason.addProperty("reason", m.reason());
+                reason.addProperty("type", shardFailure.type());
+                reason.addProperty("reason", shardFailure.reason());
                 JsonObject failure = new JsonObject();
-                failure.addProperty("shard", m.shard());
+                failure.addProperty("shard", shardFailure.shard());
                 failure.addProperty("index", index);
                 failure.add("reason", reason);
                 failures.add(failure);
@@ -82,10 +82,10 @@
         count.addProperty("relation", missing.isEmpty() ? "eq" : "gte");
         JsonArray list = new JsonArray();
         double best = Double.NEGATIVE_INFINITY;
-        for (Hit h : hits) {
-            list.add(h.json());
-            if (h.json().has("_score") && h.json().get("_score").isJsonPrimitive()) {
-                best = Math.max(best, h.json().get("_score").getAsDouble());
+        for (Hit hit : hits) {
+            list.add(hit.json());
+            if (hit.json().has("_score") && hit.json().get("_score").isJsonPrimitive()) {
+                best = Math.max(best, hit.json().get("_score").getAsDouble());
             }
         }
         JsonObject outer = new JsonObject();
--- a/src/main/java/pepperdock/opensearch/PartFailures.java
+++ b/src/main/java/pepperdock/opensearch/PartFailures.java
@@ -1,7 +1,7 @@
 package pepperdock.opensearch;
 
 import pepperdock.core.Part;
-import pepperdock.opensearch.Replies.Missing;
+import pepperdock.opensearch.ApiResponses.ShardFailure;
 import pepperdock.scheduler.AttemptOutcome;
 
 /** Maps parts without an answer to the shard failures of the API's {@code _shards} object. */
@@ -16,14 +16,14 @@
     }
 
     /** The shard failure that stands for a part without an answer. */
-    static Missing of(Part part) {
+    static ShardFailure of(Part part) {
         if (!part.isSent()) {
-            return new Missing(part.shard(), "rejected_execution_exception", "left out under load");
+            return new ShardFailure(part.shard(), "rejected_execution_exception", "left out under load");
         }
         if (timedOut(part)) {
-            return new Missing(part.shard(), "timeout_exception", "no answer in time");
+            return new ShardFailure(part.shard(), "timeout_exception", "no answer in time");
         }
-        return new Missing(part.shard(), "shard_failed_exception", "ended as " + outcomeName(part.lastOutcome()));
+        return new ShardFailure(part.shard(), "shard_failed_exception", "ended as " + outcomeName(part.lastOutcome()));
     }
 
     /** The name of an outcome in the API's failure reasons, which is part of the interface. */
--- a/src/main/java/pepperdock/opensearch/QueryErrors.java
+++ b/src/main/java/pepperdock/opensearch/QueryErrors.java
@@ -8,18 +8,18 @@
     private QueryErrors() {}
 
     /** The query was rejected, and a retry has no side effects; {@code retryAfterS} is 0 for no advice. */
-    static void rejected(HttpServer.Reply reply, double retryAfterS) {
+    static void rejected(HttpServer.ResponseSender reply, double retryAfterS) {
         // Retry-After is in whole seconds, and must not be sooner than advised.
         String header = retryAfterS > 0 ? "Retry-After: " + (long) Math.ceil(retryAfterS) + "\r\n" : "";
-        Replies.error(reply, 429, "rejected_execution_exception", "refused, trying again is harmless", header);
+        ApiResponses.error(reply, 429, "rejected_execution_exception", "refused, trying again is harmless", header);
     }
 
     /** The query failed, perhaps after it took effect; {@code overdue} where its deadline has passed. */
-    static void failed(HttpServer.Reply reply, boolean overdue) {
+    static void failed(HttpServer.ResponseSender reply, boolean overdue) {
         if (overdue) {
-            Replies.error(reply, 504, "timeout_exception", "no answer in time", "");
+            ApiResponses.error(reply, 504, "timeout_exception", "no answer in time", "");
         } else {
-            Replies.error(reply, 500, "search_phase_execution_exception", "given up; it may have had effects", "");
+            ApiResponses.error(reply, 500, "search_phase_execution_exception", "given up; it may have had effects", "");
         }
     }
 }
--- a/src/main/java/pepperdock/opensearch/RequestReader.java
+++ b/src/main/java/pepperdock/opensearch/RequestReader.java
@@ -29,12 +29,12 @@
 /** Reads searches and updates into what the core is asked. */
 final class RequestReader {
 
-    private static final TypeAdapter<JsonElement> ANY = new Gson().getAdapter(JsonElement.class);
-    private static final Pattern TIME = Pattern.compile("([0-9]{1,9})(ms|s|m|h)");
-    private static final Pattern UPDATE = Pattern.compile("/([^/]+)/_update/([^/]+)");
-    private static final int WINDOW_MOST = 10_000;
+    private static final TypeAdapter<JsonElement> JSON_ADAPTER = new Gson().getAdapter(JsonElement.class);
+    private static final Pattern TIME_VALUE = Pattern.compile("([0-9]{1,9})(ms|s|m|h)");
+    private static final Pattern UPDATE_PATH = Pattern.compile("/([^/]+)/_update/([^/]+)");
+    private static final int MAX_RESULT_WINDOW = 10_000;
     /** What one search can't merge from its shards' answers is refused rather than answered wrongly. */
-    private static final Set<String> UNMERGED =
+    private static final Set<String> UNSUPPORTED_KEYS =
             Set.of("aggs", "aggregations", "suggest", "collapse", "rescore", "knn", "pit");
 
     private final DeploymentSettings site;
@@ -45,91 +45,100 @@
         this.config = config;
     }
 
-    QueryRequest search(HttpMessage m) throws ApiException {
-        String index = m.path().substring(1, m.path().length() - "/_search".length());
+    QueryRequest search(HttpMessage message) throws ApiException {
+        String index = message.path().substring(1, message.path().length() - "/_search".length());
         int queryClass = queryClass(index);
-        if (kind(queryClass).retrySafety() != RetrySafety.IDEMPOTENT) {
+        if (classSettings(queryClass).retrySafety() != RetrySafety.IDEMPOTENT) {
             throw ApiException.illegal("index [" + index + "] takes updates only");
         }
-        JsonObject body = body(m);
+        JsonObject body = body(message);
         for (String name : body.keySet()) {
-            if (UNMERGED.contains(name)) {
+            if (UNSUPPORTED_KEYS.contains(name)) {
                 throw ApiException.illegal("[" + name + "] is not supported");
             }
         }
         try {
-            return search(m, index, queryClass, body);
+            return search(message, index, queryClass, body);
         } catch (ClassCastException | IllegalStateException | NumberFormatException | NullPointerException e) {
             throw new ApiException(400, "parsing_exception", "malformed search body");
         }
     }
 
-    private QueryRequest search(HttpMessage m, String index, int queryClass, JsonObject body) throws ApiException {
-        int size = whole(m, body, "size", 10);
-        int from = whole(m, body, "from", 0);
-        double scrollS = m.parameter("scroll") == null ? 0 : keep(m.parameter("scroll"));
-        if (from + size > WINDOW_MOST) {
-            throw ApiException.illegal("result window is too large, from + size must be at most " + WINDOW_MOST);
+    private QueryRequest search(HttpMessage message, String index, int queryClass, JsonObject body)
+            throws ApiException {
+        int size = nonNegativeInteger(message, body, "size", 10);
+        int from = nonNegativeInteger(message, body, "from", 0);
+        double scrollS = message.parameter("scroll") == null ? 0 : keepAliveS(message.parameter("scroll"));
+        if (from + size > MAX_RESULT_WINDOW) {
+            throw ApiException.illegal("result window is too large, from + size must be at most " + MAX_RESULT_WINDOW);
         }
         if (scrollS > 0 && (from > 0 || size == 0)) {
             throw ApiException.illegal("a scroll takes no [from], and a [size] above 0");
         }
         JsonElement timeout = body.remove("timeout");
-        String time = m.parameter("timeout") != null
-                ? m.parameter("timeout")
+        String time = message.parameter("timeout") != null
+                ? message.parameter("timeout")
                 : timeout == null ? null : timeout.getAsString();
-        double most = kind(queryClass).deadlineS();
-        List<QueryRequest.RequestedPart> pieces = pieces(m, body);
+        double deadlineS = classSettings(queryClass).deadlineS();
+        List<QueryRequest.RequestedPart> parts = requestedParts(message, body);
         body.remove("ext");
         body.remove("from");
         body.addProperty("size", from + size);
         byte[] text = body.toString().getBytes(StandardCharsets.UTF_8);
         SearchRequest request = new SearchRequest(index, null, body, from, size, scrollS, Hit.order(body.get("sort")));
         return new QueryRequest(
-                id(m), queryClass, "", time == null ? most : Math.min(most, seconds(time)), pieces, text, request);
+                queryId(message),
+                queryClass,
+                "",
+                time == null ? deadlineS : Math.min(deadlineS, seconds(time)),
+                parts,
+                text,
+                request);
     }
 
-    QueryRequest update(HttpMessage m) throws ApiException {
-        Matcher path = UPDATE.matcher(m.path());
+    QueryRequest update(HttpMessage message) throws ApiException {
+        Matcher path = UPDATE_PATH.matcher(message.path());
         if (!path.matches()) {
             throw ApiException.illegal("not /INDEX/_update/ID");
         }
         int queryClass = queryClass(path.group(1));
-        if (kind(queryClass).retrySafety() == RetrySafety.IDEMPOTENT) {
+        if (classSettings(queryClass).retrySafety() == RetrySafety.IDEMPOTENT) {
             throw ApiException.illegal("index [" + path.group(1) + "] takes searches only");
         }
-        JsonObject body = body(m);
+        JsonObject body = body(message);
         if (!body.has("script") && !body.has("doc")) {
             throw new ApiException(400, "action_request_validation_exception", "script or doc is missing");
         }
-        int shard = shard(m.parameter("routing"));
+        int shard = shard(message.parameter("routing"));
         String docId;
         try {
             docId = URLDecoder.decode(path.group(2), StandardCharsets.UTF_8);
         } catch (IllegalArgumentException e) {
             throw ApiException.illegal("bad document id");
         }
-        double most = kind(queryClass).deadlineS();
-        String time = m.parameter("timeout");
-        String key = m.header("Idempotency-Key") == null ? UUID.randomUUID().toString() : m.header("Idempotency-Key");
+        double deadlineS = classSettings(queryClass).deadlineS();
+        String time = message.parameter("timeout");
+        String key = message.header("Idempotency-Key") == null
+                ? UUID.randomUUID().toString()
+                : message.header("Idempotency-Key");
         if (!key.matches("[!-+\\--~]{1,256}")) {
             throw ApiException.illegal("Idempotency-Key is not a plain word");
         }
         byte[] text = body.toString().getBytes(StandardCharsets.UTF_8);
         return new QueryRequest(
-                id(m),
+                queryId(message),
                 queryClass,
                 key,
-                time == null ? most : Math.min(most, seconds(time)),
+                time == null ? deadlineS : Math.min(deadlineS, seconds(time)),
                 List.of(new QueryRequest.RequestedPart(shard, 1)),
                 text,
                 new SearchRequest(path.group(1), docId, body, 0, 1, 0, Hit.order(null)));
     }
 
     /** A scroll's body, or its id in the path as older clients have it. */
-    static JsonObject scroll(HttpMessage m) throws ApiException {
-        JsonObject body = body(m);
-        String rest = m.path().substring("/_search/scroll".length());
+    static JsonObject scroll(HttpMessage message) throws ApiException {
+        JsonObject body = body(message);
+        String rest = message.path().substring("/_search/scroll".length());
         if (rest.length() > 1) {
             body.addProperty("scroll_id", rest.substring(1));
         }
@@ -137,7 +146,7 @@
     }
 
     /** How long a scroll may be kept, within the operator's limit. */
-    double keep(String time) throws ApiException {
+    double keepAliveS(String time) throws ApiException {
         double seconds = seconds(time);
         if (seconds > config.scrollMostS()) {
             throw ApiException.illegal("keep alive for scroll (" + time + ") is too large, it must be at most "
@@ -147,12 +156,12 @@
     }
 
     private static double seconds(String time) throws ApiException {
-        Matcher m = TIME.matcher(time);
-        if (!m.matches() || Long.parseLong(m.group(1)) == 0) {
+        Matcher matcher = TIME_VALUE.matcher(time);
+        if (!matcher.matches() || Long.parseLong(matcher.group(1)) == 0) {
             throw ApiException.illegal("failed to parse [" + time + "] as a time value");
         }
-        return Long.parseLong(m.group(1))
-                * switch (m.group(2)) {
+        return Long.parseLong(matcher.group(1))
+                * switch (matcher.group(2)) {
                     case "ms" -> 0.001;
                     case "s" -> 1.0;
                     case "m" -> 60.0;
@@ -168,26 +177,26 @@
         return found;
     }
 
-    private QueryClass kind(int queryClass) {
+    private QueryClass classSettings(int queryClass) {
         return site.scheduler().classes().get(queryClass);
     }
 
-    private static JsonObject body(HttpMessage m) throws ApiException {
+    private static JsonObject body(HttpMessage message) throws ApiException {
         try {
-            return m.body().length == 0 ? new JsonObject() : strict(m.body());
+            return message.body().length == 0 ? new JsonObject() : parseStrictly(message.body());
         } catch (IOException | RuntimeException e) {
             throw new ApiException(400, "parsing_exception", "the body is not a JSON object");
         }
     }
 
     /** What is repaired on the way in would be searched for as though its client had asked for it. */
-    private static JsonObject strict(byte[] body) throws IOException {
+    private static JsonObject parseStrictly(byte[] body) throws IOException {
         try (JsonReader in = new JsonReader(new StringReader(StandardCharsets.UTF_8
                 .newDecoder()
                 .decode(ByteBuffer.wrap(body))
                 .toString()))) {
             in.setStrictness(Strictness.STRICT);
-            JsonObject read = ANY.read(in).getAsJsonObject();
+            JsonObject read = JSON_ADAPTER.read(in).getAsJsonObject();
             if (in.peek() != JsonToken.END_DOCUMENT) {
                 throw new IOException("more than one object");
             }
@@ -195,10 +204,11 @@
         }
     }
 
-    private static int whole(HttpMessage m, JsonObject body, String name, int otherwise) throws ApiException {
-        String text = m.parameter(name) != null
-                ? m.parameter(name)
-                : body.has(name) ? body.get(name).getAsString() : Integer.toString(otherwise);
+    private static int nonNegativeInteger(HttpMessage message, JsonObject body, String name, int defaultValue)
+            throws ApiException {
+        String text = message.parameter(name) != null
+                ? message.parameter(name)
+                : body.has(name) ? body.get(name).getAsString() : Integer.toString(defaultValue);
         if (!text.matches("[0-9]{1,6}")) {
             throw ApiException.illegal("[" + name + "] must be a whole number of at least 0");
         }
@@ -206,44 +216,45 @@
     }
 
     /** The shards asked for: by {@code ext.pepperdock.ranges} with portions, by preference, or all alike. */
-    private List<QueryRequest.RequestedPart> pieces(HttpMessage m, JsonObject body) throws ApiException {
-        List<QueryRequest.RequestedPart> pieces = new ArrayList<>();
+    private List<QueryRequest.RequestedPart> requestedParts(HttpMessage message, JsonObject body) throws ApiException {
+        List<QueryRequest.RequestedPart> parts = new ArrayList<>();
         JsonObject ext = body.has("ext") ? body.getAsJsonObject("ext").getAsJsonObject("pepperdock") : null;
-        String preference = m.parameter("preference");
+        String preference = message.parameter("preference");
         if (ext != null) {
             JsonArray ranges = ext.getAsJsonArray("ranges");
             for (JsonElement e : ranges) {
-                JsonObject o = e.getAsJsonObject();
-                double weight = o.has("portion") ? o.get("portion").getAsDouble() : 1.0 / ranges.size();
+                JsonObject range = e.getAsJsonObject();
+                double weight = range.has("portion") ? range.get("portion").getAsDouble() : 1.0 / ranges.size();
                 if (!(weight >= 0 && weight <= 1)) {
                     throw ApiException.illegal("[portion] must lie between 0 and 1");
                 }
-                pieces.add(new QueryRequest.RequestedPart(shard(o.get("range").getAsString()), weight));
+                parts.add(
+                        new QueryRequest.RequestedPart(shard(range.get("range").getAsString()), weight));
             }
         } else if (preference != null && preference.startsWith("_shards:")) {
             String[] shards =
                     preference.substring("_shards:".length()).split("\\|")[0].split(",");
             for (String s : shards) {
-                pieces.add(new QueryRequest.RequestedPart(shard(s), 1.0 / shards.length));
+                parts.add(new QueryRequest.RequestedPart(shard(s), 1.0 / shards.length));
             }
         } else {
             int all = site.scheduler().layout().shards();
             for (int s = 0; s < all; s++) {
-                pieces.add(new QueryRequest.RequestedPart(s, 1.0 / all));
+                parts.add(new QueryRequest.RequestedPart(s, 1.0 / all));
             }
         }
-        if (pieces.isEmpty()
-                || pieces.stream()
+        if (parts.isEmpty()
+                || parts.stream()
                                 .map(QueryRequest.RequestedPart::shard)
                                 .distinct()
                                 .count()
-                        < pieces.size()) {
+                        < parts.size()) {
             throw ApiException.illegal("no shards, or one given twice");
         }
-        if (!QueryRequest.weightsSumToOne(pieces)) {
+        if (!QueryRequest.weightsSumToOne(parts)) {
             throw ApiException.illegal("[portion]s do not add up to 1");
         }
-        return pieces;
+        return parts;
     }
 
     private int shard(String text) throws ApiException {
@@ -256,8 +267,8 @@
         return Integer.parseInt(text);
     }
 
-    private static String id(HttpMessage m) {
-        String given = m.header("X-Opaque-Id");
+    private static String queryId(HttpMessage message) {
+        String given = message.header("X-Opaque-Id");
         String unique = UUID.randomUUID().toString().replace("-", "").substring(0, 16);
         return given != null && given.matches("[!-~]{1,64}") ? given + '-' + unique : unique;
     }
--- a/src/main/java/pepperdock/opensearch/ScrollHandler.java
+++ b/src/main/java/pepperdock/opensearch/ScrollHandler.java
@@ -8,7 +8,7 @@
 import java.util.function.BooleanSupplier;
 import pepperdock.codec.http.HttpMessage;
 import pepperdock.core.Clock;
-import pepperdock.opensearch.Replies.Missing;
+import pepperdock.opensearch.ApiResponses.ShardFailure;
 import pepperdock.scheduler.QueryClass;
 import pepperdock.transport.HttpServer;
 
@@ -18,19 +18,19 @@
     /** How far the weights of a complete answer may be from 1: they are rounded one by one. */
     private static final double COVERAGE_TOLERANCE = 1e-4;
 
-    private final Scrolls scrolls;
+    private final ScrollRegistry scrolls;
     private final SearchBackend backend;
     private final Clock clock;
 
     /** {@code backend} is null where workers speak another protocol; no scroll is ever open then. */
-    ScrollHandler(Scrolls scrolls, SearchBackend backend, Clock clock) {
+    ScrollHandler(ScrollRegistry scrolls, SearchBackend backend, Clock clock) {
         this.scrolls = scrolls;
         this.backend = backend;
         this.clock = clock;
     }
 
     /** Closes the scrolls that the request names, or all of them. */
-    Runnable clear(HttpMessage message, HttpServer.Reply reply) throws ApiException {
+    Runnable clear(HttpMessage message, HttpServer.ResponseSender reply) throws ApiException {
         JsonObject body = RequestReader.scroll(message);
         JsonElement ids = body.get("scroll_id");
         int freed = 0;
@@ -48,7 +48,7 @@
         answer.addProperty("succeeded", true);
         answer.addProperty("num_freed", freed);
         if (freed > 0) {
-            Replies.ok(reply, answer);
+            ApiResponses.ok(reply, answer);
         } else {
             reply.send(
                     404,
@@ -63,10 +63,10 @@
      * Reads the next page. Each shard's search context lives at one worker, so the scheduler has nothing to choose; its rules
      * hold all the same: nothing is sent to a draining worker, and no page is answered below the class's minimum coverage.
      */
-    Runnable nextPage(HttpMessage message, HttpServer.Reply reply, RequestReader reader) throws ApiException {
+    Runnable nextPage(HttpMessage message, HttpServer.ResponseSender reply, RequestReader reader) throws ApiException {
         JsonObject body = RequestReader.scroll(message);
         JsonElement id = body.get("scroll_id");
-        Scrolls.Scroll scroll = id != null && id.isJsonPrimitive() ? scrolls.get(id.getAsString()) : null;
+        ScrollRegistry.Scroll scroll = id != null && id.isJsonPrimitive() ? scrolls.get(id.getAsString()) : null;
         if (scroll == null) {
             throw new ApiException(404, "search_context_missing_exception", "no search context found");
         }
@@ -75,33 +75,33 @@
         }
         JsonElement keep = body.get("scroll");
         if (keep != null && keep.isJsonPrimitive()) {
-            scroll.keepS = reader.keep(keep.getAsString());
+            scroll.keepAliveS = reader.keepAliveS(keep.getAsString());
         }
-        scroll.touch();
+        scroll.extendLifetime();
         scroll.reading = true;
         double since = clock.now();
-        QueryClass queryClass = scroll.kind;
-        List<Scrolls.Shard> wanting = scroll.shards.stream()
+        QueryClass queryClass = scroll.queryClass;
+        List<ScrollRegistry.ScrollShard> wanting = scroll.shards.stream()
                 .filter(shard -> shard.context != null && shard.buffer.size() < scroll.request.size())
                 .toList();
         int[] left = {wanting.size()};
         BooleanSupplier wanted = () -> {
-            reply.poll();
+            reply.pollForDisconnect();
             return scrolls.get(scroll.id) == scroll;
         };
-        for (Scrolls.Shard shard : wanting) {
+        for (ScrollRegistry.ScrollShard shard : wanting) {
             backend.nextPage(
                     shard.worker,
-                    shard.no,
+                    shard.number,
                     shard.context,
-                    scroll.keepS,
+                    scroll.keepAliveS,
                     queryClass.latencyObjectiveS(),
                     wanted,
                     page -> {
                         if (page == null) {
                             shard.timedOut = clock.now() - since >= queryClass.latencyObjectiveS();
-                            shard.failed = new Missing(
-                                    shard.no,
+                            shard.failure = new ShardFailure(
+                                    shard.number,
                                     shard.timedOut ? "timeout_exception" : "search_context_missing_exception",
                                     "no next page from its worker");
                             scrolls.release(shard);
@@ -122,20 +122,21 @@
         return () -> scrolls.close(scroll);
     }
 
-    private void page(Scrolls.Scroll scroll, QueryClass queryClass, double since, HttpServer.Reply reply) {
+    private void page(
+            ScrollRegistry.Scroll scroll, QueryClass queryClass, double since, HttpServer.ResponseSender reply) {
         if (scrolls.get(scroll.id) == null) {
             // Cleared, expired or abandoned meanwhile: contexts that the last answers renamed are released too.
             scroll.shards.forEach(scrolls::release);
-            Replies.error(reply, 404, "search_context_missing_exception", "no search context found", "");
+            ApiResponses.error(reply, 404, "search_context_missing_exception", "no search context found", "");
             return;
         }
         scroll.reading = false;
-        List<Missing> missing = new ArrayList<>(scroll.missing);
+        List<ShardFailure> missing = new ArrayList<>(scroll.failures);
         boolean timedOut = false;
         double coverage = 0;
-        for (Scrolls.Shard shard : scroll.shards) {
-            if (shard.failed != null) {
-                missing.add(shard.failed);
+        for (ScrollRegistry.ScrollShard shard : scroll.shards) {
+            if (shard.failure != null) {
+                missing.add(shard.failure);
                 timedOut |= shard.timedOut;
             } else {
                 coverage += shard.weight;
@@ -146,12 +147,12 @@
             QueryErrors.failed(reply, timedOut);
             return;
         }
-        scroll.touch();
-        int shards = scroll.shards.size() + scroll.missing.size();
-        List<Hit> page = scroll.page();
-        Replies.ok(
+        scroll.extendLifetime();
+        int shards = scroll.shards.size() + scroll.failures.size();
+        List<Hit> page = scroll.takePage();
+        ApiResponses.ok(
                 reply,
-                Replies.search(
+                ApiResponses.search(
                         scroll.request.index(),
                         Math.round((clock.now() - since) * 1e3),
                         timedOut,
--- a/src/main/java/pepperdock/opensearch/Scrolls.java
+++ b/src/main/java/pepperdock/opensearch/ScrollRegistry.java
@@ -7,32 +7,32 @@
 import java.util.Map;
 import java.util.UUID;
 import pepperdock.core.Clock;
-import pepperdock.opensearch.Replies.Missing;
+import pepperdock.opensearch.ApiResponses.ShardFailure;
 import pepperdock.scheduler.QueryClass;
 
 /**
  * The scrolls that are open: capped, and each let go, here and at the workers that hold its contexts, once it was not
  * used for its time.
  */
-final class Scrolls {
+final class ScrollRegistry {
 
     /** Where a scroll's context is held, and how it is let go. */
-    interface Contexts {
-        void free(String worker, String scrollId);
+    interface ContextReleaser {
+        void release(String worker, String scrollId);
     }
 
     /** One shard's side of a scroll: the context at its worker, and hits that came but were not given out yet. */
-    static final class Shard {
-        final int no;
+    static final class ScrollShard {
+        final int number;
         final double weight;
         final String worker;
         final ArrayDeque<Hit> buffer = new ArrayDeque<>();
         String context;
         boolean timedOut;
-        Missing failed;
+        ShardFailure failure;
 
-        Shard(int no, double weight, String worker) {
-            this.no = no;
+        ScrollShard(int number, double weight, String worker) {
+            this.number = number;
             this.weight = weight;
             this.worker = worker;
         }
@@ -43,41 +43,47 @@
         final String id = UUID.randomUUID().toString();
         final SearchRequest request;
         /** The class whose rules its pages go by, as the settings were when it was opened. */
-        final QueryClass kind;
+        final QueryClass queryClass;
 
-        final List<Shard> shards;
-        final List<Missing> missing;
+        final List<ScrollShard> shards;
+        final List<ShardFailure> failures;
         final long total;
-        double keepS;
+        double keepAliveS;
         boolean reading;
         private Clock.Timer expiry;
 
-        private Scroll(SearchRequest request, QueryClass kind, List<Shard> shards, List<Missing> missing, long total) {
+        private Scroll(
+                SearchRequest request,
+                QueryClass queryClass,
+                List<ScrollShard> shards,
+                List<ShardFailure> failures,
+                long total) {
             this.request = request;
-            this.kind = kind;
+            this.queryClass = queryClass;
             this.shards = shards;
-            this.missing = new ArrayList<>(missing);
+            this.failures = new ArrayList<>(failures);
             this.total = total;
-            keepS = request.scrollS();
+            keepAliveS = request.scrollS();
         }
 
         /** Puts the end of its life off. */
-        void touch() {
+        void extendLifetime() {
             if (expiry != null) {
                 expiry.cancel();
             }
-            expiry = clock.after(keepS, () -> close(this));
+            expiry = clock.after(keepAliveS, () -> close(this));
         }
 
         /** The next page out of what the shards have brought, best hits first. */
-        List<Hit> page() {
+        List<Hit> takePage() {
             List<Hit> page = new ArrayList<>();
             while (page.size() < request.size()) {
-                Shard best = null;
-                for (Shard s : shards) {
-                    if (!s.buffer.isEmpty()
-                            && (best == null || request.order().compare(s.buffer.peek(), best.buffer.peek()) < 0)) {
-                        best = s;
+                ScrollShard best = null;
+                for (ScrollShard candidate : shards) {
+                    if (!candidate.buffer.isEmpty()
+                            && (best == null
+                                    || request.order().compare(candidate.buffer.peek(), best.buffer.peek()) < 0)) {
+                        best = candidate;
                     }
                 }
                 if (best == null) {
@@ -90,29 +96,34 @@
     }
 
     private final Clock clock;
-    private final Contexts contexts;
-    private final int most;
+    private final ContextReleaser contexts;
+    private final int maxOpen;
     private final Map<String, Scroll> open = new LinkedHashMap<>();
 
-    Scrolls(Clock clock, Contexts contexts, int most) {
+    ScrollRegistry(Clock clock, ContextReleaser contexts, int maxOpen) {
         this.clock = clock;
         this.contexts = contexts;
-        this.most = most;
+        this.maxOpen = maxOpen;
     }
 
     boolean full() {
-        return open.size() >= most;
+        return open.size() >= maxOpen;
     }
 
     int size() {
         return open.size();
     }
 
-    Scroll open(SearchRequest request, QueryClass kind, List<Shard> shards, List<Missing> missing, long total) {
-        Scroll s = new Scroll(request, kind, shards, missing, total);
-        open.put(s.id, s);
-        s.touch();
-        return s;
+    Scroll open(
+            SearchRequest request,
+            QueryClass queryClass,
+            List<ScrollShard> shards,
+            List<ShardFailure> failures,
+            long total) {
+        Scroll scroll = new Scroll(request, queryClass, shards, failures, total);
+        open.put(scroll.id, scroll);
+        scroll.extendLifetime();
+        return scroll;
     }
 
     /** The scroll of that id; null when there is none, or no more. */
@@ -121,19 +132,19 @@
     }
 
     /** Lets a scroll go, here and at its workers; false when it was gone already. */
-    boolean close(Scroll s) {
-        if (s == null || open.remove(s.id) == null) {
+    boolean close(Scroll scroll) {
+        if (scroll == null || open.remove(scroll.id) == null) {
             return false;
         }
-        s.expiry.cancel();
-        s.shards.forEach(this::release);
+        scroll.expiry.cancel();
+        scroll.shards.forEach(this::release);
         return true;
     }
 
-    void release(Shard s) {
-        if (s.context != null) {
-            contexts.free(s.worker, s.context);
-            s.context = null;
+    void release(ScrollShard shard) {
+        if (shard.context != null) {
+            contexts.release(shard.worker, shard.context);
+            shard.context = null;
         }
     }
 
--- a/src/main/java/pepperdock/opensearch/SearchBackend.java
+++ b/src/main/java/pepperdock/opensearch/SearchBackend.java
@@ -9,38 +9,39 @@
 import pepperdock.core.LogRateLimiter;
 import pepperdock.core.PooledBackend;
 import pepperdock.core.WorkerEndpoint;
-import pepperdock.transport.Loop;
+import pepperdock.transport.EventLoop;
 
 /** Workers that speak the OpenSearch-style API; a {@link SearchWorker} each. */
 public final class SearchBackend extends PooledBackend<SearchWorker> {
 
-    private final Loop loop;
+    private final EventLoop loop;
     private final DeploymentSettings site;
     private final OpenSearchConfig config;
     /** One for all workers: a hundred of them may fail in the same second. */
-    private final LogRateLimiter notes;
+    private final LogRateLimiter unusableAnswerLog;
 
-    public SearchBackend(Loop loop, DeploymentSettings site, OpenSearchConfig config) {
+    public SearchBackend(EventLoop loop, DeploymentSettings site, OpenSearchConfig config) {
         this.loop = loop;
         this.site = site;
         this.config = config;
-        notes = new LogRateLimiter(
+        unusableAnswerLog = new LogRateLimiter(
                 System.getLogger("pepperdock.opensearch"), loop, "answers of workers that can't be used");
     }
 
     @Override
     protected SearchWorker createWorker(WorkerEndpoint host, Gatherer core) {
-        return new SearchWorker(host.id(), host.address(), loop, site, config, core, notes);
+        return new SearchWorker(host.id(), host.address(), loop, site, config, core, unusableAnswerLog);
     }
 
     /** Nobody will page on from this copy: its context must not wait for its time-out. */
     @Override
     public void releaseUnusedAnswer(Attempt attempt, byte[] value) {
-        if (attempt.part().query().request().frontContext() instanceof SearchRequest r && r.scroll()) {
-            String scrollId = ShardAnswer.lenient(attempt.part().shard(), r.index(), value)
+        if (attempt.part().query().request().frontContext() instanceof SearchRequest searchRequest
+                && searchRequest.scroll()) {
+            String scrollId = ShardAnswer.lenient(attempt.part().shard(), searchRequest.index(), value)
                     .scrollId();
             if (scrollId != null) {
-                free(attempt.worker(), scrollId);
+                releaseScroll(attempt.worker(), scrollId);
             }
         }
     }
@@ -56,20 +57,20 @@
             double keepS,
             double timeoutS,
             BooleanSupplier wanted,
-            Consumer<ShardAnswer> then) {
-        SearchWorker w = worker(worker);
-        if (w == null) {
-            loop.execute(() -> then.accept(null));
+            Consumer<ShardAnswer> listener) {
+        SearchWorker searchWorker = worker(worker);
+        if (searchWorker == null) {
+            loop.execute(() -> listener.accept(null));
         } else {
-            w.nextPage(shard, scrollId, keepS, timeoutS, wanted, then);
+            searchWorker.nextPage(shard, scrollId, keepS, timeoutS, wanted, listener);
         }
     }
 
     /** Tells a worker that a scroll context is not wanted any more. */
-    void free(String worker, String scrollId) {
-        SearchWorker w = worker(worker);
-        if (w != null) {
-            w.free(scrollId);
+    void releaseScroll(String worker, String scrollId) {
+        SearchWorker searchWorker = worker(worker);
+        if (searchWorker != null) {
+            searchWorker.releaseScroll(scrollId);
         }
     }
 }
--- a/src/main/java/pepperdock/opensearch/SearchFront.java
+++ b/src/main/java/pepperdock/opensearch/SearchFront.java
@@ -13,20 +13,20 @@
 import pepperdock.core.Query;
 import pepperdock.core.QueryListener;
 import pepperdock.core.QueryRequest;
-import pepperdock.opensearch.Replies.Missing;
+import pepperdock.opensearch.ApiResponses.ShardFailure;
 import pepperdock.transport.HttpServer;
 
 /** The OpenSearch-style front: searches, scrolls and updates, on the same core as the platform's front. */
-public final class SearchFront implements HttpServer.Service {
+public final class SearchFront implements HttpServer.RequestHandler {
 
     private final Gatherer core;
     private final Clock clock;
     private final SearchBackend backend;
     private RequestReader reader;
-    private final Scrolls scrolls;
-    private int opening;
+    private final ScrollRegistry scrolls;
+    private int scrollsOpening;
     private final ScrollHandler scrollHandler;
-    private final int scrollsMost;
+    private final int maxScrolls;
 
     /** {@code backend} is null where workers speak another protocol; there are no scrolls then. */
     public SearchFront(
@@ -35,13 +35,13 @@
         this.clock = clock;
         this.backend = backend;
         reader = new RequestReader(site, config);
-        scrollsMost = config.scrollContexts();
-        scrolls = new Scrolls(clock, (worker, id) -> backend.free(worker, id), scrollsMost);
+        maxScrolls = config.scrollContexts();
+        scrolls = new ScrollRegistry(clock, (worker, id) -> backend.releaseScroll(worker, id), maxScrolls);
         scrollHandler = new ScrollHandler(scrolls, backend, clock);
     }
 
     /** Other settings, and classes of the indices, for searches from now on. */
-    public void use(DeploymentSettings site, OpenSearchConfig config) {
+    public void updateSettings(DeploymentSettings site, OpenSearchConfig config) {
         reader = new RequestReader(site, config);
     }
 
@@ -51,80 +51,80 @@
     }
 
     @Override
-    public void malformed(int status, String why, HttpServer.Reply reply) {
-        Replies.error(reply, status, status == 500 ? "exception" : "illegal_argument_exception", why, "");
+    public void rejectMalformed(int status, String why, HttpServer.ResponseSender reply) {
+        ApiResponses.error(reply, status, status == 500 ? "exception" : "illegal_argument_exception", why, "");
     }
 
     @Override
-    public Runnable serve(HttpMessage m, HttpServer.Reply reply) throws HttpException {
+    public Runnable serve(HttpMessage message, HttpServer.ResponseSender reply) throws HttpException {
         try {
-            String path = m.path();
+            String path = message.path();
             if (path.equals("/")) {
-                allow(m, "GET", "HEAD");
+                requireMethod(message, "GET", "HEAD");
                 JsonObject body = new JsonObject();
                 body.addProperty("name", "pepperdock");
                 body.addProperty("tagline", "OpenSearch-style queries over sharded ledger nodes");
-                Replies.ok(reply, body);
+                ApiResponses.ok(reply, body);
             } else if (path.equals("/_search/scroll") || path.startsWith("/_search/scroll/")) {
-                allow(m, "POST", "GET", "DELETE");
-                return m.method().equals("DELETE")
-                        ? scrollHandler.clear(m, reply)
-                        : scrollHandler.nextPage(m, reply, reader);
+                requireMethod(message, "POST", "GET", "DELETE");
+                return message.method().equals("DELETE")
+                        ? scrollHandler.clear(message, reply)
+                        : scrollHandler.nextPage(message, reply, reader);
             } else if (path.matches("/[^/_][^/]*/_search")) {
-                allow(m, "POST", "GET");
-                return search(m, reply);
+                requireMethod(message, "POST", "GET");
+                return search(message, reply);
             } else if (path.matches("/[^/_][^/]*/_update/.+")) {
-                allow(m, "POST");
-                Query q = core.submit(reader.update(m), new UpdateListener(reply));
-                return () -> core.onClientGone(q);
+                requireMethod(message, "POST");
+                Query query = core.submit(reader.update(message), new UpdateListener(reply));
+                return () -> core.onClientGone(query);
             } else {
                 throw new ApiException(404, "resource_not_found_exception", "no handler for [" + path + "]");
             }
         } catch (ApiException e) {
-            Replies.error(reply, e.status(), e.type(), e.getMessage(), "");
+            ApiResponses.error(reply, e.status(), e.type(), e.getMessage(), "");
         }
         return () -> {};
     }
 
-    private static void allow(HttpMessage m, String... methods) throws ApiException {
-        if (!List.of(methods).contains(m.method())) {
+    private static void requireMethod(HttpMessage message, String... methods) throws ApiException {
+        if (!List.of(methods).contains(message.method())) {
             throw new ApiException(405, "method_not_allowed_exception", "allowed: " + String.join(", ", methods));
         }
     }
 
     // ---- Searches ------------------------------------------------------------
 
-    private Runnable search(HttpMessage m, HttpServer.Reply reply) throws ApiException {
-        QueryRequest ask = reader.search(m);
-        SearchRequest request = (SearchRequest) ask.frontContext();
+    private Runnable search(HttpMessage message, HttpServer.ResponseSender reply) throws ApiException {
+        QueryRequest queryRequest = reader.search(message);
+        SearchRequest request = (SearchRequest) queryRequest.frontContext();
         if (request.scroll()) {
             if (backend == null) {
                 throw ApiException.illegal("there are no scrolls on this deployment");
             }
-            if (scrolls.size() + opening >= scrollsMost) {
+            if (scrolls.size() + scrollsOpening >= maxScrolls) {
                 throw new ApiException(
-                        429, "rejected_execution_exception", "too many scroll contexts, at most " + scrollsMost);
+                        429, "rejected_execution_exception", "too many scroll contexts, at most " + maxScrolls);
             }
-            opening++;
+            scrollsOpening++;
         }
-        boolean partial = !"false".equals(m.parameter("allow_partial_search_results"));
-        SearchClient client = new SearchClient(reply, request, clock.now(), partial);
-        Query q = core.submit(ask, client);
+        boolean partial = !"false".equals(message.parameter("allow_partial_search_results"));
+        SearchListener client = new SearchListener(reply, request, clock.now(), partial);
+        Query query = core.submit(queryRequest, client);
         return () -> {
-            core.onClientGone(q);
-            client.closed(q);
+            core.onClientGone(query);
+            client.closed(query);
         };
     }
 
     /** A search has ended without opening a scroll: contexts that its parts opened are let go. */
-    private void free(SearchRequest request, Query q) {
+    private void releaseContexts(SearchRequest request, Query query) {
         if (request.scroll()) {
-            for (Part p : q.parts()) {
-                if (p.value() != null) {
-                    String id = ShardAnswer.lenient(p.shard(), request.index(), p.value())
+            for (Part part : query.parts()) {
+                if (part.value() != null) {
+                    String id = ShardAnswer.lenient(part.shard(), request.index(), part.value())
                             .scrollId();
                     if (id != null) {
-                        backend.free(p.servedBy(), id);
+                        backend.releaseScroll(part.servedBy(), id);
                     }
                 }
             }
@@ -132,56 +132,57 @@
     }
 
     /** Words the core's one final answer to a search. */
-    private final class SearchClient implements QueryListener {
-        private final HttpServer.Reply reply;
+    private final class SearchListener implements QueryListener {
+        private final HttpServer.ResponseSender reply;
         private final SearchRequest request;
-        private final double since;
+        private final double startedAt;
         private final boolean partial;
-        private boolean over;
+        private boolean ended;
 
-        SearchClient(HttpServer.Reply reply, SearchRequest request, double since, boolean partial) {
+        SearchListener(HttpServer.ResponseSender reply, SearchRequest request, double startedAt, boolean partial) {
             this.reply = reply;
             this.request = request;
-            this.since = since;
+            this.startedAt = startedAt;
             this.partial = partial;
         }
 
         /** No longer about to open a scroll; counted once, however it ended. */
-        private boolean end() {
-            boolean first = !over;
-            over = true;
-            opening -= first && request.scroll() ? 1 : 0;
+        private boolean markEnded() {
+            boolean first = !ended;
+            ended = true;
+            scrollsOpening -= first && request.scroll() ? 1 : 0;
             return first;
         }
 
-        private void closed(Query q) {
-            if (end()) {
-                free(request, q);
+        private void closed(Query query) {
+            if (markEnded()) {
+                releaseContexts(request, query);
             }
         }
 
         @Override
-        public void onAnswer(Query q, boolean whole) {
-            List<Missing> missing = new ArrayList<>();
-            List<Scrolls.Shard> shards = new ArrayList<>();
+        public void onAnswer(Query query, boolean complete) {
+            List<ShardFailure> missing = new ArrayList<>();
+            List<ScrollRegistry.ScrollShard> shards = new ArrayList<>();
             boolean timedOut = false;
             long total = 0;
-            for (Part p : q.parts()) {
-                if (p.value() == null) {
-                    missing.add(PartFailures.of(p));
-                    timedOut |= PartFailures.timedOut(p);
+            for (Part part : query.parts()) {
+                if (part.value() == null) {
+                    missing.add(PartFailures.of(part));
+                    timedOut |= PartFailures.timedOut(part);
                     continue;
                 }
-                ShardAnswer a = ShardAnswer.lenient(p.shard(), request.index(), p.value());
-                Scrolls.Shard s = new Scrolls.Shard(p.shard(), p.weight(), p.servedBy());
-                s.buffer.addAll(a.hits());
-                s.context = a.scrollId();
-                total += a.total();
-                shards.add(s);
+                ShardAnswer answer = ShardAnswer.lenient(part.shard(), request.index(), part.value());
+                ScrollRegistry.ScrollShard shard =
+                        new ScrollRegistry.ScrollShard(part.shard(), part.weight(), part.servedBy());
+                shard.buffer.addAll(answer.hits());
+                shard.context = answer.scrollId();
+                total += answer.total();
+                shards.add(shard);
             }
             if (!partial && !missing.isEmpty()) {
-                closed(q);
-                Replies.error(
+                closed(query);
+                ApiResponses.error(
                         reply,
                         timedOut ? 504 : 500,
                         "search_phase_execution_exception",
@@ -190,16 +191,16 @@
                 return;
             }
             if (request.scroll()) {
-                end();
-                Scrolls.Scroll scroll = scrolls.open(request, q.queryClass(), shards, missing, total);
-                List<Hit> page = scroll.page();
-                Replies.ok(
+                markEnded();
+                ScrollRegistry.Scroll scroll = scrolls.open(request, query.queryClass(), shards, missing, total);
+                List<Hit> page = scroll.takePage();
+                ApiResponses.ok(
                         reply,
-                        Replies.search(
+                        ApiResponses.search(
                                 request.index(),
-                                tookMs(since),
+                                tookMs(startedAt),
                                 timedOut,
-                                q.parts().size(),
+                                query.parts().size(),
                                 missing,
                                 total,
                                 page,
@@ -207,36 +208,43 @@
                 return;
             }
             List<Hit> hits = shards.stream()
-                    .flatMap(x -> x.buffer.stream())
+                    .flatMap(scrollShard -> scrollShard.buffer.stream())
                     .sorted(request.order())
                     .skip(request.from())
                     .limit(request.size())
                     .toList();
-            Replies.ok(
+            ApiResponses.ok(
                     reply,
-                    Replies.search(
-                            request.index(), tookMs(since), timedOut, q.parts().size(), missing, total, hits, null));
+                    ApiResponses.search(
+                            request.index(),
+                            tookMs(startedAt),
+                            timedOut,
+                            query.parts().size(),
+                            missing,
+                            total,
+                            hits,
+                            null));
         }
 
         @Override
-        public void onRejected(Query q, double pauseS) {
-            closed(q);
+        public void onRejected(Query query, double pauseS) {
+            closed(query);
             QueryErrors.rejected(reply, pauseS);
         }
 
         @Override
-        public void onFailed(Query q, boolean overdue) {
-            closed(q);
+        public void onFailed(Query query, boolean overdue) {
+            closed(query);
             QueryErrors.failed(reply, overdue);
         }
 
         @Override
         public void pollForDisconnect() {
-            reply.poll();
+            reply.pollForDisconnect();
         }
     }
 
-    private long tookMs(double since) {
-        return Math.round((clock.now() - since) * 1e3);
+    private long tookMs(double startedAt) {
+        return Math.round((clock.now() - startedAt) * 1e3);
     }
 }
--- a/src/main/java/pepperdock/opensearch/SearchWorker.java
+++ b/src/main/java/pepperdock/opensearch/SearchWorker.java
@@ -19,92 +19,97 @@
 import pepperdock.core.PooledBackend;
 import pepperdock.scheduler.AttemptOutcome;
 import pepperdock.scheduler.LoadReport;
+import pepperdock.transport.EventLoop;
 import pepperdock.transport.HttpClient;
-import pepperdock.transport.Loop;
 
 /** One worker of the OpenSearch-style API: asked for one shard a request, over a few kept connections. */
 final class SearchWorker implements PooledBackend.PooledWorker {
 
-    private static final int ANSWER_MOST = 4 << 20;
-    private static final double IDLE_SHARE = 0.8;
+    private static final int MAX_RESPONSE_BYTES = 4 << 20;
+    private static final double IDLE_TIMEOUT_SHARE = 0.8;
     /** How long a request that nobody awaits may still bring the context that is then freed. */
-    private static final double FREE_S = 5;
+    private static final double RELEASE_TIMEOUT_S = 5;
 
-    private static final double PROBE_S = 0.25;
+    private static final double HEALTH_CHECK_TIMEOUT_S = 0.25;
 
     /** A request that waits for a connection; {@code wanted} is asked again just before it is sent. */
-    private record Waiting(
-            byte[] request, double until, boolean needsOpen, BooleanSupplier wanted, HttpClient.Then then) {}
+    private record QueuedRequest(
+            byte[] request,
+            double deadline,
+            boolean onlyWhileAccepting,
+            BooleanSupplier stillWanted,
+            HttpClient.ResponseListener listener) {}
 
     /** A kept connection, the attempt it serves, if any, and when it was last used. */
-    private static final class Line {
+    private static final class ConnectionSlot {
         final HttpClient http;
         Attempt attempt;
-        boolean needsOpen;
+        boolean onlyWhileAccepting;
         /** Tells whose request it has that this was never sent. */
-        Runnable refused;
+        Runnable onNotSent;
 
         double usedAt;
 
-        Line(HttpClient http) {
+        ConnectionSlot(HttpClient http) {
             this.http = http;
         }
     }
 
     private final String id;
-    private final String dial;
+    private final String address;
     private final WorkerRequests requests;
-    private final Loop loop;
+    private final EventLoop loop;
     private final DeploymentSettings site;
     private final OpenSearchConfig config;
     private final Gatherer core;
-    private final LogRateLimiter notes;
-    private final List<Line> lines = new ArrayList<>();
-    private final ArrayDeque<Waiting> waiting = new ArrayDeque<>();
-    private boolean open = true;
+    private final LogRateLimiter unusableAnswerLog;
+    private final List<ConnectionSlot> slots = new ArrayList<>();
+    private final ArrayDeque<QueuedRequest> queue = new ArrayDeque<>();
+    private boolean acceptingCalls = true;
 
     SearchWorker(
             String id,
-            String dial,
-            Loop loop,
+            String address,
+            EventLoop loop,
             DeploymentSettings site,
             OpenSearchConfig config,
             Gatherer core,
-            LogRateLimiter notes) {
+            LogRateLimiter unusableAnswerLog) {
         this.id = id;
-        this.dial = dial;
-        requests = new WorkerRequests(dial);
+        this.address = address;
+        requests = new WorkerRequests(address);
         this.loop = loop;
         this.site = site;
         this.config = config;
         this.core = core;
-        this.notes = notes;
+        this.unusableAnswerLog = unusableAnswerLog;
     }
 
     @Override
     public String address() {
-        return dial;
+        return address;
     }
 
     @Override
     public boolean isUnused() {
-        return waiting.isEmpty() && lines.stream().noneMatch(l -> l.http.busy());
+        return queue.isEmpty() && slots.stream().noneMatch(slot -> slot.http.isBusy());
     }
 
     /** Told of its state; what waits for a connection to a worker that wants nothing new never ran. */
     @Override
     public void setAcceptingCalls(boolean now) {
-        open = now;
-        if (!open) {
-            List<Waiting> left = waiting.stream().filter(Waiting::needsOpen).toList();
-            waiting.removeAll(left);
-            left.forEach(w -> w.then().failed(null));
+        acceptingCalls = now;
+        if (!acceptingCalls) {
+            List<QueuedRequest> abandoned =
+                    queue.stream().filter(QueuedRequest::onlyWhileAccepting).toList();
+            queue.removeAll(abandoned);
+            abandoned.forEach(queued -> queued.listener().onFailure(null));
             // Written when the connection is up, which may be after the time to stop.
-            List.copyOf(lines).stream()
-                    .filter(l -> l.http.dialling() && l.needsOpen)
-                    .forEach(l -> {
-                        l.http.close();
-                        l.refused.run();
+            List.copyOf(slots).stream()
+                    .filter(slot -> slot.http.isConnecting() && slot.onlyWhileAccepting)
+                    .forEach(slot -> {
+                        slot.http.close();
+                        slot.onNotSent.run();
                     });
             closeIdleConnections();
         }
@@ -112,11 +117,11 @@
 
     @Override
     public void closeIdleConnections() {
-        lines.removeIf(l -> {
-            if (!l.http.busy()) {
-                l.http.close();
+        slots.removeIf(slot -> {
+            if (!slot.http.isBusy()) {
+                slot.http.close();
             }
-            return !l.http.busy();
+            return !slot.http.isBusy();
         });
     }
 
@@ -130,58 +135,67 @@
         call.forEach(this::send);
     }
 
-    private void send(Attempt a) {
-        byte[] request = requests.search(a, loop.now());
-        ask(request, a.deadline(), true, () -> !core.retainStartable(List.of(a)).isEmpty(), a, new HttpClient.Then() {
-            @Override
-            public void response(HttpMessage m) {
-                core.onAttemptWritten(a);
-                answered(a, m);
-            }
-
-            @Override
-            public void failed(HttpClient.Failure why) {
-                // A null reason: the worker wants nothing new, and this was never sent.
-                AttemptOutcome outcome = why == null
-                        ? AttemptOutcome.NOT_SENT
-                        : switch (why) {
-                            case UNSENT -> AttemptOutcome.CONNECT_FAILED;
-                            case BROKEN -> AttemptOutcome.RESET;
-                            case TIMED_OUT -> AttemptOutcome.TIMEOUT;
-                        };
-                if (why == HttpClient.Failure.BROKEN || why == HttpClient.Failure.TIMED_OUT) {
-                    core.onAttemptWritten(a);
-                }
-                core.onAttemptEnded(a, outcome, LoadReport.NONE, null);
-            }
-        });
+    private void send(Attempt attempt) {
+        byte[] request = requests.search(attempt, loop.now());
+        enqueue(
+                request,
+                attempt.deadline(),
+                true,
+                () -> !core.retainStartable(List.of(attempt)).isEmpty(),
+                attempt,
+                new HttpClient.ResponseListener() {
+                    @Override
+                    public void onResponse(HttpMessage message) {
+                        core.onAttemptWritten(attempt);
+                        onAttemptResponse(attempt, message);
+                    }
+
+                    @Override
+                    public void onFailure(HttpClient.Failure failure) {
+                        // A null failure: the worker accepts no calls, and this was never sent.
+                        AttemptOutcome outcome = failure == null
+                                ? AttemptOutcome.NOT_SENT
+                                : switch (failure) {
+                                    case NOT_SENT -> AttemptOutcome.CONNECT_FAILED;
+                                    case CONNECTION_LOST -> AttemptOutcome.RESET;
+                                    case TIMED_OUT -> AttemptOutcome.TIMEOUT;
+                                };
+                        if (failure == HttpClient.Failure.CONNECTION_LOST || failure == HttpClient.Failure.TIMED_OUT) {
+                            core.onAttemptWritten(attempt);
+                        }
+                        core.onAttemptEnded(attempt, outcome, LoadReport.NONE, null);
+                    }
+                });
     }
 
-    private void answered(Attempt a, HttpMessage m) {
-        SearchRequest wanted = a.part().query().request().frontContext() instanceof SearchRequest r ? r : null;
-        boolean update = wanted != null && wanted.update();
+    private void onAttemptResponse(Attempt attempt, HttpMessage message) {
+        SearchRequest stillWanted =
+                attempt.part().query().request().frontContext() instanceof SearchRequest searchRequest
+                        ? searchRequest
+                        : null;
+        boolean update = stillWanted != null && stillWanted.update();
         byte[] value = null;
-        AttemptOutcome outcome = m.status() == 429 ? AttemptOutcome.OVERLOADED : AttemptOutcome.ERROR;
-        if (m.status() == 200 || update && m.status() == 201) {
+        AttemptOutcome outcome = message.status() == 429 ? AttemptOutcome.OVERLOADED : AttemptOutcome.ERROR;
+        if (message.status() == 200 || update && message.status() == 201) {
             try {
                 if (update) {
-                    shardsSucceeded(m.body());
+                    checkUpdateSucceeded(message.body());
                 } else {
-                    ShardAnswer.strict(a.part().shard(), m.body());
+                    ShardAnswer.strict(attempt.part().shard(), message.body());
                 }
-                value = m.body();
+                value = message.body();
                 outcome = AttemptOutcome.OK;
             } catch (RuntimeException e) {
-                notes.log(
+                unusableAnswerLog.log(
                         System.Logger.Level.INFO,
-                        () -> "worker " + id + ", shard " + a.part().shard() + ": " + e.getMessage());
+                        () -> "worker " + id + ", shard " + attempt.part().shard() + ": " + e.getMessage());
             }
         }
-        core.onAttemptEnded(a, outcome, LoadReport.NONE, value);
+        core.onAttemptEnded(attempt, outcome, LoadReport.NONE, value);
     }
 
     /** An update that its primary did not take is an error, whatever the status says. */
-    private static void shardsSucceeded(byte[] body) {
+    private static void checkUpdateSucceeded(byte[] body) {
         JsonObject shards = JsonParser.parseString(new String(body, StandardCharsets.UTF_8))
                 .getAsJsonObject()
                 .getAsJsonObject("_shards");
@@ -197,17 +211,19 @@
      * instead, as only its answer names the context that has to be freed.
      */
     @Override
-    public void cancel(Attempt a) {
-        waiting.removeIf(w -> w.then() instanceof Bound b && b.attempt().hasEnded());
-        boolean scroll = a.part().query().request().frontContext() instanceof SearchRequest r && r.scroll();
-        for (Line l : lines) {
-            if (l.attempt == a && !scroll) {
-                l.attempt = null;
-                l.http.close();
+    public void cancel(Attempt attempt) {
+        queue.removeIf(queued -> queued.listener() instanceof AttemptListener bound
+                && bound.attempt().hasEnded());
+        boolean scroll = attempt.part().query().request().frontContext() instanceof SearchRequest searchRequest
+                && searchRequest.scroll();
+        for (ConnectionSlot slot : slots) {
+            if (slot.attempt == attempt && !scroll) {
+                slot.attempt = null;
+                slot.http.close();
             }
         }
-        lines.removeIf(l -> !l.http.busy() && !l.http.connected());
-        next();
+        slots.removeIf(slot -> !slot.http.isBusy() && !slot.http.isConnected());
+        startQueued();
     }
 
     /** {@code wanted} is asked again where the request has waited for a connection. */
@@ -216,170 +232,194 @@
             String scrollId,
             double keepS,
             double timeoutS,
-            BooleanSupplier wanted,
-            Consumer<ShardAnswer> then) {
-        ask(requests.nextPage(scrollId, keepS), loop.now() + timeoutS, true, wanted, null, new HttpClient.Then() {
-            @Override
-            public void response(HttpMessage m) {
-                ShardAnswer page = null;
-                try {
-                    page = m.status() == 200 ? ShardAnswer.strict(shard, m.body()) : null;
-                } catch (RuntimeException e) {
-                    notes.log(System.Logger.Level.INFO, () -> "worker " + id + ", scroll: " + e.getMessage());
-                }
-                then.accept(page);
-            }
-
-            @Override
-            public void failed(HttpClient.Failure why) {
-                then.accept(null);
-            }
-        });
+            BooleanSupplier stillWanted,
+            Consumer<ShardAnswer> listener) {
+        enqueue(
+                requests.nextPage(scrollId, keepS),
+                loop.now() + timeoutS,
+                true,
+                stillWanted,
+                null,
+                new HttpClient.ResponseListener() {
+                    @Override
+                    public void onResponse(HttpMessage message) {
+                        ShardAnswer page = null;
+                        try {
+                            page = message.status() == 200 ? ShardAnswer.strict(shard, message.body()) : null;
+                        } catch (RuntimeException e) {
+                            unusableAnswerLog.log(
+                                    System.Logger.Level.INFO, () -> "worker " + id + ", scroll: " + e.getMessage());
+                        }
+                        listener.accept(page);
+                    }
+
+                    @Override
+                    public void onFailure(HttpClient.Failure failure) {
+                        listener.accept(null);
+                    }
+                });
     }
 
-    void free(String scrollId) {
-        ask(requests.freeScroll(scrollId), loop.now() + FREE_S, false, () -> true, null, new HttpClient.Then() {
-            @Override
-            public void response(HttpMessage m) {}
-
-            @Override
-            public void failed(HttpClient.Failure why) {
-                notes.log(
-                        System.Logger.Level.INFO,
-                        () -> "worker " + id + " was not told to free a scroll; it will expire");
-            }
-        });
+    void releaseScroll(String scrollId) {
+        enqueue(
+                requests.freeScroll(scrollId),
+                loop.now() + RELEASE_TIMEOUT_S,
+                false,
+                () -> true,
+                null,
+                new HttpClient.ResponseListener() {
+                    @Override
+                    public void onResponse(HttpMessage message) {}
+
+                    @Override
+                    public void onFailure(HttpClient.Failure failure) {
+                        unusableAnswerLog.log(
+                                System.Logger.Level.INFO,
+                                () -> "worker " + id + " was not told to free a scroll; it will expire");
+                    }
+                });
     }
 
     @Override
     public void checkHealth() {
-        double at = loop.now();
-        ask(requests.healthCheck(), at + PROBE_S, true, () -> true, null, new HttpClient.Then() {
-            @Override
-            public void response(HttpMessage m) {
-                core.onHealthCheckEnded(
-                        id,
-                        m.status() == 200 ? AttemptOutcome.OK : AttemptOutcome.ERROR,
-                        loop.now() - at,
-                        LoadReport.NONE);
-            }
-
-            @Override
-            public void failed(HttpClient.Failure why) {
-                core.onHealthCheckEnded(id, AttemptOutcome.TIMEOUT, loop.now() - at, LoadReport.NONE);
-            }
-        });
+        double sentAt = loop.now();
+        enqueue(
+                requests.healthCheck(),
+                sentAt + HEALTH_CHECK_TIMEOUT_S,
+                true,
+                () -> true,
+                null,
+                new HttpClient.ResponseListener() {
+                    @Override
+                    public void onResponse(HttpMessage message) {
+                        core.onHealthCheckEnded(
+                                id,
+                                message.status() == 200 ? AttemptOutcome.OK : AttemptOutcome.ERROR,
+                                loop.now() - sentAt,
+                                LoadReport.NONE);
+                    }
+
+                    @Override
+                    public void onFailure(HttpClient.Failure failure) {
+                        core.onHealthCheckEnded(id, AttemptOutcome.TIMEOUT, loop.now() - sentAt, LoadReport.NONE);
+                    }
+                });
     }
 
-    private void ask(
+    private void enqueue(
             byte[] request,
-            double until,
-            boolean needsOpen,
-            BooleanSupplier wanted,
+            double deadline,
+            boolean onlyWhileAccepting,
+            BooleanSupplier stillWanted,
             Attempt attempt,
-            HttpClient.Then then) {
-        Waiting w = new Waiting(request, until, needsOpen, wanted, then);
-        if (needsOpen && !open) {
-            loop.execute(() -> then.failed(null));
+            HttpClient.ResponseListener listener) {
+        QueuedRequest queued = new QueuedRequest(request, deadline, onlyWhileAccepting, stillWanted, listener);
+        if (onlyWhileAccepting && !acceptingCalls) {
+            loop.execute(() -> listener.onFailure(null));
             return;
         }
-        Line line = freeLine();
-        if (line == null) {
+        ConnectionSlot slot = freeSlot();
+        if (slot == null) {
             // Kept in a queue here rather than in the worker's: what is given up meanwhile is then never sent.
-            waiting.addLast(
-                    new Waiting(request, until, needsOpen, wanted, attempt == null ? then : new Bound(attempt, then)));
+            queue.addLast(new QueuedRequest(
+                    request,
+                    deadline,
+                    onlyWhileAccepting,
+                    stillWanted,
+                    attempt == null ? listener : new AttemptListener(attempt, listener)));
         } else {
-            start(line, w, attempt);
+            start(slot, queued, attempt);
         }
     }
 
     /** An answer's taker that remembers its attempt while it waits for a connection. */
-    private record Bound(Attempt attempt, HttpClient.Then then) implements HttpClient.Then {
+    private record AttemptListener(Attempt attempt, HttpClient.ResponseListener listener)
+            implements HttpClient.ResponseListener {
         @Override
-        public void response(HttpMessage m) {
-            then.response(m);
+        public void onResponse(HttpMessage message) {
+            listener.onResponse(message);
         }
 
         @Override
-        public void failed(HttpClient.Failure why) {
-            then.failed(why);
+        public void onFailure(HttpClient.Failure failure) {
+            listener.onFailure(failure);
         }
     }
 
-    private Line freeLine() {
-        for (Line l : lines) {
-            if (!l.http.busy()) {
-                return l;
+    private ConnectionSlot freeSlot() {
+        for (ConnectionSlot slot : slots) {
+            if (!slot.http.isBusy()) {
+                return slot;
             }
         }
-        if (lines.size() >= config.connectionsPerWorker()) {
+        if (slots.size() >= config.connectionsPerWorker()) {
             return null;
         }
         try {
-            Line made =
-                    new Line(new HttpClient(loop, Config.address("dial", dial), site.connectTimeoutS(), ANSWER_MOST));
-            lines.add(made);
+            ConnectionSlot made = new ConnectionSlot(
+                    new HttpClient(loop, Config.address("dial", address), site.connectTimeoutS(), MAX_RESPONSE_BYTES));
+            slots.add(made);
             return made;
         } catch (ConfigException e) {
-            notes.log(System.Logger.Level.WARNING, () -> "worker " + id + ": " + e.getMessage());
+            unusableAnswerLog.log(System.Logger.Level.WARNING, () -> "worker " + id + ": " + e.getMessage());
             return null;
         }
     }
 
-    private void start(Line line, Waiting w, Attempt attempt) {
-        line.attempt = attempt;
-        line.needsOpen = w.needsOpen();
-        line.refused = () -> {
-            done(line);
-            w.then().failed(null);
+    private void start(ConnectionSlot slot, QueuedRequest queued, Attempt attempt) {
+        slot.attempt = attempt;
+        slot.onlyWhileAccepting = queued.onlyWhileAccepting();
+        slot.onNotSent = () -> {
+            releaseSlot(slot);
+            queued.listener().onFailure(null);
         };
         boolean scroll = attempt != null
-                && attempt.part().query().request().frontContext() instanceof SearchRequest r
-                && r.scroll();
-        double most = Math.max(0.001, w.until() - loop.now()) + (scroll ? FREE_S : 0);
-        line.http.ask(w.request(), most, w.wanted(), new HttpClient.Then() {
+                && attempt.part().query().request().frontContext() instanceof SearchRequest searchRequest
+                && searchRequest.scroll();
+        double timeoutS = Math.max(0.001, queued.deadline() - loop.now()) + (scroll ? RELEASE_TIMEOUT_S : 0);
+        slot.http.send(queued.request(), timeoutS, queued.stillWanted(), new HttpClient.ResponseListener() {
             @Override
-            public void response(HttpMessage m) {
-                done(line);
-                w.then().response(m);
-                next();
+            public void onResponse(HttpMessage message) {
+                releaseSlot(slot);
+                queued.listener().onResponse(message);
+                startQueued();
             }
 
             @Override
-            public void failed(HttpClient.Failure why) {
-                done(line);
-                w.then().failed(why);
-                next();
+            public void onFailure(HttpClient.Failure failure) {
+                releaseSlot(slot);
+                queued.listener().onFailure(failure);
+                startQueued();
             }
         });
     }
 
-    private void done(Line line) {
-        line.attempt = null;
-        line.usedAt = loop.now();
-        double limit = site.idleTimeoutS() * IDLE_SHARE;
+    private void releaseSlot(ConnectionSlot slot) {
+        slot.attempt = null;
+        slot.usedAt = loop.now();
+        double limit = site.idleTimeoutS() * IDLE_TIMEOUT_SHARE;
         loop.after(limit, () -> {
-            if (!line.http.busy() && loop.now() - line.usedAt >= limit * 0.99) {
-                line.http.close();
-                lines.remove(line);
+            if (!slot.http.isBusy() && loop.now() - slot.usedAt >= limit * 0.99) {
+                slot.http.close();
+                slots.remove(slot);
             }
         });
     }
 
     /** Asked whether it is wanted, a request may have others called off, which calls this anew: a line is taken after it. */
-    private void next() {
-        while (!waiting.isEmpty() && freeLine() != null) {
-            Waiting w = waiting.removeFirst();
-            if (!w.wanted().getAsBoolean()) {
-                w.then().failed(null);
+    private void startQueued() {
+        while (!queue.isEmpty() && freeSlot() != null) {
+            QueuedRequest queued = queue.removeFirst();
+            if (!queued.stillWanted().getAsBoolean()) {
+                queued.listener().onFailure(null);
                 continue;
             }
-            Line line = freeLine();
-            if (line == null) {
-                waiting.addFirst(w);
+            ConnectionSlot slot = freeSlot();
+            if (slot == null) {
+                queue.addFirst(queued);
                 return;
             }
-            start(line, w, w.then() instanceof Bound b ? b.attempt() : null);
+            start(slot, queued, queued.listener() instanceof AttemptListener bound ? bound.attempt() : null);
         }
     }
 }
--- a/src/main/java/pepperdock/opensearch/ShardAnswer.java
+++ b/src/main/java/pepperdock/opensearch/ShardAnswer.java
@@ -16,25 +16,25 @@
      * shard failures or a time-out inside, and hits that are missing must not pass for hits that don't exist.
      */
     static ShardAnswer strict(int shard, byte[] body) {
-        JsonObject o = parse(body);
-        JsonObject shards = o.getAsJsonObject("_shards");
-        if (flag(o, "timed_out")
-                || flag(o, "terminated_early")
+        JsonObject answer = parse(body);
+        JsonObject shards = answer.getAsJsonObject("_shards");
+        if (flag(answer, "timed_out")
+                || flag(answer, "terminated_early")
                 || shards == null
                 || shards.has("failed") && shards.get("failed").getAsInt() > 0
                 || shards.has("failures") && !shards.getAsJsonArray("failures").isEmpty()
                 || shards.has("successful") && shards.get("successful").getAsInt() < 1) {
             throw new IllegalArgumentException("the shard did not answer whole");
         }
-        return read(shard, o);
+        return read(shard, answer);
     }
 
     /** Reads a part's value; a worker of another protocol gives bare text, which becomes one hit. */
     static ShardAnswer lenient(int shard, String index, byte[] value) {
         try {
-            JsonObject o = parse(value);
-            if (o.has("hits")) {
-                return read(shard, o);
+            JsonObject answer = parse(value);
+            if (answer.has("hits")) {
+                return read(shard, answer);
             }
         } catch (RuntimeException e) {
             // Not of this API: taken as text below.
@@ -54,8 +54,8 @@
         return JsonParser.parseString(new String(body, StandardCharsets.UTF_8)).getAsJsonObject();
     }
 
-    private static ShardAnswer read(int shard, JsonObject o) {
-        JsonObject outer = o.getAsJsonObject("hits");
+    private static ShardAnswer read(int shard, JsonObject answer) {
+        JsonObject outer = answer.getAsJsonObject("hits");
         JsonArray inner = outer.getAsJsonArray("hits");
         List<Hit> hits = new ArrayList<>();
         for (JsonElement h : inner) {
@@ -66,10 +66,10 @@
                 ? hits.size()
                 : total.isJsonObject() ? total.getAsJsonObject().get("value").getAsLong() : total.getAsLong();
         return new ShardAnswer(
-                hits, count, o.has("_scroll_id") ? o.get("_scroll_id").getAsString() : null);
+                hits, count, answer.has("_scroll_id") ? answer.get("_scroll_id").getAsString() : null);
     }
 
-    private static boolean flag(JsonObject o, String name) {
-        return o.has(name) && o.get(name).getAsBoolean();
+    private static boolean flag(JsonObject answer, String name) {
+        return answer.has(name) && answer.get(name).getAsBoolean();
     }
 }
--- a/src/main/java/pepperdock/opensearch/UpdateListener.java
+++ b/src/main/java/pepperdock/opensearch/UpdateListener.java
@@ -7,14 +7,14 @@
 import pepperdock.transport.HttpServer;
 
 /** Sends the one final answer to an update: the worker's own JSON unchanged, or its text in the API's shape. */
-record UpdateListener(HttpServer.Reply reply) implements QueryListener {
+record UpdateListener(HttpServer.ResponseSender reply) implements QueryListener {
 
     @Override
     public void onAnswer(Query query, boolean complete) {
         byte[] value = query.parts().get(0).value();
         String text = new String(value, StandardCharsets.UTF_8);
         if (text.startsWith("{")) {
-            Replies.raw(reply, value);
+            ApiResponses.raw(reply, value);
             return;
         }
         SearchRequest request = (SearchRequest) query.request().frontContext();
@@ -23,7 +23,7 @@
         body.addProperty("_id", request.docId());
         body.addProperty("result", "updated");
         body.addProperty("blob", text);
-        Replies.ok(reply, body);
+        ApiResponses.ok(reply, body);
     }
 
     @Override
@@ -38,6 +38,6 @@
 
     @Override
     public void pollForDisconnect() {
-        reply.poll();
+        reply.pollForDisconnect();
     }
 }
--- a/src/main/java/pepperdock/operator/OperatorEndpoint.java
+++ b/src/main/java/pepperdock/operator/OperatorEndpoint.java
@@ -11,7 +11,7 @@
 /**
  * The operators' HTTP calls, one a connection: the paths, their methods and the JSON responses. On the loop's thread.
  */
-final class OperatorEndpoint implements HttpServer.Service {
+final class OperatorEndpoint implements HttpServer.RequestHandler {
 
     /** The operations behind the calls; on the loop's thread. */
     interface Operations {
@@ -39,7 +39,7 @@
     }
 
     @Override
-    public Runnable serve(HttpMessage request, HttpServer.Reply reply) throws HttpException {
+    public Runnable serve(HttpMessage request, HttpServer.ResponseSender reply) throws HttpException {
         String path = request.path();
         if (path.equals("/-/ready")) {
             if (requireMethod(request, "GET", reply)) {
@@ -64,7 +64,8 @@
         return () -> {};
     }
 
-    private void ban(HttpMessage request, String path, boolean banned, HttpServer.Reply reply) throws HttpException {
+    private void ban(HttpMessage request, String path, boolean banned, HttpServer.ResponseSender reply)
+            throws HttpException {
         if (!requireMethod(request, "POST", reply)) {
             return;
         }
@@ -76,7 +77,7 @@
             if (failed == null) {
                 respond(reply, 200, "", "disabled", banned);
             } else {
-                malformed(500, failed, reply);
+                rejectMalformed(500, failed, reply);
             }
         });
     }
@@ -94,7 +95,8 @@
     }
 
     /** Whether it is that method, without a body; another method is answered at once. */
-    private boolean requireMethod(HttpMessage request, String method, HttpServer.Reply reply) throws HttpException {
+    private boolean requireMethod(HttpMessage request, String method, HttpServer.ResponseSender reply)
+            throws HttpException {
         if (!request.method().equals(method)) {
             respond(reply, 405, "Allow: " + method + "\r\n", "error", "only " + method);
             return false;
@@ -106,11 +108,11 @@
     }
 
     @Override
-    public void malformed(int status, String why, HttpServer.Reply reply) {
+    public void rejectMalformed(int status, String why, HttpServer.ResponseSender reply) {
         respond(reply, status, "", "error", why);
     }
 
-    private static void respond(HttpServer.Reply reply, int status, String extra, String key, Object value) {
+    private static void respond(HttpServer.ResponseSender reply, int status, String extra, String key, Object value) {
         JsonObject body = new JsonObject();
         if (value instanceof Boolean flag) {
             body.addProperty(key, flag);
--- a/src/main/java/pepperdock/operator/OperatorService.java
+++ b/src/main/java/pepperdock/operator/OperatorService.java
@@ -12,8 +12,8 @@
 import java.util.function.BooleanSupplier;
 import java.util.function.Consumer;
 import pepperdock.core.Gatherer;
+import pepperdock.transport.EventLoop;
 import pepperdock.transport.HttpServer;
-import pepperdock.transport.Loop;
 
 /**
  * The operators' side of a running gatherer: their HTTP address, the bans, and the other process of an upgrade. State belongs to
@@ -33,7 +33,7 @@
     /** How often the files are read for another process and its bans; draining allows five times as long for that. */
     private static final long REFRESH_MS = 100;
 
-    private final Loop loop;
+    private final EventLoop loop;
     private final Gatherer core;
     private final BooleanSupplier ready;
     private final Bans bans = new Bans();
@@ -62,7 +62,7 @@
      * @param folder null where nothing outlives this process
      * @param ready whether this process takes queries
      */
-    public OperatorService(Path folder, Loop loop, Gatherer core, BooleanSupplier ready) throws IOException {
+    public OperatorService(Path folder, EventLoop loop, Gatherer core, BooleanSupplier ready) throws IOException {
         this.loop = loop;
         this.core = core;
         this.ready = ready;
@@ -114,7 +114,7 @@
         HttpServer server = new HttpServer(
                 loop,
                 at,
-                Loop.Kind.APART,
+                EventLoop.SocketScope.OUTSIDE_CAP,
                 REQUEST_TIMEOUT_S,
                 MAX_BODY_BYTES,
                 () -> MAX_CONNECTIONS,
--- a/src/main/java/pepperdock/platform/EndpointWatch.java
+++ b/src/main/java/pepperdock/platform/EndpointWatch.java
@@ -12,8 +12,8 @@
 import pepperdock.core.EndpointDiscovery;
 import pepperdock.core.Gatherer;
 import pepperdock.scheduler.EndpointListKind;
+import pepperdock.transport.EventLoop;
 import pepperdock.transport.HttpClient;
-import pepperdock.transport.Loop;
 
 /**
  * Watches the platform's endpoint list by long polls: each poll is sent as soon as the last is answered.
@@ -65,7 +65,7 @@
     /** Bytes: a complete list of a large fleet is half of it. */
     private static final int MAX_LIST_BYTES = 1 << 20;
 
-    private final Loop loop;
+    private final EventLoop loop;
     private final DeploymentSettings site;
     private final SplittableRandom random = new SplittableRandom();
     private InetSocketAddress address;
@@ -92,7 +92,7 @@
     private double agentBackoffS = MIN_AGENT_BACKOFF_S;
 
     /** {@code knownVersion} is that of the list with which the gatherer starts. */
-    public EndpointWatch(Loop loop, InetSocketAddress address, DeploymentSettings site, long knownVersion) {
+    public EndpointWatch(EventLoop loop, InetSocketAddress address, DeploymentSettings site, long knownVersion) {
         this.loop = loop;
         this.site = site;
         version = knownVersion;
@@ -104,7 +104,7 @@
         authority = to.getHostString() + ':' + to.getPort();
         // Three at most, not counted under the cap of sockets: discovery must be reachable when workers hang and hold
         // all sockets, as the list then says which of them are gone.
-        client = new HttpClient(loop, to, Loop.Kind.APART, connectTimeoutS, MAX_LIST_BYTES);
+        client = new HttpClient(loop, to, EventLoop.SocketScope.OUTSIDE_CAP, connectTimeoutS, MAX_LIST_BYTES);
     }
 
     /**
@@ -128,7 +128,7 @@
 
     @Override
     public void watch() {
-        if (!client.busy()) {
+        if (!client.isBusy()) {
             poll(firstPoll ? FIRST_POLL_MS : LONG_POLL_MS);
         }
     }
@@ -146,16 +146,16 @@
         HttpClient sender = client;
         overdueTimer = loop.after(timeoutS, this::retryOverdue);
         byte[] request = HttpWriter.request("GET", target, authority, "", new byte[0]);
-        sender.ask(request, timeoutS + OVERDUE_TIMEOUT_S, new HttpClient.Then() {
+        sender.send(request, timeoutS + OVERDUE_TIMEOUT_S, new HttpClient.ResponseListener() {
             @Override
-            public void response(HttpMessage response) {
+            public void onResponse(HttpMessage response) {
                 if (sender == client || sender == overdueClient) {
-                    onResponse(sender, response);
+                    onPollAnswered(sender, response);
                 }
             }
 
             @Override
-            public void failed(HttpClient.Failure failure) {
+            public void onFailure(HttpClient.Failure failure) {
                 onRequestFailed(sender, failure);
             }
         });
@@ -165,7 +165,7 @@
         if (sender == overdueClient) {
             overdueClient = null;
         } else if (sender == client
-                && failure == HttpClient.Failure.UNSENT
+                && failure == HttpClient.Failure.NOT_SENT
                 && overdueClient != null
                 && !connectRetried) {
             // The path to discovery may be lost: one more connection is tried while the overdue poll is awaited.
@@ -204,7 +204,7 @@
         }
     }
 
-    private void onResponse(HttpClient sender, HttpMessage response) {
+    private void onPollAnswered(HttpClient sender, HttpMessage response) {
         try {
             EndpointListJson list = DiscoveryProtocol.parseList(response, site);
             keepOnly(sender);
--- a/src/main/java/pepperdock/platform/Front.java
+++ b/src/main/java/pepperdock/platform/Front.java
@@ -16,7 +16,7 @@
  * <p>Given to an {@link HttpServer}, which calls it on the loop's thread; the core answers on the same thread. The form of
  * queries and answers is {@link ClientProtocol}'s.
  */
-public final class Front implements HttpServer.Service {
+public final class Front implements HttpServer.RequestHandler {
 
     private static final int OK = 200;
     private static final int METHOD_NOT_ALLOWED = 405;
@@ -41,7 +41,7 @@
     }
 
     @Override
-    public Runnable serve(HttpMessage message, HttpServer.Reply reply) throws HttpException {
+    public Runnable serve(HttpMessage message, HttpServer.ResponseSender reply) throws HttpException {
         switch (message.path()) {
             case ClientProtocol.QUERY_PATH -> {
                 requireMethod(message, "POST");
@@ -63,7 +63,7 @@
     }
 
     @Override
-    public void malformed(int status, String why, HttpServer.Reply reply) {
+    public void rejectMalformed(int status, String why, HttpServer.ResponseSender reply) {
         String headers = status == METHOD_NOT_ALLOWED ? "Allow: GET, POST\r\n" : "";
         reply.send(status, ClientProtocol.CONTENT_TYPE, headers, ClientProtocol.errorBody(why));
     }
@@ -93,7 +93,7 @@
     }
 
     /** Sends the one outcome of a query to its client. */
-    private record ClientReply(HttpServer.Reply reply) implements QueryListener {
+    private record ClientReply(HttpServer.ResponseSender reply) implements QueryListener {
 
         @Override
         public void onAnswer(Query query, boolean complete) {
@@ -114,7 +114,7 @@
 
         @Override
         public void pollForDisconnect() {
-            reply.poll();
+            reply.pollForDisconnect();
         }
     }
 }
--- a/src/main/java/pepperdock/platform/JvmWarmup.java
+++ b/src/main/java/pepperdock/platform/JvmWarmup.java
@@ -78,7 +78,7 @@
 
     /** Runs so many queries now; returns how many of all that were run so far have been answered. */
     public int runQueries(int count) {
-        HttpServer.Reply reply = (status, type, extra, body) -> queriesAnswered += status == 200 ? 1 : 0;
+        HttpServer.ResponseSender reply = (status, type, extra, body) -> queriesAnswered += status == 200 ? 1 : 0;
         for (int end = queriesRun + count; queriesRun < end; queriesRun++) {
             byte[] request = request(queriesRun);
             try {
--- a/src/main/java/pepperdock/platform/WorkerConnection.java
+++ b/src/main/java/pepperdock/platform/WorkerConnection.java
@@ -53,7 +53,7 @@
         this.connection = connection;
         healthChecks = new PendingHealthChecks(context);
         double idleS = context.site().idleTimeoutS() * IDLE_TIMEOUT_SHARE;
-        idleTimeout = new IdleTimeout(context.loop(), idleS, this::closeIfIdle, connection::closed);
+        idleTimeout = new IdleTimeout(context.loop(), idleS, this::closeIfIdle, connection::isClosed);
         connection.start(this);
     }
 
@@ -86,7 +86,7 @@
      * withdrawn, when the worker begins to drain or the query ends; in the connection's buffer it could not.
      */
     void send(List<Attempt> call) {
-        if (connection.unwritten()) {
+        if (connection.hasUnwrittenBytes()) {
             pendingCalls.add(new ArrayList<>(call));
         } else {
             write(call);
@@ -94,9 +94,9 @@
     }
 
     @Override
-    public void flushed(Connection flushed) {
+    public void onFlushed(Connection flushed) {
         reportWritten();
-        while (!pendingCalls.isEmpty() && !connection.unwritten() && !connection.closed()) {
+        while (!pendingCalls.isEmpty() && !connection.hasUnwrittenBytes() && !connection.isClosed()) {
             List<Attempt> startable = pool.retainStartable(pendingCalls.removeFirst());
             if (!startable.isEmpty()) {
                 write(startable);
@@ -120,7 +120,7 @@
             lastProgressAt = context.loop().now();
         }
         byte[] frame = WorkerProtocol.encodeCall(parts);
-        long frameEnd = connection.queued() + frame.length;
+        long frameEnd = connection.bytesQueued() + frame.length;
         for (Attempt attempt : call) {
             InFlight entry = new InFlight(attempt, frameEnd);
             inFlight.add(entry);
@@ -143,7 +143,7 @@
 
     /** Reports the attempts whose frame is wholly with the kernel. */
     private void reportWritten() {
-        while (!unflushed.isEmpty() && unflushed.peekFirst().frameEnd() <= connection.written()) {
+        while (!unflushed.isEmpty() && unflushed.peekFirst().frameEnd() <= connection.bytesWritten()) {
             context.core().onAttemptWritten(unflushed.removeFirst().attempt());
         }
     }
@@ -191,7 +191,7 @@
     /** Closes the connection at once; what is in flight ends as by a reset. */
     void abort() {
         connection.close();
-        ended(connection);
+        onClosed(connection);
     }
 
     /** No timer may refer to a closed connection: a worker that closes after each result would leave hundreds in memory. */
@@ -204,10 +204,10 @@
     }
 
     @Override
-    public void received(Connection source) {
+    public void onBytes(Connection source) {
         try {
-            while (!source.closed()) {
-                int used = parser.feed(source.bytes(), source.from(), source.to());
+            while (!source.isClosed()) {
+                int used = parser.feed(source.bytes(), source.readStart(), source.readEnd());
                 if (used == 0) {
                     onPartialFrame(source);
                     return;
@@ -231,11 +231,11 @@
      * unusable or never ends.
      */
     private void onPartialFrame(Connection source) throws FrameException {
-        int available = source.to() - source.from();
-        int typeIndex = source.from() + Frames.HEADER_BYTES - 1;
+        int available = source.readEnd() - source.readStart();
+        int typeIndex = source.readStart() + Frames.HEADER_BYTES - 1;
         if (available > Frames.HEADER_BYTES && source.bytes()[typeIndex] == WorkerProtocol.RESULT) {
-            WorkerProtocol.ResultHeader header =
-                    WorkerProtocol.parseResultHeader(source.bytes(), source.from() + Frames.HEADER_BYTES, source.to());
+            WorkerProtocol.ResultHeader header = WorkerProtocol.parseResultHeader(
+                    source.bytes(), source.readStart() + Frames.HEADER_BYTES, source.readEnd());
             if (header != null) {
                 checkKnown(header.id());
             }
@@ -244,7 +244,7 @@
         if (available > 0 && frameTimeout == null) {
             frameTimeout = context.loop()
                     .after(FRAME_TIMEOUT_MULTIPLE * context.site().connectTimeoutS(), () -> {
-                        if (!source.closed()) {
+                        if (!source.isClosed()) {
                             onProtocolViolation("frame not finished in time");
                         }
                     });
@@ -297,14 +297,14 @@
 
     /** The connection broke: attempts whose frame was not wholly written never ran, the others may have. */
     @Override
-    public void ended(Connection source) {
+    public void onClosed(Connection source) {
         release();
         reportWritten();
         List<InFlight> broken = inFlight.removeAll();
         healthChecks.onConnectionReset();
         endPendingCalls(AttemptOutcome.CONNECT_FAILED);
         for (InFlight entry : broken) {
-            boolean written = source.written() >= entry.frameEnd();
+            boolean written = source.bytesWritten() >= entry.frameEnd();
             AttemptOutcome outcome = written ? AttemptOutcome.RESET : AttemptOutcome.CONNECT_FAILED;
             context.core().onAttemptEnded(entry.attempt(), outcome, LoadReport.NONE, null);
         }
--- a/src/main/java/pepperdock/platform/WorkerConnectionPool.java
+++ b/src/main/java/pepperdock/platform/WorkerConnectionPool.java
@@ -9,7 +9,7 @@
 import pepperdock.scheduler.AttemptOutcome;
 import pepperdock.scheduler.LoadReport;
 import pepperdock.transport.Connection;
-import pepperdock.transport.Loop;
+import pepperdock.transport.EventLoop;
 
 /**
  * The connections to one worker, and the calls that are queued until a new connection is established.
@@ -118,23 +118,27 @@
         }
         connecting = true;
         try {
-            context.loop().dial(Config.address("dial", address), context.site().connectTimeoutS(), new Loop.Dialled() {
-                @Override
-                public void up(Connection connection) {
-                    onConnected(connection);
-                }
-
-                @Override
-                public void failed() {
-                    onConnectFailed();
-                }
-            });
+            context.loop()
+                    .connect(
+                            Config.address("dial", address),
+                            context.site().connectTimeoutS(),
+                            new EventLoop.ConnectListener() {
+                                @Override
+                                public void onConnected(Connection connection) {
+                                    addConnection(connection);
+                                }
+
+                                @Override
+                                public void onFailed() {
+                                    onConnectFailed();
+                                }
+                            });
         } catch (ConfigException e) {
             onConnectFailed();
         }
     }
 
-    private void onConnected(Connection connection) {
+    private void addConnection(Connection connection) {
         connecting = false;
         if (!acceptingCalls) {
             connection.close();
--- a/src/main/java/pepperdock/platform/WorkerContext.java
+++ b/src/main/java/pepperdock/platform/WorkerContext.java
@@ -7,7 +7,7 @@
 import pepperdock.core.LogRateLimiter;
 import pepperdock.scheduler.AttemptOutcome;
 import pepperdock.scheduler.LoadReport;
-import pepperdock.transport.Loop;
+import pepperdock.transport.EventLoop;
 
 /**
  * What the connections to one worker share. Immutable; what it refers to is used on the loop's thread only.
@@ -18,7 +18,7 @@
  * @param core receives the outcomes of attempts and health checks
  * @param log for frames that are malformed or rejected
  */
-record WorkerContext(String workerId, Loop loop, DeploymentSettings site, Gatherer core, LogRateLimiter log) {
+record WorkerContext(String workerId, EventLoop loop, DeploymentSettings site, Gatherer core, LogRateLimiter log) {
 
     /** Ends each attempt of a call with an outcome that no worker reported. */
     void endAttempts(List<Attempt> call, AttemptOutcome outcome) {
--- a/src/main/java/pepperdock/platform/WorkerPool.java
+++ b/src/main/java/pepperdock/platform/WorkerPool.java
@@ -5,7 +5,7 @@
 import pepperdock.core.LogRateLimiter;
 import pepperdock.core.PooledBackend;
 import pepperdock.core.WorkerEndpoint;
-import pepperdock.transport.Loop;
+import pepperdock.transport.EventLoop;
 
 /**
  * The backend for workers that speak the platform's frames: one {@link WorkerConnectionPool} for each endpoint of the list.
@@ -15,13 +15,13 @@
  */
 public final class WorkerPool extends PooledBackend<WorkerConnectionPool> {
 
-    private final Loop loop;
+    private final EventLoop loop;
     private final DeploymentSettings site;
     /** One for all workers: a hundred of them may fail in the same second. */
     private final LogRateLimiter log;
 
     /** The site's settings give the limits of connections and the form of load reports. */
-    public WorkerPool(Loop loop, DeploymentSettings site) {
+    public WorkerPool(EventLoop loop, DeploymentSettings site) {
         this.loop = loop;
         this.site = site;
         log = new LogRateLimiter(System.getLogger("pepperdock.platform"), loop, "malformed or rejected frames");
--- a/src/main/java/pepperdock/platform/package-info.java
+++ b/src/main/java/pepperdock/platform/package-info.java
@@ -6,6 +6,6 @@
  *
  * <p>The words of each protocol are read and written in one class: {@link pepperdock.platform.ClientProtocol},
  * {@link pepperdock.platform.WorkerProtocol} and {@link pepperdock.platform.DiscoveryProtocol}. All other classes use the terms
- * of the core. All state belongs to the thread of one {@link pepperdock.transport.Loop}; there are no locks.
+ * of the core. All state belongs to the thread of one {@link pepperdock.transport.EventLoop}; there are no locks.
  */
 package pepperdock.platform;
--- a/src/main/java/pepperdock/service/ClientServers.java
+++ b/src/main/java/pepperdock/service/ClientServers.java
@@ -11,8 +11,8 @@
 import pepperdock.opensearch.SearchBackend;
 import pepperdock.opensearch.SearchFront;
 import pepperdock.platform.Front;
+import pepperdock.transport.EventLoop;
 import pepperdock.transport.HttpServer;
-import pepperdock.transport.Loop;
 
 /** The fronts that the configuration names, and the HTTP servers on which clients reach them. On the loop's thread. */
 final class ClientServers {
@@ -24,7 +24,7 @@
     private static final int MAX_SEARCH_BODY_BYTES = 1 << 20;
 
     private final Config config;
-    private final Loop loop;
+    private final EventLoop loop;
     private final Front front;
     private final SearchFront searchFront;
     private final List<HttpServer> servers = new ArrayList<>();
@@ -35,7 +35,7 @@
      * @param search null where the workers speak frames
      * @param ready whether queries are taken
      */
-    ClientServers(Config config, Gatherer core, Loop loop, SearchBackend search, BooleanSupplier ready) {
+    ClientServers(Config config, Gatherer core, EventLoop loop, SearchBackend search, BooleanSupplier ready) {
         this.config = config;
         this.loop = loop;
         front = config.listen() == null ? null : new Front(config.site(), core, ready);
@@ -52,19 +52,21 @@
     /** Opens the clients' addresses; shared with another process where operators may upgrade this one. */
     void listen() {
         int fronts = front != null && searchFront != null ? 2 : 1;
-        IntSupplier clients = () -> (loop.sockets() + Startup.OTHER_DESCRIPTORS) / DESCRIPTORS_PER_CLIENT / fronts;
-        Loop.Kind kind = config.operator() == null ? Loop.Kind.OWN : Loop.Kind.SHARED;
+        IntSupplier clients = () -> (loop.socketCap() + Startup.OTHER_DESCRIPTORS) / DESCRIPTORS_PER_CLIENT / fronts;
+        EventLoop.SocketScope kind = config.operator() == null
+                ? EventLoop.SocketScope.EXCLUSIVE
+                : EventLoop.SocketScope.SHARED_WITH_UPGRADE_PEER;
         try {
             if (front != null) {
                 servers.add(new HttpServer(
-                        loop, config.listen(), kind, HttpServer.REQUEST_S, MAX_BODY_BYTES, clients, front));
+                        loop, config.listen(), kind, HttpServer.REQUEST_TIMEOUT_S, MAX_BODY_BYTES, clients, front));
             }
             if (searchFront != null) {
                 servers.add(new HttpServer(
                         loop,
                         config.openSearch().listen(),
                         kind,
-                        HttpServer.REQUEST_S,
+                        HttpServer.REQUEST_TIMEOUT_S,
                         MAX_SEARCH_BODY_BYTES,
                         clients,
                         searchFront));
@@ -80,7 +82,7 @@
             front.updateSettings(site);
         }
         if (searchFront != null) {
-            searchFront.use(site, changed.openSearch());
+            searchFront.updateSettings(site, changed.openSearch());
         }
     }
 }
--- a/src/main/java/pepperdock/service/EndpointSource.java
+++ b/src/main/java/pepperdock/service/EndpointSource.java
@@ -8,9 +8,9 @@
 import pepperdock.core.Gatherer;
 import pepperdock.core.StaticEndpointList;
 import pepperdock.core.WorkerEndpoint;
-import pepperdock.dnssd.DnsSd;
+import pepperdock.dnssd.DnsSdDiscovery;
 import pepperdock.platform.EndpointWatch;
-import pepperdock.transport.Loop;
+import pepperdock.transport.EventLoop;
 
 /**
  * Where the endpoint list comes from: DNS records, the platform's discovery, or the configuration; and what of it can change
@@ -30,9 +30,9 @@
         Consumer<List<WorkerEndpoint>> replace) {
 
     /** The one that the configuration names. */
-    static EndpointSource open(Config config, Loop loop) {
+    static EndpointSource open(Config config, EventLoop loop) {
         if (config.dnsSd() != null) {
-            DnsSd dnsSd = new DnsSd(config.dnsSd(), config.site(), loop, loop::execute);
+            DnsSdDiscovery dnsSd = new DnsSdDiscovery(config.dnsSd(), config.site(), loop, loop::execute);
             return new EndpointSource(dnsSd, false, dnsSd::start, null, null);
         }
         if (config.discovery() != null) {
--- a/src/main/java/pepperdock/service/GathererService.java
+++ b/src/main/java/pepperdock/service/GathererService.java
@@ -22,8 +22,8 @@
 import pepperdock.platform.WorkerPool;
 import pepperdock.scheduler.EndpointListKind;
 import pepperdock.store.Store;
+import pepperdock.transport.EventLoop;
 import pepperdock.transport.HttpServer;
-import pepperdock.transport.Loop;
 
 /**
  * One gatherer in service: opens each part that the configuration names, connects it to the others, and begins to serve once
@@ -41,7 +41,7 @@
     static final double PUSHED_LIST_TIMEOUT_S = 1.5;
 
     private final Startup.ProcessContext context;
-    private final Loop loop;
+    private final EventLoop loop;
     private final Config config;
     private final JvmWarmup warmup;
     private final EndpointSource nodes;
@@ -106,7 +106,7 @@
     }
 
     private boolean takesQueries() {
-        return ready && clients.servers().stream().allMatch(HttpServer::listens);
+        return ready && clients.servers().stream().allMatch(HttpServer::isListening);
     }
 
     private boolean anotherProcess() {
@@ -158,7 +158,7 @@
         ConfigReloader.Live live = new ConfigReloader.Live(
                 nodes.move(),
                 nodes.replace(),
-                sockets -> loop.capSockets(sockets - Startup.OTHER_DESCRIPTORS),
+                sockets -> loop.setSocketCap(sockets - Startup.OTHER_DESCRIPTORS),
                 this::use);
         new ConfigReloader(context.env(), file, stored, loop::execute, live, loaded).onSignal();
         UpgradePeer peer = operator == null ? UpgradePeer.NONE : operator;
@@ -189,8 +189,8 @@
     /** Shares capacity with another process of this gatherer, and opens the operators' address. */
     private void startOperator() {
         operator.whenOtherServingChanges(core::setUpgradePeerActive);
-        operator.whenOtherProcessChanges(
-                another -> loop.shareSockets(another, (loop.wholeCap() - Startup.OTHER_DESCRIPTORS) / 2));
+        operator.whenOtherProcessChanges(another ->
+                loop.shareSocketsWithUpgradePeer(another, (loop.unsharedSocketCap() - Startup.OTHER_DESCRIPTORS) / 2));
         try {
             operator.start(config.operator());
         } catch (IOException e) {
--- a/src/main/java/pepperdock/service/GracefulShutdown.java
+++ b/src/main/java/pepperdock/service/GracefulShutdown.java
@@ -3,8 +3,8 @@
 import java.util.List;
 import pepperdock.core.Gatherer;
 import pepperdock.operator.UpgradePeer;
+import pepperdock.transport.EventLoop;
 import pepperdock.transport.HttpServer;
-import pepperdock.transport.Loop;
 
 /**
  * Graceful shutdown, on SIGTERM: queries in flight are finished, those that still arrive are answered, and the program ends
@@ -36,7 +36,7 @@
     /** So long no connection and no query may have come, first with listening sockets and then without, before the end. */
     private static final double QUIET_S = 0.1;
 
-    private final Loop loop;
+    private final EventLoop loop;
     private final List<HttpServer> servers;
     private final Gatherer core;
     private final Runnable leave;
@@ -46,7 +46,8 @@
     private double quietSince = Double.NaN;
 
     /** {@code leave} announces to the other gatherers that this one shuts down, before all else. */
-    GracefulShutdown(Loop loop, List<HttpServer> servers, Gatherer core, UpgradePeer otherProcess, Runnable leave) {
+    GracefulShutdown(
+            EventLoop loop, List<HttpServer> servers, Gatherer core, UpgradePeer otherProcess, Runnable leave) {
         this.otherProcess = otherProcess;
         this.leave = leave;
         this.loop = loop;
@@ -79,7 +80,7 @@
         loop.after(killS - CLOSE_S, () -> servers.forEach(HttpServer::stopListening));
         loop.after(killS - FAIL_S, core::endAllQueries);
         loop.after(killS - END_S, () -> {
-            servers.forEach(HttpServer::poll);
+            servers.forEach(HttpServer::readAllNow);
             // A turn of the loop later: what was read just now has been rejected and written.
             loop.after(CHECK_INTERVAL_S, () -> end("with {0} in hand"));
         });
@@ -92,7 +93,7 @@
             // New connections are the other's; each one here is closed with its next response.
             LOG.log(System.Logger.Level.INFO, "another process serves on, no new connections here");
             servers.forEach(HttpServer::drain);
-            servers.forEach(HttpServer::handOver);
+            servers.forEach(HttpServer::stopListeningAtOnce);
             otherProcess.handOver();
             whenDone(closedAt);
         } else {
@@ -105,9 +106,10 @@
      * listening sockets are closed: else a client that was just connecting would be accepted by the system and never answered.
      */
     private void whenDone(double closedAt) {
-        boolean written = servers.stream().mapToInt(HttpServer::busy).sum() == 0;
+        boolean written =
+                servers.stream().mapToInt(HttpServer::busyConnectionCount).sum() == 0;
         boolean left = loop.now() > closedAt
-                || servers.stream().mapToInt(HttpServer::connections).sum() == 0;
+                || servers.stream().mapToInt(HttpServer::connectionCount).sum() == 0;
         if (core.inFlightQueries() > 0 || !written || !left) {
             quietSince = Double.NaN;
         } else if (Double.isNaN(quietSince)) {
@@ -126,9 +128,9 @@
 
     /** Ends, unless a query has come in this very moment, which is read and answered first. */
     private void endUnlessAsked() {
-        servers.forEach(HttpServer::poll);
+        servers.forEach(HttpServer::readAllNow);
         if (core.inFlightQueries() == 0
-                && servers.stream().mapToInt(HttpServer::busy).sum() == 0) {
+                && servers.stream().mapToInt(HttpServer::busyConnectionCount).sum() == 0) {
             end("with nothing in hand");
         }
         quietSince = Double.NaN;
--- a/src/main/java/pepperdock/service/Startup.java
+++ b/src/main/java/pepperdock/service/Startup.java
@@ -9,7 +9,7 @@
 import pepperdock.events.Events;
 import pepperdock.membership.transport.MembershipService;
 import pepperdock.store.Store;
-import pepperdock.transport.Loop;
+import pepperdock.transport.EventLoop;
 
 /**
  * Opens what a gatherer needs before its settings: the loop, the store, events and membership; then starts the {@link GathererService}
@@ -28,7 +28,7 @@
 
     /** What is open before there are settings; {@code members} is null where the file has none. */
     public record ProcessContext(
-            Map<String, String> env, Loop loop, Store store, Events events, MembershipService members) {}
+            Map<String, String> env, EventLoop loop, Store store, Events events, MembershipService members) {}
 
     private final ConfigReader file;
     private final ProcessContext context;
@@ -50,7 +50,7 @@
         if (file.has("settings")) {
             Config.read(file, env);
         }
-        Loop loop = new Loop(
+        EventLoop loop = new EventLoop(
                 Config.sockets(file) - OTHER_DESCRIPTORS,
                 file.has("opensearch") || members != null || file.has("members")
                         ? MAX_SEARCH_BUFFER_BYTES
--- a/src/main/java/pepperdock/simulation/distribution/Streams.java
+++ b/src/main/java/pepperdock/simulation/distribution/Streams.java
@@ -27,7 +27,7 @@
 import pepperdock.distribution.VersionSource;
 import pepperdock.distribution.wire.PublisherServer;
 import pepperdock.distribution.wire.SubscriberClient;
-import pepperdock.transport.Loop;
+import pepperdock.transport.EventLoop;
 
 /** Four control machines, a loop each, and hollow subscribers on one further loop, all in this process over loopback. */
 public final class Streams implements AutoCloseable {
@@ -43,13 +43,13 @@
 
     /** A control machine: its loop, the versions that it was handed, its server. */
     private static final class Control implements VersionSource {
-        private final Loop loop;
+        private final EventLoop loop;
         private final long thread;
         private final List<ConfigurationSnapshot> settled = new ArrayList<>();
         private PublisherServer server;
 
         Control(int subscribers) throws IOException {
-            loop = new Loop(subscribers + SOCKETS_SPARE, BUFFER_MOST);
+            loop = new EventLoop(subscribers + SOCKETS_SPARE, BUFFER_MOST);
             thread = onLoop(loop, () -> Thread.currentThread().getId());
         }
 
@@ -70,7 +70,7 @@
     private final int valueBytes;
     private final List<Control> controls = new ArrayList<>();
     private final List<SubscriberClient> clients = new ArrayList<>();
-    private final Loop loop;
+    private final EventLoop loop;
     private final long thread;
     private ConfigurationSnapshot latest;
     /** Those that have not the latest in force yet. */
@@ -100,7 +100,7 @@
                             1));
             controls.add(control);
         }
-        loop = new Loop(count + SOCKETS_SPARE, BUFFER_MOST);
+        loop = new EventLoop(count + SOCKETS_SPARE, BUFFER_MOST);
         thread = onLoop(loop, () -> Thread.currentThread().getId());
     }
 
@@ -241,7 +241,7 @@
         return runtime.totalMemory() - runtime.freeMemory();
     }
 
-    private static <T> T onLoop(Loop loop, Callable<T> action) throws IOException {
+    private static <T> T onLoop(EventLoop loop, Callable<T> action) throws IOException {
         CompletableFuture<T> done = new CompletableFuture<>();
         loop.execute(() -> {
             try {
--- a/src/main/java/pepperdock/store/Store.java
+++ b/src/main/java/pepperdock/store/Store.java
@@ -8,7 +8,7 @@
 import java.util.function.BiConsumer;
 import java.util.function.Consumer;
 import pepperdock.config.StoreConfig;
-import pepperdock.transport.Loop;
+import pepperdock.transport.EventLoop;
 
 /**
  * The replicated key-value store of the gatherers. One configured member leads and takes writes; a write is acknowledged once a
@@ -34,7 +34,7 @@
      *
      * @param config null for a single copy in memory, without peers
      */
-    public Store(StoreConfig config, Loop loop) throws IOException {
+    public Store(StoreConfig config, EventLoop loop) throws IOException {
         boolean leads = config == null || config.leads();
         replica = new Replica(
                 config == null ? null : config.folder(),
--- a/src/main/java/pepperdock/store/StoreFollower.java
+++ b/src/main/java/pepperdock/store/StoreFollower.java
@@ -8,7 +8,7 @@
 import pepperdock.codec.frame.Frames;
 import pepperdock.config.StoreConfig;
 import pepperdock.transport.Connection;
-import pepperdock.transport.Loop;
+import pepperdock.transport.EventLoop;
 
 /**
  * A follower's role: dials the leader, again after each loss, catches up from it, and says how far it holds the log on disk. On
@@ -19,7 +19,7 @@
     private static final System.Logger LOG = System.getLogger("pepperdock.store");
 
     private final StoreConfig config;
-    private final Loop loop;
+    private final EventLoop loop;
     private final Replica replica;
     private final BiConsumer<String, byte[]> watcher;
     /** Null while there is none. */
@@ -28,7 +28,7 @@
     private boolean closed;
 
     /** Dials with the loop's next turn; {@code watcher} is notified of each value that is applied. */
-    StoreFollower(StoreConfig config, Loop loop, Replica replica, BiConsumer<String, byte[]> watcher) {
+    StoreFollower(StoreConfig config, EventLoop loop, Replica replica, BiConsumer<String, byte[]> watcher) {
         this.config = config;
         this.loop = loop;
         this.replica = replica;
@@ -40,16 +40,16 @@
         if (closed) {
             return;
         }
-        loop.dial(config.members().get(config.leader()), config.retryS(), new Loop.Dialled() {
+        loop.connect(config.members().get(config.leader()), config.retryS(), new EventLoop.ConnectListener() {
             @Override
-            public void up(Connection connection) {
+            public void onConnected(Connection connection) {
                 leader = connection;
                 connection.start(new LeaderConnection());
                 connection.write(Frames.frame(StorePeerHandler.HELLO, hello()));
             }
 
             @Override
-            public void failed() {
+            public void onFailed() {
                 loop.after(config.retryS(), StoreFollower.this::dial);
             }
         });
@@ -100,7 +100,7 @@
         }
 
         @Override
-        public void ended(Connection connection) {
+        public void onClosed(Connection connection) {
             leader = null;
             if (!closed) {
                 LOG.log(System.Logger.Level.WARNING, "store: leader lost, dialling again");
--- a/src/main/java/pepperdock/store/StoreLeader.java
+++ b/src/main/java/pepperdock/store/StoreLeader.java
@@ -14,7 +14,7 @@
 import pepperdock.codec.frame.Frames;
 import pepperdock.config.StoreConfig;
 import pepperdock.transport.Connection;
-import pepperdock.transport.Loop;
+import pepperdock.transport.EventLoop;
 
 /**
  * The leader's role: listens for followers, sends them the log, and acknowledges each write once a majority of members hold it
@@ -33,14 +33,14 @@
 
     private final Replica replica;
     /** Null where there is no other member. */
-    private final Loop.Listening listening;
+    private final EventLoop.ServerSocketHandle listening;
     /** The last sequence number that each connected follower holds on disk. */
     private final Map<Connection, Long> heldBy = new LinkedHashMap<>();
 
     private final Map<Connection, String> names = new HashMap<>();
     private final List<PendingWrite> pendingWrites = new ArrayList<>();
 
-    StoreLeader(StoreConfig config, Loop loop, Replica replica) throws IOException {
+    StoreLeader(StoreConfig config, EventLoop loop, Replica replica) throws IOException {
         this.config = config;
         this.replica = replica;
         boolean hasPeers = config != null && config.members().size() > 1;
@@ -124,7 +124,7 @@
         }
 
         @Override
-        public void ended(Connection connection) {
+        public void onClosed(Connection connection) {
             heldBy.remove(connection);
             names.remove(connection);
         }
--- a/src/main/java/pepperdock/store/StorePeerHandler.java
+++ b/src/main/java/pepperdock/store/StorePeerHandler.java
@@ -34,10 +34,10 @@
     abstract void onFrame(Connection connection, Frame frame) throws IOException;
 
     @Override
-    public void received(Connection connection) {
+    public void onBytes(Connection connection) {
         try {
-            while (!connection.closed()) {
-                int used = parser.feed(connection.bytes(), connection.from(), connection.to());
+            while (!connection.isClosed()) {
+                int used = parser.feed(connection.bytes(), connection.readStart(), connection.readEnd());
                 if (used == 0) {
                     return;
                 }
@@ -47,7 +47,7 @@
         } catch (FrameException | IOException | IllegalArgumentException e) {
             LOG.log(System.Logger.Level.WARNING, "store: peer cut off: {0}", e.getMessage());
             connection.close();
-            ended(connection);
+            onClosed(connection);
         }
     }
 }
--- a/src/main/java/pepperdock/transport/Connection.java
+++ b/src/main/java/pepperdock/transport/Connection.java
@@ -15,44 +15,44 @@
 
     /** What a connection tells its owner. */
     public interface Handler {
-        /** Bytes stand in {@link #bytes} from {@link #from} to {@link #to}; those used are to be consumed. */
-        void received(Connection c);
+        /** Bytes stand in {@link #bytes} from {@link #readStart} to {@link #readEnd}; those used are to be consumed. */
+        void onBytes(Connection c);
 
         /** The connection has ended, from the other side or by an error; not called after {@link #close}. */
-        void ended(Connection c);
+        void onClosed(Connection c);
 
         /** All that was given to {@link #write} is with the kernel. */
-        default void flushed(Connection c) {}
+        default void onFlushed(Connection c) {}
 
-        /** The peer has sent far more than {@link #limitUnread} lets stand here; told once, before what follows is thrown away. */
-        default void flooded(Connection c) {}
+        /** The peer has sent far more than {@link #limitUnconsumedBytes} lets stand here; told once, before what follows is thrown away. */
+        default void onFlooded(Connection c) {}
     }
 
     /** Reads at one turn of the loop: a peer that sends at full speed must leave the others theirs. */
-    private static final int READS = 16;
+    private static final int MAX_READS_PER_TURN = 16;
     /** What is read and thrown away after the last write: enough for what was under way, not for all a peer may send. */
-    private static final int LINGER_MOST = 1 << 20;
+    private static final int MAX_LINGER_BYTES = 1 << 20;
 
-    private final Loop loop;
+    private final EventLoop loop;
     private final StreamConnection channel;
     private final ConduitStreamSourceChannel source;
     private final ConduitStreamSinkChannel sink;
-    private final Buffer buffer;
+    private final ConnectionBuffer buffer;
     private Handler handler;
     private boolean closed;
-    private boolean broken;
-    private boolean lingers;
-    private boolean overrun;
+    private boolean endedByError;
+    private boolean lingering;
+    private boolean hasDiscardedInput;
     private boolean flooded;
-    private int thrownAway;
-    private int unreadMost = Integer.MAX_VALUE;
+    private int bytesDiscarded;
+    private int maxUnconsumedBytes = Integer.MAX_VALUE;
     private long queued;
     private long written;
 
-    Connection(Loop loop, StreamConnection channel, int cap) {
+    Connection(EventLoop loop, StreamConnection channel, int cap) {
         this.loop = loop;
         this.channel = channel;
-        buffer = new Buffer(cap);
+        buffer = new ConnectionBuffer(cap);
         source = channel.getSourceChannel();
         sink = channel.getSinkChannel();
     }
@@ -67,24 +67,24 @@
 
     /**
      * Keeps no more while about so many bytes stand here that the handler has not used: what comes beyond is thrown away,
-     * and the connection is {@link #overrun}. Guards against clients that send on and on behind a request in hand, as what
+     * and the connection is {@link #hasDiscardedInput}. Guards against clients that send on and on behind a request in hand, as what
      * is held for all of them together must fit the smallest memory given. Read on all the same: of a client that sent
      * more than this and went, nobody would learn the end otherwise, and its request be served for nobody.
      */
-    public void limitUnread(int most) {
-        unreadMost = most;
+    public void limitUnconsumedBytes(int most) {
+        maxUnconsumedBytes = most;
     }
 
     public byte[] bytes() {
         return buffer.bytes();
     }
 
-    public int from() {
-        return buffer.inFrom();
+    public int readStart() {
+        return buffer.readStart();
     }
 
-    public int to() {
-        return buffer.inTo();
+    public int readEnd() {
+        return buffer.readEnd();
     }
 
     public void consume(int count) {
@@ -95,31 +95,31 @@
     }
 
     /** Whether bytes that came were thrown away: what follows can't be told from the middle of it. */
-    public boolean overrun() {
-        return overrun;
+    public boolean hasDiscardedInput() {
+        return hasDiscardedInput;
     }
 
     /** Whether it ended by an error, a reset for one, and not by the peer's own end. */
-    public boolean broken() {
-        return broken;
+    public boolean endedByError() {
+        return endedByError;
     }
 
     /** Bytes given to {@link #write} so far. */
-    public long queued() {
+    public long bytesQueued() {
         return queued;
     }
 
     /** Bytes that the kernel has taken so far. */
-    public long written() {
+    public long bytesWritten() {
         return written;
     }
 
     /** Whether something given to {@link #write} has not been taken by the kernel yet. */
-    public boolean unwritten() {
-        return !closed && !buffer.nothingOut();
+    public boolean hasUnwrittenBytes() {
+        return !closed && !buffer.nothingToWrite();
     }
 
-    public boolean closed() {
+    public boolean isClosed() {
         return closed;
     }
 
@@ -127,7 +127,7 @@
      * Takes what has come by now, without waiting to be told of it. For whoever means to close a connection as idle: what
      * stands unread in the kernel was written to a machine that had accepted it, and the close would lose it.
      */
-    public void poll() {
+    public void readNow() {
         if (!closed && handler != null) {
             guarded(this::read);
         }
@@ -145,7 +145,7 @@
         queued += bytes.length;
         int done = 0;
         try {
-            if (buffer.nothingOut()) {
+            if (buffer.nothingToWrite()) {
                 ByteBuffer all = ByteBuffer.wrap(bytes);
                 while (all.hasRemaining() && sink.write(all) > 0) {
                     done = all.position();
@@ -169,9 +169,9 @@
      * reset that a close with unread input sends: it overtakes an answer that the peer has not read yet. The owner bounds
      * the time, by {@link #close}; its handler is told of nothing more.
      */
-    public void lingerAfterWrites() {
-        lingers = true;
-        if (buffer.nothingOut()) {
+    public void closeAfterWrites() {
+        lingering = true;
+        if (buffer.nothingToWrite()) {
             halfClose();
         }
         source.resumeReads();
@@ -195,13 +195,13 @@
     }
 
     private void read() throws IOException {
-        for (int i = 0; i < READS && !closed; i++) {
-            if (lingers) {
-                throwAway();
+        for (int i = 0; i < MAX_READS_PER_TURN && !closed; i++) {
+            if (lingering) {
+                discardAfterLastWrite();
                 return;
             }
-            if (buffer.inTo() - buffer.inFrom() >= unreadMost) {
-                if (!passOver()) {
+            if (buffer.readEnd() - buffer.readStart() >= maxUnconsumedBytes) {
+                if (!discardUnconsumed()) {
                     return;
                 }
                 continue;
@@ -220,64 +220,64 @@
                 end(null);
                 return;
             }
-            buffer.didRead(count);
-            handler.received(this);
+            buffer.advanceRead(count);
+            handler.onBytes(this);
         }
     }
 
     /** Beyond the limit of what may stand here: only its end is still of interest. */
-    private boolean passOver() throws IOException {
-        int count = source.read(loop.scratch());
+    private boolean discardUnconsumed() throws IOException {
+        int count = source.read(loop.discardBuffer());
         if (count < 0) {
             end(null);
             return false;
         }
-        overrun |= count > 0;
-        thrownAway += count;
-        if (thrownAway > LINGER_MOST && !flooded) {
+        hasDiscardedInput |= count > 0;
+        bytesDiscarded += count;
+        if (bytesDiscarded > MAX_LINGER_BYTES && !flooded) {
             flooded = true;
-            thrownAway = 0;
-            handler.flooded(this);
+            bytesDiscarded = 0;
+            handler.onFlooded(this);
         }
         return count > 0;
     }
 
-    private void throwAway() throws IOException {
-        ByteBuffer room = loop.scratch();
+    private void discardAfterLastWrite() throws IOException {
+        ByteBuffer room = loop.discardBuffer();
         int count = source.read(room);
-        thrownAway += Math.max(0, count);
-        if (count < 0 || thrownAway > LINGER_MOST) {
+        bytesDiscarded += Math.max(0, count);
+        if (count < 0 || bytesDiscarded > MAX_LINGER_BYTES) {
             close();
         }
     }
 
     private void flush() throws IOException {
-        while (!closed && !buffer.nothingOut()) {
+        while (!closed && !buffer.nothingToWrite()) {
             int count = sink.write(buffer.forWrite());
             if (count == 0) {
                 return;
             }
             written += count;
-            buffer.didWrite(count);
+            buffer.advanceWrite(count);
             source.resumeReads();
         }
         if (!closed) {
             sink.suspendWrites();
-            if (lingers) {
+            if (lingering) {
                 halfClose();
             } else {
-                handler.flushed(this);
+                handler.onFlushed(this);
             }
         }
     }
 
     private void end(IOException why) {
         if (!closed) {
-            broken = why != null;
+            endedByError = why != null;
             LOG.log(System.Logger.Level.DEBUG, () -> "connection with " + peer() + " ended: " + why);
             close();
-            if (!lingers) {
-                handler.ended(this);
+            if (!lingering) {
+                handler.onClosed(this);
             }
         }
     }
--- a/src/main/java/pepperdock/transport/NoManagement.java
+++ b/src/main/java/pepperdock/transport/DisabledManagement.java
@@ -9,14 +9,14 @@
  * start. XNIO goes on without where there is no server for them. Whoever wants JMX sets
  * {@code -Djavax.management.builder.initial=javax.management.MBeanServerBuilder}, which goes before this.
  */
-public final class NoManagement extends MBeanServerBuilder {
+public final class DisabledManagement extends MBeanServerBuilder {
 
     private static final String PROPERTY = "javax.management.builder.initial";
 
     /** In effect from here on, unless the JVM's caller has set the property itself. */
     static void install() {
         if (System.getProperty(PROPERTY) == null) {
-            System.setProperty(PROPERTY, NoManagement.class.getName());
+            System.setProperty(PROPERTY, DisabledManagement.class.getName());
         }
     }
 
--- a/src/main/java/pepperdock/transport/Loop.java
+++ b/src/main/java/pepperdock/transport/EventLoop.java
@@ -24,34 +24,34 @@
 import pepperdock.core.LogRateLimiter;
 
 /** The one I/O thread, which owns all state: sockets, timers and whatever is handed to {@link #execute}. */
-public final class Loop implements Clock, AutoCloseable {
+public final class EventLoop implements Clock, AutoCloseable {
 
     private static final System.Logger LOG = System.getLogger("pepperdock.transport");
-    private static final OptionMap SOCKET = OptionMap.create(Options.TCP_NODELAY, true);
-    private static final int BACKLOG = 512;
+    private static final OptionMap SOCKET_OPTIONS = OptionMap.create(Options.TCP_NODELAY, true);
+    private static final int ACCEPT_BACKLOG = 512;
 
     private final XnioWorker worker;
     private final XnioIoThread thread;
     private final int bufferCap;
     private int socketCap;
     /** The cap when no other process has a part of it, and that part's bound while one has. */
-    private int wholeCap;
+    private int unsharedSocketCap;
 
     private int sharedCap = Integer.MAX_VALUE;
     private final Set<Connection> open = new HashSet<>();
     private final double startedAt = System.currentTimeMillis() / 1e3;
     private final long startedNanos = System.nanoTime();
-    private final ByteBuffer scratch = ByteBuffer.allocateDirect(1 << 16);
+    private final ByteBuffer discardBuffer = ByteBuffer.allocateDirect(1 << 16);
     private final LogRateLimiter away = new LogRateLimiter(LOG, this, "clients turned away");
-    private int dialling;
+    private int connecting;
 
     /** {@code socketCap} bounds connections of all kinds together; {@code bufferCap} the buffer of each. */
-    public Loop(int socketCap, int bufferCap) throws IOException {
+    public EventLoop(int socketCap, int bufferCap) throws IOException {
         this.socketCap = socketCap;
-        wholeCap = socketCap;
+        unsharedSocketCap = socketCap;
         this.bufferCap = bufferCap;
-        NoManagement.install();
-        worker = Xnio.getInstance("nio", Loop.class.getClassLoader())
+        DisabledManagement.install();
+        worker = Xnio.getInstance("nio", EventLoop.class.getClassLoader())
                 .createWorker(OptionMap.builder()
                         .set(Options.WORKER_NAME, "loop")
                         .set(Options.WORKER_IO_THREADS, 1)
@@ -102,54 +102,54 @@
     }
 
     /** The cap on connections of all kinds. */
-    public int sockets() {
+    public int socketCap() {
         return socketCap;
     }
 
     /** Sets the cap anew; what stands open beyond it is left to end by itself. */
-    public void capSockets(int most) {
-        wholeCap = most;
-        socketCap = Math.min(wholeCap, sharedCap);
+    public void setSocketCap(int most) {
+        unsharedSocketCap = most;
+        socketCap = Math.min(unsharedSocketCap, sharedCap);
     }
 
-    /** What {@link #capSockets} allows, whether or not another process has a part of it now. */
-    public int wholeCap() {
-        return wholeCap;
+    /** What {@link #setSocketCap} allows, whether or not another process has a part of it now. */
+    public int unsharedSocketCap() {
+        return unsharedSocketCap;
     }
 
     /** Another process takes a part of what is allowed to both: this one opens no more than {@code most}, or than it has. */
-    public void shareSockets(boolean with, int most) {
-        sharedCap = with ? Math.max(inUse(), most) : Integer.MAX_VALUE;
-        socketCap = Math.min(wholeCap, sharedCap);
+    public void shareSocketsWithUpgradePeer(boolean with, int most) {
+        sharedCap = with ? Math.max(socketsInUse(), most) : Integer.MAX_VALUE;
+        socketCap = Math.min(unsharedSocketCap, sharedCap);
     }
 
     /** Room for bytes that nobody wants, one for all connections. */
-    ByteBuffer scratch() {
-        return scratch.clear();
+    ByteBuffer discardBuffer() {
+        return discardBuffer.clear();
     }
 
     /** Sockets that count under the cap now. */
-    public int inUse() {
-        return open.size() + dialling;
+    public int socketsInUse() {
+        return open.size() + connecting;
     }
 
     /** Sockets still free under the cap. */
-    public int spare() {
-        return socketCap - inUse();
+    public int spareSockets() {
+        return socketCap - socketsInUse();
     }
 
     /** Whose an address is, and whose its connections. */
-    public enum Kind {
+    public enum SocketScope {
         /** This process's alone; what comes counts under the cap. */
-        OWN,
+        EXCLUSIVE,
         /** Another process may listen on it beside this one, and is dealt a part of those who connect. */
-        SHARED,
+        SHARED_WITH_UPGRADE_PEER,
         /** This process's alone; bounded by who listens, and beside the cap: clients must not lose sockets to it. */
-        APART
+        OUTSIDE_CAP
     }
 
     /** A listening socket that can be closed. */
-    public interface Listening extends AutoCloseable {
+    public interface ServerSocketHandle extends AutoCloseable {
         InetSocketAddress address();
 
         @Override
@@ -161,32 +161,33 @@
      * else, or where the cap leaves no socket, the new one is closed unserved. Decided for each one as it is accepted:
      * hundreds that come at once must not all be held before the first is looked at.
      */
-    public Listening listen(InetSocketAddress at, BooleanSupplier room, Consumer<Connection> opened)
+    public ServerSocketHandle listen(InetSocketAddress at, BooleanSupplier room, Consumer<Connection> opened)
             throws IOException {
-        return listen(at, Kind.OWN, room, opened);
+        return listen(at, SocketScope.EXCLUSIVE, room, opened);
     }
 
-    public Listening listen(InetSocketAddress at, Kind kind, BooleanSupplier room, Consumer<Connection> opened)
+    public ServerSocketHandle listen(
+            InetSocketAddress at, SocketScope kind, BooleanSupplier room, Consumer<Connection> opened)
             throws IOException {
         ChannelListener<AcceptingChannel<StreamConnection>> accept = server -> {
             try {
                 for (StreamConnection c = server.accept(); c != null; c = server.accept()) {
                     StreamConnection taken = c;
-                    guarded(() -> accepted(taken, kind, room, opened));
+                    guarded(() -> onAccepted(taken, kind, room, opened));
                 }
             } catch (IOException e) {
                 away.log(System.Logger.Level.WARNING, () -> "accept failed: " + e.getMessage());
             }
         };
         OptionMap options = OptionMap.builder()
-                .set(Options.BACKLOG, BACKLOG)
+                .set(Options.BACKLOG, ACCEPT_BACKLOG)
                 .set(Options.REUSE_ADDRESSES, true)
                 .set(Options.TCP_NODELAY, true)
                 .getMap();
-        AcceptingChannel<StreamConnection> server =
-                DirectServer.listen(worker, at, BACKLOG, kind == Kind.SHARED, options, accept);
+        AcceptingChannel<StreamConnection> server = DirectServer.listen(
+                worker, at, ACCEPT_BACKLOG, kind == SocketScope.SHARED_WITH_UPGRADE_PEER, options, accept);
         server.resumeAccepts();
-        return new Listening() {
+        return new ServerSocketHandle() {
             @Override
             public InetSocketAddress address() {
                 return server.getLocalAddress(InetSocketAddress.class);
@@ -206,53 +207,54 @@
     }
 
     /** A UDP socket; what comes is handed over on the loop. */
-    public Datagrams datagrams(InetSocketAddress at, Datagrams.Receiver to) throws IOException {
-        return new Datagrams(
+    public DatagramSocket datagrams(InetSocketAddress at, DatagramSocket.Receiver to) throws IOException {
+        return new DatagramSocket(
                 worker.createUdpServer(at, OptionMap.EMPTY),
-                (bytes, length) -> guarded(() -> to.received(bytes, length)));
+                (bytes, length) -> guarded(() -> to.onDatagram(bytes, length)));
     }
 
-    private void accepted(StreamConnection taken, Kind kind, BooleanSupplier room, Consumer<Connection> opened) {
-        if (!room.getAsBoolean() || kind != Kind.APART && spare() <= 0) {
+    private void onAccepted(
+            StreamConnection taken, SocketScope kind, BooleanSupplier room, Consumer<Connection> opened) {
+        if (!room.getAsBoolean() || kind != SocketScope.OUTSIDE_CAP && spareSockets() <= 0) {
             away.log(System.Logger.Level.WARNING, () -> "client turned away: no socket to spare");
             IoUtils.safeClose(taken);
         } else {
-            opened.accept(adopt(taken, kind != Kind.APART));
+            opened.accept(adopt(taken, kind != SocketScope.OUTSIDE_CAP));
         }
     }
 
-    /** What comes of {@link #dial}: one of the two, once. */
-    public interface Dialled {
-        void up(Connection c);
+    /** What comes of {@link #connect}: one of the two, once. */
+    public interface ConnectListener {
+        void onConnected(Connection c);
 
-        void failed();
+        void onFailed();
     }
 
     /** Opens a connection, given up after {@code timeoutS} seconds; told at the earliest after this returns. */
-    public void dial(InetSocketAddress to, double timeoutS, Dialled then) {
-        dial(to, Kind.OWN, timeoutS, then);
+    public void connect(InetSocketAddress to, double timeoutS, ConnectListener then) {
+        connect(to, SocketScope.EXCLUSIVE, timeoutS, then);
     }
 
-    /** The same; one that is {@link Kind#APART} comes up however many others stand. */
-    public void dial(InetSocketAddress to, Kind kind, double timeoutS, Dialled then) {
-        boolean counted = kind != Kind.APART;
+    /** The same; one that is {@link SocketScope#OUTSIDE_CAP} comes up however many others stand. */
+    public void connect(InetSocketAddress to, SocketScope kind, double timeoutS, ConnectListener then) {
+        boolean counted = kind != SocketScope.OUTSIDE_CAP;
         int counts = counted ? 1 : 0;
-        dialling += counts;
+        connecting += counts;
         boolean[] over = {false};
-        if (counted && spare() < 0) {
+        if (counted && spareSockets() < 0) {
             execute(() -> {
-                dialling--;
-                then.failed();
+                connecting--;
+                then.onFailed();
             });
             return;
         }
-        IoFuture<StreamConnection> future = thread.openStreamConnection(to, null, SOCKET);
+        IoFuture<StreamConnection> future = thread.openStreamConnection(to, null, SOCKET_OPTIONS);
         Timer limit = after(timeoutS, () -> {
             if (!over[0]) {
                 over[0] = true;
-                dialling -= counts;
+                connecting -= counts;
                 future.cancel();
-                then.failed();
+                then.onFailed();
             }
         });
         future.addNotifier(
@@ -263,12 +265,12 @@
                         return;
                     }
                     over[0] = true;
-                    dialling -= counts;
+                    connecting -= counts;
                     limit.cancel();
                     if (made == null) {
-                        then.failed();
+                        then.onFailed();
                     } else {
-                        then.up(adopt(made, counted));
+                        then.onConnected(adopt(made, counted));
                     }
                 }),
                 null);
--- a/src/main/java/pepperdock/transport/HttpClient.java
+++ b/src/main/java/pepperdock/transport/HttpClient.java
@@ -10,98 +10,103 @@
 /** Asks one server, one request at a time, on a connection kept between requests and opened as needed. */
 public final class HttpClient implements Connection.Handler {
 
-    /** Why no response came; {@link #UNSENT} proves that the server never had the whole request. */
+    /** Why no response came; {@link #NOT_SENT} proves that the server never had the whole request. */
     public enum Failure {
-        UNSENT,
-        BROKEN,
+        NOT_SENT,
+        CONNECTION_LOST,
         TIMED_OUT
     }
 
-    /** What comes of a request: one of the two, once, at the earliest after {@link #ask} returns. */
-    public interface Then {
-        void response(HttpMessage m);
+    /** What comes of a request: one of the two, once, at the earliest after {@link #send} returns. */
+    public interface ResponseListener {
+        void onResponse(HttpMessage message);
 
-        void failed(Failure why);
+        void onFailure(Failure failure);
     }
 
-    private final Loop loop;
-    private final InetSocketAddress to;
-    private final Loop.Kind kind;
-    private final double dialS;
-    private final int bodyMost;
+    private final EventLoop loop;
+    private final InetSocketAddress server;
+    private final EventLoop.SocketScope kind;
+    private final double connectTimeoutS;
+    private final int maxBodyBytes;
     private Connection connection;
     private HttpParser parser;
-    private Then then;
-    private long wanted;
-    private long asked;
-    private Clock.Timer limit;
+    private ResponseListener listener;
+    private long requestEndOffset;
+    private long requestNumber;
+    private Clock.Timer responseTimeout;
 
-    public HttpClient(Loop loop, InetSocketAddress to, double dialS, int bodyMost) {
-        this(loop, to, Loop.Kind.OWN, dialS, bodyMost);
+    public HttpClient(EventLoop loop, InetSocketAddress server, double connectTimeoutS, int maxBodyBytes) {
+        this(loop, server, EventLoop.SocketScope.EXCLUSIVE, connectTimeoutS, maxBodyBytes);
     }
 
-    /** One whose connection is {@link Loop.Kind#APART} has it however many others stand. */
-    public HttpClient(Loop loop, InetSocketAddress to, Loop.Kind kind, double dialS, int bodyMost) {
+    /** One whose connection is {@link Loop.SocketScope#OUTSIDE_CAP} has it however many others stand. */
+    public HttpClient(
+            EventLoop loop,
+            InetSocketAddress server,
+            EventLoop.SocketScope kind,
+            double connectTimeoutS,
+            int maxBodyBytes) {
         this.loop = loop;
-        this.to = to;
+        this.server = server;
         this.kind = kind;
-        this.dialS = dialS;
-        this.bodyMost = bodyMost;
+        this.connectTimeoutS = connectTimeoutS;
+        this.maxBodyBytes = maxBodyBytes;
     }
 
-    public boolean busy() {
-        return then != null;
+    public boolean isBusy() {
+        return listener != null;
     }
 
-    public boolean connected() {
+    public boolean isConnected() {
         return connection != null;
     }
 
     /** Whether its request waits for a connection that is still coming up: nothing of it has been written. */
-    public boolean dialling() {
-        return then != null && connection == null;
+    public boolean isConnecting() {
+        return listener != null && connection == null;
     }
 
     /** {@code timeoutS} is for the answer, from when the request is written; connecting has its own limit, at most as long. */
-    public void ask(byte[] request, double timeoutS, Then then) {
-        ask(request, timeoutS, () -> true, then);
+    public void send(byte[] request, double timeoutS, ResponseListener listener) {
+        send(request, timeoutS, () -> true, listener);
     }
 
     /**
      * The same for a request that may cease to be wanted while it waits for a connection: {@code wanted} is asked once that
      * is there, and a request that is not wanted any more fails unsent.
      */
-    public void ask(byte[] request, double timeoutS, BooleanSupplier wanted, Then then) {
-        this.then = then;
-        long no = ++asked;
+    public void send(byte[] request, double timeoutS, BooleanSupplier stillWanted, ResponseListener listener) {
+        this.listener = listener;
+        long number = ++requestNumber;
         if (connection != null) {
             write(request, timeoutS);
             return;
         }
-        loop.dial(to, kind, Math.min(dialS, timeoutS), new Loop.Dialled() {
+        loop.connect(server, kind, Math.min(connectTimeoutS, timeoutS), new EventLoop.ConnectListener() {
             @Override
-            public void up(Connection c) {
-                if (no != asked || HttpClient.this.then == null) {
+            public void onConnected(Connection c) {
+                if (number != requestNumber || HttpClient.this.listener == null) {
                     c.close();
                     return;
                 }
-                if (!wanted.getAsBoolean()) {
+                if (!stillWanted.getAsBoolean()) {
                     c.close();
-                    if (no == asked) {
-                        fail(Failure.UNSENT);
+                    if (number == requestNumber) {
+                        fail(Failure.NOT_SENT);
                     }
                     return;
                 }
                 connection = c;
-                parser = HttpParser.ofResponses(bodyMost);
+                parser = HttpParser.ofResponses(maxBodyBytes);
                 c.start(HttpClient.this);
                 write(request, timeoutS);
             }
 
             @Override
-            public void failed() {
-                if (no == asked) {
-                    fail(Failure.UNSENT);
+            public void onFailed() {
+                if (number == requestNumber) {
+                    fail(Failure.NOT_SENT);
                 }
             }
         });
@@ -109,22 +114,22 @@
 
     /** The time for an answer counts from here: a server that lets a call wait counts from when it has it. */
     private void write(byte[] request, double timeoutS) {
-        long no = asked;
-        limit = loop.after(timeoutS, () -> {
-            if (no == asked) {
+        long number = requestNumber;
+        responseTimeout = loop.after(timeoutS, () -> {
+            if (number == requestNumber) {
                 fail(Failure.TIMED_OUT);
             }
         });
         connection.write(request);
-        wanted = connection.queued();
+        requestEndOffset = connection.bytesQueued();
     }
 
     /** Ends the request in hand, if any, without a word, and closes the connection. */
     public void close() {
-        asked++;
-        then = null;
-        if (limit != null) {
-            limit.cancel();
+        requestNumber++;
+        listener = null;
+        if (responseTimeout != null) {
+            responseTimeout.cancel();
         }
         if (connection != null) {
             connection.close();
@@ -133,66 +138,66 @@
     }
 
     @Override
-    public void received(Connection c) {
+    public void onBytes(Connection source) {
         try {
-            while (c.to() > c.from() && connection == c) {
-                if (then == null) {
+            while (source.readEnd() > source.readStart() && connection == source) {
+                if (listener == null) {
                     // Bytes that nothing asked for: what follows could not be told apart from them.
                     close();
                     return;
                 }
-                c.consume(parser.feed(c.bytes(), c.from(), c.to()));
-                if (!parser.done()) {
+                source.consume(parser.feed(source.bytes(), source.readStart(), source.readEnd()));
+                if (!parser.isComplete()) {
                     return;
                 }
-                HttpMessage m = parser.take();
-                if (m.status() >= 200) {
-                    done(m);
+                HttpMessage message = parser.take();
+                if (message.status() >= 200) {
+                    complete(message);
                 }
             }
         } catch (HttpException e) {
-            fail(Failure.BROKEN);
+            fail(Failure.CONNECTION_LOST);
         }
     }
 
-    private void done(HttpMessage m) {
-        limit.cancel();
-        Then told = then;
-        then = null;
-        asked++;
-        if (!m.keepAlive() && connection != null) {
+    private void complete(HttpMessage message) {
+        responseTimeout.cancel();
+        ResponseListener completed = listener;
+        listener = null;
+        requestNumber++;
+        if (!message.keepAlive() && connection != null) {
             connection.close();
             connection = null;
         }
-        told.response(m);
+        completed.onResponse(message);
     }
 
     @Override
-    public void ended(Connection c) {
-        if (connection != c) {
+    public void onClosed(Connection source) {
+        if (connection != source) {
             return;
         }
         connection = null;
-        if (then == null) {
+        if (listener == null) {
             return;
         }
-        if (!c.broken()) {
+        if (!source.endedByError()) {
             // A reset ends nothing: taken for the end of an answer without a length, half of one would pass for the
             // whole.
-            parser.end();
+            parser.onEndOfInput();
         }
-        if (parser.done()) {
-            done(parser.take());
+        if (parser.isComplete()) {
+            complete(parser.take());
         } else {
-            fail(c.written() < wanted ? Failure.UNSENT : Failure.BROKEN);
+            fail(source.bytesWritten() < requestEndOffset ? Failure.NOT_SENT : Failure.CONNECTION_LOST);
         }
     }
 
-    private void fail(Failure why) {
-        Then told = then;
+    private void fail(Failure failure) {
+        ResponseListener completed = listener;
         close();
-        if (told != null) {
-            told.failed(why);
+        if (completed != null) {
+            completed.onFailure(failure);
         }
     }
 }
