--- a/src/main/java/pepperdock/transport/HttpServer.java
+++ b/src/main/java/pepperdock/transport/HttpServer.java
@@ -22,88 +22,93 @@
 
     private static final System.Logger LOG = System.getLogger("pepperdock.transport");
     /** From connecting, or from the first byte of a later request, to its last byte. */
-    public static final double REQUEST_S = 2.5;
+    public static final double REQUEST_TIMEOUT_S = 2.5;
     /** For a client to read what it was sent, and to close after an error. */
-    private static final double FLUSH_S = 2.5;
+    private static final double RESPONSE_READ_TIMEOUT_S = 2.5;
 
-    private static final double LINGER_S = 1;
+    private static final double LINGER_TIMEOUT_S = 1;
     /** A connection kept between requests may be closed after 2 s, and is when others need its room; else after this. */
-    private static final double IDLE_S = 60;
+    private static final double IDLE_TIMEOUT_S = 60;
 
-    private static final double EVICT_S = 2;
-    private static final double SWEEP_S = 0.1;
+    private static final double MIN_IDLE_BEFORE_EVICTION_S = 2;
+    private static final double TIMEOUT_SWEEP_INTERVAL_S = 0.1;
     /** Between the word to stop listening and its being done. */
-    private static final double LAST_ACCEPT_S = 0.02;
+    private static final double STOP_LISTENING_DELAY_S = 0.02;
     /** More than the longest line that the parser takes; bodies it takes as they come. */
-    private static final int UNREAD_MOST = 16 << 10;
+    private static final int MAX_UNCONSUMED_BYTES = 16 << 10;
 
     /** A front. */
-    public interface Service {
+    public interface RequestHandler {
 
         /** Serves a request, now or later; what is returned runs if the client leaves before the reply. */
-        Runnable serve(HttpMessage request, Reply reply) throws HttpException;
+        Runnable serve(HttpMessage request, ResponseSender reply) throws HttpException;
 
         /** Words a refusal of something malformed, at once. */
-        void malformed(int status, String why, Reply reply);
+        void rejectMalformed(int status, String why, ResponseSender reply);
     }
 
     /** Where the one reply to a request goes; a second is ignored. */
-    public interface Reply {
+    public interface ResponseSender {
         /** {@code extra} is whole header lines, or empty. */
         void send(int status, String type, String extra, byte[] body);
 
         /** Takes in what has come from the client by now; if it has left, what its service returned has run then. */
-        default void poll() {}
+        default void pollForDisconnect() {}
     }
 
-    private final Loop loop;
-    private final Service service;
-    private final int bodyMost;
-    private final IntSupplier most;
-    private final double requestS;
-    private final Loop.Kind kind;
-    private final Loop.Listening listening;
+    private final EventLoop loop;
+    private final RequestHandler service;
+    private final int maxBodyBytes;
+    private final IntSupplier maxConnections;
+    private final double requestTimeoutS;
+    private final EventLoop.SocketScope kind;
+    private final EventLoop.ServerSocketHandle listening;
     /** In the order in which they came to the state they are in, so that the longest waiting is found first. */
-    private final Set<Serving> all = new LinkedHashSet<>();
+    private final Set<ServerConnection> connections = new LinkedHashSet<>();
 
     private boolean draining;
     private boolean stopped;
-    private final LogRateLimiter notes;
+    private final LogRateLimiter rejectedRequestLog;
 
     /** {@code most} is how many connections clients may hold here, {@code bodyMost} what a request may bring. */
-    public HttpServer(Loop loop, InetSocketAddress at, int bodyMost, IntSupplier most, Service service)
+    public HttpServer(
+            EventLoop loop,
+            InetSocketAddress address,
+            int maxBodyBytes,
+            IntSupplier maxConnections,
+            RequestHandler service)
             throws IOException {
-        this(loop, at, Loop.Kind.OWN, REQUEST_S, bodyMost, most, service);
+        this(loop, address, EventLoop.SocketScope.EXCLUSIVE, REQUEST_TIMEOUT_S, maxBodyBytes, maxConnections, service);
     }
 
     /** {@code requestS} is how long a request may take to come; on an address apart each reply closes its connection. */
     public HttpServer(
-            Loop loop,
-            InetSocketAddress at,
-            Loop.Kind kind,
-            double requestS,
-            int bodyMost,
-            IntSupplier most,
-            Service service)
+            EventLoop loop,
+            InetSocketAddress address,
+            EventLoop.SocketScope kind,
+            double requestTimeoutS,
+            int maxBodyBytes,
+            IntSupplier maxConnections,
+            RequestHandler service)
             throws IOException {
         this.loop = loop;
         this.kind = kind;
-        this.requestS = requestS;
-        draining = kind == Loop.Kind.APART;
-        notes = new LogRateLimiter(LOG, loop, "malformed or not taken");
+        this.requestTimeoutS = requestTimeoutS;
+        draining = kind == EventLoop.SocketScope.OUTSIDE_CAP;
+        rejectedRequestLog = new LogRateLimiter(LOG, loop, "malformed or not taken");
         this.service = service;
-        this.bodyMost = bodyMost;
-        this.most = most;
-        listening = loop.listen(at, kind, this::room, c -> {
-            Serving s = new Serving(c);
-            all.add(s);
-            c.limitUnread(UNREAD_MOST);
-            c.start(s);
+        this.maxBodyBytes = maxBodyBytes;
+        this.maxConnections = maxConnections;
+        listening = loop.listen(address, kind, this::makeRoom, connection -> {
+            ServerConnection clientConnection = new ServerConnection(connection);
+            connections.add(clientConnection);
+            connection.limitUnconsumedBytes(MAX_UNCONSUMED_BYTES);
+            connection.start(clientConnection);
             // Whoever waited in the system's queue has mostly asked by now, and perhaps left: not a turn of the loop
             // later.
-            c.poll();
+            connection.readNow();
         });
-        loop.after(SWEEP_S, this::sweep);
+        loop.after(TIMEOUT_SWEEP_INTERVAL_S, this::enforceTimeouts);
     }
 
     public InetSocketAddress address() {
@@ -116,12 +121,12 @@
     }
 
     /** Whether clients can still connect here. */
-    public boolean listens() {
+    public boolean isListening() {
         return !stopped;
     }
 
     /** Takes in whoever waits and stops listening at once, where another process listens on the same address. */
-    public void handOver() {
+    public void stopListeningAtOnce() {
         stopped = true;
         listening.close();
     }
@@ -132,37 +137,40 @@
      */
     public void stopListening() {
         stopped = true;
-        List.copyOf(all).forEach(HttpServer::closeIfIdle);
-        loop.after(LAST_ACCEPT_S, listening::close);
+        List.copyOf(connections).forEach(HttpServer::closeIfIdle);
+        loop.after(STOP_LISTENING_DELAY_S, listening::close);
     }
 
     /**
      * Closes a connection that has nothing in hand once all that has come on it is read, and what was answered is written:
      * closed blindly, a request that came since the last look is taken and never answered.
      */
-    private static void closeIfIdle(Serving s) {
-        s.connection.poll();
-        if ((s.at == At.IDLE || s.at == At.FRESH) && !s.connection.unwritten()) {
-            s.connection.close();
+    private static void closeIfIdle(ServerConnection clientConnection) {
+        clientConnection.connection.readNow();
+        if ((clientConnection.state == ConnectionState.IDLE || clientConnection.state == ConnectionState.NEW)
+                && !clientConnection.connection.hasUnwrittenBytes()) {
+            clientConnection.connection.close();
         }
     }
 
     /** Takes what has come on all connections by now: for whoever is about to end, and must answer it first. */
-    public void poll() {
-        List.copyOf(all).forEach(s -> s.connection.poll());
+    public void readAllNow() {
+        List.copyOf(connections).forEach(clientConnection -> clientConnection.connection.readNow());
     }
 
     /** Connections that stand, idle ones included. */
-    public int connections() {
-        all.removeIf(s -> s.connection.closed());
-        return all.size();
+    public int connectionCount() {
+        connections.removeIf(clientConnection -> clientConnection.connection.isClosed());
+        return connections.size();
     }
 
     /** Connections with a request in hand, or with a reply not wholly written. */
-    public int busy() {
-        return (int) all.stream()
-                .filter(s -> !s.connection.closed())
-                .filter(s -> s.at == At.SERVING || s.at == At.READING || s.connection.unwritten())
+    public int busyConnectionCount() {
+        return (int) connections.stream()
+                .filter(clientConnection -> !clientConnection.connection.isClosed())
+                .filter(clientConnection -> clientConnection.state == ConnectionState.SERVING
+                        || clientConnection.state == ConnectionState.READING
+                        || clientConnection.connection.hasUnwrittenBytes())
                 .count();
     }
 
@@ -170,94 +178,101 @@
      * Guards against running out of descriptors. Whoever asked once and only keeps its connection gives way first, then
      * whoever never asked, the longest waiting first; those with a request in hand stay.
      */
-    private boolean room() {
-        if (connections() < most.getAsInt() && (kind == Loop.Kind.APART || loop.spare() > 0)) {
+    private boolean makeRoom() {
+        if (connectionCount() < maxConnections.getAsInt()
+                && (kind == EventLoop.SocketScope.OUTSIDE_CAP || loop.spareSockets() > 0)) {
             return true;
         }
         double now = loop.now();
-        return evict(s -> s.at == At.LEAVING)
-                || evict(s -> s.at == At.IDLE && now - s.since > EVICT_S)
-                || evict(s -> s.at == At.FRESH)
-                || evict(s -> s.at == At.READING && s.asked == 0)
-                || evict(s -> s.at == At.IDLE);
+        return evictFirst(clientConnection -> clientConnection.state == ConnectionState.CLOSING)
+                || evictFirst(clientConnection -> clientConnection.state == ConnectionState.IDLE
+                        && now - clientConnection.stateSince > MIN_IDLE_BEFORE_EVICTION_S)
+                || evictFirst(clientConnection -> clientConnection.state == ConnectionState.NEW)
+                || evictFirst(clientConnection ->
+                        clientConnection.state == ConnectionState.READING && clientConnection.requestNumber == 0)
+                || evictFirst(clientConnection -> clientConnection.state == ConnectionState.IDLE);
     }
 
     /** What has come on it is read first: whoever has just asked does not give way. */
-    private boolean evict(Predicate<Serving> which) {
-        for (Serving s : all.stream().filter(which).toList()) {
-            s.connection.poll();
-            if (which.test(s) || s.connection.closed()) {
-                s.connection.close();
-                all.remove(s);
+    private boolean evictFirst(Predicate<ServerConnection> which) {
+        for (ServerConnection clientConnection :
+                connections.stream().filter(which).toList()) {
+            clientConnection.connection.readNow();
+            if (which.test(clientConnection) || clientConnection.connection.isClosed()) {
+                clientConnection.connection.close();
+                connections.remove(clientConnection);
                 return true;
             }
         }
         return false;
     }
 
-    private void sweep() {
+    private void enforceTimeouts() {
         double now = loop.now();
-        for (Serving s : List.copyOf(all)) {
-            s.limit(now);
+        for (ServerConnection clientConnection : List.copyOf(connections)) {
+            clientConnection.enforceTimeout(now);
         }
-        all.removeIf(s -> s.connection.closed());
-        loop.after(SWEEP_S, this::sweep);
+        connections.removeIf(clientConnection -> clientConnection.connection.isClosed());
+        loop.after(TIMEOUT_SWEEP_INTERVAL_S, this::enforceTimeouts);
     }
 
     /** Nothing came yet; a part of a request did; it is being served; kept between requests; closing after an error. */
-    private enum At {
-        FRESH,
+    private enum ConnectionState {
+        NEW,
         READING,
         SERVING,
         IDLE,
-        LEAVING
+        CLOSING
     }
 
     /** One client connection. */
-    private final class Serving implements Connection.Handler {
+    private final class ServerConnection implements Connection.Handler {
         private final Connection connection;
-        private final HttpParser parser = HttpParser.ofRequests(bodyMost);
-        private Runnable inHand;
-        private boolean head;
+        private final HttpParser parser = HttpParser.ofRequests(maxBodyBytes);
+        private Runnable disconnectHandler;
+        private boolean isHeadRequest;
         private boolean feeding;
-        private long asked;
-        private At at = At.FRESH;
-        private double since = loop.now();
-        private long written;
-        private double writtenAt;
+        private long requestNumber;
+        private ConnectionState state = ConnectionState.NEW;
+        private double stateSince = loop.now();
+        private long bytesWritten;
+        private double lastWriteAt;
 
-        Serving(Connection connection) {
+        ServerConnection(Connection connection) {
             this.connection = connection;
         }
 
-        private void now(At next) {
-            at = next;
-            since = loop.now();
-            if (all.remove(this)) {
-                all.add(this);
+        private void enter(ConnectionState next) {
+            state = next;
+            stateSince = loop.now();
+            if (connections.remove(this)) {
+                connections.add(this);
             }
         }
 
         /** Ends what has stood in its state for too long; called now and then. */
-        void limit(double now) {
-            if (connection.closed()) {
+        void enforceTimeout(double now) {
+            if (connection.isClosed()) {
                 return;
             }
-            if (connection.written() > written || !connection.unwritten()) {
-                written = connection.written();
-                writtenAt = now;
+            if (connection.bytesWritten() > bytesWritten || !connection.hasUnwrittenBytes()) {
+                bytesWritten = connection.bytesWritten();
+                lastWriteAt = now;
             }
-            double stood = now - since;
-            boolean unread = connection.unwritten() && now - writtenAt > FLUSH_S;
-            if (unread
-                    || at == At.LEAVING && !connection.unwritten() && stood > LINGER_S
-                    || at == At.IDLE && stood > IDLE_S && connection.unwritten()) {
+            double inStateS = now - stateSince;
+            boolean clientDoesNotRead = connection.hasUnwrittenBytes() && now - lastWriteAt > RESPONSE_READ_TIMEOUT_S;
+            if (clientDoesNotRead
+                    || state == ConnectionState.CLOSING
+                            && !connection.hasUnwrittenBytes()
+                            && inStateS > LINGER_TIMEOUT_S
+                    || state == ConnectionState.IDLE && inStateS > IDLE_TIMEOUT_S && connection.hasUnwrittenBytes()) {
                 connection.close();
-                ended(connection);
-            } else if (at == At.FRESH && stood > requestS || at == At.IDLE && stood > IDLE_S) {
+                onClosed(connection);
+            } else if (state == ConnectionState.NEW && inStateS > requestTimeoutS
+                    || state == ConnectionState.IDLE && inStateS > IDLE_TIMEOUT_S) {
                 closeIfIdle(this);
-            } else if (at == At.READING && stood > requestS) {
-                malformed(new HttpException(408, "request not finished in time"));
+            } else if (state == ConnectionState.READING && inStateS > requestTimeoutS) {
+                rejectMalformed(new HttpException(408, "request not finished in time"));
             }
         }
 
@@ -267,27 +282,31 @@
          * pauses, and the end of a client whose next request is in hand would not be seen.
          */
         @Override
-        public void received(Connection c) {
+        public void onBytes(Connection connection) {
             if (feeding) {
                 return;
             }
             feeding = true;
             try {
-                while (inHand == null && c.to() > c.from() && !c.closed() && !c.unwritten() && at != At.LEAVING) {
-                    if (at == At.IDLE) {
-                        now(At.READING);
-                    } else if (at == At.FRESH) {
+                while (disconnectHandler == null
+                        && connection.readEnd() > connection.readStart()
+                        && !connection.isClosed()
+                        && !connection.hasUnwrittenBytes()
+                        && state != ConnectionState.CLOSING) {
+                    if (state == ConnectionState.IDLE) {
+                        enter(ConnectionState.READING);
+                    } else if (state == ConnectionState.NEW) {
                         // The limit counts from connecting: a client that sends byte by byte gains nothing by it.
-                        at = At.READING;
+                        state = ConnectionState.READING;
                     }
-                    c.consume(parser.feed(c.bytes(), c.from(), c.to()));
-                    if (!parser.done()) {
+                    connection.consume(parser.feed(connection.bytes(), connection.readStart(), connection.readEnd()));
+                    if (!parser.isComplete()) {
                         return;
                     }
                     serve(parser.take());
                 }
             } catch (HttpException e) {
-                malformed(e);
+                rejectMalformed(e);
             } finally {
                 feeding = false;
             }
@@ -295,98 +314,98 @@
 
         /** The answer is with the kernel: what its client sent behind it is taken now. */
         @Override
-        public void flushed(Connection c) {
-            received(c);
+        public void onFlushed(Connection connection) {
+            onBytes(connection);
         }
 
         /** What follows something malformed can't be told from it: answered, and not read on. */
-        private void malformed(HttpException e) {
-            long no = ++asked;
-            inHand = () -> {};
-            notes.log(System.Logger.Level.INFO, () -> "malformed request: " + e.getMessage());
-            service.malformed(
+        private void rejectMalformed(HttpException e) {
+            long number = ++requestNumber;
+            disconnectHandler = () -> {};
+            rejectedRequestLog.log(System.Logger.Level.INFO, () -> "malformed request: " + e.getMessage());
+            service.rejectMalformed(
                     e.status(),
                     e.getMessage(),
-                    (status, type, extra, body) -> reply(no, false, status, type, extra, body));
+                    (status, type, extra, body) -> respond(number, false, status, type, extra, body));
         }
 
-        private void serve(HttpMessage m) {
-            long no = ++asked;
-            inHand = () -> {};
-            now(At.SERVING);
-            head = m.method().equals("HEAD");
-            Reply reply = replyTo(no, m.keepAlive());
+        private void serve(HttpMessage message) {
+            long number = ++requestNumber;
+            disconnectHandler = () -> {};
+            enter(ConnectionState.SERVING);
+            isHeadRequest = message.method().equals("HEAD");
+            ResponseSender reply = responseSender(number, message.keepAlive());
             try {
-                Runnable gone = service.serve(m, reply);
-                if (no == asked && inHand != null) {
-                    inHand = gone;
+                Runnable onDisconnect = service.serve(message, reply);
+                if (number == requestNumber && disconnectHandler != null) {
+                    disconnectHandler = onDisconnect;
                 }
             } catch (HttpException e) {
-                notes.log(
+                rejectedRequestLog.log(
                         System.Logger.Level.INFO,
-                        () -> "request for " + m.path() + " not taken: " + e.status() + ' ' + e.getMessage());
-                service.malformed(e.status(), e.getMessage(), reply);
+                        () -> "request for " + message.path() + " not taken: " + e.status() + ' ' + e.getMessage());
+                service.rejectMalformed(e.status(), e.getMessage(), reply);
             } catch (RuntimeException e) {
                 LOG.log(System.Logger.Level.ERROR, "request failed", e);
-                service.malformed(500, "internal error", reply);
+                service.rejectMalformed(500, "internal error", reply);
             }
         }
 
-        private Reply replyTo(long no, boolean keepAlive) {
-            return new Reply() {
+        private ResponseSender responseSender(long number, boolean keepAlive) {
+            return new ResponseSender() {
                 @Override
                 public void send(int status, String type, String extra, byte[] body) {
-                    reply(no, keepAlive, status, type, extra, body);
+                    respond(number, keepAlive, status, type, extra, body);
                 }
 
                 @Override
-                public void poll() {
-                    if (no == asked) {
-                        connection.poll();
+                public void pollForDisconnect() {
+                    if (number == requestNumber) {
+                        connection.readNow();
                     }
                 }
             };
         }
 
-        private void reply(long no, boolean keepAlive, int status, String type, String extra, byte[] body) {
-            if (no != asked || inHand == null || connection.closed()) {
+        private void respond(long number, boolean keepAlive, int status, String type, String extra, byte[] body) {
+            if (number != requestNumber || disconnectHandler == null || connection.isClosed()) {
                 return;
             }
-            inHand = null;
+            disconnectHandler = null;
             // Requests that were thrown away can't be answered: their client sees that this was the last.
-            boolean keep = keepAlive && !draining && !connection.overrun();
+            boolean keep = keepAlive && !draining && !connection.hasDiscardedInput();
             byte[] whole = HttpWriter.response(status, type, extra, body, keep);
             // A HEAD is answered without the body: its bytes would be taken for the next response.
-            connection.write(head ? Arrays.copyOf(whole, whole.length - body.length) : whole);
+            connection.write(isHeadRequest ? Arrays.copyOf(whole, whole.length - body.length) : whole);
             if (!keep) {
-                now(At.LEAVING);
-                connection.lingerAfterWrites();
+                enter(ConnectionState.CLOSING);
+                connection.closeAfterWrites();
                 return;
             }
-            now(At.IDLE);
-            if (connection.to() > connection.from()) {
-                received(connection);
+            enter(ConnectionState.IDLE);
+            if (connection.readEnd() > connection.readStart()) {
+                onBytes(connection);
             }
         }
 
         /** Whoever sends on and on behind a request that is in hand does not wait for its answer. */
         @Override
-        public void flooded(Connection c) {
-            leave();
-            malformed(new HttpException(413, "too much sent behind a request in hand"));
+        public void onFlooded(Connection connection) {
+            notifyDisconnect();
+            rejectMalformed(new HttpException(413, "too much sent behind a request in hand"));
         }
 
         @Override
-        public void ended(Connection c) {
-            all.remove(this);
-            leave();
+        public void onClosed(Connection connection) {
+            connections.remove(this);
+            notifyDisconnect();
         }
 
-        private void leave() {
-            if (inHand != null) {
-                Runnable gone = inHand;
-                inHand = null;
-                gone.run();
+        private void notifyDisconnect() {
+            if (disconnectHandler != null) {
+                Runnable onDisconnect = disconnectHandler;
+                disconnectHandler = null;
+                onDisconnect.run();
             }
         }
     }
--- a/src/test/java/pepperdock/PackagesTest.java
+++ b/src/test/java/pepperdock/PackagesTest.java
@@ -78,8 +78,8 @@
                 }
             }
         }
-        assertEquals(Map.of("Loop.java", 1, "LabCommand.java", 1), reads);
-        assertTrue(Files.readString(Path.of("src/main/java/pepperdock/transport/Loop.java"))
+        assertEquals(Map.of("EventLoop.java", 1, "LabCommand.java", 1), reads);
+        assertTrue(Files.readString(Path.of("src/main/java/pepperdock/transport/EventLoop.java"))
                 .contains("private final double startedAt = System.currentTimeMillis() / 1e3;"));
     }
 }
--- a/src/test/java/pepperdock/StartIT.java
+++ b/src/test/java/pepperdock/StartIT.java
@@ -146,7 +146,7 @@
         command = List.of("java", "-Xlog:class+load:file=" + classes, "-jar", "target/pepperdock.jar", "serve");
         serves();
         String loaded = Files.readString(classes);
-        assertTrue(loaded.contains("pepperdock.transport.Loop"), "the list is what it should be");
+        assertTrue(loaded.contains("pepperdock.transport.EventLoop"), "the list is what it should be");
         for (String absent : List.of(
                 "pepperdock.membership.",
                 "pepperdock.simulation.",
--- a/src/test/java/pepperdock/benchmark/DataPathTest.java
+++ b/src/test/java/pepperdock/benchmark/DataPathTest.java
@@ -30,8 +30,8 @@
 import pepperdock.scheduler.AttemptOutcome;
 import pepperdock.scheduler.EndpointListKind;
 import pepperdock.scheduler.LoadReport;
+import pepperdock.transport.EventLoop;
 import pepperdock.transport.HttpServer;
-import pepperdock.transport.Loop;
 
 /**
  * The measuring ground's short form: what it counts is right, on the classes that serve, in this process. Judges states and
@@ -52,11 +52,11 @@
     }
 
     /** Plays a load through a gatherer on loopback, with a fault on each side; returns what is found. */
-    private static Tally play(int fanOut, BackendFault behind, UnaryOperator<HttpServer.Service> before)
+    private static Tally play(int fanOut, BackendFault behind, UnaryOperator<HttpServer.RequestHandler> before)
             throws Exception {
         Tally tally = new Tally();
         try (EmulatedWorkers workers = EmulatedWorkers.open(PATIENT.workers(), Behaviour.even(1), tally::received);
-                Loop loop = new Loop(1000, 1 << 18)) {
+                EventLoop loop = new EventLoop(1000, 1 << 18)) {
             LoadGenerator.Outcome ends;
             try (LoadGenerator load =
                     new LoadGenerator(serve(loop, workers.block(), behind, before), PATIENT, fanOut, "q", tally, 1)) {
@@ -71,7 +71,8 @@
     }
 
     private static InetSocketAddress serve(
-            Loop loop, int block, BackendFault behind, UnaryOperator<HttpServer.Service> before) throws Exception {
+            EventLoop loop, int block, BackendFault behind, UnaryOperator<HttpServer.RequestHandler> before)
+            throws Exception {
         List<WorkerEndpoint> hosts = PATIENT.hosts(block);
         WorkerPool pool = new WorkerPool(loop, PATIENT.site());
         Gatherer[] core = new Gatherer[1];
@@ -272,16 +273,16 @@
     }
 
     /** Answers the first query before its parts are in, and drops the answer that comes. */
-    private static final class Hasty implements HttpServer.Service {
-        private final HttpServer.Service front;
+    private static final class Hasty implements HttpServer.RequestHandler {
+        private final HttpServer.RequestHandler front;
         private boolean done;
 
-        private Hasty(HttpServer.Service front) {
+        private Hasty(HttpServer.RequestHandler front) {
             this.front = front;
         }
 
         @Override
-        public Runnable serve(HttpMessage request, HttpServer.Reply reply) throws HttpException {
+        public Runnable serve(HttpMessage request, HttpServer.ResponseSender reply) throws HttpException {
             if (done) {
                 return front.serve(request, reply);
             }
@@ -292,8 +293,8 @@
         }
 
         @Override
-        public void malformed(int status, String why, HttpServer.Reply reply) {
-            front.malformed(status, why, reply);
+        public void rejectMalformed(int status, String why, HttpServer.ResponseSender reply) {
+            front.rejectMalformed(status, why, reply);
         }
     }
 }
--- a/src/test/java/pepperdock/codec/http/HttpParserTest.java
+++ b/src/test/java/pepperdock/codec/http/HttpParserTest.java
@@ -19,7 +19,7 @@
     private static List<HttpMessage> parse(HttpParser parser, byte[] bytes, long seed) throws Exception {
         return RandomCuts.feed(bytes, seed, (b, from, to, into) -> {
             int used = parser.feed(b, from, to);
-            if (parser.done()) {
+            if (parser.isComplete()) {
                 into.add(parser.take());
             }
             return used;
--- a/src/test/java/pepperdock/distribution/wire/WireTest.java
+++ b/src/test/java/pepperdock/distribution/wire/WireTest.java
@@ -32,7 +32,7 @@
 import pepperdock.distribution.SubscriberSettings;
 import pepperdock.distribution.VersionSource;
 import pepperdock.distribution.VersionStore;
-import pepperdock.transport.Loop;
+import pepperdock.transport.EventLoop;
 
 /** A subscriber and control machines over loopback; what crosses is forced by bytes that are held and ends that come. */
 class WireTest {
@@ -48,11 +48,11 @@
 
     private final List<ConfigurationSnapshot> settled = new ArrayList<>();
     private final BlockingQueue<ConfigurationSnapshot> inForce = new LinkedBlockingQueue<>();
-    private Loop loop;
+    private EventLoop loop;
 
     @BeforeEach
     void begin() throws Exception {
-        loop = new Loop(50, 512 << 10);
+        loop = new EventLoop(50, 512 << 10);
         settled.add(ConfigurationSnapshot.of(
                 new ConfigurationVersion(1, 1), 1, List.of(new ConfigurationItem("a", new byte[5000]))));
     }
--- a/src/test/java/pepperdock/dnssd/DnsSdTest.java
+++ b/src/test/java/pepperdock/dnssd/DnsSdTest.java
@@ -37,7 +37,7 @@
 
     @BeforeEach
     void start() throws Exception {
-        DnsSd sd = new DnsSd(
+        DnsSdDiscovery sd = new DnsSdDiscovery(
                 new DnsSdConfig(dns.address(), "_ledger._tcp", "room.example", 20, 1),
                 TestDeploymentSettings.small(),
                 clock,
--- a/src/test/java/pepperdock/membership/transport/MembershipServiceTest.java
+++ b/src/test/java/pepperdock/membership/transport/MembershipServiceTest.java
@@ -20,7 +20,7 @@
 import pepperdock.config.ConfigReader;
 import pepperdock.events.Events;
 import pepperdock.membership.MembershipView;
-import pepperdock.transport.Loop;
+import pepperdock.transport.EventLoop;
 
 /** Members on real sockets in this process, and asked as an operator would. */
 @Timeout(120)
@@ -29,15 +29,15 @@
     /** A host of its own for each run of the tests, so that the ports are free. */
     private static final String HOSTS = "127.200." + ProcessHandle.current().pid() % 250 + '.';
 
-    private final List<Loop> loops = new CopyOnWriteArrayList<>();
+    private final List<EventLoop> loops = new CopyOnWriteArrayList<>();
 
     @AfterEach
     void close() {
-        loops.forEach(Loop::close);
+        loops.forEach(EventLoop::close);
     }
 
     private MembershipService open(int number, List<MembershipView.Change> changes) throws Exception {
-        Loop loop = new Loop(100, 1 << 20);
+        EventLoop loop = new EventLoop(100, 1 << 20);
         loops.add(loop);
         ConfigReader file = ConfigReader.of(
                 "",
--- a/src/test/java/pepperdock/opensearch/SearchBackendTest.java
+++ b/src/test/java/pepperdock/opensearch/SearchBackendTest.java
@@ -25,7 +25,7 @@
 import pepperdock.scheduler.AttemptOutcome;
 import pepperdock.scheduler.EndpointListKind;
 import pepperdock.scheduler.EndpointState;
-import pepperdock.transport.Loop;
+import pepperdock.transport.EventLoop;
 
 @Timeout(60)
 class SearchBackendTest {
@@ -57,7 +57,7 @@
                 ended.add("failed " + q.parts().get(0).lastOutcome());
             }
         };
-        try (Loop loop = new Loop(100, 1 << 16);
+        try (EventLoop loop = new EventLoop(100, 1 << 16);
                 ServerSocket server = new ServerSocket(0, 5, InetAddress.getLoopbackAddress())) {
             SearchBackend backend = new SearchBackend(
                     loop, site, new OpenSearchConfig(null, new LinkedHashMap<>(Map.of("wallets", 2)), true, 8, 2, 300));
@@ -101,7 +101,7 @@
             @Override
             public void onFailed(Query q, boolean overdue) {}
         };
-        try (Loop loop = new Loop(100, 1 << 16);
+        try (EventLoop loop = new EventLoop(100, 1 << 16);
                 ServerSocket server = new ServerSocket(0, 5, InetAddress.getLoopbackAddress())) {
             SearchBackend backend = new SearchBackend(
                     loop, site, new OpenSearchConfig(null, new LinkedHashMap<>(Map.of("wallets", 2)), true, 8, 2, 300));
--- a/src/test/java/pepperdock/opensearch/Stack.java
+++ b/src/test/java/pepperdock/opensearch/Stack.java
@@ -27,8 +27,8 @@
 import pepperdock.platform.PlatformFixtures;
 import pepperdock.platform.WorkerPool;
 import pepperdock.scheduler.EndpointListKind;
+import pepperdock.transport.EventLoop;
 import pepperdock.transport.HttpServer;
-import pepperdock.transport.Loop;
 
 /** A gatherer on loopback with either front, before four stand-in workers of the protocol that goes with it. */
 final class Stack implements AutoCloseable {
@@ -46,7 +46,7 @@
     final List<StandInSearchServer> backends = new ArrayList<>();
     final SearchFront searchFront;
     private final List<Closeable> workers = new ArrayList<>();
-    private final Loop loop = new Loop(500, 4 << 20);
+    private final EventLoop loop = new EventLoop(500, 4 << 20);
     private final Gatherer core;
     private final HttpServer server;
     private final boolean search;
@@ -104,7 +104,7 @@
         CountDownLatch done = new CountDownLatch(1);
         loop.execute(() -> {
             core.updateSettings(now.scheduler(), now.classes());
-            searchFront.use(now, new OpenSearchConfig(null, indices, true, 8, 2, 300));
+            searchFront.updateSettings(now, new OpenSearchConfig(null, indices, true, 8, 2, 300));
             done.countDown();
         });
         done.await();
--- a/src/test/java/pepperdock/operator/OperatorEndpointTest.java
+++ b/src/test/java/pepperdock/operator/OperatorEndpointTest.java
@@ -16,8 +16,8 @@
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
+import pepperdock.transport.EventLoop;
 import pepperdock.transport.HttpServer;
-import pepperdock.transport.Loop;
 
 /** The operators' calls on their own address, with no room left for anyone else. */
 @Timeout(60)
@@ -27,12 +27,12 @@
 
     private final List<String> banned = new ArrayList<>();
     /** No socket counts as free: the operators' connections are beside the cap. */
-    private final Loop loop = new Loop(0, 1 << 16);
+    private final EventLoop loop = new EventLoop(0, 1 << 16);
 
     private final HttpServer server = new HttpServer(
             loop,
             new InetSocketAddress(InetAddress.getLoopbackAddress(), 0),
-            Loop.Kind.APART,
+            EventLoop.SocketScope.OUTSIDE_CAP,
             4,
             4096,
             () -> CALLERS,
--- a/src/test/java/pepperdock/platform/ClientGoneBenchmark.java
+++ b/src/test/java/pepperdock/platform/ClientGoneBenchmark.java
@@ -19,8 +19,8 @@
 import pepperdock.core.Backend;
 import pepperdock.core.Gatherer;
 import pepperdock.scheduler.EndpointListKind;
+import pepperdock.transport.EventLoop;
 import pepperdock.transport.HttpServer;
-import pepperdock.transport.Loop;
 
 /**
  * Measures how soon a client's disconnect is noticed, and what begins after it: clients ask for one part that its workers fail
@@ -61,7 +61,7 @@
     private void run(int queries, int busyMs) throws Exception {
         DeploymentSettings site = TestDeploymentSettings.with(
                 TestDeploymentSettings.SETTINGS.replace("\"MostHeld\":40", "\"MostHeld\":400"));
-        Loop loop = new Loop(500, 1 << 18);
+        EventLoop loop = new EventLoop(500, 1 << 18);
         WorkerPool pool = new WorkerPool(loop, site);
         Gatherer core = new Gatherer(site.scheduler(), 3, loop, new AttemptRecorder(pool), () -> {});
         pool.start(core);
@@ -134,10 +134,10 @@
         }
     }
 
-    private HttpServer.Service recordDisconnects(Front front) {
-        return new HttpServer.Service() {
+    private HttpServer.RequestHandler recordDisconnects(Front front) {
+        return new HttpServer.RequestHandler() {
             @Override
-            public Runnable serve(HttpMessage message, HttpServer.Reply reply) throws HttpException {
+            public Runnable serve(HttpMessage message, HttpServer.ResponseSender reply) throws HttpException {
                 String id = message.header("Request-Id");
                 Runnable onClientGone = front.serve(message, reply);
                 return () -> {
@@ -147,13 +147,13 @@
             }
 
             @Override
-            public void malformed(int status, String why, HttpServer.Reply reply) {
-                front.malformed(status, why, reply);
+            public void rejectMalformed(int status, String why, HttpServer.ResponseSender reply) {
+                front.rejectMalformed(status, why, reply);
             }
         };
     }
 
-    private static void keepBusy(Loop loop, int busyMs) {
+    private static void keepBusy(EventLoop loop, int busyMs) {
         loop.after(PAUSE_MS / 1e3, () -> {
             long until = System.nanoTime() + busyMs * 1_000_000L;
             while (System.nanoTime() < until) {
--- a/src/test/java/pepperdock/platform/ClientGoneOnBusyLoopTest.java
+++ b/src/test/java/pepperdock/platform/ClientGoneOnBusyLoopTest.java
@@ -31,8 +31,8 @@
 import pepperdock.scheduler.EndpointListKind;
 import pepperdock.scheduler.LoadReport;
 import pepperdock.transport.Connection;
+import pepperdock.transport.EventLoop;
 import pepperdock.transport.HttpServer;
-import pepperdock.transport.Loop;
 import pepperdock.transport.TcpTable;
 
 /**
@@ -50,7 +50,7 @@
 
     private final DeploymentSettings site = TestDeploymentSettings.with(
             TestDeploymentSettings.SETTINGS.replace("\"DialTimeoutS\":0.25", "\"DialTimeoutS\":30"));
-    private final Loop loop = new Loop(100, 1 << 18);
+    private final EventLoop loop = new EventLoop(100, 1 << 18);
     private Gatherer core;
     private HttpServer server;
 
@@ -166,17 +166,17 @@
         Socket[] client = {null};
         Connection.Handler busyHandler = new Connection.Handler() {
             @Override
-            public void received(Connection connection) {
-                connection.consume(connection.to() - connection.from());
+            public void onBytes(Connection connection) {
+                connection.consume(connection.readEnd() - connection.readStart());
                 disconnect(client[0], Disconnect.CLOSE);
             }
 
             @Override
-            public void ended(Connection connection) {}
+            public void onClosed(Connection connection) {}
         };
         InetSocketAddress anyPort = new InetSocketAddress(InetAddress.getLoopbackAddress(), 0);
         try (ServerSocket worker = new ServerSocket(0, 5, InetAddress.getLoopbackAddress());
-                Loop.Listening other = loop.listen(anyPort, () -> true, connection -> {
+                EventLoop.ServerSocketHandle other = loop.listen(anyPort, () -> true, connection -> {
                     connection.start(busyHandler);
                     opened.add(connection);
                 });
--- a/src/test/java/pepperdock/platform/ClientGoneWhileConnectingTest.java
+++ b/src/test/java/pepperdock/platform/ClientGoneWhileConnectingTest.java
@@ -16,8 +16,8 @@
 import pepperdock.core.Gatherer;
 import pepperdock.core.Metrics;
 import pepperdock.scheduler.EndpointListKind;
+import pepperdock.transport.EventLoop;
 import pepperdock.transport.HttpServer;
-import pepperdock.transport.Loop;
 
 /** From the client's socket to the worker's: clients that leave while their first attempt waits for a connection. */
 @Timeout(90)
@@ -31,7 +31,7 @@
             .replace("\"MostHeld\":40", "\"MostHeld\":400")
             .replace("\"GoalTimeS\":2.5,\"DeadlineS\":6", "\"GoalTimeS\":60,\"DeadlineS\":60"));
 
-    private static long clientsGone(Loop loop, Gatherer core) throws InterruptedException {
+    private static long clientsGone(EventLoop loop, Gatherer core) throws InterruptedException {
         return PlatformFixtures.onLoop(loop, () -> core.metrics().ended("class-1", Metrics.QueryOutcome.CLIENT_GONE));
     }
 
@@ -57,7 +57,7 @@
     void noQueryIsSentOnceItsClientHasGone() throws Exception {
         // The queue holds two: whoever connects third waits until one of them is accepted.
         try (ServerSocket worker = new ServerSocket(0, 1, InetAddress.getLoopbackAddress());
-                Loop loop = new Loop(500, 1 << 18)) {
+                EventLoop loop = new EventLoop(500, 1 << 18)) {
             List<Socket> queueFillers = new ArrayList<>();
             for (int i = 0; i < 2; i++) {
                 queueFillers.add(new Socket(worker.getInetAddress(), worker.getLocalPort()));
--- a/src/test/java/pepperdock/platform/EdgeSettingsTest.java
+++ b/src/test/java/pepperdock/platform/EdgeSettingsTest.java
@@ -20,8 +20,8 @@
 import pepperdock.core.Gatherer;
 import pepperdock.core.WorkerEndpoint;
 import pepperdock.scheduler.EndpointListKind;
+import pepperdock.transport.EventLoop;
 import pepperdock.transport.HttpServer;
-import pepperdock.transport.Loop;
 
 /** Settings at their limits, as other installations may have them: each serves queries and is obeyed. */
 @Timeout(120)
@@ -84,7 +84,7 @@
             throws Exception {
         DeploymentSettings site = TestDeploymentSettings.with(settings.toString());
         List<FakeWorker> workers = new ArrayList<>();
-        try (Loop loop = new Loop(200, 1 << 18)) {
+        try (EventLoop loop = new EventLoop(200, 1 << 18)) {
             List<WorkerEndpoint> endpoints = new ArrayList<>();
             for (int cell = 0; cell < site.scheduler().layout().cells(); cell++) {
                 workers.add(new FakeWorker(behaviour));
--- a/src/test/java/pepperdock/platform/EndpointWatchTest.java
+++ b/src/test/java/pepperdock/platform/EndpointWatchTest.java
@@ -25,7 +25,7 @@
 import pepperdock.core.Gatherer;
 import pepperdock.core.WorkerEndpoint;
 import pepperdock.scheduler.EndpointListKind;
-import pepperdock.transport.Loop;
+import pepperdock.transport.EventLoop;
 
 class EndpointWatchTest {
 
@@ -39,7 +39,7 @@
     private static final long KNOWN_VERSION = 41;
 
     private final DeploymentSettings site = TestDeploymentSettings.small();
-    private final Loop loop = new Loop(100, 1 << 16);
+    private final EventLoop loop = new EventLoop(100, 1 << 16);
     private final ServerSocket server = new ServerSocket(0, 50, InetAddress.getLoopbackAddress());
     private final BlockingQueue<Collection<WorkerEndpoint>> lists = new LinkedBlockingQueue<>();
     private final EndpointWatch watch = new EndpointWatch(loop, addressOf(server), site, KNOWN_VERSION);
@@ -295,7 +295,7 @@
     /** Every socket is in use, as where workers hang. A watch that ended could not be opened again then. */
     @Test
     void discoveryIsPolledWhereEverySocketIsInUse() throws Exception {
-        loop.execute(() -> loop.capSockets(0));
+        loop.execute(() -> loop.setSocketCap(0));
         server.accept().close();
         try (DiscoveryConnection discovery = DiscoveryConnection.accept(server)) {
             assertEquals("/api/targets?since=41", discovery.readTarget());
--- a/src/test/java/pepperdock/platform/FrontTest.java
+++ b/src/test/java/pepperdock/platform/FrontTest.java
@@ -19,8 +19,8 @@
 import pepperdock.core.Gatherer;
 import pepperdock.core.WorkerEndpoint;
 import pepperdock.scheduler.EndpointListKind;
+import pepperdock.transport.EventLoop;
 import pepperdock.transport.HttpServer;
-import pepperdock.transport.Loop;
 
 class FrontTest {
 
@@ -34,7 +34,7 @@
     /** Serves at most eight clients, with these workers, while the conversation lasts. */
     private static void serve(List<WorkerEndpoint> workers, Conversation conversation) throws Exception {
         DeploymentSettings site = TestDeploymentSettings.small();
-        try (Loop loop = new Loop(100, 1 << 16)) {
+        try (EventLoop loop = new EventLoop(100, 1 << 16)) {
             WorkerPool pool = new WorkerPool(loop, site);
             Gatherer core = new Gatherer(site.scheduler(), 3, loop, pool, () -> {});
             pool.start(core);
--- a/src/test/java/pepperdock/platform/OneWorkerFixture.java
+++ b/src/test/java/pepperdock/platform/OneWorkerFixture.java
@@ -23,7 +23,7 @@
 import pepperdock.scheduler.AttemptOutcome;
 import pepperdock.scheduler.EndpointListKind;
 import pepperdock.scheduler.EndpointState;
-import pepperdock.transport.Loop;
+import pepperdock.transport.EventLoop;
 
 /** A gatherer whose queries go to one worker, {@code w}; the test plays the worker on plain sockets. */
 final class OneWorkerFixture implements AutoCloseable {
@@ -36,7 +36,7 @@
     /** Far more than anything here takes; a test that runs into it has failed. */
     private static final int PATIENCE_MS = 30_000;
 
-    final Loop loop;
+    final EventLoop loop;
     final WorkerPool pool;
     final Gatherer gatherer;
     final ServerSocket server = new ServerSocket(0, 50, InetAddress.getLoopbackAddress());
@@ -44,7 +44,7 @@
 
     OneWorkerFixture(DeploymentSettings site, int maxBufferBytes) throws IOException {
         server.setSoTimeout(PATIENCE_MS);
-        loop = new Loop(100, maxBufferBytes);
+        loop = new EventLoop(100, maxBufferBytes);
         pool = new WorkerPool(loop, site);
         gatherer = new Gatherer(site.scheduler(), 3, loop, pool, () -> {});
         pool.start(gatherer);
--- a/src/test/java/pepperdock/platform/PlatformFixtures.java
+++ b/src/test/java/pepperdock/platform/PlatformFixtures.java
@@ -11,8 +11,8 @@
 import java.util.function.Supplier;
 import pepperdock.core.WorkerEndpoint;
 import pepperdock.scheduler.EndpointState;
+import pepperdock.transport.EventLoop;
 import pepperdock.transport.HttpServer;
-import pepperdock.transport.Loop;
 
 /** What tests of the platform's protocols share: servers on loopback, endpoints, queries in the clients' form. */
 public final class PlatformFixtures {
@@ -23,7 +23,7 @@
     private PlatformFixtures() {}
 
     /** Serves a front on a free loopback port. */
-    public static HttpServer listen(Loop loop, int maxBodyBytes, int maxClients, HttpServer.Service front)
+    public static HttpServer listen(EventLoop loop, int maxBodyBytes, int maxClients, HttpServer.RequestHandler front)
             throws IOException {
         InetSocketAddress anyPort = new InetSocketAddress(InetAddress.getLoopbackAddress(), 0);
         return new HttpServer(loop, anyPort, maxBodyBytes, () -> maxClients, front);
@@ -48,7 +48,7 @@
     }
 
     /** Runs a task on the loop's thread and returns its result, which may be null. */
-    public static <T> T onLoop(Loop loop, Supplier<T> task) throws InterruptedException {
+    public static <T> T onLoop(EventLoop loop, Supplier<T> task) throws InterruptedException {
         BlockingQueue<Optional<T>> result = new LinkedBlockingQueue<>();
         loop.execute(() -> result.add(Optional.ofNullable(task.get())));
         return result.take().orElse(null);
--- a/src/test/java/pepperdock/service/ReadyTest.java
+++ b/src/test/java/pepperdock/service/ReadyTest.java
@@ -27,7 +27,7 @@
 import pepperdock.config.TestDeploymentSettings;
 import pepperdock.events.Events;
 import pepperdock.store.Store;
-import pepperdock.transport.Loop;
+import pepperdock.transport.EventLoop;
 
 /** When a gatherer says that it is ready, against what discovery does meanwhile. */
 @Timeout(120)
@@ -37,7 +37,7 @@
             TestDeploymentSettings.SETTINGS.replace("\"Discovery\":\"subscribe\"", "\"Discovery\":\"automatic\"");
     private static final String LIST = "{\"seq\":1,\"whole\":true,\"hosts\":[]}";
 
-    private final Loop loop = new Loop(100, 1 << 18);
+    private final EventLoop loop = new EventLoop(100, 1 << 18);
     private final ServerSocket discovery = new ServerSocket(0, 50, InetAddress.getLoopbackAddress());
     private double startedAt;
 
--- a/src/test/java/pepperdock/store/StoreTest.java
+++ b/src/test/java/pepperdock/store/StoreTest.java
@@ -25,14 +25,14 @@
 import org.junit.jupiter.api.io.TempDir;
 import pepperdock.codec.frame.RandomCuts;
 import pepperdock.config.StoreConfig;
-import pepperdock.transport.Loop;
+import pepperdock.transport.EventLoop;
 
 class StoreTest {
 
     @TempDir
     Path folder;
 
-    private final Loop loop = new Loop(100, 16 << 20);
+    private final EventLoop loop = new EventLoop(100, 16 << 20);
     private final Map<String, InetSocketAddress> members = new LinkedHashMap<>();
 
     StoreTest() throws IOException {
--- a/src/test/java/pepperdock/transport/BufferTest.java
+++ b/src/test/java/pepperdock/transport/BufferTest.java
@@ -19,7 +19,7 @@
     @Property(seed = "61", tries = 200)
     void bothSidesKeepTheirBytesInOneBuffer(@ForAll long seed) {
         Random random = new Random(seed);
-        Buffer buffer = new Buffer(CAP);
+        ConnectionBuffer buffer = new ConnectionBuffer(CAP);
         ByteArrayOutputStream[] want = {new ByteArrayOutputStream(), new ByteArrayOutputStream()};
         ByteArrayOutputStream[] got = {new ByteArrayOutputStream(), new ByteArrayOutputStream()};
         for (int i = 0; i < 200; i++) {
@@ -31,13 +31,13 @@
                     if (room != null) {
                         int count = Math.min(room.remaining(), piece.length);
                         room.put(piece, 0, count);
-                        buffer.didRead(count);
+                        buffer.advanceRead(count);
                         want[0].write(piece, 0, count);
                     }
                 }
                 case 1 -> {
-                    int count = Math.min(buffer.inTo() - buffer.inFrom(), piece.length);
-                    got[0].write(buffer.bytes(), buffer.inFrom(), count);
+                    int count = Math.min(buffer.readEnd() - buffer.readStart(), piece.length);
+                    got[0].write(buffer.bytes(), buffer.readStart(), count);
                     buffer.consume(count);
                 }
                 case 2 -> {
@@ -50,19 +50,19 @@
                     byte[] some = new byte[Math.min(out.remaining(), piece.length)];
                     out.get(some);
                     got[1].writeBytes(some);
-                    buffer.didWrite(some.length);
+                    buffer.advanceWrite(some.length);
                 }
             }
             assertTrue(buffer.bytes().length <= CAP);
         }
-        got[0].write(buffer.bytes(), buffer.inFrom(), buffer.inTo() - buffer.inFrom());
-        buffer.consume(buffer.inTo() - buffer.inFrom());
+        got[0].write(buffer.bytes(), buffer.readStart(), buffer.readEnd() - buffer.readStart());
+        buffer.consume(buffer.readEnd() - buffer.readStart());
         ByteBuffer out = buffer.forWrite();
         got[1].write(out.array(), out.position(), out.remaining());
-        buffer.didWrite(out.remaining());
+        buffer.advanceWrite(out.remaining());
         assertEquals(want[0].toString(StandardCharsets.ISO_8859_1), got[0].toString(StandardCharsets.ISO_8859_1));
         assertEquals(want[1].toString(StandardCharsets.ISO_8859_1), got[1].toString(StandardCharsets.ISO_8859_1));
-        assertEquals(Buffer.LEAST, buffer.bytes().length);
+        assertEquals(ConnectionBuffer.MIN_CAPACITY, buffer.bytes().length);
         assertNotNull(buffer.forRead());
     }
 }
--- a/src/test/java/pepperdock/transport/ClientGoneTest.java
+++ b/src/test/java/pepperdock/transport/ClientGoneTest.java
@@ -28,12 +28,12 @@
     /** What the front was told, in order: each request taken, and each client gone. */
     private final BlockingQueue<String> told = new LinkedBlockingQueue<>();
 
-    private final BlockingQueue<HttpServer.Reply> held = new LinkedBlockingQueue<>();
-    private final HttpServer.Service service = new HttpServer.Service() {
+    private final BlockingQueue<HttpServer.ResponseSender> held = new LinkedBlockingQueue<>();
+    private final HttpServer.RequestHandler service = new HttpServer.RequestHandler() {
         private int taken;
 
         @Override
-        public Runnable serve(HttpMessage request, HttpServer.Reply reply) {
+        public Runnable serve(HttpMessage request, HttpServer.ResponseSender reply) {
             int no = ++taken;
             told.add("taken " + no);
             held.add(reply);
@@ -41,11 +41,11 @@
         }
 
         @Override
-        public void malformed(int status, String why, HttpServer.Reply reply) {
+        public void rejectMalformed(int status, String why, HttpServer.ResponseSender reply) {
             reply.send(status, "text/plain", "", new byte[0]);
         }
     };
-    private final Loop loop = new Loop(100, 1 << 18);
+    private final EventLoop loop = new EventLoop(100, 1 << 18);
     private final HttpServer server = server(loop);
 
     ClientGoneTest() throws IOException {}
@@ -55,7 +55,7 @@
         loop.close();
     }
 
-    private HttpServer server(Loop by) throws IOException {
+    private HttpServer server(EventLoop by) throws IOException {
         return new HttpServer(by, new InetSocketAddress(InetAddress.getLoopbackAddress(), 0), 1024, () -> 10, service);
     }
 
@@ -148,9 +148,9 @@
         try (Socket s = ask(REQUEST)) {
             assertEquals("taken 1", next());
             s.getOutputStream().write(REQUEST.repeat(more).getBytes(StandardCharsets.US_ASCII));
-            HttpServer.Reply first = held.take();
+            HttpServer.ResponseSender first = held.take();
             loop.execute(() -> {
-                server.poll();
+                server.readAllNow();
                 first.send(200, "text/plain", "", new byte[0]);
             });
             assertEquals(more > 1000 ? "200 close" : "200", head(s));
@@ -185,15 +185,15 @@
      */
     @Test
     void aRequestBehindAnAnswerThatIsNotReadYetWaitsUntilItIs() throws Exception {
-        try (Loop roomy = new Loop(100, 1 << 25)) {
+        try (EventLoop roomy = new EventLoop(100, 1 << 25)) {
             HttpServer other = server(roomy);
             try (Socket s = ask(other, REQUEST + REQUEST)) {
                 assertEquals("taken 1", next());
-                HttpServer.Reply first = held.take();
+                HttpServer.ResponseSender first = held.take();
                 BlockingQueue<Integer> takenMeanwhile = new LinkedBlockingQueue<>();
                 roomy.execute(() -> {
                     // Both requests are here before the answer to the first.
-                    other.poll();
+                    other.readAllNow();
                     first.send(200, "text/plain", "", new byte[BIG]);
                     takenMeanwhile.add(told.size());
                 });
@@ -223,23 +223,24 @@
         BlockingQueue<Boolean> noDelay = new LinkedBlockingQueue<>();
         Connection.Handler none = new Connection.Handler() {
             @Override
-            public void received(Connection c) {}
+            public void onBytes(Connection c) {}
 
             @Override
-            public void ended(Connection c) {}
+            public void onClosed(Connection c) {}
         };
-        Loop.Listening at = loop.listen(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0), () -> true, c -> {
-            c.start(none);
-            noDelay.add(noDelay(c));
-        });
-        loop.execute(() -> loop.dial(at.address(), 10, new Loop.Dialled() {
+        EventLoop.ServerSocketHandle at =
+                loop.listen(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0), () -> true, c -> {
+                    c.start(none);
+                    noDelay.add(noDelay(c));
+                });
+        loop.execute(() -> loop.connect(at.address(), 10, new EventLoop.ConnectListener() {
             @Override
-            public void up(Connection c) {
+            public void onConnected(Connection c) {
                 noDelay.add(noDelay(c));
             }
 
             @Override
-            public void failed() {
+            public void onFailed() {
                 noDelay.add(false);
             }
         }));
--- a/src/test/java/pepperdock/transport/ConnectionTest.java
+++ b/src/test/java/pepperdock/transport/ConnectionTest.java
@@ -17,17 +17,17 @@
         AtomicInteger most = new AtomicInteger();
         Connection.Handler lazy = new Connection.Handler() {
             @Override
-            public void received(Connection c) {
-                most.accumulateAndGet(c.to() - c.from(), Math::max);
+            public void onBytes(Connection c) {
+                most.accumulateAndGet(c.readEnd() - c.readStart(), Math::max);
             }
 
             @Override
-            public void ended(Connection c) {}
+            public void onClosed(Connection c) {}
         };
-        try (Loop loop = new Loop(10, 1 << 20)) {
-            Loop.Listening at =
+        try (EventLoop loop = new EventLoop(10, 1 << 20)) {
+            EventLoop.ServerSocketHandle at =
                     loop.listen(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0), () -> true, c -> {
-                        c.limitUnread(16 << 10);
+                        c.limitUnconsumedBytes(16 << 10);
                         c.start(lazy);
                     });
             try (SocketChannel client = SocketChannel.open(at.address())) {
--- a/src/test/java/pepperdock/transport/LoopTest.java
+++ b/src/test/java/pepperdock/transport/EventLoopTest.java
@@ -11,11 +11,11 @@
 import org.junit.jupiter.api.Test;
 import pepperdock.core.Clock;
 
-class LoopTest {
+class EventLoopTest {
 
     private static final double SOON_S = 0.001;
 
-    private final Loop loop = new Loop(10, 1 << 10);
+    private final EventLoop loop = new EventLoop(10, 1 << 10);
 
     LoopTest() throws IOException {}
 
--- a/src/test/java/pepperdock/transport/HttpClientTest.java
+++ b/src/test/java/pepperdock/transport/HttpClientTest.java
@@ -22,14 +22,14 @@
 class HttpClientTest {
 
     private final BlockingQueue<String> told = new LinkedBlockingQueue<>();
-    private final HttpClient.Then then = new HttpClient.Then() {
+    private final HttpClient.ResponseListener then = new HttpClient.ResponseListener() {
         @Override
-        public void response(HttpMessage m) {
+        public void onResponse(HttpMessage m) {
             told.add(new String(m.body(), StandardCharsets.US_ASCII));
         }
 
         @Override
-        public void failed(HttpClient.Failure why) {
+        public void onFailure(HttpClient.Failure why) {
             told.add(why.toString());
         }
     };
@@ -38,10 +38,10 @@
     @ParameterizedTest
     @CsvSource({"false,half", "true,BROKEN"})
     void anAnswerWithoutALengthEndsWithItsServersEndAndNotWithAReset(boolean reset, String expected) throws Exception {
-        try (Loop loop = new Loop(10, 1 << 16);
+        try (EventLoop loop = new EventLoop(10, 1 << 16);
                 ServerSocket server = new ServerSocket(0, 5, InetAddress.getLoopbackAddress())) {
             HttpClient client = new HttpClient(loop, (InetSocketAddress) server.getLocalSocketAddress(), 30, 1 << 16);
-            loop.execute(() -> client.ask(HttpWriter.request("GET", "/", "h", "", new byte[0]), 30, then));
+            loop.execute(() -> client.send(HttpWriter.request("GET", "/", "h", "", new byte[0]), 30, then));
             try (Socket s = server.accept()) {
                 s.getInputStream().read();
                 s.getOutputStream().write("HTTP/1.1 200 OK\r\n\r\nhalf".getBytes(StandardCharsets.US_ASCII));
@@ -49,7 +49,7 @@
                 boolean[] read = {false};
                 while (!read[0]) {
                     BlockingQueue<Boolean> is = new LinkedBlockingQueue<>();
-                    loop.execute(() -> is.add(client.connected() && taken(client)));
+                    loop.execute(() -> is.add(client.isConnected() && taken(client)));
                     read[0] = is.take();
                 }
                 s.setSoLinger(reset, 0);
@@ -63,7 +63,7 @@
         try {
             java.lang.reflect.Field parser = HttpClient.class.getDeclaredField("parser");
             parser.setAccessible(true);
-            return !((pepperdock.codec.http.HttpParser) parser.get(client)).fresh();
+            return !((pepperdock.codec.http.HttpParser) parser.get(client)).isBeforeMessage();
         } catch (ReflectiveOperationException e) {
             throw new AssertionError(e);
         }
@@ -72,11 +72,11 @@
     /** A connection that comes up once nobody waits for it any more is closed, and nothing is written on it. */
     @Test
     void aRequestGivenUpWhileItsConnectionComesUpIsNeverWritten() throws Exception {
-        try (Loop loop = new Loop(10, 1 << 16);
+        try (EventLoop loop = new EventLoop(10, 1 << 16);
                 ServerSocket server = new ServerSocket(0, 5, InetAddress.getLoopbackAddress())) {
             HttpClient client = new HttpClient(loop, (InetSocketAddress) server.getLocalSocketAddress(), 30, 1 << 16);
             loop.execute(() -> {
-                client.ask(HttpWriter.request("GET", "/", "h", "", new byte[0]), 30, then);
+                client.send(HttpWriter.request("GET", "/", "h", "", new byte[0]), 30, then);
                 client.close();
             });
             server.setSoTimeout(30_000);
--- a/src/test/java/pepperdock/transport/HttpServerTest.java
+++ b/src/test/java/pepperdock/transport/HttpServerTest.java
@@ -29,17 +29,21 @@
     /** More than both sockets' buffers take, less than the connection's own cap. */
     private static final int BIG = 24 << 20;
 
-    private final Loop loop = new Loop(100, 1 << 25);
+    private final EventLoop loop = new EventLoop(100, 1 << 25);
     private final HttpServer server = new HttpServer(
-            loop, new InetSocketAddress(InetAddress.getLoopbackAddress(), 0), 1024, () -> 1, new HttpServer.Service() {
+            loop,
+            new InetSocketAddress(InetAddress.getLoopbackAddress(), 0),
+            1024,
+            () -> 1,
+            new HttpServer.RequestHandler() {
                 @Override
-                public Runnable serve(HttpMessage request, HttpServer.Reply reply) {
+                public Runnable serve(HttpMessage request, HttpServer.ResponseSender reply) {
                     reply.send(200, "text/plain", "", new byte[request.path().equals("/big") ? BIG : 0]);
                     return () -> {};
                 }
 
                 @Override
-                public void malformed(int status, String why, HttpServer.Reply reply) {
+                public void rejectMalformed(int status, String why, HttpServer.ResponseSender reply) {
                     reply.send(status, "text/plain", "", new byte[0]);
                 }
             });
@@ -123,39 +127,39 @@
     /** What stands is kept, nothing is opened beyond the part; a cap that changes meanwhile does not undo it. */
     @Test
     void twoProcessesShareTheSocketsThatOneMayHave() {
-        loop.shareSockets(true, 30);
-        assertEquals(30, loop.sockets());
-        loop.capSockets(200);
-        assertEquals(30, loop.sockets());
-        loop.capSockets(20);
-        assertEquals(20, loop.sockets());
-        loop.capSockets(200);
-        loop.shareSockets(false, 30);
-        assertEquals(200, loop.sockets());
+        loop.shareSocketsWithUpgradePeer(true, 30);
+        assertEquals(30, loop.socketCap());
+        loop.setSocketCap(200);
+        assertEquals(30, loop.socketCap());
+        loop.setSocketCap(20);
+        assertEquals(20, loop.socketCap());
+        loop.setSocketCap(200);
+        loop.shareSocketsWithUpgradePeer(false, 30);
+        assertEquals(200, loop.socketCap());
     }
 
     /** Two processes of one gatherer: who waits at the one that stops is taken in, and whoever comes next is the other's. */
     @Test
     void anAddressIsSharedAndHandedOverWithAllWhoWait() throws Exception {
-        HttpServer.Service service = new HttpServer.Service() {
+        HttpServer.RequestHandler service = new HttpServer.RequestHandler() {
             @Override
-            public Runnable serve(HttpMessage request, HttpServer.Reply reply) {
+            public Runnable serve(HttpMessage request, HttpServer.ResponseSender reply) {
                 reply.send(200, "text/plain", "", new byte[0]);
                 return () -> {};
             }
 
             @Override
-            public void malformed(int status, String why, HttpServer.Reply reply) {}
+            public void rejectMalformed(int status, String why, HttpServer.ResponseSender reply) {}
         };
         HttpServer old = new HttpServer(
                 loop,
                 new InetSocketAddress(InetAddress.getLoopbackAddress(), 0),
-                Loop.Kind.SHARED,
+                EventLoop.SocketScope.SHARED_WITH_UPGRADE_PEER,
                 2.5,
                 1024,
                 () -> 50,
                 service);
-        try (Loop second = new Loop(100, 1 << 16)) {
+        try (EventLoop second = new EventLoop(100, 1 << 16)) {
             List<Socket> clients = new ArrayList<>();
             HttpServer[] other = new HttpServer[1];
             whileHeldUp(
@@ -163,13 +167,19 @@
                         for (int i = 0; i < 40; i++) {
                             if (i == 20) {
                                 other[0] = new HttpServer(
-                                        second, old.address(), Loop.Kind.SHARED, 2.5, 1024, () -> 50, service);
+                                        second,
+                                        old.address(),
+                                        EventLoop.SocketScope.SHARED_WITH_UPGRADE_PEER,
+                                        2.5,
+                                        1024,
+                                        () -> 50,
+                                        service);
                             }
                             clients.add(new Socket(
                                     old.address().getAddress(), old.address().getPort()));
                         }
                     },
-                    old::handOver);
+                    old::stopListeningAtOnce);
             assertEquals(old.address(), other[0].address());
             for (Socket c : clients) {
                 c.setSoTimeout(30_000);
