--- a/src/test/java/pepperdock/transport/EventLoopTest.java
+++ b/src/test/java/pepperdock/transport/EventLoopTest.java
@@ -17,7 +17,7 @@
 
     private final EventLoop loop = new EventLoop(10, 1 << 10);
 
-    LoopTest() throws IOException {}
+    EventLoopTest() throws IOException {}
 
     @AfterEach
     void close() {
