--- a/src/main/java/pepperdock/ClassArchiveTraining.java
+++ b/src/main/java/pepperdock/ClassArchiveTraining.java
@@ -12,7 +12,7 @@
 import java.net.Socket;
 import java.nio.charset.StandardCharsets;
 import java.util.Map;
-import pepperdock.codec.frame.Frames;
+import pepperdock.codec.frame.FrameEncoder;
 import pepperdock.config.Config;
 import pepperdock.config.ConfigReader;
 import pepperdock.events.Events;
@@ -169,7 +169,7 @@
                 String[] words = new String(frame, at, end - at, StandardCharsets.UTF_8).split(" ");
                 at = end + 1 + Integer.parseInt(words[3]);
                 s.getOutputStream()
-                        .write(Frames.frame(
+                        .write(FrameEncoder.encode(
                                 WorkerProtocol.RESULT,
                                 (words[0] + " good 1 qps=1\nvalue").getBytes(StandardCharsets.UTF_8)));
             }
--- a/src/main/java/pepperdock/benchmark/EmulatedWorkers.java
+++ b/src/main/java/pepperdock/benchmark/EmulatedWorkers.java
@@ -21,7 +21,7 @@
 import java.util.function.Consumer;
 import org.HdrHistogram.Histogram;
 import org.HdrHistogram.Recorder;
-import pepperdock.codec.frame.Frames;
+import pepperdock.codec.frame.FrameEncoder;
 import pepperdock.platform.WorkerProtocol;
 
 /**
@@ -259,7 +259,7 @@
                     giveUps.incrementAndGet();
                 }
             }
-            case WorkerProtocol.HEALTH_CHECK -> write(link, Frames.frame(WorkerProtocol.HEALTH_CHECK, GOOD));
+            case WorkerProtocol.HEALTH_CHECK -> write(link, FrameEncoder.encode(WorkerProtocol.HEALTH_CHECK, GOOD));
             default -> throw new IOException("letter " + (char) bytes[from]);
         }
     }
@@ -309,7 +309,7 @@
         byte[] line = (id + " good 1 -\n").getBytes(StandardCharsets.US_ASCII);
         byte[] rest = java.util.Arrays.copyOf(line, line.length + VALUE.length);
         System.arraycopy(VALUE, 0, rest, line.length, VALUE.length);
-        return Frames.frame(WorkerProtocol.RESULT, rest);
+        return FrameEncoder.encode(WorkerProtocol.RESULT, rest);
     }
 
     private void write(Link link, byte[] bytes) throws IOException {
--- a/src/main/java/pepperdock/codec/frame/Frame.java
+++ b/src/main/java/pepperdock/codec/frame/Frame.java
@@ -3,7 +3,7 @@
 /**
  * One frame, without its length.
  *
- * @param letter the frame's type, one byte on the wire
- * @param rest the payload
+ * @param type one byte on the wire
+ * @param payload the bytes after the type
  */
-public record Frame(char letter, byte[] rest) {}
+public record Frame(char type, byte[] payload) {}
--- a/src/main/java/pepperdock/codec/frame/Frames.java
+++ b/src/main/java/pepperdock/codec/frame/FrameEncoder.java
@@ -1,17 +1,17 @@
 package pepperdock.codec.frame;
 
 /** Encodes frames. Stateless; may be used on any thread. */
-public final class Frames {
+public final class FrameEncoder {
 
     /** Bytes of the length field; the length counts the type and the payload. */
     static final int LENGTH_BYTES = 4;
     /** Bytes before the payload: the length and the type. */
     public static final int HEADER_BYTES = LENGTH_BYTES + 1;
 
-    private Frames() {}
+    private FrameEncoder() {}
 
     /** Encodes one frame. */
-    public static byte[] frame(char type, byte[] payload) {
+    public static byte[] encode(char type, byte[] payload) {
         int length = payload.length + 1;
         byte[] bytes = new byte[LENGTH_BYTES + length];
         bytes[0] = (byte) (length >>> 24);
--- a/src/main/java/pepperdock/codec/frame/FrameParser.java
+++ b/src/main/java/pepperdock/codec/frame/FrameParser.java
@@ -24,26 +24,26 @@
     /** Returns how many bytes were used: those of one complete frame, which {@link #take} then returns, or none. */
     public int feed(byte[] bytes, int from, int to) throws FrameException {
         int available = to - from;
-        if (available < Frames.LENGTH_BYTES) {
+        if (available < FrameEncoder.LENGTH_BYTES) {
             return 0;
         }
         int length = readInt(bytes, from);
         if (length < 1 || length > maxLength) {
             throw new FrameException("frame of length " + length);
         }
-        if (available < Frames.HEADER_BYTES) {
+        if (available < FrameEncoder.HEADER_BYTES) {
             return 0;
         }
-        int type = bytes[from + Frames.LENGTH_BYTES] & 0xff;
+        int type = bytes[from + FrameEncoder.LENGTH_BYTES] & 0xff;
         if (types.indexOf(type) < 0) {
             throw new FrameException("frame of type " + type);
         }
-        if (available - Frames.LENGTH_BYTES < length) {
+        if (available - FrameEncoder.LENGTH_BYTES < length) {
             return 0;
         }
-        int end = from + Frames.LENGTH_BYTES + length;
-        frame = new Frame((char) type, Arrays.copyOfRange(bytes, from + Frames.HEADER_BYTES, end));
-        return Frames.LENGTH_BYTES + length;
+        int end = from + FrameEncoder.LENGTH_BYTES + length;
+        frame = new Frame((char) type, Arrays.copyOfRange(bytes, from + FrameEncoder.HEADER_BYTES, end));
+        return FrameEncoder.LENGTH_BYTES + length;
     }
 
     private static int readInt(byte[] bytes, int from) {
--- a/src/main/java/pepperdock/membership/transport/MembershipService.java
+++ b/src/main/java/pepperdock/membership/transport/MembershipService.java
@@ -7,9 +7,9 @@
 import java.util.List;
 import java.util.function.Consumer;
 import pepperdock.codec.frame.Frame;
+import pepperdock.codec.frame.FrameEncoder;
 import pepperdock.codec.frame.FrameException;
 import pepperdock.codec.frame.FrameParser;
-import pepperdock.codec.frame.Frames;
 import pepperdock.config.Config;
 import pepperdock.config.ConfigReader;
 import pepperdock.config.MembersConfig;
@@ -218,7 +218,7 @@
         }
 
         void write(Message message) {
-            connection.write(Frames.frame(FRAME_TYPE, MembershipMessageCodec.encode(message)));
+            connection.write(FrameEncoder.encode(FRAME_TYPE, MembershipMessageCodec.encode(message)));
         }
 
         @Override
@@ -239,7 +239,7 @@
         }
 
         private void onFrame(Frame frame, Connection stream) {
-            Message message = decode(frame.rest(), 0, frame.rest().length);
+            Message message = decode(frame.payload(), 0, frame.payload().length);
             Message response = message == null ? null : membership.onStreamMessage(message, loop.now());
             processOutputs();
             if (response == null) {
--- a/src/main/java/pepperdock/platform/JvmWarmup.java
+++ b/src/main/java/pepperdock/platform/JvmWarmup.java
@@ -5,9 +5,9 @@
 import java.util.List;
 import java.util.Map;
 import java.util.function.BooleanSupplier;
+import pepperdock.codec.frame.FrameEncoder;
 import pepperdock.codec.frame.FrameException;
 import pepperdock.codec.frame.FrameParser;
-import pepperdock.codec.frame.Frames;
 import pepperdock.codec.http.HttpException;
 import pepperdock.codec.http.HttpParser;
 import pepperdock.config.DeploymentSettings;
@@ -154,12 +154,12 @@
             int callBytes = WorkerProtocol.encodeCall(parts).length;
             FrameParser parser = new FrameParser(MAX_MESSAGE_BYTES, WorkerProtocol.TYPES_FROM_WORKERS);
             clock.after(WORKER_LATENCY_S, () -> {
-                byte[] frame = Frames.frame(
+                byte[] frame = FrameEncoder.encode(
                         WorkerProtocol.RESULT,
                         ("w." + callBytes + " good 1 -\n" + VALUE).getBytes(StandardCharsets.UTF_8));
                 try {
                     parser.feed(frame, 0, frame.length);
-                    WorkerProtocol.parseResult(parser.take().rest());
+                    WorkerProtocol.parseResult(parser.take().payload());
                 } catch (FrameException e) {
                     throw new IllegalStateException("warm-up", e);
                 }
--- a/src/main/java/pepperdock/platform/WorkerConnection.java
+++ b/src/main/java/pepperdock/platform/WorkerConnection.java
@@ -5,9 +5,9 @@
 import java.util.ArrayList;
 import java.util.List;
 import pepperdock.codec.frame.Frame;
+import pepperdock.codec.frame.FrameEncoder;
 import pepperdock.codec.frame.FrameException;
 import pepperdock.codec.frame.FrameParser;
-import pepperdock.codec.frame.Frames;
 import pepperdock.core.Attempt;
 import pepperdock.core.Clock;
 import pepperdock.platform.InFlightAttempts.InFlight;
@@ -232,10 +232,10 @@
      */
     private void onPartialFrame(Connection source) throws FrameException {
         int available = source.to() - source.from();
-        int typeIndex = source.from() + Frames.HEADER_BYTES - 1;
-        if (available > Frames.HEADER_BYTES && source.bytes()[typeIndex] == WorkerProtocol.RESULT) {
-            WorkerProtocol.ResultHeader header =
-                    WorkerProtocol.parseResultHeader(source.bytes(), source.from() + Frames.HEADER_BYTES, source.to());
+        int typeIndex = source.from() + FrameEncoder.HEADER_BYTES - 1;
+        if (available > FrameEncoder.HEADER_BYTES && source.bytes()[typeIndex] == WorkerProtocol.RESULT) {
+            WorkerProtocol.ResultHeader header = WorkerProtocol.parseResultHeader(
+                    source.bytes(), source.from() + FrameEncoder.HEADER_BYTES, source.to());
             if (header != null) {
                 checkKnown(header.id());
             }
@@ -264,12 +264,12 @@
     }
 
     private void onFrame(Frame frame) throws FrameException {
-        switch (frame.letter()) {
-            case WorkerProtocol.RESULT -> onResult(WorkerProtocol.parseResult(frame.rest()));
+        switch (frame.type()) {
+            case WorkerProtocol.RESULT -> onResult(WorkerProtocol.parseResult(frame.payload()));
             case WorkerProtocol.HEALTH_CHECK ->
-                healthChecks.onAnswer(WorkerProtocol.parseHealthCheckAnswer(frame.rest()));
-            case WorkerProtocol.PROTOCOL_ERROR -> onRejectedFrame(new String(frame.rest(), StandardCharsets.UTF_8));
-            default -> throw new FrameException("unexpected type " + frame.letter());
+                healthChecks.onAnswer(WorkerProtocol.parseHealthCheckAnswer(frame.payload()));
+            case WorkerProtocol.PROTOCOL_ERROR -> onRejectedFrame(new String(frame.payload(), StandardCharsets.UTF_8));
+            default -> throw new FrameException("unexpected type " + frame.type());
         }
     }
 
--- a/src/main/java/pepperdock/platform/WorkerProtocol.java
+++ b/src/main/java/pepperdock/platform/WorkerProtocol.java
@@ -7,8 +7,8 @@
 import java.util.Arrays;
 import java.util.List;
 import java.util.Map;
+import pepperdock.codec.frame.FrameEncoder;
 import pepperdock.codec.frame.FrameException;
-import pepperdock.codec.frame.Frames;
 import pepperdock.core.Attempt;
 import pepperdock.scheduler.AttemptOutcome;
 
@@ -90,17 +90,17 @@
             payload.writeBytes(header.getBytes(StandardCharsets.UTF_8));
             payload.writeBytes(part.body());
         }
-        return Frames.frame(CALL, payload.toByteArray());
+        return FrameEncoder.encode(CALL, payload.toByteArray());
     }
 
     /** Encodes the cancellation of one part. */
     public static byte[] encodeCancel(String id) {
-        return Frames.frame(CANCEL, id.getBytes(StandardCharsets.UTF_8));
+        return FrameEncoder.encode(CANCEL, id.getBytes(StandardCharsets.UTF_8));
     }
 
     /** Encodes a health check. */
     public static byte[] encodeHealthCheck() {
-        return Frames.frame(HEALTH_CHECK, new byte[0]);
+        return FrameEncoder.encode(HEALTH_CHECK, new byte[0]);
     }
 
     /** Parses the payload of a {@link #RESULT} frame. */
--- a/src/main/java/pepperdock/store/StoreFollower.java
+++ b/src/main/java/pepperdock/store/StoreFollower.java
@@ -5,7 +5,7 @@
 import java.nio.charset.StandardCharsets;
 import java.util.function.BiConsumer;
 import pepperdock.codec.frame.Frame;
-import pepperdock.codec.frame.Frames;
+import pepperdock.codec.frame.FrameEncoder;
 import pepperdock.config.StoreConfig;
 import pepperdock.transport.Connection;
 import pepperdock.transport.Loop;
@@ -45,7 +45,7 @@
             public void up(Connection connection) {
                 leader = connection;
                 connection.start(new LeaderConnection());
-                connection.write(Frames.frame(StorePeerHandler.HELLO, hello()));
+                connection.write(FrameEncoder.encode(StorePeerHandler.HELLO, hello()));
             }
 
             @Override
@@ -72,17 +72,17 @@
 
         @Override
         void onFrame(Connection connection, Frame frame) throws IOException {
-            if (frame.letter() == SNAPSHOT) {
-                restore(StoreCodec.snapshot(frame.rest()));
-            } else if (frame.letter() == ENTRIES) {
-                for (StoreEntry entry : StoreCodec.entries(frame.rest())) {
+            if (frame.type() == SNAPSHOT) {
+                restore(StoreCodec.snapshot(frame.payload()));
+            } else if (frame.type() == ENTRIES) {
+                for (StoreEntry entry : StoreCodec.entries(frame.payload())) {
                     append(entry);
                 }
             } else {
-                throw StoreProtocolException.unexpectedFrame(frame.letter());
+                throw StoreProtocolException.unexpectedFrame(frame.type());
             }
             byte[] held = ByteBuffer.allocate(Long.BYTES).putLong(replica.seq()).array();
-            connection.write(Frames.frame(HELD, held));
+            connection.write(FrameEncoder.encode(HELD, held));
         }
 
         private void restore(StoreCodec.Snapshot snapshot) throws IOException {
--- a/src/main/java/pepperdock/store/StoreLeader.java
+++ b/src/main/java/pepperdock/store/StoreLeader.java
@@ -11,7 +11,7 @@
 import java.util.Map;
 import java.util.function.Consumer;
 import pepperdock.codec.frame.Frame;
-import pepperdock.codec.frame.Frames;
+import pepperdock.codec.frame.FrameEncoder;
 import pepperdock.config.StoreConfig;
 import pepperdock.transport.Connection;
 import pepperdock.transport.Loop;
@@ -60,7 +60,7 @@
     /** Sends an entry, which is on this disk, to all followers; {@code then} gets true once a majority holds it. */
     void replicate(StoreEntry entry, Consumer<Boolean> then) {
         pendingWrites.add(new PendingWrite(entry.seq(), then));
-        byte[] frame = Frames.frame(StorePeerHandler.ENTRIES, StoreCodec.entries(List.of(entry)));
+        byte[] frame = FrameEncoder.encode(StorePeerHandler.ENTRIES, StoreCodec.entries(List.of(entry)));
         List.copyOf(heldBy.keySet()).forEach(connection -> connection.write(frame));
     }
 
@@ -97,18 +97,18 @@
 
         @Override
         void onFrame(Connection connection, Frame frame) throws IOException {
-            if (frame.letter() == HELLO) {
+            if (frame.type() == HELLO) {
                 onHello(connection, frame);
-            } else if (frame.letter() == HELD && heldBy.containsKey(connection) && frame.rest().length == Long.BYTES) {
-                heldBy.put(connection, ByteBuffer.wrap(frame.rest()).getLong());
+            } else if (frame.type() == HELD && heldBy.containsKey(connection) && frame.payload().length == Long.BYTES) {
+                heldBy.put(connection, ByteBuffer.wrap(frame.payload()).getLong());
                 acknowledge();
             } else {
-                throw StoreProtocolException.unexpectedFrame(frame.letter());
+                throw StoreProtocolException.unexpectedFrame(frame.type());
             }
         }
 
         private void onHello(Connection connection, Frame frame) throws IOException {
-            String[] words = new String(frame.rest(), StandardCharsets.UTF_8).split(" ", -1);
+            String[] words = new String(frame.payload(), StandardCharsets.UTF_8).split(" ", -1);
             if (words.length != 3 || !config.members().containsKey(words[0]) || words[0].equals(config.self())) {
                 throw StoreProtocolException.notAMember();
             }
@@ -119,8 +119,8 @@
             List<StoreEntry> missing = replica.after(lineage, Long.parseLong(words[2]));
             connection.write(
                     missing == null
-                            ? Frames.frame(SNAPSHOT, StoreCodec.snapshot(replica.snapshot()))
-                            : Frames.frame(ENTRIES, StoreCodec.entries(missing)));
+                            ? FrameEncoder.encode(SNAPSHOT, StoreCodec.snapshot(replica.snapshot()))
+                            : FrameEncoder.encode(ENTRIES, StoreCodec.entries(missing)));
         }
 
         @Override
--- a/src/test/java/pepperdock/codec/frame/FrameParserTest.java
+++ b/src/test/java/pepperdock/codec/frame/FrameParserTest.java
@@ -25,14 +25,14 @@
     @Test
     void aFrameIsTakenOnceItIsComplete() throws Exception {
         FrameParser parser = new FrameParser(1000, "oq");
-        byte[] bytes = Frames.frame('q', new byte[] {1, 2, 3});
+        byte[] bytes = FrameEncoder.encode('q', new byte[] {1, 2, 3});
         assertArrayEquals(new byte[] {0, 0, 0, 4, 'q', 1, 2, 3}, bytes);
         for (int length = 0; length < bytes.length; length++) {
             assertEquals(0, parser.feed(bytes, 0, length));
             assertEquals(null, parser.take());
         }
         assertEquals(bytes.length, parser.feed(bytes, 0, bytes.length));
-        assertArrayEquals(new byte[] {1, 2, 3}, parser.take().rest());
+        assertArrayEquals(new byte[] {1, 2, 3}, parser.take().payload());
         assertEquals(null, parser.take());
     }
 }
--- a/src/test/java/pepperdock/platform/FakeWorker.java
+++ b/src/test/java/pepperdock/platform/FakeWorker.java
@@ -14,7 +14,7 @@
 import java.util.List;
 import java.util.Locale;
 import java.util.concurrent.CopyOnWriteArrayList;
-import pepperdock.codec.frame.Frames;
+import pepperdock.codec.frame.FrameEncoder;
 
 /**
  * A worker of the platform's frames on a loopback port, written from the protocol's page with blocking sockets of its own: it
@@ -72,7 +72,7 @@
     /** Writes a result: its header without the line's end, and the value. */
     public static void sendResult(Socket connection, String header, String value) throws IOException {
         byte[] payload = (header + '\n' + value).getBytes(StandardCharsets.UTF_8);
-        connection.getOutputStream().write(Frames.frame('q', payload));
+        connection.getOutputStream().write(FrameEncoder.encode('q', payload));
     }
 
     private void serve(Socket connection) throws IOException {
--- a/src/test/java/pepperdock/platform/OneWorkerFixture.java
+++ b/src/test/java/pepperdock/platform/OneWorkerFixture.java
@@ -13,7 +13,7 @@
 import java.util.concurrent.LinkedBlockingQueue;
 import java.util.concurrent.TimeUnit;
 import java.util.function.Supplier;
-import pepperdock.codec.frame.Frames;
+import pepperdock.codec.frame.FrameEncoder;
 import pepperdock.config.DeploymentSettings;
 import pepperdock.core.Gatherer;
 import pepperdock.core.Query;
@@ -129,7 +129,7 @@
 
     /** A result frame with this header and value. */
     static byte[] result(String payload) {
-        return Frames.frame('q', payload.getBytes(StandardCharsets.ISO_8859_1));
+        return FrameEncoder.encode('q', payload.getBytes(StandardCharsets.ISO_8859_1));
     }
 
     @Override
--- a/src/test/java/pepperdock/platform/WorkerConnectionTest.java
+++ b/src/test/java/pepperdock/platform/WorkerConnectionTest.java
@@ -19,7 +19,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.EnumSource;
 import org.junit.jupiter.params.provider.ValueSource;
-import pepperdock.codec.frame.Frames;
+import pepperdock.codec.frame.FrameEncoder;
 import pepperdock.config.DeploymentSettings;
 import pepperdock.config.TestDeploymentSettings;
 import pepperdock.core.Query;
@@ -69,7 +69,7 @@
     void anAttemptWithAnInvalidResultMayHaveRun(String frame) throws Exception {
         byte[] bytes = frame.replace("~", "\n").getBytes(StandardCharsets.US_ASCII);
         byte[] payload = Arrays.copyOfRange(bytes, 1, bytes.length);
-        assertEquals("failed " + AttemptOutcome.RESET, outcomeAfter(Frames.frame((char) bytes[0], payload)));
+        assertEquals("failed " + AttemptOutcome.RESET, outcomeAfter(FrameEncoder.encode((char) bytes[0], payload)));
     }
 
     /** Only a beginning of the frame arrives: an unknown id, a header that does not end, a value that is not UTF-8. */
--- a/src/test/java/pepperdock/platform/WorkerProtocolTest.java
+++ b/src/test/java/pepperdock/platform/WorkerProtocolTest.java
@@ -12,9 +12,9 @@
 import net.jqwik.api.Property;
 import org.junit.jupiter.api.Test;
 import pepperdock.codec.frame.Frame;
+import pepperdock.codec.frame.FrameEncoder;
 import pepperdock.codec.frame.FrameException;
 import pepperdock.codec.frame.FrameParser;
-import pepperdock.codec.frame.Frames;
 import pepperdock.codec.frame.RandomCuts;
 import pepperdock.scheduler.AttemptOutcome;
 
@@ -40,23 +40,23 @@
         payload.writeBytes(value);
         ByteArrayOutputStream stream = new ByteArrayOutputStream();
         for (int i = 0; i < 3; i++) {
-            stream.writeBytes(Frames.frame('q', payload.toByteArray()));
+            stream.writeBytes(FrameEncoder.encode('q', payload.toByteArray()));
             stream.writeBytes(WorkerProtocol.encodeHealthCheck());
         }
         List<Frame> frames = parse(stream.toByteArray(), seed);
         assertEquals(6, frames.size());
-        WorkerProtocol.Result result = WorkerProtocol.parseResult(frames.get(4).rest());
+        WorkerProtocol.Result result = WorkerProtocol.parseResult(frames.get(4).payload());
         assertEquals(new WorkerProtocol.ResultHeader("q1.3", AttemptOutcome.OK, "qps=2"), result.header());
         assertArrayEquals(value, result.value());
-        assertEquals('o', frames.get(5).letter());
+        assertEquals('o', frames.get(5).type());
     }
 
     @Property(seed = "32", tries = 300)
     void garbageEndsInFramesOrAFrameException(@ForAll long seed) {
         try {
             for (Frame frame : parse(RandomCuts.garbage(seed), seed)) {
-                assertTrue(frame.rest().length < 1000);
-                WorkerProtocol.parseResult(frame.rest());
+                assertTrue(frame.payload().length < 1000);
+                WorkerProtocol.parseResult(frame.payload());
             }
         } catch (Exception e) {
             assertEquals(FrameException.class, e.getClass());
