--- a/src/main/java/pepperdock/scheduler/SweepTimer.java
+++ b/src/main/java/pepperdock/scheduler/SweepTimer.java
@@ -16,6 +16,7 @@
     /** A timer late by so many periods shows that the process was paused: scheduling jitter stays well below. */
     private static final double STALL_PERIODS = 4;
 
+    /** Token of the timer; it is the only one that the scheduler sets. */
     private static final String TOKEN = "sweep";
 
     private final SchedulerActions actions;
--- a/src/main/java/pepperdock/transport/HttpServer.java
+++ b/src/main/java/pepperdock/transport/HttpServer.java
@@ -201,15 +201,6 @@
         loop.after(TIMEOUT_SWEEP_INTERVAL_S, this::enforceTimeouts);
     }
 
-    /** Nothing came yet; a part of a request did; it is being served; kept between requests; closing after an error. */
-    private enum ConnectionState {
-        NEW,
-        READING,
-        SERVING,
-        IDLE,
-        CLOSING
-    }
-
     /** One client connection. */
     private final class ServerConnection implements Connection.Handler {
         private final Connection connection;
--- a/src/test/java/pepperdock/transport/HttpServerTest.java
+++ b/src/test/java/pepperdock/transport/HttpServerTest.java
@@ -134,10 +134,8 @@
         assertEquals(200, loop.socketCap());
     }
 
-    /** Two processes of one gatherer: who waits at the one that stops is taken in, and whoever comes next is the other's. */
-    @Test
-    void anAddressIsSharedAndHandedOverWithAllWhoWait() throws Exception {
-        HttpRequestHandler service = new HttpRequestHandler() {
+    private static HttpRequestHandler emptyAnswers() {
+        return new HttpRequestHandler() {
             @Override
             public Runnable serve(HttpMessage request, HttpResponseSender reply) {
                 reply.send(200, "text/plain", "", new byte[0]);
@@ -147,6 +145,12 @@
             @Override
             public void rejectMalformed(int status, String why, HttpResponseSender reply) {}
         };
+    }
+
+    /** Two processes of one gatherer: who waits at the one that stops is taken in, and whoever comes next is the other's. */
+    @Test
+    void anAddressIsSharedAndHandedOverWithAllWhoWait() throws Exception {
+        HttpRequestHandler service = emptyAnswers();
         HttpServer old = new HttpServer(
                 loop,
                 new InetSocketAddress(InetAddress.getLoopbackAddress(), 0),
