--- a/src/main/java/pepperdock/benchmark/Results.java
+++ b/src/main/java/pepperdock/benchmark/Results.java
@@ -49,23 +49,23 @@
                 points.size());
     }
 
-    static JsonObject row(DecisionCost.Result r) {
-        JsonObject row = sizes(r.deployment(), r.fanOut());
-        row.addProperty("parts_per_s", r.partsPerSecond());
-        row.addProperty("answered_whole", r.queries());
-        row.addProperty("answered_otherwise", r.others());
-        row.addProperty("attempts", r.attempts());
-        row.addProperty("us_per_part", rounded(r.processorUsAPart()));
-        row.addProperty("bytes_per_part", Math.round(r.bytesAPart()));
+    static JsonObject row(DecisionCost.Result result) {
+        JsonObject row = sizes(result.deployment(), result.fanOut());
+        row.addProperty("parts_per_s", result.partsPerSecond());
+        row.addProperty("answered_whole", result.queries());
+        row.addProperty("answered_otherwise", result.others());
+        row.addProperty("attempts", result.attempts());
+        row.addProperty("us_per_part", rounded(result.processorUsAPart()));
+        row.addProperty("bytes_per_part", Math.round(result.bytesAPart()));
         return row;
     }
 
-    static JsonObject row(ListChangeCost.Result r) {
+    static JsonObject row(ListChangeCost.Result result) {
         JsonObject row = new JsonObject();
-        row.addProperty("workers", r.deployment().workers());
-        row.addProperty("changes", r.changes());
-        row.addProperty("us_per_change", rounded(r.processorUsAChange()));
-        row.addProperty("bytes_per_change", Math.round(r.bytesAChange()));
+        row.addProperty("workers", result.deployment().workers());
+        row.addProperty("changes", result.changes());
+        row.addProperty("us_per_change", rounded(result.processorUsAChange()));
+        row.addProperty("bytes_per_change", Math.round(result.bytesAChange()));
         return row;
     }
 
--- a/src/main/java/pepperdock/cli/LabCommand.java
+++ b/src/main/java/pepperdock/cli/LabCommand.java
@@ -13,9 +13,9 @@
 import java.util.Locale;
 import java.util.concurrent.Callable;
 import pepperdock.config.ConfigException;
+import pepperdock.faultinjection.FaultInjectionRun;
 import pepperdock.faultinjection.Outcome;
 import pepperdock.faultinjection.Report;
-import pepperdock.faultinjection.Rig;
 import pepperdock.faultinjection.Seeds;
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Model.CommandSpec;
@@ -89,8 +89,8 @@
                                             .format(Instant.now()));
             PrintWriter out = spec.commandLine().getOut();
             out.println("playing in " + to);
-            Outcome outcome = Rig.run(file, seed, to, command());
-            Path history = to.resolve(Rig.HISTORY);
+            Outcome outcome = FaultInjectionRun.run(file, seed, to, command());
+            Path history = to.resolve(FaultInjectionRun.HISTORY);
             Files.writeString(to.resolve("report.html"), Report.html(history, outcome));
             return tell(out, outcome, history);
         }
@@ -98,7 +98,7 @@
         /** This very jar, as a gatherer: with the class archive beside it where there is one. */
         private static List<String> command() {
             try {
-                Path jar = Path.of(Rig.class
+                Path jar = Path.of(FaultInjectionRun.class
                         .getProtectionDomain()
                         .getCodeSource()
                         .getLocation()
@@ -193,7 +193,7 @@
 
         @Override
         public Integer call() throws IOException {
-            Outcome outcome = Rig.check(history, checkers);
+            Outcome outcome = FaultInjectionRun.check(history, checkers);
             if (html != null) {
                 Files.writeString(html, Report.html(history, outcome));
             }
--- a/src/main/java/pepperdock/cli/ScaleConfigCommand.java
+++ b/src/main/java/pepperdock/cli/ScaleConfigCommand.java
@@ -8,7 +8,7 @@
 import java.util.List;
 import java.util.Locale;
 import java.util.concurrent.Callable;
-import pepperdock.simulation.distribution.Figures;
+import pepperdock.simulation.distribution.DistributionMetrics;
 import pepperdock.simulation.distribution.HardCase;
 import pepperdock.simulation.distribution.Result;
 import pepperdock.simulation.distribution.Setup;
@@ -116,7 +116,7 @@
 
     /** Whether nothing was found. */
     private boolean row(PrintWriter out, int count, HardCase hardCase) throws IOException {
-        Figures figures = Figures.none();
+        DistributionMetrics figures = DistributionMetrics.none();
         int found = 0;
         for (long seed = from; seed < from + seeds; seed++) {
             Setup setup = Setup.of(hardCase, count, seed)
@@ -135,7 +135,7 @@
         return found == 0;
     }
 
-    private static String text(int count, HardCase hardCase, Figures f, int found) {
+    private static String text(int count, HardCase hardCase, DistributionMetrics f, int found) {
         return String.format(
                 Locale.ROOT,
                 "%d %s %d | %d %d %d (%d) | %d %d | %d %d %d | %d %d %d | %d",
@@ -157,7 +157,7 @@
                 found);
     }
 
-    private static String line(int count, HardCase hardCase, Figures f, int found) throws IOException {
+    private static String line(int count, HardCase hardCase, DistributionMetrics f, int found) throws IOException {
         StringWriter line = new StringWriter();
         try (JsonGenerator to = new JsonFactory().createGenerator(line)) {
             to.writeStartObject();
--- a/src/main/java/pepperdock/faultinjection/ActReader.java
+++ b/src/main/java/pepperdock/faultinjection/ActReader.java
@@ -6,7 +6,7 @@
 import java.util.Set;
 import pepperdock.config.ConfigException;
 import pepperdock.config.ConfigReader;
-import pepperdock.faultinjection.Script.Act;
+import pepperdock.faultinjection.Script.Action;
 import pepperdock.faultinjection.Script.Await;
 import pepperdock.faultinjection.Script.Draw;
 import pepperdock.faultinjection.Script.Heal;
@@ -16,8 +16,8 @@
 import pepperdock.faultinjection.Script.OnProcesses;
 import pepperdock.faultinjection.Script.Partition;
 import pepperdock.faultinjection.Script.Reset;
+import pepperdock.faultinjection.Script.Targets;
 import pepperdock.faultinjection.Script.What;
-import pepperdock.faultinjection.Script.Whom;
 
 /** Reads one act of a script. */
 final class ActReader {
@@ -34,7 +34,7 @@
         this.names = names;
     }
 
-    Act read() {
+    Action read() {
         if (keys.has("await")) {
             keys.only("await", "members");
             return new Await(keys.text("await"), whom("members"));
@@ -59,7 +59,7 @@
         };
     }
 
-    private Act onLinks(String fault, double at, double last, double flip) {
+    private Action onLinks(String fault, double at, double last, double flip) {
         keys.only("at", "for", "flip_s", "fault", "from", "to", "both", "share", "by_s", "spread_s", "bytes_per_s");
         LinkFaults.Kind kind = LinkFaults.Kind.valueOf(fault.toUpperCase(Locale.ROOT));
         double amount = switch (kind) {
@@ -83,12 +83,12 @@
                 flip);
     }
 
-    private Act reset(double at) {
+    private Action reset(double at) {
         keys.only("at", "fault", "from", "to", "both");
         return new Reset(at, whom("from"), whom("to"), keys.flag("both", false));
     }
 
-    private Act onProcesses(String fault, double at, double last) {
+    private Action onProcesses(String fault, double at, double last) {
         keys.only("at", "for", "fault", "members", "apart_s", "folder", "ports");
         return new OnProcesses(
                 at,
@@ -100,7 +100,7 @@
                 word("ports", "kept", "new"));
     }
 
-    private Act onDisks(double at, double last) {
+    private Action onDisks(double at, double last) {
         keys.only("at", "for", "fault", "is", "by_s", "members");
         String is = keys.text("is");
         if (!DISKS.contains(is)) {
@@ -109,12 +109,12 @@
         return new OnDisks(at, is, is.equals("slow") ? seconds("by_s", 0.1) : 0, whom("members"), last);
     }
 
-    private Act onClocks(double at) {
+    private Action onClocks(double at) {
         keys.only("at", "fault", "by_s", "members");
         return new OnClocks(at, whom("members"), ScriptReader.seconds(keys, "by_s", 3600, Double.MAX_VALUE));
     }
 
-    private Act draw(double at, double last) {
+    private Action draw(double at, double last) {
         keys.only("at", "for", "fault", "every_s", "kinds", "least_s", "most_s", "most_members");
         if (Double.isInfinite(last)) {
             throw new ConfigException(keys.key("for"), "missing");
@@ -138,7 +138,7 @@
                 keys.whole("most_members", 1, Script.MEMBERS_MOST, 1));
     }
 
-    private Act partition(double at, double last) {
+    private Action partition(double at, double last) {
         keys.only("at", "for", "fault", "groups", "into", "share", "move_s");
         List<List<String>> groups = new ArrayList<>();
         if (keys.has("groups")) {
@@ -166,15 +166,15 @@
     }
 
     /** A list of names, a number of members to draw, or nothing for all. */
-    private Whom whom(String name) {
+    private Targets whom(String name) {
         if (!keys.has(name)) {
-            return Whom.ALL;
+            return Targets.ALL;
         }
         if (keys.json(name).startsWith("[")) {
-            return new Whom(known(keys, name), 0);
+            return new Targets(known(keys, name), 0);
         }
         double share = keys.number(name);
-        return new Whom(
+        return new Targets(
                 List.of(),
                 share > 0 && share < 1 ? (int) Math.ceil(share * names.size()) : keys.whole(name, 1, names.size()));
     }
--- a/src/main/java/pepperdock/faultinjection/Children.java
+++ b/src/main/java/pepperdock/faultinjection/ChildProcesses.java
@@ -28,7 +28,7 @@
  * folder loses). Its events are read from its standard output by a thread and written to the history. They are ended by their
  * own process ids, at the latest by {@link Guard} when the rig itself is gone.
  */
-final class Children implements AutoCloseable {
+final class ChildProcesses implements AutoCloseable {
 
     private static final int STARTS_MOST = 5000;
     private static final long END_S = 30;
@@ -60,7 +60,8 @@
     private volatile boolean closing;
 
     /** {@code disks}: whether the members' disks are to be hurt. */
-    Children(Script script, int block, Path folder, List<String> command, boolean disks, History history, Relay relay)
+    ChildProcesses(
+            Script script, int block, Path folder, List<String> command, boolean disks, History history, Relay relay)
             throws IOException {
         this.disks = disks;
         this.script = script;
--- a/src/main/java/pepperdock/faultinjection/Rig.java
+++ b/src/main/java/pepperdock/faultinjection/FaultInjectionRun.java
@@ -16,7 +16,7 @@
  * Runs a script: starts the fleet, does to it what the timetable says, waits where it awaits, and has the history judged. One
  * run at a time in a process; everything it started has ended when {@link #run} returns or the process ends.
  */
-public final class Rig {
+public final class FaultInjectionRun {
 
     public static final String HISTORY = "history.jsonl";
     private static final int FIRST_BLOCK = 64;
@@ -28,7 +28,7 @@
     private final Path folder;
     private final List<String> command;
 
-    private Rig(Script script, Path folder, List<String> command) {
+    private FaultInjectionRun(Script script, Path folder, List<String> command) {
         this.script = script;
         this.folder = folder;
         this.command = command;
@@ -49,7 +49,7 @@
             throw new ConfigException(folder.toString(), "exists already");
         }
         Files.createDirectories(folder);
-        return new Rig(drawn, folder.toAbsolutePath(), command).run();
+        return new FaultInjectionRun(drawn, folder.toAbsolutePath(), command).run();
     }
 
     /** Judges a history again, by these checkers; null for those that its run had. */
@@ -100,7 +100,7 @@
         try (Claim claim = Claim.any();
                 History history = new History(folder.resolve(HISTORY), judge::see);
                 Relay relay = new Relay(claim.block, script.seed());
-                Children children = new Children(
+                ChildProcesses children = new ChildProcesses(
                         script, claim.block, folder, command, timetable.any(Timetable.Disk.class), history, relay)) {
             Thread hook = new Thread(() -> {
                 try {
@@ -141,7 +141,12 @@
     }
 
     private void play(
-            Timetable timetable, Checkers judge, History history, Relay relay, Children children, List<String> unmet)
+            Timetable timetable,
+            Checkers judge,
+            History history,
+            Relay relay,
+            ChildProcesses children,
+            List<String> unmet)
             throws IOException, InterruptedException {
         double traffic = history.now();
         children.start(script.names(), false, false);
@@ -158,7 +163,7 @@
             }
             Script.Await then = phase.then() != null
                     ? phase.then()
-                    : new Script.Await("settled", new Script.Whom(script.names(), 0));
+                    : new Script.Await("settled", new Script.Targets(script.names(), 0));
             Set<String> whom = Set.copyOf(then.whom().names());
             double until = Math.min(history.now() + script.settleS(), script.mostS());
             while (!history.still(() -> judge.holds(then.condition(), whom))) {
@@ -201,7 +206,7 @@
         return now;
     }
 
-    private static void step(Timetable.Step step, History history, Relay relay, Children children)
+    private static void step(Timetable.Step step, History history, Relay relay, ChildProcesses children)
             throws IOException, InterruptedException {
         if (step instanceof Timetable.On on) {
             LinkFaults.Fault f = on.fault();
--- a/src/main/java/pepperdock/faultinjection/Sim.java
+++ b/src/main/java/pepperdock/faultinjection/MembershipSimulation.java
@@ -29,7 +29,7 @@
  * Gives the same history as the rig for the same checkers, the same each time. Datagrams take half a millisecond to one and a
  * half, streams as long for each message; processes take no time at all.
  */
-final class Sim {
+final class MembershipSimulation {
 
     private static final String FLEET = "simulated-fleet";
     private static final double LEAST_S = 0.0005;
@@ -118,7 +118,7 @@
     private long count;
     private double now;
 
-    Sim(Script script, MembershipSettings settings, Consumer<Event> listener) {
+    MembershipSimulation(Script script, MembershipSettings settings, Consumer<Event> listener) {
         this.script = script;
         this.settings = settings;
         this.listener = listener;
@@ -331,7 +331,7 @@
             }
             Script.Await then = phase.then() != null
                     ? phase.then()
-                    : new Script.Await("settled", new Script.Whom(script.names(), 0));
+                    : new Script.Await("settled", new Script.Targets(script.names(), 0));
             Set<String> whom = Set.copyOf(then.whom().names());
             double until = Math.min(now + script.settleS(), script.mostS());
             while (!judge.holds(then.condition(), whom)) {
--- a/src/main/java/pepperdock/faultinjection/Report.java
+++ b/src/main/java/pepperdock/faultinjection/Report.java
@@ -29,11 +29,13 @@
     public static List<String> text(Path history, Outcome outcome) throws IOException {
         List<String> lines = new ArrayList<>();
         Map<String, Integer> counts = new TreeMap<>();
-        for (Event e : History.read(history)) {
-            if (e.ofRig() && !e.what().equals("traffic") && !e.what().equals("late")) {
-                lines.add(words(e));
-            } else if (!e.ofRig()) {
-                counts.merge(e.what(), 1, Integer::sum);
+        for (Event event : History.read(history)) {
+            if (event.ofRig()
+                    && !event.what().equals("traffic")
+                    && !event.what().equals("late")) {
+                lines.add(words(event));
+            } else if (!event.ofRig()) {
+                counts.merge(event.what(), 1, Integer::sum);
             }
         }
         lines.add("events: " + counts);
@@ -43,9 +45,9 @@
         return lines;
     }
 
-    private static String words(Event e) {
-        StringBuilder words = new StringBuilder(String.format(Locale.ROOT, "%9.3f  %s", e.at(), e.what()));
-        e.keys().entrySet().forEach(k -> {
+    private static String words(Event event) {
+        StringBuilder words = new StringBuilder(String.format(Locale.ROOT, "%9.3f  %s", event.at(), event.what()));
+        event.keys().entrySet().forEach(k -> {
             if (!List.of("at", "who", "what").contains(k.getKey())) {
                 String value = k.getValue().getAsString();
                 words.append("  ")
@@ -81,11 +83,11 @@
 
         JsonObject data(List<Event> events) {
             double end = events.isEmpty() ? 0 : events.get(events.size() - 1).at();
-            for (Event e : events) {
-                if (e.ofRig()) {
-                    ofRig(e);
+            for (Event event : events) {
+                if (event.ofRig()) {
+                    ofRig(event);
                 } else {
-                    ofMember(e);
+                    ofMember(event);
                 }
             }
             faults.values().forEach(on -> fault(on, end));
@@ -98,37 +100,37 @@
             return data;
         }
 
-        private void ofMember(Event e) {
-            if (!UNMARKED.contains(e.what()) && marks.size() < MARKS_MOST) {
-                marks.add(mark(e, e.who()));
+        private void ofMember(Event event) {
+            if (!UNMARKED.contains(event.what()) && marks.size() < MARKS_MOST) {
+                marks.add(mark(event, event.who()));
             }
-            if (e.what().equals("ready") && "starting".equals(now.get(e.who()))) {
-                turn(e.who(), "up", e.at());
+            if (event.what().equals("ready") && "starting".equals(now.get(event.who()))) {
+                turn(event.who(), "up", event.at());
             }
         }
 
-        private void ofRig(Event e) {
-            switch (e.what()) {
+        private void ofRig(Event event) {
+            switch (event.what()) {
                 case "script" ->
-                    List.of(e.members()).forEach(member -> {
+                    List.of(event.members()).forEach(member -> {
                         members.add(member);
-                        since.put(member, e.at());
+                        since.put(member, event.at());
                         now.put(member, "down");
                     });
-                case "start" -> turnAll(e, "starting");
-                case "stop" -> turnAll(e, "stopped");
-                case "cont" -> turnAll(e, "up");
-                case "exit" -> turn(e.text("member"), "down", e.at());
-                case "fault on" -> faults.put(e.whole("number"), e);
-                case "fault off" -> fault(faults.remove(e.whole("number")), e.at());
-                case "reset", "late", "reached", "not reached" -> marks.add(mark(e, "faults"));
+                case "start" -> turnAll(event, "starting");
+                case "stop" -> turnAll(event, "stopped");
+                case "cont" -> turnAll(event, "up");
+                case "exit" -> turn(event.text("member"), "down", event.at());
+                case "fault on" -> faults.put(event.whole("number"), event);
+                case "fault off" -> fault(faults.remove(event.whole("number")), event.at());
+                case "reset", "late", "reached", "not reached" -> marks.add(mark(event, "faults"));
                 default -> {}
             }
         }
 
-        private void turnAll(Event e, String next) {
-            for (String member : e.members()) {
-                turn(member, next, e.at());
+        private void turnAll(Event event, String next) {
+            for (String member : event.members()) {
+                turn(member, next, event.at());
             }
         }
 
@@ -155,12 +157,12 @@
         return bar;
     }
 
-    private static JsonObject mark(Event e, String row) {
+    private static JsonObject mark(Event event, String row) {
         JsonObject mark = new JsonObject();
         mark.addProperty("row", row);
-        mark.addProperty("at", e.at());
-        mark.addProperty("what", e.what());
-        mark.addProperty("words", words(e));
+        mark.addProperty("at", event.at());
+        mark.addProperty("what", event.what());
+        mark.addProperty("words", words(event));
         return mark;
     }
 
--- a/src/main/java/pepperdock/faultinjection/Script.java
+++ b/src/main/java/pepperdock/faultinjection/Script.java
@@ -25,7 +25,7 @@
         double mostS,
         double settleS,
         double lateMost,
-        List<Act> acts) {
+        List<Action> acts) {
 
     /** Bounds of any run, and of one with real processes: this is a rig for one machine. */
     static final int MEMBERS_MOST = 2000;
@@ -37,15 +37,15 @@
     record Port(String name, boolean streams, boolean datagrams) {}
 
     /** Whom: by name, or so many drawn; every member where both are empty. A share of them is read as a number. */
-    record Whom(List<String> names, int drawn) {
-        static final Whom ALL = new Whom(List.of(), 0);
+    record Targets(List<String> names, int drawn) {
+        static final Targets ALL = new Targets(List.of(), 0);
     }
 
     /** One line of the script. */
-    sealed interface Act permits Await, OnLinks, Partition, Reset, Heal, OnProcesses, OnDisks, OnClocks, Draw {}
+    sealed interface Action permits Await, OnLinks, Partition, Reset, Heal, OnProcesses, OnDisks, OnClocks, Draw {}
 
     /** Go on only once the checkers say that this holds, of these members; times count anew from here. */
-    record Await(String condition, Whom whom) implements Act {}
+    record Await(String condition, Targets whom) implements Action {}
 
     /** A fault on links. {@code lastS} infinite: to the end. {@code flipS} above 0: on and off by turns of that length. */
     record OnLinks(
@@ -53,21 +53,21 @@
             LinkFaults.Kind kind,
             double amount,
             double spread,
-            Whom from,
-            Whom to,
+            Targets from,
+            Targets to,
             boolean both,
             double lastS,
             double flipS)
-            implements Act {}
+            implements Action {}
 
     /** Groups that do not reach each other; named, or so many of the same size, drawn. {@code moveS}: drawn anew so often. */
-    record Partition(double at, List<List<String>> groups, int drawn, double lastS, double moveS) implements Act {}
+    record Partition(double at, List<List<String>> groups, int drawn, double lastS, double moveS) implements Action {}
 
     /** Streams of these links are reset. */
-    record Reset(double at, Whom from, Whom to, boolean both) implements Act {}
+    record Reset(double at, Targets from, Targets to, boolean both) implements Action {}
 
     /** All faults on links that have no end of their own end. */
-    record Heal(double at) implements Act {}
+    record Heal(double at) implements Action {}
 
     /** What is done to a process. */
     enum What {
@@ -83,18 +83,18 @@
      * the other, so far apart.
      */
     record OnProcesses(
-            double at, What what, Whom whom, double lastS, double apartS, boolean emptyFolder, boolean newPorts)
-            implements Act {}
+            double at, What what, Targets whom, double lastS, double apartS, boolean emptyFolder, boolean newPorts)
+            implements Action {}
 
     /** What is with the disks of members: {@code full}, {@code broken}, or {@code slow}, each sync by so many seconds. */
-    record OnDisks(double at, String is, double byS, Whom whom, double lastS) implements Act {}
+    record OnDisks(double at, String is, double byS, Targets whom, double lastS) implements Action {}
 
     /** The clocks by which members measure time go forward at once; in simulated time only. */
-    record OnClocks(double at, Whom whom, double byS) implements Act {}
+    record OnClocks(double at, Targets whom, double byS) implements Action {}
 
     /** Faults drawn for so long: one every so often, each of a kind from the list, lasting between the two. */
     record Draw(double at, double forS, double everyS, List<String> kinds, double leastS, double mostS, int mostMembers)
-            implements Act {}
+            implements Action {}
 
     /** The same with another seed. */
     Script seeded(long other) {
--- a/src/main/java/pepperdock/faultinjection/ScriptReader.java
+++ b/src/main/java/pepperdock/faultinjection/ScriptReader.java
@@ -11,7 +11,7 @@
 import pepperdock.config.Config;
 import pepperdock.config.ConfigException;
 import pepperdock.config.ConfigReader;
-import pepperdock.faultinjection.Script.Act;
+import pepperdock.faultinjection.Script.Action;
 import pepperdock.faultinjection.Script.Port;
 
 /** Reads a rig's file, and checks it; a complaint names the faulty key. */
@@ -60,7 +60,7 @@
         JsonObject config = config(k, folder);
         JsonObject own = own(k, names);
         List<Port> ports = k.objects("ports").stream().map(ScriptReader::port).toList();
-        List<Act> acts = acts(k, names);
+        List<Action> acts = acts(k, names);
         return new Script(
                 (long) k.number("seed", 1),
                 names,
@@ -119,8 +119,8 @@
         return new Port(p.text("name"), !kind.equals("datagrams"), !kind.equals("streams"));
     }
 
-    private static List<Act> acts(ConfigReader k, List<String> names) {
-        List<Act> acts = new ArrayList<>();
+    private static List<Action> acts(ConfigReader k, List<String> names) {
+        List<Action> acts = new ArrayList<>();
         for (ConfigReader act : k.objects("script")) {
             acts.add(new ActReader(act, names).read());
         }
--- a/src/main/java/pepperdock/faultinjection/Seeds.java
+++ b/src/main/java/pepperdock/faultinjection/Seeds.java
@@ -91,7 +91,7 @@
     private static Run play(Script script, MembershipSettings settings) throws Exception {
         long began = processorNs();
         Checkers checkers = new Checkers(script.checkers());
-        String unmet = new Sim(script, settings, checkers::see).play(checkers);
+        String unmet = new MembershipSimulation(script, settings, checkers::see).play(checkers);
         List<String> findings = new ArrayList<>(
                 checkers.findings(true).stream().map(Checker.Finding::what).toList());
         if (unmet != null) {
--- a/src/main/java/pepperdock/faultinjection/Timetable.java
+++ b/src/main/java/pepperdock/faultinjection/Timetable.java
@@ -9,9 +9,9 @@
 import java.util.Set;
 import pepperdock.faultinjection.LinkFaults.Kind;
 import pepperdock.faultinjection.LinkFaults.Pair;
-import pepperdock.faultinjection.Script.Act;
+import pepperdock.faultinjection.Script.Action;
+import pepperdock.faultinjection.Script.Targets;
 import pepperdock.faultinjection.Script.What;
-import pepperdock.faultinjection.Script.Whom;
 
 /**
  * A script with everything drawn and spread out in time: phases, each some timed steps and what is awaited at its end. Pure;
@@ -72,10 +72,11 @@
         Random chance = new Random(script.seed());
         Writer writer = new Writer(script.names(), chance);
         List<Phase> phases = new ArrayList<>();
-        for (Act act : script.acts()) {
+        for (Action act : script.acts()) {
             if (act instanceof Script.Await await) {
                 phases.add(new Phase(
-                        writer.taken(), new Script.Await(await.condition(), new Whom(writer.drawn(await.whom()), 0))));
+                        writer.taken(),
+                        new Script.Await(await.condition(), new Targets(writer.drawn(await.whom()), 0))));
             } else {
                 writer.add(act);
             }
@@ -105,7 +106,7 @@
             return all;
         }
 
-        List<String> drawn(Whom whom) {
+        List<String> drawn(Targets whom) {
             return whom.drawn() > 0 ? some(whom.drawn()) : whom.names().isEmpty() ? names : whom.names();
         }
 
@@ -130,7 +131,7 @@
             return pairs;
         }
 
-        private void add(Act act) {
+        private void add(Action act) {
             if (act instanceof Script.OnLinks a) {
                 fault(
                         a.at(),
@@ -230,20 +231,21 @@
         }
 
         /** No two drawn faults of a process overlap: each takes its own members, free again when it ends. */
-        private void draw(Script.Draw d) {
+        private void draw(Script.Draw drawn) {
             double[] freeAt = new double[names.size()];
-            for (double t = d.at(); t < d.at() + d.forS(); t += d.everyS()) {
-                String kind = d.kinds().get(chance.nextInt(d.kinds().size()));
-                double last =
-                        Math.min(d.leastS() + chance.nextDouble() * (d.mostS() - d.leastS()), d.at() + d.forS() - t);
-                int count = 1 + chance.nextInt(Math.min(d.mostMembers(), names.size()));
-                List<String> whom = freeMembers(count, freeAt, t);
+            for (double at = drawn.at(); at < drawn.at() + drawn.forS(); at += drawn.everyS()) {
+                String kind = drawn.kinds().get(chance.nextInt(drawn.kinds().size()));
+                double last = Math.min(
+                        drawn.leastS() + chance.nextDouble() * (drawn.mostS() - drawn.leastS()),
+                        drawn.at() + drawn.forS() - at);
+                int count = 1 + chance.nextInt(Math.min(drawn.mostMembers(), names.size()));
+                List<String> whom = freeMembers(count, freeAt, at);
                 if (whom.isEmpty()) {
                     continue;
                 }
                 switch (kind) {
-                    case "stop", "kill", "lost" -> drawnOnProcesses(kind, t, last, whom, freeAt, d.mostMembers());
-                    default -> drawnOnLinks(kind, t, last, whom);
+                    case "stop", "kill", "lost" -> drawnOnProcesses(kind, at, last, whom, freeAt, drawn.mostMembers());
+                    default -> drawnOnLinks(kind, at, last, whom);
                 }
             }
         }
@@ -275,7 +277,7 @@
             }
             What what = kind.equals("stop") ? What.STOP : What.KILL;
             boolean emptyFolder = kind.equals("lost");
-            befall(at, new Script.OnProcesses(at, what, Whom.ALL, last, 0, emptyFolder, false), List.copyOf(whom));
+            befall(at, new Script.OnProcesses(at, what, Targets.ALL, last, 0, emptyFolder, false), List.copyOf(whom));
         }
 
         private void drawnOnLinks(String kind, double at, double last, List<String> whom) {
--- a/src/main/java/pepperdock/faultinjection/package-info.java
+++ b/src/main/java/pepperdock/faultinjection/package-info.java
@@ -5,7 +5,7 @@
  *
  * <p>{@link pepperdock.faultinjection.Script} (what to do), {@link pepperdock.faultinjection.Timetable} (when, drawn from a seed) and
  * {@link pepperdock.faultinjection.LinkFaults} (the effect on a datagram) are free of I/O and clock. {@code Relay} owns the
- * sockets, {@code Children} the processes, and {@code Rig} runs them. Everything is on 127.0.0.0/8 and bounded in number and
+ * sockets, {@code ChildProcesses} the processes, and {@code FaultInjectionRun} runs them. Everything is on 127.0.0.0/8 and bounded in number and
  * time.
  *
  * <p>To add a fault: a name in {@code ActReader} and, on links, an effect in {@code LinkFaults}. To add an event: one call
--- a/src/main/java/pepperdock/simulation/distribution/Checks.java
+++ b/src/main/java/pepperdock/simulation/distribution/DistributionInvariants.java
@@ -14,7 +14,7 @@
 import pepperdock.simulation.distribution.Finding.Promise;
 
 /** Judges a course by its history and by what is there at its end. */
-final class Checks {
+final class DistributionInvariants {
 
     /** In any second, for control, at a gatherer. */
     static final int BUDGET_BYTES = 15_000;
@@ -27,13 +27,13 @@
     private final History history;
     private final List<Finding> found = new ArrayList<>();
 
-    private Checks(Simulation world) {
+    private DistributionInvariants(Simulation world) {
         this.world = world;
         history = world.history();
     }
 
-    static List<Finding> all(Simulation world, Figures figures) {
-        Checks checks = new Checks(world);
+    static List<Finding> all(Simulation world, DistributionMetrics figures) {
+        DistributionInvariants checks = new DistributionInvariants(world);
         checks.neverBackwards();
         checks.neverHalf();
         checks.allLevel();
@@ -149,7 +149,7 @@
                         a.gatherer() + " says " + a.ageMillis() + " ms, cut off for " + a.cutOffMillis()));
     }
 
-    private void withinTime(Figures figures) {
+    private void withinTime(DistributionMetrics figures) {
         if (figures.neverInForce() > 0 || figures.each(1) > IN_FORCE_MILLIS) {
             found(
                     Promise.WITHIN_TIME,
--- a/src/main/java/pepperdock/simulation/distribution/Figures.java
+++ b/src/main/java/pepperdock/simulation/distribution/DistributionMetrics.java
@@ -7,7 +7,7 @@
 import pepperdock.distribution.ConfigurationVersion;
 
 /** What a course, or several, measured. Times in milliseconds, of simulated time. */
-public final class Figures {
+public final class DistributionMetrics {
 
     /** From asked for to in force everywhere; at who could not be reached, from when it could. */
     private final Samples everywhere = new Samples();
@@ -25,15 +25,15 @@
     private int neverInForce;
     private int courses;
 
-    private Figures() {}
+    private DistributionMetrics() {}
 
     /** Of nothing yet. */
-    public static Figures none() {
-        return new Figures();
+    public static DistributionMetrics none() {
+        return new DistributionMetrics();
     }
 
-    static Figures of(Simulation world) {
-        Figures figures = new Figures();
+    static DistributionMetrics of(Simulation world) {
+        DistributionMetrics figures = new DistributionMetrics();
         figures.courses = 1;
         figures.latencies(world);
         world.gatherers().forEach(g -> {
@@ -48,7 +48,7 @@
     }
 
     /** Takes in those of another course. */
-    public void add(Figures other) {
+    public void add(DistributionMetrics other) {
         everywhere.addAll(other.everywhere);
         everywhereRaw.addAll(other.everywhereRaw);
         each.addAll(other.each);
--- a/src/main/java/pepperdock/simulation/distribution/Script.java
+++ b/src/main/java/pepperdock/simulation/distribution/FaultSchedule.java
@@ -9,7 +9,7 @@
 import pepperdock.distribution.ConfigurationSnapshot;
 
 /** Plans the faults of one hard case. */
-final class Script {
+final class FaultSchedule {
 
     private static final int SECOND = 1000;
     /** When the faults begin. */
@@ -32,7 +32,7 @@
     /** Several hard cases at a time: what each is to show by itself is not judged. */
     private boolean mixed;
 
-    Script(Simulation world, Random chance) {
+    FaultSchedule(Simulation world, Random chance) {
         this.world = world;
         this.chance = chance;
         time = world.time();
--- a/src/main/java/pepperdock/simulation/distribution/Simulation.java
+++ b/src/main/java/pepperdock/simulation/distribution/Simulation.java
@@ -112,20 +112,20 @@
             time.at(gathererChance.nextInt(START_WITHIN_MILLIS), gatherer::start);
             time.every(TICK_MILLIS, gathererChance.nextInt(TICK_MILLIS), gatherer::tick);
         }
-        long over = new Script(this, chance(Concern.SCRIPT)).plan(setup.hardCase());
+        long over = new FaultSchedule(this, chance(Concern.SCRIPT)).plan(setup.hardCase());
         for (long at = WARM_MILLIS; at < over; at += gap()) {
             time.at(at, this::change);
         }
         if (setup.hardCase() != HardCase.CALM) {
-            changeEachSecond(Script.BEGIN);
+            changeEachSecond(FaultSchedule.BEGIN);
             changeEachSecond(over - CROWDED_SECONDS / 2 * SECOND_MILLIS);
         }
         long end = over + CALM_AT_END_MILLIS;
         time.runUntil(end);
         gatherers.forEach(g -> g.bytes().end(end));
         group.nodes().forEach(n -> n.streams().end(end));
-        Figures figures = Figures.of(this);
-        return new Result(setup, Checks.all(this, figures), figures);
+        DistributionMetrics figures = DistributionMetrics.of(this);
+        return new Result(setup, DistributionInvariants.all(this, figures), figures);
     }
 
     /** As the faults begin and end, where a change is most likely to meet them. */
--- a/src/test/java/pepperdock/faultinjection/RigIT.java
+++ b/src/test/java/pepperdock/faultinjection/FaultInjectionRunIT.java
@@ -12,7 +12,7 @@
 import org.junit.jupiter.api.io.TempDir;
 
 /** The rig on the built jar. */
-class RigIT {
+class FaultInjectionRunIT {
 
     private static final String JAVA =
             Path.of(System.getProperty("java.home"), "bin", "java").toString();
@@ -34,7 +34,7 @@
 
     @Test
     void aFleetIsStartedHurtJudgedAndEnded() throws Exception {
-        Outcome outcome = Rig.run(script("""
+        Outcome outcome = FaultInjectionRun.run(script("""
                 {"await": "settled"},
                 {"fault": "stop", "members": ["g3"], "for": 0.3},
                 {"fault": "kill", "members": ["g2"], "for": 0.1, "folder": "empty"},
@@ -42,21 +42,22 @@
                 {"at": 0.5, "fault": "term", "members": 1, "for": 0}
                 """), 3L, folder.resolve("run"), MEMBER);
         assertEquals(List.of(), outcome.findings());
-        List<Event> events = History.read(folder.resolve("run").resolve(Rig.HISTORY));
+        List<Event> events = History.read(folder.resolve("run").resolve(FaultInjectionRun.HISTORY));
         assertEquals(5, events.stream().filter(e -> e.what().equals("ready")).count());
         assertEquals(
                 5, events.stream().filter(e -> e.what().equals("exit")).count(), "each ended, also at the run's end");
         assertTrue(Files.exists(folder.resolve("run/g1/state/snapshot")), "the store lies in the member's own folder");
         assertEquals(
                 outcome.findings(),
-                Rig.check(folder.resolve("run").resolve(Rig.HISTORY), null).findings());
-        assertTrue(Report.html(folder.resolve("run").resolve(Rig.HISTORY), outcome)
+                FaultInjectionRun.check(folder.resolve("run").resolve(FaultInjectionRun.HISTORY), null)
+                        .findings());
+        assertTrue(Report.html(folder.resolve("run").resolve(FaultInjectionRun.HISTORY), outcome)
                 .contains("\"row\":\"g3\",\"state\":\"stopped\""));
     }
 
     @Test
     void aMemberWhoseDiskIsFullCannotBeginAnewAndOneWhoseDiskIsSlowCan() throws Exception {
-        Outcome outcome = Rig.run(script("""
+        Outcome outcome = FaultInjectionRun.run(script("""
                 {"await": "settled"},
                 {"fault": "disk", "is": "slow", "by_s": 0.01, "members": ["g1"]},
                 {"fault": "kill", "members": ["g1"], "for": 0.1},
@@ -77,7 +78,7 @@
     void aMemberThatEndsByItselfIsFound() throws Exception {
         Path file = script("");
         Files.writeString(file, Files.readString(file).replace("\"leader\": \"g1\"", "\"leader\": \"nobody\""));
-        Outcome outcome = Rig.run(file, null, folder.resolve("run"), MEMBER);
+        Outcome outcome = FaultInjectionRun.run(file, null, folder.resolve("run"), MEMBER);
         assertTrue(
                 outcome.findings().stream().anyMatch(f -> f.contains("ended by itself, with status 2")),
                 outcome.findings().toString());
@@ -101,7 +102,7 @@
                 .redirectOutput(folder.resolve("out").toFile())
                 .start();
         try {
-            Path history = folder.resolve("run").resolve(Rig.HISTORY);
+            Path history = folder.resolve("run").resolve(FaultInjectionRun.HISTORY);
             List<ProcessHandle> members = List.of();
             // The guard and three members; a stopped one is told of in the history only when the rig flushes it.
             while (members.size() < 4) {
--- a/src/test/java/pepperdock/faultinjection/MembersIT.java
+++ b/src/test/java/pepperdock/faultinjection/MembersIT.java
@@ -32,7 +32,8 @@
     private Outcome played(String name) throws Exception {
         Outcome outcome = null;
         for (int i = 0; i < TRIES && (outcome == null || !outcome.counts()); i++) {
-            outcome = Rig.run(Path.of("deploy/rig/" + name + ".json"), null, folder.resolve(name + i), MEMBER);
+            outcome = FaultInjectionRun.run(
+                    Path.of("deploy/rig/" + name + ".json"), null, folder.resolve(name + i), MEMBER);
         }
         return outcome;
     }
--- a/src/test/java/pepperdock/faultinjection/SimTest.java
+++ b/src/test/java/pepperdock/faultinjection/MembershipSimulationTest.java
@@ -14,7 +14,7 @@
 import pepperdock.membership.MembershipSettings;
 
 /** Membership in simulated time, at its default timings: the hard cases over seeds, each fault found once among them. */
-class SimTest {
+class MembershipSimulationTest {
 
     private static final MembershipSettings SETTINGS = MembershipSettings.of(0.5, 3, 3);
 
@@ -36,7 +36,7 @@
         List<String> found = new ArrayList<>();
         for (int seed = 1; seed <= seeds; seed++) {
             Checkers judge = new Checkers(script.checkers());
-            String unmet = new Sim(script.seeded(seed), settings, judge::see).play(judge);
+            String unmet = new MembershipSimulation(script.seeded(seed), settings, judge::see).play(judge);
             String of = "seed " + seed + ": ";
             judge.findings(true).forEach(f -> found.add(of + f.what()));
             if (unmet != null) {
@@ -154,7 +154,7 @@
         List<String> second = new ArrayList<>();
         for (List<String> to : List.of(first, second)) {
             Checkers judge = new Checkers(script.checkers());
-            new Sim(script, SETTINGS, e -> {
+            new MembershipSimulation(script, SETTINGS, e -> {
                         judge.see(e);
                         to.add(e.toString());
                     })
--- a/src/test/java/pepperdock/faultinjection/RelayTest.java
+++ b/src/test/java/pepperdock/faultinjection/RelayTest.java
@@ -32,7 +32,7 @@
     private static final int STREAMS = 7301;
     private static final Set<Pair> THERE = Set.of(new Pair("g1", "g2"));
 
-    private Rig.Claim claim;
+    private FaultInjectionRun.Claim claim;
     private Relay relay;
     private DatagramSocket one;
     private DatagramSocket two;
@@ -40,7 +40,7 @@
 
     @BeforeEach
     void open() throws IOException {
-        claim = Rig.Claim.any();
+        claim = FaultInjectionRun.Claim.any();
         relay = new Relay(claim.block(), 1);
         one = new DatagramSocket(new InetSocketAddress(Relay.host(claim.block(), 1), DATAGRAMS));
         two = new DatagramSocket(new InetSocketAddress(Relay.host(claim.block(), 2), DATAGRAMS));
--- a/src/test/java/pepperdock/simulation/distribution/SimulationTest.java
+++ b/src/test/java/pepperdock/simulation/distribution/SimulationTest.java
@@ -115,7 +115,7 @@
         List<String> refused = new ArrayList<>();
         world.time()
                 .at(
-                        Script.BEGIN + 29_000,
+                        FaultSchedule.BEGIN + 29_000,
                         () -> world.group()
                                 .nodes()
                                 .forEach(n -> n.publisher().subscribers(world.now()).stream()
--- a/src/test/java/pepperdock/simulation/raft/ExplorerTest.java
+++ b/src/test/java/pepperdock/simulation/raft/ExplorerTest.java
@@ -134,94 +134,94 @@
                         .toString());
     }
 
-    private static void all(World w, Step.Kind kind, int... nodes) {
+    private static void all(World world, Step.Kind kind, int... nodes) {
         for (int s : nodes) {
-            w.take(new Step(kind, s, 0));
+            world.take(new Step(kind, s, 0));
         }
     }
 
     /** Has one lead, by these others' votes and whatever it takes. */
-    private static void elect(World w, int candidate, int... voters) {
-        for (int i = 0; i < 12 && w.state(candidate) != RaftPeerState.LEADER; i++) {
+    private static void elect(World world, int candidate, int... voters) {
+        for (int i = 0; i < 12 && world.state(candidate) != RaftPeerState.LEADER; i++) {
             if (i % 3 == 0) {
                 // Whoever still hears a leader helps nobody to another.
-                all(w, Step.Kind.HASTE, voters);
-                w.loseAll();
-                all(w, Step.Kind.HASTE, candidate);
+                all(world, Step.Kind.HASTE, voters);
+                world.loseAll();
+                all(world, Step.Kind.HASTE, candidate);
             }
-            all(w, Step.Kind.SYNC, candidate);
+            all(world, Step.Kind.SYNC, candidate);
             for (int v : voters) {
-                w.pass(Step.Kind.DELIVER, candidate, v, RaftMessage.RequestVote.class, m -> true);
-                all(w, Step.Kind.SYNC, v, v);
-                w.pass(Step.Kind.DELIVER, v, candidate, RaftMessage.VoteResponse.class, m -> true);
+                world.pass(Step.Kind.DELIVER, candidate, v, RaftMessage.RequestVote.class, m -> true);
+                all(world, Step.Kind.SYNC, v, v);
+                world.pass(Step.Kind.DELIVER, v, candidate, RaftMessage.VoteResponse.class, m -> true);
             }
-            all(w, Step.Kind.SYNC, candidate);
+            all(world, Step.Kind.SYNC, candidate);
         }
-        assertEquals(RaftPeerState.LEADER, w.state(candidate));
-        all(w, Step.Kind.SYNC, candidate, candidate);
+        assertEquals(RaftPeerState.LEADER, world.state(candidate));
+        all(world, Step.Kind.SYNC, candidate, candidate);
     }
 
     /** The thesis, figure 3.7: an entry of an older term on a majority, and a leader after that has never seen it. */
     @ParameterizedTest
     @CsvSource({"commit of an older term, 1", "commit of an older term with nothing planted, 0"})
     void anOlderTermsEntryIsNotCommittedByCountingItsCopies(String fault, int findings) {
-        World w = planted(fault, 1);
-        elect(w, 0, 1, 2);
-        w.pass(Step.Kind.DELIVER, 0, 1, RaftMessage.AppendEntries.class, m -> true);
-        all(w, Step.Kind.SYNC, 1, 0);
-        all(w, Step.Kind.AGAIN, 0);
-        elect(w, 4, 2, 3);
-        all(w, Step.Kind.AGAIN, 4);
-        elect(w, 0, 1, 2);
+        World world = planted(fault, 1);
+        elect(world, 0, 1, 2);
+        world.pass(Step.Kind.DELIVER, 0, 1, RaftMessage.AppendEntries.class, m -> true);
+        all(world, Step.Kind.SYNC, 1, 0);
+        all(world, Step.Kind.AGAIN, 0);
+        elect(world, 4, 2, 3);
+        all(world, Step.Kind.AGAIN, 4);
+        elect(world, 0, 1, 2);
         for (int follower : new int[] {2, 3}) {
             for (int i = 0; i < 2; i++) {
-                w.pass(Step.Kind.DELIVER, 0, follower, RaftMessage.AppendEntries.class, m -> m.term() >= 3);
-                all(w, Step.Kind.SYNC, follower, follower);
-                w.pass(Step.Kind.DELIVER, follower, 0, RaftMessage.AppendResponse.class, m -> m.term() >= 3);
+                world.pass(Step.Kind.DELIVER, 0, follower, RaftMessage.AppendEntries.class, m -> m.term() >= 3);
+                all(world, Step.Kind.SYNC, follower, follower);
+                world.pass(Step.Kind.DELIVER, follower, 0, RaftMessage.AppendResponse.class, m -> m.term() >= 3);
             }
         }
-        all(w, Step.Kind.AGAIN, 0);
-        elect(w, 4, 2, 3);
+        all(world, Step.Kind.AGAIN, 0);
+        elect(world, 4, 2, 3);
         assertEquals(
                 findings,
-                w.violations().stream()
+                world.violations().stream()
                         .filter(f -> f.contains("has not what was committed"))
                         .count(),
-                w.violations().toString());
-        assertTrue(w.counts()[0] >= 3, "leaders: " + w.counts()[0]);
+                world.violations().toString());
+        assertTrue(world.counts()[0] >= 3, "leaders: " + world.counts()[0]);
     }
 
-    private static void proposeFourEntries(World w) {
+    private static void proposeFourEntries(World world) {
         for (int f = 1; f <= 2; f++) {
             for (int i = 0; i < 3; i++) {
-                w.pass(Step.Kind.DELIVER, 0, f, RaftMessage.AppendEntries.class, m -> true);
-                all(w, Step.Kind.SYNC, f, f);
-                w.pass(Step.Kind.DELIVER, f, 0, RaftMessage.AppendResponse.class, m -> true);
+                world.pass(Step.Kind.DELIVER, 0, f, RaftMessage.AppendEntries.class, m -> true);
+                all(world, Step.Kind.SYNC, f, f);
+                world.pass(Step.Kind.DELIVER, f, 0, RaftMessage.AppendResponse.class, m -> true);
             }
         }
-        all(w, Step.Kind.PROPOSE, 0, 0, 0, 0);
-        all(w, Step.Kind.SYNC, 0, 0, 0, 0);
+        all(world, Step.Kind.PROPOSE, 0, 0, 0, 0);
+        all(world, Step.Kind.SYNC, 0, 0, 0, 0);
     }
 
     /** The second follower takes all but the last, and the leader compacts what it has applied. */
-    private static void replicateAllButTheLastAndCompact(World w) {
+    private static void replicateAllButTheLastAndCompact(World world) {
         for (int i = 0; i < 3; i++) {
-            w.pass(
+            world.pass(
                     Step.Kind.DELIVER,
                     0,
                     2,
                     RaftMessage.AppendEntries.class,
                     m -> !((RaftMessage.AppendEntries) m).entries().isEmpty());
-            all(w, Step.Kind.SYNC, 2);
-            w.pass(Step.Kind.DELIVER, 2, 0, RaftMessage.AppendResponse.class, m -> true);
+            all(world, Step.Kind.SYNC, 2);
+            world.pass(Step.Kind.DELIVER, 2, 0, RaftMessage.AppendResponse.class, m -> true);
         }
-        all(w, Step.Kind.COMPACT, 0);
+        all(world, Step.Kind.COMPACT, 0);
     }
 
     /** The first follower gets the third entry before the first, rejects it, and then gets all, up to the fourth, and the snapshot. */
-    private static void deliverOutOfOrderWithALateSnapshot(World w) {
-        w.take(new Step(Step.Kind.TICK, 2, 0));
-        w.pass(
+    private static void deliverOutOfOrderWithALateSnapshot(World world) {
+        world.take(new Step(Step.Kind.TICK, 2, 0));
+        world.pass(
                 Step.Kind.TWICE,
                 0,
                 1,
@@ -229,7 +229,7 @@
                 m -> ((RaftMessage.AppendEntries) m).prevIndex() == 3);
         for (int prev = 1; prev <= 4; prev++) {
             int at = prev;
-            w.pass(
+            world.pass(
                     Step.Kind.DELIVER,
                     0,
                     1,
@@ -237,16 +237,16 @@
                     m -> ((RaftMessage.AppendEntries) m).prevIndex() == at
                             && !((RaftMessage.AppendEntries) m).entries().isEmpty());
         }
-        w.pass(
+        world.pass(
                 Step.Kind.DELIVER,
                 1,
                 0,
                 RaftMessage.AppendResponse.class,
                 m -> !((RaftMessage.AppendResponse) m).success());
-        w.pass(Step.Kind.DELIVER, 0, 1, RaftMessage.InstallSnapshot.class, m -> true);
-        all(w, Step.Kind.SYNC, 1, 1, 1, 1, 1, 1);
+        world.pass(Step.Kind.DELIVER, 0, 1, RaftMessage.InstallSnapshot.class, m -> true);
+        all(world, Step.Kind.SYNC, 1, 1, 1, 1, 1, 1);
         for (int i = 0; i < 6; i++) {
-            w.pass(
+            world.pass(
                     Step.Kind.DELIVER,
                     1,
                     0,
@@ -259,20 +259,20 @@
     @ParameterizedTest
     @CsvSource({"a snapshot over newer entries, 1", "nothing, 0"})
     void aLateSnapshotDoesNotTakeAwayWhatIsNewer(String fault, int findings) {
-        World w = planted(fault, 1);
-        elect(w, 0, 1, 2);
-        proposeFourEntries(w);
-        replicateAllButTheLastAndCompact(w);
-        deliverOutOfOrderWithALateSnapshot(w);
-        assertEquals(5, w.counts()[1], "committed, by the leader and this one");
-        all(w, Step.Kind.CRASH, 0);
-        elect(w, 1, 2);
+        World world = planted(fault, 1);
+        elect(world, 0, 1, 2);
+        proposeFourEntries(world);
+        replicateAllButTheLastAndCompact(world);
+        deliverOutOfOrderWithALateSnapshot(world);
+        assertEquals(5, world.counts()[1], "committed, by the leader and this one");
+        all(world, Step.Kind.CRASH, 0);
+        elect(world, 1, 2);
         assertEquals(
                 findings,
-                w.violations().stream()
+                world.violations().stream()
                         .filter(f -> f.contains("has not what was committed"))
                         .count(),
-                w.violations().toString());
+                world.violations().toString());
     }
 
     @Test
