--- a/src/main/java/pepperdock/platform/JvmWarmup.java
+++ b/src/main/java/pepperdock/platform/JvmWarmup.java
@@ -3,7 +3,6 @@
 import java.nio.charset.StandardCharsets;
 import java.util.ArrayList;
 import java.util.List;
-import java.util.Map;
 import java.util.function.BooleanSupplier;
 import pepperdock.codec.frame.FrameEncoder;
 import pepperdock.codec.frame.FrameException;
@@ -12,9 +11,9 @@
 import pepperdock.codec.http.HttpParser;
 import pepperdock.config.DeploymentSettings;
 import pepperdock.core.Attempt;
-import pepperdock.core.Backend;
 import pepperdock.core.Clock;
 import pepperdock.core.Gatherer;
+import pepperdock.core.InertBackend;
 import pepperdock.core.ManualClock;
 import pepperdock.core.WorkerEndpoint;
 import pepperdock.scheduler.AttemptOutcome;
@@ -131,7 +130,7 @@
     }
 
     /** Answers every call after a while, by way of the frame codec. */
-    private static final class EchoBackend implements Backend {
+    private static final class EchoBackend extends InertBackend {
 
         private final ManualClock clock;
         /** Set once the gatherer has been made with this backend. */
@@ -167,17 +166,5 @@
                         attempt, AttemptOutcome.OK, LoadReport.NONE, VALUE.getBytes(StandardCharsets.UTF_8)));
             });
         }
-
-        @Override
-        public void cancel(Attempt attempt) {}
-
-        @Override
-        public void checkHealth(String worker) {}
-
-        @Override
-        public void closeIdleConnections(String worker) {}
-
-        @Override
-        public void updateEndpoints(Map<String, WorkerEndpoint> endpoints) {}
     }
 }
--- a/src/test/java/pepperdock/dnssd/DnsSdTest.java
+++ b/src/test/java/pepperdock/dnssd/DnsSdTest.java
@@ -15,9 +15,8 @@
 import org.xbill.DNS.Rcode;
 import pepperdock.config.DnsSdConfig;
 import pepperdock.config.TestDeploymentSettings;
-import pepperdock.core.Attempt;
-import pepperdock.core.Backend;
 import pepperdock.core.Gatherer;
+import pepperdock.core.InertBackend;
 import pepperdock.core.ManualClock;
 import pepperdock.core.WorkerEndpoint;
 import pepperdock.scheduler.EndpointState;
@@ -42,7 +41,7 @@
                 TestDeploymentSettings.small(),
                 clock,
                 thread::add);
-        Gatherer core = new Gatherer(TestDeploymentSettings.small().scheduler(), 1, clock, new Nothing(), sd);
+        Gatherer core = new Gatherer(TestDeploymentSettings.small().scheduler(), 1, clock, new InertBackend(), sd);
         sd.start(core);
         core.addEndpointListListener(hosts -> {
             listed = hosts;
@@ -123,21 +122,4 @@
         next();
         assertEquals(2, listed.size());
     }
-
-    private static final class Nothing implements Backend {
-        @Override
-        public void sendCall(String worker, List<Attempt> call) {}
-
-        @Override
-        public void cancel(Attempt attempt) {}
-
-        @Override
-        public void checkHealth(String worker) {}
-
-        @Override
-        public void closeIdleConnections(String worker) {}
-
-        @Override
-        public void updateEndpoints(Map<String, WorkerEndpoint> hosts) {}
-    }
 }
--- a/src/test/java/pepperdock/platform/ClientGoneOnBusyLoopTest.java
+++ b/src/test/java/pepperdock/platform/ClientGoneOnBusyLoopTest.java
@@ -10,7 +10,6 @@
 import java.net.ServerSocket;
 import java.net.Socket;
 import java.util.List;
-import java.util.Map;
 import java.util.concurrent.BlockingQueue;
 import java.util.concurrent.LinkedBlockingQueue;
 import java.util.concurrent.TimeUnit;
@@ -25,8 +24,8 @@
 import pepperdock.core.Attempt;
 import pepperdock.core.Backend;
 import pepperdock.core.Gatherer;
+import pepperdock.core.InertBackend;
 import pepperdock.core.Metrics;
-import pepperdock.core.WorkerEndpoint;
 import pepperdock.scheduler.AttemptOutcome;
 import pepperdock.scheduler.EndpointListKind;
 import pepperdock.scheduler.LoadReport;
@@ -89,25 +88,13 @@
     }
 
     /** A backend that records the attempts sent and does nothing else. */
-    private static final class RecordingBackend implements Backend {
+    private static final class RecordingBackend extends InertBackend {
         final BlockingQueue<Attempt> sent = new LinkedBlockingQueue<>();
 
         @Override
         public void sendCall(String worker, List<Attempt> call) {
             sent.addAll(call);
         }
-
-        @Override
-        public void cancel(Attempt attempt) {}
-
-        @Override
-        public void checkHealth(String worker) {}
-
-        @Override
-        public void closeIdleConnections(String worker) {}
-
-        @Override
-        public void updateEndpoints(Map<String, WorkerEndpoint> endpoints) {}
     }
 
     /** A retry is decided in the very turn of the loop in which the client's close stands unread. It is not sent. */
