--- a/src/main/java/pepperdock/transport/Connection.java
+++ b/src/main/java/pepperdock/transport/Connection.java
@@ -8,29 +8,35 @@
 import org.xnio.conduits.ConduitStreamSinkChannel;
 import org.xnio.conduits.ConduitStreamSourceChannel;
 
-/** One TCP connection with its one buffer; its handler is called on the loop's thread only. */
+/** A TCP connection with a single buffer for both directions; its handler is called on the I/O thread only. */
 public final class Connection {
 
     private static final System.Logger LOG = System.getLogger("pepperdock.transport");
 
-    /** What a connection tells its owner. */
+    /** Receives the events of a connection. */
     public interface Handler {
-        /** Bytes stand in {@link #bytes} from {@link #readStart} to {@link #readEnd}; those used are to be consumed. */
-        void onBytes(Connection c);
+        /**
+         * Called when input has arrived: it is in {@link #bytes} from {@link #readStart} to {@link #readEnd}. The
+         * handler must {@link #consume} the bytes that it has used.
+         */
+        void onBytes(Connection connection);
 
-        /** The connection has ended, from the other side or by an error; not called after {@link #close}. */
-        void onClosed(Connection c);
+        /** Called when the peer or an error has ended the connection; not called after {@link #close}. */
+        void onClosed(Connection connection);
 
-        /** All that was given to {@link #write} is with the kernel. */
-        default void onFlushed(Connection c) {}
+        /** Called when the kernel has taken all bytes given to {@link #write}. */
+        default void onFlushed(Connection connection) {}
 
-        /** The peer has sent far more than {@link #limitUnconsumedBytes} lets stand here; told once, before what follows is thrown away. */
-        default void onFlooded(Connection c) {}
+        /**
+         * Called once when the peer has sent far more than {@link #limitUnconsumedBytes} allows, before further input
+         * is discarded.
+         */
+        default void onInputOverflow(Connection connection) {}
     }
 
-    /** Reads at one turn of the loop: a peer that sends at full speed must leave the others theirs. */
+    /** Bounds the reads in one turn of the loop, so that a peer that sends at full speed does not starve the others. */
     private static final int MAX_READS_PER_TURN = 16;
-    /** What is read and thrown away after the last write: enough for what was under way, not for all a peer may send. */
+    /** Input that is discarded after the last write: enough for data in flight, not for all that a peer may send. */
     private static final int MAX_LINGER_BYTES = 1 << 20;
 
     private final EventLoop loop;
@@ -43,21 +49,21 @@
     private boolean endedByError;
     private boolean lingering;
     private boolean hasDiscardedInput;
-    private boolean flooded;
+    private boolean inputOverflowReported;
     private int bytesDiscarded;
     private int maxUnconsumedBytes = Integer.MAX_VALUE;
-    private long queued;
-    private long written;
+    private long bytesQueued;
+    private long bytesWritten;
 
-    Connection(EventLoop loop, StreamConnection channel, int cap) {
+    Connection(EventLoop loop, StreamConnection channel, int maxBufferBytes) {
         this.loop = loop;
         this.channel = channel;
-        buffer = new ConnectionBuffer(cap);
+        buffer = new ConnectionBuffer(maxBufferBytes);
         source = channel.getSourceChannel();
         sink = channel.getSinkChannel();
     }
 
-    /** Starts to read; from here on the handler is called. */
+    /** Starts reading; from now on the handler is called. */
     public void start(Handler handler) {
         this.handler = handler;
         source.setReadListener(s -> guarded(this::read));
@@ -66,19 +72,22 @@
     }
 
     /**
-     * Keeps no more while about so many bytes stand here that the handler has not used: what comes beyond is thrown away,
-     * and the connection is {@link #hasDiscardedInput}. Guards against clients that send on and on behind a request in hand, as what
-     * is held for all of them together must fit the smallest memory given. Read on all the same: of a client that sent
-     * more than this and went, nobody would learn the end otherwise, and its request be served for nobody.
+     * Limits the input that is kept until the handler consumes it to about {@code maxBytes}. Input beyond the limit is
+     * discarded, and {@link #hasDiscardedInput} becomes true. This guards against clients that keep sending behind a
+     * request in progress: the input held for all of them together must fit the smallest memory given. Reading
+     * continues, as the disconnect of a client that sent more than this would otherwise go unnoticed, and its request
+     * would be served although nobody awaits the response.
      */
-    public void limitUnconsumedBytes(int most) {
-        maxUnconsumedBytes = most;
+    public void limitUnconsumedBytes(int maxBytes) {
+        maxUnconsumedBytes = maxBytes;
     }
-    /** The buffer; input stands between {@link #readStart} and {@link #readEnd}. It may be another one after each callback. */
+    /**
+     * The buffer, with input from {@link #readStart} to {@link #readEnd}. Each callback may replace it by another one.
+     */
     public byte[] bytes() {
         return buffer.bytes();
     }
-    /** Index of the first input byte that is not consumed. */
+    /** Index of the first input byte that is not consumed yet. */
     public int readStart() {
         return buffer.readStart();
     }
@@ -94,24 +103,24 @@
         }
     }
 
-    /** Whether bytes that came were thrown away: what follows can't be told from the middle of it. */
+    /** Whether input was discarded: later input may then begin in the middle of a message. */
     public boolean hasDiscardedInput() {
         return hasDiscardedInput;
     }
 
-    /** Whether it ended by an error, a reset for one, and not by the peer's own end. */
+    /** Whether the connection ended by an error, such as a reset, rather than by an orderly close of the peer. */
     public boolean endedByError() {
         return endedByError;
     }
 
     /** Bytes given to {@link #write} so far. */
     public long bytesQueued() {
-        return queued;
+        return bytesQueued;
     }
 
     /** Bytes that the kernel has taken so far. */
     public long bytesWritten() {
-        return written;
+        return bytesWritten;
     }
 
     /** Whether something given to {@link #write} has not been taken by the kernel yet. */
@@ -124,50 +133,53 @@
     }
 
     /**
-     * Takes what has come by now, without waiting to be told of it. For whoever means to close a connection as idle: what
-     * stands unread in the kernel was written to a machine that had accepted it, and the close would lose it.
+     * Reads the input that has arrived by now, without waiting for a read event. To be called before a connection is
+     * closed as idle: the kernel of this machine has already accepted the unread input, and the close would lose it.
      */
     public void readNow() {
         if (!closed && handler != null) {
             guarded(this::read);
         }
     }
-    /** The address of the other side. */
+    /** The address of the peer. */
     public InetSocketAddress peer() {
         return channel.getPeerAddress(InetSocketAddress.class);
     }
 
-    /** Writes at once what the socket takes and keeps the rest; a peer that lets the rest pile up is cut off. */
+    /**
+     * Writes what the socket takes now and keeps the rest in the buffer. Ends the connection if the buffer has no space
+     * for the rest, as the peer does not read.
+     */
     public void write(byte[] bytes) {
         if (closed) {
             return;
         }
-        queued += bytes.length;
-        int done = 0;
+        bytesQueued += bytes.length;
+        int count = 0;
         try {
             if (buffer.nothingToWrite()) {
                 ByteBuffer all = ByteBuffer.wrap(bytes);
                 while (all.hasRemaining() && sink.write(all) > 0) {
-                    done = all.position();
+                    count = all.position();
                 }
-                written += done;
+                bytesWritten += count;
             }
-            if (done < bytes.length) {
-                if (!buffer.append(bytes, done, bytes.length - done)) {
-                    throw new IOException("the peer does not read");
+            if (count < bytes.length) {
+                if (!buffer.append(bytes, count, bytes.length - count)) {
+                    throw new IOException("the peer does not read: no space in the buffer for further output");
                 }
                 sink.resumeWrites();
             }
         } catch (IOException e) {
-            // Told later: the caller may be in the midst of its own bookkeeping for this very write.
+            // Reported later: the caller may still be updating its own state for this write.
             loop.execute(() -> end(e));
         }
     }
 
     /**
-     * Closes our side once all is flushed, and the rest when the peer closes too, or has sent too much. Guards against the
-     * reset that a close with unread input sends: it overtakes an answer that the peer has not read yet. The owner bounds
-     * the time, by {@link #close}; its handler is told of nothing more.
+     * Closes the outgoing side once all output is written, and the connection when the peer closes too or has sent too
+     * much. This guards against the reset that a close with unread input sends: it overtakes a response that the peer
+     * has not read yet. The owner bounds the time by calling {@link #close}; the handler is not called any more.
      */
     public void closeAfterWrites() {
         lingering = true;
@@ -185,12 +197,12 @@
             close();
         }
     }
-    /** Closes at once; bytes that are not written yet are lost, and the handler is told nothing. */
+    /** Closes the connection at once. Bytes that are not written yet are lost, and the handler is not called. */
     public void close() {
         if (!closed) {
             closed = true;
             IoUtils.safeClose(channel);
-            loop.closed(this);
+            loop.onClosed(this);
         }
     }
 
@@ -206,13 +218,13 @@
                 }
                 continue;
             }
-            ByteBuffer room = buffer.forRead();
-            if (room == null) {
-                // Full of what is to go out: reading goes on when some of it has gone.
+            ByteBuffer space = buffer.forRead();
+            if (space == null) {
+                // The buffer is full of output: reading resumes when some of it has been written.
                 source.suspendReads();
                 return;
             }
-            int count = source.read(room);
+            int count = source.read(space);
             if (count == 0) {
                 return;
             }
@@ -225,7 +237,9 @@
         }
     }
 
-    /** Beyond the limit of what may stand here: only its end is still of interest. */
+    /**
+     * Discards input beyond the limit on unconsumed bytes, only to notice a disconnect; returns whether there was any.
+     */
     private boolean discardUnconsumed() throws IOException {
         int count = source.read(loop.discardBuffer());
         if (count < 0) {
@@ -234,17 +248,17 @@
         }
         hasDiscardedInput |= count > 0;
         bytesDiscarded += count;
-        if (bytesDiscarded > MAX_LINGER_BYTES && !flooded) {
-            flooded = true;
+        if (bytesDiscarded > MAX_LINGER_BYTES && !inputOverflowReported) {
+            inputOverflowReported = true;
             bytesDiscarded = 0;
-            handler.onFlooded(this);
+            handler.onInputOverflow(this);
         }
         return count > 0;
     }
 
     private void discardAfterLastWrite() throws IOException {
-        ByteBuffer room = loop.discardBuffer();
-        int count = source.read(room);
+        ByteBuffer space = loop.discardBuffer();
+        int count = source.read(space);
         bytesDiscarded += Math.max(0, count);
         if (count < 0 || bytesDiscarded > MAX_LINGER_BYTES) {
             close();
@@ -257,7 +271,7 @@
             if (count == 0) {
                 return;
             }
-            written += count;
+            bytesWritten += count;
             buffer.advanceWrite(count);
             source.resumeReads();
         }
@@ -271,10 +285,10 @@
         }
     }
 
-    private void end(IOException why) {
+    private void end(IOException cause) {
         if (!closed) {
-            endedByError = why != null;
-            LOG.log(System.Logger.Level.DEBUG, () -> "connection with " + peer() + " ended: " + why);
+            endedByError = cause != null;
+            LOG.log(System.Logger.Level.DEBUG, () -> "connection with " + peer() + " ended: " + cause);
             close();
             if (!lingering) {
                 handler.onClosed(this);
@@ -282,8 +296,8 @@
         }
     }
 
-    /** Nothing that goes wrong for one connection may reach the loop, or another connection. */
-    private void guarded(Step step) {
+    /** Runs a step and keeps its failure from reaching the loop or another connection. */
+    private void guarded(IoTask step) {
         try {
             step.run();
         } catch (IOException e) {
@@ -294,7 +308,7 @@
         }
     }
 
-    private interface Step {
+    private interface IoTask {
         void run() throws IOException;
     }
 }
--- a/src/main/java/pepperdock/transport/ConnectionBuffer.java
+++ b/src/main/java/pepperdock/transport/ConnectionBuffer.java
@@ -4,23 +4,23 @@
 import java.util.Arrays;
 
 /**
- * The one buffer of a connection. What came in stands at its low end, what is to go out is kept against its high end,
- * and the gap between them serves both; it is compacted in place and doubled, up to a cap, when the gap is too small.
+ * The single buffer of a connection. Input is kept at its low end and output at its high end, and both grow into the
+ * gap between them. When the gap is too small, the buffer is compacted in place and doubled, up to a cap.
  */
 final class ConnectionBuffer {
 
     static final int MIN_CAPACITY = 2048;
-    /** Room that a read wants at the least. */
+    /** Least free space for a read, in bytes. */
     private static final int MIN_READ_SPACE = 512;
 
-    private final int cap;
+    private final int maxCapacity;
     private byte[] bytes = new byte[MIN_CAPACITY];
     private int readStart;
     private int readEnd;
     private int writeStart = MIN_CAPACITY;
 
-    ConnectionBuffer(int cap) {
-        this.cap = cap;
+    ConnectionBuffer(int maxCapacity) {
+        this.maxCapacity = maxCapacity;
     }
 
     byte[] bytes() {
@@ -44,7 +44,7 @@
         shrink();
     }
 
-    /** Room for a read, or null when the cap leaves none. */
+    /** Returns free space for a read, or null when the cap leaves none. */
     ByteBuffer forRead() {
         if (writeStart - readEnd < MIN_READ_SPACE && !ensureSpace(MIN_READ_SPACE)) {
             return null;
@@ -60,14 +60,14 @@
         return writeStart == bytes.length;
     }
 
-    /** Adds bytes to what is to go out; false when the cap leaves no room. */
-    boolean append(byte[] from, int at, int count) {
+    /** Appends bytes to the output; returns false when the cap leaves no space for them. */
+    boolean append(byte[] source, int offset, int count) {
         if (!ensureSpace(count)) {
             return false;
         }
         System.arraycopy(bytes, writeStart, bytes, writeStart - count, bytes.length - writeStart);
         writeStart -= count;
-        System.arraycopy(from, at, bytes, bytes.length - count, count);
+        System.arraycopy(source, offset, bytes, bytes.length - count, count);
         return true;
     }
 
@@ -80,27 +80,30 @@
         shrink();
     }
 
-    /** Makes the gap at least so wide: first by compacting, then by growing. */
-    private boolean ensureSpace(int want) {
-        if (writeStart - readEnd >= want) {
+    /**
+     * Makes the gap at least {@code needed} bytes wide, first by compacting, then by growing; returns false if it
+     * can't.
+     */
+    private boolean ensureSpace(int needed) {
+        if (writeStart - readEnd >= needed) {
             return true;
         }
         System.arraycopy(bytes, readStart, bytes, 0, readEnd - readStart);
         readEnd -= readStart;
         readStart = 0;
         int used = readEnd + bytes.length - writeStart;
-        if (used + want > cap) {
+        if (used + needed > maxCapacity) {
             return false;
         }
         int size = bytes.length;
-        while (size < used + want) {
-            size = Math.min(cap, size * 2);
+        while (size < used + needed) {
+            size = Math.min(maxCapacity, size * 2);
         }
         resize(size);
         return true;
     }
 
-    /** An idle connection keeps no more than it began with. */
+    /** Reduces an empty buffer to the initial capacity, so that an idle connection keeps no more. */
     private void shrink() {
         if (bytes.length > MIN_CAPACITY && readStart == readEnd && nothingToWrite()) {
             readStart = 0;
@@ -113,10 +116,10 @@
         if (size == bytes.length) {
             return;
         }
-        int out = bytes.length - writeStart;
-        byte[] next = Arrays.copyOf(Arrays.copyOf(bytes, readEnd), size);
-        System.arraycopy(bytes, writeStart, next, size - out, out);
-        bytes = next;
-        writeStart = size - out;
+        int outputBytes = bytes.length - writeStart;
+        byte[] resized = Arrays.copyOf(Arrays.copyOf(bytes, readEnd), size);
+        System.arraycopy(bytes, writeStart, resized, size - outputBytes, outputBytes);
+        bytes = resized;
+        writeStart = size - outputBytes;
     }
 }
--- a/src/main/java/pepperdock/transport/ConnectionState.java
+++ b/src/main/java/pepperdock/transport/ConnectionState.java
@@ -1,15 +1,15 @@
 package pepperdock.transport;
 
-/** State of a client's connection to an {@link HttpServer}; each has its time limit there. */
+/** State of a client's connection to an {@link HttpServer}, which enforces the time limits of the states. */
 enum ConnectionState {
-    /** Nothing has come yet. */
+    /** Nothing has been received yet. */
     NEW,
-    /** Part of a request has come. */
+    /** Part of a request has been received. */
     READING,
     /** A request is being served. */
     SERVING,
-    /** Kept open between requests. */
+    /** The connection is kept open between requests. */
     IDLE,
-    /** Closing after its last response. */
+    /** The connection is closing after its last response. */
     CLOSING
 }
--- a/src/main/java/pepperdock/transport/DatagramSocket.java
+++ b/src/main/java/pepperdock/transport/DatagramSocket.java
@@ -8,38 +8,39 @@
 import org.xnio.channels.SocketAddressBuffer;
 
 /**
- * A UDP socket on the loop. What can't be sent at once is lost, as any datagram may be; nothing is queued. Read in turns of
- * bounded length, so that a flood does not keep the loop from all else.
+ * A UDP socket on the loop. A datagram that can't be sent at once is lost, as any datagram may be; nothing is queued.
+ * The number of reads per turn of the loop is bounded, so that a flood of datagrams does not block the loop's other
+ * work.
  */
 public final class DatagramSocket implements AutoCloseable {
 
-    /** One datagram: bytes that are the receiver's only until it returns. */
+    /** Receives the datagrams of a socket. */
     public interface Receiver {
-        /** A datagram has arrived; the bytes are valid until this returns. */
+        /** Called when a datagram has arrived; the bytes are valid only until this returns. */
         void onDatagram(byte[] bytes, int length);
     }
 
-    /** Larger ones are no messages of ours; they are cut, and refused by whoever reads them. */
-    private static final int LARGEST = 2048;
+    /** Longer datagrams are not messages of this program: they are truncated, and the receiver rejects them. */
+    private static final int MAX_DATAGRAM_BYTES = 2048;
 
     private static final int MAX_READS_PER_TURN = 64;
 
     private final MulticastMessageChannel channel;
-    private final ByteBuffer in = ByteBuffer.allocate(LARGEST);
+    private final ByteBuffer input = ByteBuffer.allocate(MAX_DATAGRAM_BYTES);
 
-    DatagramSocket(MulticastMessageChannel channel, Receiver to) {
+    DatagramSocket(MulticastMessageChannel channel, Receiver receiver) {
         this.channel = channel;
-        channel.getReadSetter().set(c -> {
+        channel.getReadSetter().set(readable -> {
             try {
                 for (int i = 0; i < MAX_READS_PER_TURN; i++) {
-                    in.clear();
-                    if (c.receiveFrom(new SocketAddressBuffer(), in) <= 0) {
+                    input.clear();
+                    if (readable.receiveFrom(new SocketAddressBuffer(), input) <= 0) {
                         return;
                     }
-                    to.onDatagram(in.array(), in.position());
+                    receiver.onDatagram(input.array(), input.position());
                 }
             } catch (IOException e) {
-                // An earlier datagram found nobody: told by some systems on the next call, and no news.
+                // Some systems report on the next call that an earlier datagram was not delivered: this is ignored.
             }
         });
         channel.resumeReads();
@@ -48,12 +49,12 @@
     public InetSocketAddress address() {
         return channel.getLocalAddress(InetSocketAddress.class);
     }
-    /** Sends a datagram, or drops it where the socket takes none now. */
-    public void send(InetSocketAddress to, byte[] bytes) {
+    /** Sends a datagram, or drops it if the socket takes none now. */
+    public void send(InetSocketAddress address, byte[] bytes) {
         try {
-            channel.sendTo(to, ByteBuffer.wrap(bytes));
+            channel.sendTo(address, ByteBuffer.wrap(bytes));
         } catch (IOException e) {
-            // Lost.
+            // The datagram is lost, as any may be.
         }
     }
 
--- a/src/main/java/pepperdock/transport/DisabledManagement.java
+++ b/src/main/java/pepperdock/transport/DisabledManagement.java
@@ -5,22 +5,23 @@
 import javax.management.MBeanServerDelegate;
 
 /**
- * Keeps XNIO from setting up the JVM's management beans, which nobody reads here: some 0.16 s of processor time at a
- * start. XNIO goes on without where there is no server for them. Whoever wants JMX sets
- * {@code -Djavax.management.builder.initial=javax.management.MBeanServerBuilder}, which goes before this.
+ * Keeps XNIO from setting up the JVM's management beans, which nothing reads here and which take about 0.16 s of
+ * processor time at each start. XNIO works without them if there is no MBean server. To use JMX, set
+ * {@code -Djavax.management.builder.initial=javax.management.MBeanServerBuilder}, which takes precedence over this
+ * class.
  */
 public final class DisabledManagement extends MBeanServerBuilder {
 
     private static final String PROPERTY = "javax.management.builder.initial";
 
-    /** In effect from here on, unless the JVM's caller has set the property itself. */
+    /** Installs this builder for the JVM, unless its caller has set the property itself. */
     static void install() {
         if (System.getProperty(PROPERTY) == null) {
             System.setProperty(PROPERTY, DisabledManagement.class.getName());
         }
     }
 
-    /** None: the JDK turns that into an exception, which XNIO takes for an answer. */
+    /** Returns null, which the JDK turns into an exception that XNIO handles. */
     @Override
     public MBeanServer newMBeanServer(String domain, MBeanServer outer, MBeanServerDelegate delegate) {
         return null;
--- a/src/main/java/pepperdock/transport/EventLoop.java
+++ b/src/main/java/pepperdock/transport/EventLoop.java
@@ -23,7 +23,7 @@
 import pepperdock.core.Clock;
 import pepperdock.core.LogRateLimiter;
 
-/** The one I/O thread, which owns all state: sockets, timers and whatever is handed to {@link #execute}. */
+/** The one I/O thread, which owns all state: sockets, timers and the tasks handed to {@link #execute}. */
 public final class EventLoop implements Clock, AutoCloseable {
 
     private static final System.Logger LOG = System.getLogger("pepperdock.transport");
@@ -34,7 +34,7 @@
     private final XnioIoThread thread;
     private final int bufferCap;
     private int socketCap;
-    /** The cap when no other process has a part of it, and that part's bound while one has. */
+    /** The cap while no other process has a part of it, and an upper bound on this process's part while one has. */
     private int unsharedSocketCap;
 
     private int sharedCap = Integer.MAX_VALUE;
@@ -42,10 +42,12 @@
     private final double startedAt = System.currentTimeMillis() / 1e3;
     private final long startedNanos = System.nanoTime();
     private final ByteBuffer discardBuffer = ByteBuffer.allocateDirect(1 << 16);
-    private final LogRateLimiter away = new LogRateLimiter(LOG, this, "clients turned away");
+    private final LogRateLimiter rejectedClientLog = new LogRateLimiter(LOG, this, "clients rejected");
     private int connecting;
 
-    /** {@code socketCap} bounds connections of all kinds together; {@code bufferCap} the buffer of each. */
+    /**
+     * Starts a loop; {@code socketCap} bounds connections of all kinds together, {@code bufferCap} the buffer of each.
+     */
     public EventLoop(int socketCap, int bufferCap) throws IOException {
         this.socketCap = socketCap;
         unsharedSocketCap = socketCap;
@@ -69,26 +71,26 @@
 
     @Override
     public Timer after(double seconds, Runnable task) {
-        boolean[] off = {false};
-        Runnable unlessOff = () -> {
-            if (!off[0]) {
+        boolean[] cancelled = {false};
+        Runnable unlessCancelled = () -> {
+            if (!cancelled[0]) {
                 task.run();
             }
         };
         if (seconds <= 0) {
-            execute(unlessOff);
-            return () -> off[0] = true;
+            execute(unlessCancelled);
+            return () -> cancelled[0] = true;
         }
         try {
-            XnioExecutor.Key key =
-                    thread.executeAfter(() -> guarded(unlessOff), (long) (seconds * 1e6) + 1, TimeUnit.MICROSECONDS);
+            XnioExecutor.Key key = thread.executeAfter(
+                    () -> guarded(unlessCancelled), (long) (seconds * 1e6) + 1, TimeUnit.MICROSECONDS);
             return () -> {
-                // Timers that fall due in one turn are taken out of the queue together, where remove finds none.
-                off[0] = true;
+                // Timers that expire in the same turn leave the queue together, and remove no longer finds them there.
+                cancelled[0] = true;
                 key.remove();
             };
         } catch (RejectedExecutionException e) {
-            // The loop has been closed: nothing falls due any more.
+            // The loop is closed: timers no longer expire.
             return () -> {};
         }
     }
@@ -97,7 +99,7 @@
         try {
             thread.execute(() -> guarded(task));
         } catch (RejectedExecutionException e) {
-            LOG.log(System.Logger.Level.DEBUG, "the loop is closed");
+            LOG.log(System.Logger.Level.DEBUG, "task dropped: the loop is closed");
         }
     }
 
@@ -106,45 +108,51 @@
         return socketCap;
     }
 
-    /** Sets the cap anew; what stands open beyond it is left to end by itself. */
+    /** Changes the cap; connections that are open beyond it are left to end by themselves. */
     public void setSocketCap(int cap) {
         unsharedSocketCap = cap;
         socketCap = Math.min(unsharedSocketCap, sharedCap);
     }
 
-    /** What {@link #setSocketCap} allows, whether or not another process has a part of it now. */
+    /** The cap that {@link #setSocketCap} has set, whether or not another process has a part of it now. */
     public int unsharedSocketCap() {
         return unsharedSocketCap;
     }
 
-    /** Shares the cap with an upgrade peer, or ends that: while shared, no more than {@code cap} sockets are opened, or than are open. */
+    /**
+     * Starts or stops sharing the cap with an upgrade peer. While it is shared, this process uses at most {@code cap}
+     * sockets, or as many as it has open now if those are more.
+     */
     public void shareSocketsWithUpgradePeer(boolean shared, int cap) {
         sharedCap = shared ? Math.max(socketsInUse(), cap) : Integer.MAX_VALUE;
         socketCap = Math.min(unsharedSocketCap, sharedCap);
     }
 
-    /** Room for bytes that nobody wants, one for all connections. */
+    /** Returns the buffer for input that is discarded, which all connections share. */
     ByteBuffer discardBuffer() {
         return discardBuffer.clear();
     }
 
-    /** Sockets that count under the cap now. */
+    /** Number of sockets that count under the cap now. */
     public int socketsInUse() {
         return open.size() + connecting;
     }
 
-    /** Sockets still free under the cap. */
+    /** Number of sockets that are still free under the cap. */
     public int spareSockets() {
         return socketCap - socketsInUse();
     }
 
-    /** Whose an address is, and whose its connections. */
+    /** Which processes listen on an address, and whether its connections count under the cap. */
     public enum SocketScope {
-        /** This process's alone; what comes counts under the cap. */
+        /** Only this process listens; connections count under the cap. */
         EXCLUSIVE,
-        /** Another process may listen on it beside this one, and is dealt a part of those who connect. */
+        /** Another process may listen on the address too, and gets a part of the connections. */
         SHARED_WITH_UPGRADE_PEER,
-        /** This process's alone; bounded by who listens, and beside the cap: clients must not lose sockets to it. */
+        /**
+         * Only this process listens; connections are bounded by their owner and do not count under the cap, so that
+         * clients lose no sockets to them.
+         */
         OUTSIDE_CAP
     }
 
@@ -158,27 +166,27 @@
     }
 
     /**
-     * Accepts connections. {@code room} says whether there is room for one more, after closing others where that helps;
-     * else, or where the cap leaves no socket, the new one is closed unserved. Decided for each one as it is accepted:
-     * hundreds that come at once must not all be held before the first is looked at.
+     * Accepts connections. {@code makeRoom} returns whether there is room for one more, after closing others where that
+     * helps. If there is none, or the cap leaves no socket, the new connection is closed unserved. This is decided for
+     * each connection as it is accepted: hundreds that arrive at once must not all be held before the first is checked.
      */
-    public ServerSocketHandle listen(InetSocketAddress at, BooleanSupplier room, Consumer<Connection> opened)
+    public ServerSocketHandle listen(InetSocketAddress address, BooleanSupplier makeRoom, Consumer<Connection> opened)
             throws IOException {
-        return listen(at, SocketScope.EXCLUSIVE, room, opened);
+        return listen(address, SocketScope.EXCLUSIVE, makeRoom, opened);
     }
 
     /** Accepts connections on an address of the given scope. */
     public ServerSocketHandle listen(
-            InetSocketAddress at, SocketScope scope, BooleanSupplier room, Consumer<Connection> opened)
+            InetSocketAddress address, SocketScope scope, BooleanSupplier makeRoom, Consumer<Connection> opened)
             throws IOException {
         ChannelListener<AcceptingChannel<StreamConnection>> accept = server -> {
             try {
-                for (StreamConnection c = server.accept(); c != null; c = server.accept()) {
-                    StreamConnection taken = c;
-                    guarded(() -> onAccepted(taken, scope, room, opened));
+                for (StreamConnection next = server.accept(); next != null; next = server.accept()) {
+                    StreamConnection accepted = next;
+                    guarded(() -> onAccepted(accepted, scope, makeRoom, opened));
                 }
             } catch (IOException e) {
-                away.log(System.Logger.Level.WARNING, () -> "accept failed: " + e.getMessage());
+                rejectedClientLog.log(System.Logger.Level.WARNING, () -> "accept failed: " + e.getMessage());
             }
         };
         OptionMap options = OptionMap.builder()
@@ -186,8 +194,8 @@
                 .set(Options.REUSE_ADDRESSES, true)
                 .set(Options.TCP_NODELAY, true)
                 .getMap();
-        AcceptingChannel<StreamConnection> server = DirectServer.listen(
-                worker, at, ACCEPT_BACKLOG, scope == SocketScope.SHARED_WITH_UPGRADE_PEER, options, accept);
+        AcceptingChannel<StreamConnection> server = LoopServerSocket.listen(
+                worker, address, ACCEPT_BACKLOG, scope == SocketScope.SHARED_WITH_UPGRADE_PEER, options, accept);
         server.resumeAccepts();
         return new ServerSocketHandle() {
             @Override
@@ -195,7 +203,7 @@
                 return server.getLocalAddress(InetSocketAddress.class);
             }
 
-            /** Takes in whoever stands in the system's queue first: closed with it, each would be reset. */
+            /** Accepts the clients in the system's queue first, as closing the socket would reset their connections. */
             @Override
             public void close() {
                 execute(() -> {
@@ -208,95 +216,103 @@
         };
     }
 
-    /** A UDP socket; what comes is handed over on the loop. */
-    public DatagramSocket datagrams(InetSocketAddress at, DatagramSocket.Receiver to) throws IOException {
+    /** Opens a UDP socket; its datagrams are delivered on the I/O thread. */
+    public DatagramSocket datagrams(InetSocketAddress address, DatagramSocket.Receiver receiver) throws IOException {
         return new DatagramSocket(
-                worker.createUdpServer(at, OptionMap.EMPTY),
-                (bytes, length) -> guarded(() -> to.onDatagram(bytes, length)));
+                worker.createUdpServer(address, OptionMap.EMPTY),
+                (bytes, length) -> guarded(() -> receiver.onDatagram(bytes, length)));
     }
 
     private void onAccepted(
-            StreamConnection taken, SocketScope scope, BooleanSupplier room, Consumer<Connection> opened) {
-        if (!room.getAsBoolean() || scope != SocketScope.OUTSIDE_CAP && spareSockets() <= 0) {
-            away.log(System.Logger.Level.WARNING, () -> "client turned away: no socket to spare");
-            IoUtils.safeClose(taken);
+            StreamConnection accepted, SocketScope scope, BooleanSupplier makeRoom, Consumer<Connection> opened) {
+        if (!makeRoom.getAsBoolean() || scope != SocketScope.OUTSIDE_CAP && spareSockets() <= 0) {
+            rejectedClientLog.log(
+                    System.Logger.Level.WARNING, () -> "client rejected: no socket is free for its connection");
+            IoUtils.safeClose(accepted);
         } else {
-            opened.accept(adopt(taken, scope != SocketScope.OUTSIDE_CAP));
+            opened.accept(adopt(accepted, scope != SocketScope.OUTSIDE_CAP));
         }
     }
 
-    /** What comes of {@link #connect}: one of the two, once. */
+    /** Receives the result of {@link #connect}: exactly one of the methods is called, once. */
     public interface ConnectListener {
         /** The connection is established; the listener owns it. */
-        void onConnected(Connection c);
+        void onConnected(Connection connection);
         /** No connection could be established in time. */
         void onFailed();
     }
 
-    /** Opens a connection, given up after {@code timeoutS} seconds; told at the earliest after this returns. */
-    public void connect(InetSocketAddress to, double timeoutS, ConnectListener then) {
-        connect(to, SocketScope.EXCLUSIVE, timeoutS, then);
+    /**
+     * Opens a connection, and gives up after {@code timeoutS} seconds; the listener is called after this has returned.
+     */
+    public void connect(InetSocketAddress address, double timeoutS, ConnectListener listener) {
+        connect(address, SocketScope.EXCLUSIVE, timeoutS, listener);
     }
 
-    /** The same; one that is {@link SocketScope#OUTSIDE_CAP} comes up however many others stand. */
-    public void connect(InetSocketAddress to, SocketScope scope, double timeoutS, ConnectListener then) {
+    /**
+     * Opens a connection of the given scope; one {@link SocketScope#OUTSIDE_CAP} is opened however many others are
+     * open.
+     */
+    public void connect(InetSocketAddress address, SocketScope scope, double timeoutS, ConnectListener listener) {
         boolean counted = scope != SocketScope.OUTSIDE_CAP;
-        int counts = counted ? 1 : 0;
-        connecting += counts;
-        boolean[] over = {false};
+        int socketCount = counted ? 1 : 0;
+        connecting += socketCount;
+        boolean[] finished = {false};
         if (counted && spareSockets() < 0) {
             execute(() -> {
                 connecting--;
-                then.onFailed();
+                listener.onFailed();
             });
             return;
         }
-        IoFuture<StreamConnection> future = thread.openStreamConnection(to, null, SOCKET_OPTIONS);
+        IoFuture<StreamConnection> future = thread.openStreamConnection(address, null, SOCKET_OPTIONS);
         Timer limit = after(timeoutS, () -> {
-            if (!over[0]) {
-                over[0] = true;
-                connecting -= counts;
+            if (!finished[0]) {
+                finished[0] = true;
+                connecting -= socketCount;
                 future.cancel();
-                then.onFailed();
+                listener.onFailed();
             }
         });
         future.addNotifier(
-                (f, unused) -> execute(() -> {
-                    StreamConnection made = f.getStatus() == IoFuture.Status.DONE ? result(f) : null;
-                    if (over[0]) {
-                        IoUtils.safeClose(made);
+                (completed, unused) -> execute(() -> {
+                    StreamConnection connected =
+                            completed.getStatus() == IoFuture.Status.DONE ? resultOrNull(completed) : null;
+                    if (finished[0]) {
+                        IoUtils.safeClose(connected);
                         return;
                     }
-                    over[0] = true;
-                    connecting -= counts;
+                    finished[0] = true;
+                    connecting -= socketCount;
                     limit.cancel();
-                    if (made == null) {
-                        then.onFailed();
+                    if (connected == null) {
+                        listener.onFailed();
                     } else {
-                        then.onConnected(adopt(made, counted));
+                        listener.onConnected(adopt(connected, counted));
                     }
                 }),
                 null);
     }
 
-    private static StreamConnection result(IoFuture<? extends StreamConnection> f) {
+    private static StreamConnection resultOrNull(IoFuture<? extends StreamConnection> completed) {
         try {
-            return f.get();
+            return completed.get();
         } catch (IOException e) {
             return null;
         }
     }
 
     private Connection adopt(StreamConnection channel, boolean counted) {
-        Connection c = new Connection(this, channel, bufferCap);
+        Connection connection = new Connection(this, channel, bufferCap);
         if (counted) {
-            open.add(c);
+            open.add(connection);
         }
-        return c;
+        return connection;
     }
 
-    void closed(Connection c) {
-        open.remove(c);
+    /** Called when a connection has been closed: it no longer counts under the cap. */
+    void onClosed(Connection connection) {
+        open.remove(connection);
     }
 
     @Override
@@ -308,7 +324,7 @@
         try {
             task.run();
         } catch (RuntimeException e) {
-            LOG.log(System.Logger.Level.ERROR, "task failed", e);
+            LOG.log(System.Logger.Level.ERROR, "task on the I/O thread failed", e);
         }
     }
 }
--- a/src/main/java/pepperdock/transport/HttpClient.java
+++ b/src/main/java/pepperdock/transport/HttpClient.java
@@ -7,27 +7,31 @@
 import pepperdock.codec.http.HttpParser;
 import pepperdock.core.Clock;
 
-/** Asks one server, one request at a time, on a connection kept between requests and opened as needed. */
+/**
+ * Sends requests to one server, one at a time, over a connection that is opened as needed and kept between requests.
+ */
 public final class HttpClient implements Connection.Handler {
 
-    /** Why no response came; {@link #NOT_SENT} proves that the server never had the whole request. */
+    /** Why there is no response; {@link #NOT_SENT} proves that the server never received the whole request. */
     public enum Failure {
         NOT_SENT,
         CONNECTION_LOST,
         TIMED_OUT
     }
 
-    /** What comes of a request: one of the two, once, at the earliest after {@link #send} returns. */
+    /**
+     * Receives the result of a request: exactly one of the methods is called, once, after {@link #send} has returned.
+     */
     public interface ResponseListener {
-        /** The response has come, complete. */
+        /** The complete response has arrived. */
         void onResponse(HttpMessage message);
-        /** No response came, or none that could be read. */
+        /** No response has arrived, or none that could be parsed. */
         void onFailure(Failure failure);
     }
 
     private final EventLoop loop;
     private final InetSocketAddress server;
-    private final EventLoop.SocketScope kind;
+    private final EventLoop.SocketScope scope;
     private final double connectTimeoutS;
     private final int maxBodyBytes;
     private Connection connection;
@@ -36,21 +40,24 @@
     private long requestEndOffset;
     private long requestNumber;
     private Clock.Timer responseTimeout;
-    /** A client of one server; the connection is opened with the first request. */
+    /** Creates a client of one server; the connection is opened with the first request. */
     public HttpClient(EventLoop loop, InetSocketAddress server, double connectTimeoutS, int maxBodyBytes) {
         this(loop, server, EventLoop.SocketScope.EXCLUSIVE, connectTimeoutS, maxBodyBytes);
     }
 
-    /** One whose connection is {@link Loop.SocketScope#OUTSIDE_CAP} has it however many others stand. */
+    /**
+     * Creates a client whose connection has the given scope; one {@link EventLoop.SocketScope#OUTSIDE_CAP} is opened
+     * however many others are open.
+     */
     public HttpClient(
             EventLoop loop,
             InetSocketAddress server,
-            EventLoop.SocketScope kind,
+            EventLoop.SocketScope scope,
             double connectTimeoutS,
             int maxBodyBytes) {
         this.loop = loop;
         this.server = server;
-        this.kind = kind;
+        this.scope = scope;
         this.connectTimeoutS = connectTimeoutS;
         this.maxBodyBytes = maxBodyBytes;
     }
@@ -63,19 +70,22 @@
         return connection != null;
     }
 
-    /** Whether its request waits for a connection that is still coming up: nothing of it has been written. */
+    /** Whether a request waits for a connection that is still being established: nothing of it has been written. */
     public boolean isConnecting() {
         return listener != null && connection == null;
     }
 
-    /** {@code timeoutS} is for the answer, from when the request is written; connecting has its own limit, at most as long. */
+    /**
+     * Sends a request. {@code timeoutS} limits the wait for the response, from when the request is written; connecting
+     * has its own limit, which is at most as long.
+     */
     public void send(byte[] request, double timeoutS, ResponseListener listener) {
         send(request, timeoutS, () -> true, listener);
     }
 
     /**
-     * The same for a request that may cease to be wanted while it waits for a connection: {@code wanted} is asked once that
-     * is there, and a request that is not wanted any more fails unsent.
+     * Sends a request that may become unwanted while it waits for a connection: {@code stillWanted} is asked once the
+     * connection is established, and a request that is no longer wanted fails unsent.
      */
     public void send(byte[] request, double timeoutS, BooleanSupplier stillWanted, ResponseListener listener) {
         this.listener = listener;
@@ -84,23 +94,23 @@
             write(request, timeoutS);
             return;
         }
-        loop.connect(server, kind, Math.min(connectTimeoutS, timeoutS), new EventLoop.ConnectListener() {
+        loop.connect(server, scope, Math.min(connectTimeoutS, timeoutS), new EventLoop.ConnectListener() {
             @Override
-            public void onConnected(Connection c) {
+            public void onConnected(Connection established) {
                 if (number != requestNumber || HttpClient.this.listener == null) {
-                    c.close();
+                    established.close();
                     return;
                 }
                 if (!stillWanted.getAsBoolean()) {
-                    c.close();
+                    established.close();
                     if (number == requestNumber) {
                         fail(Failure.NOT_SENT);
                     }
                     return;
                 }
-                connection = c;
+                connection = established;
                 parser = HttpParser.ofResponses(maxBodyBytes);
-                c.start(HttpClient.this);
+                established.start(HttpClient.this);
                 write(request, timeoutS);
             }
 
@@ -113,7 +123,10 @@
         });
     }
 
-    /** The time for an answer counts from here: a server that lets a call wait counts from when it has it. */
+    /**
+     * Writes the request; its timeout starts here, as a server that lets a call wait counts from when it has received
+     * it.
+     */
     private void write(byte[] request, double timeoutS) {
         long number = requestNumber;
         responseTimeout = loop.after(timeoutS, () -> {
@@ -125,7 +138,7 @@
         requestEndOffset = connection.bytesQueued();
     }
 
-    /** Ends the request in hand, if any, without a word, and closes the connection. */
+    /** Abandons the request in progress, if any, without calling its listener, and closes the connection. */
     public void close() {
         requestNumber++;
         listener = null;
@@ -143,7 +156,7 @@
         try {
             while (source.readEnd() > source.readStart() && connection == source) {
                 if (listener == null) {
-                    // Bytes that nothing asked for: what follows could not be told apart from them.
+                    // These bytes are unsolicited: a later response could not be told apart from them.
                     close();
                     return;
                 }
@@ -183,8 +196,7 @@
             return;
         }
         if (!source.endedByError()) {
-            // A reset ends nothing: taken for the end of an answer without a length, half of one would pass for the
-            // whole.
+            // A reset does not end a response: half of one without a length would pass for the whole.
             parser.onEndOfInput();
         }
         if (parser.isComplete()) {
@@ -195,10 +207,10 @@
     }
 
     private void fail(Failure failure) {
-        ResponseListener completed = listener;
+        ResponseListener failed = listener;
         close();
-        if (completed != null) {
-            completed.onFailure(failure);
+        if (failed != null) {
+            failed.onFailure(failure);
         }
     }
 }
--- a/src/main/java/pepperdock/transport/HttpRequestHandler.java
+++ b/src/main/java/pepperdock/transport/HttpRequestHandler.java
@@ -7,13 +7,13 @@
 public interface HttpRequestHandler {
 
     /**
-     * Handles a request, now or later.
+     * Handles a request and sends the response, now or later.
      *
-     * @return what is run if the client disconnects before the response
-     * @throws HttpException if the request is answered with an error status at once
+     * @return the task to run if the client disconnects before the response
+     * @throws HttpException if the request is to be answered with an error status at once
      */
     Runnable serve(HttpMessage request, HttpResponseSender reply) throws HttpException;
 
-    /** Words the response to a malformed request, at once. */
-    void rejectMalformed(int status, String why, HttpResponseSender reply);
+    /** Sends the response to a malformed request, at once. */
+    void rejectMalformed(int status, String reason, HttpResponseSender reply);
 }
--- a/src/main/java/pepperdock/transport/HttpServer.java
+++ b/src/main/java/pepperdock/transport/HttpServer.java
@@ -15,55 +15,57 @@
 import pepperdock.core.LogRateLimiter;
 
 /**
- * Serves HTTP/1.1 on one address: one request at a time on a connection, whatever the front behind it. Each state of a
- * connection has its time limit: guards against clients that connect and say nothing, never finish, or do not read.
+ * Serves HTTP/1.1 on one address, one request at a time per connection, for any front. The states of a connection have
+ * time limits, which guard against clients that connect and send nothing, never finish a request, or do not read.
  */
 public final class HttpServer {
 
     private static final System.Logger LOG = System.getLogger("pepperdock.transport");
-    /** From connecting, or from the first byte of a later request, to its last byte. */
+    /** Time limit for a request: from connecting, or from the first byte of a later request, to its last byte. */
     public static final double REQUEST_TIMEOUT_S = 2.5;
-    /** For a client to read what it was sent, and to close after an error. */
+    /** Time limit for a client to read more of what it was sent. */
     private static final double RESPONSE_READ_TIMEOUT_S = 2.5;
 
+    /** Time limit for a client to close after its last response, such as an error. */
     private static final double LINGER_TIMEOUT_S = 1;
-    /** A connection kept between requests may be closed after 2 s, and is when others need its room; else after this. */
+    /** Time after which a connection that is kept between requests is closed if others do not need its room earlier. */
     private static final double IDLE_TIMEOUT_S = 60;
-
+    /** Time after which a connection that is kept between requests may be closed to make room for others. */
     private static final double MIN_IDLE_BEFORE_EVICTION_S = 2;
+
     private static final double TIMEOUT_SWEEP_INTERVAL_S = 0.1;
-    /** Between the word to stop listening and its being done. */
+    /** Delay between the call of {@link #stopListening} and the close of the listening socket. */
     private static final double STOP_LISTENING_DELAY_S = 0.02;
-    /** More than the longest line that the parser takes; bodies it takes as they come. */
+    /** More than the longest line that the parser accepts; bodies are consumed as they arrive. */
     private static final int MAX_UNCONSUMED_BYTES = 16 << 10;
 
     private final EventLoop loop;
-    private final HttpRequestHandler service;
+    private final HttpRequestHandler handler;
     private final int maxBodyBytes;
     private final IntSupplier maxConnections;
     private final double requestTimeoutS;
     private final EventLoop.SocketScope scope;
     private final EventLoop.ServerSocketHandle listening;
-    /** In the order in which they came to the state they are in, so that the longest waiting is found first. */
+    /** Ordered by the time at which they entered their state, so that the longest waiting is found first. */
     private final Set<ServerConnection> connections = new LinkedHashSet<>();
 
     private boolean draining;
     private boolean stopped;
     private final LogRateLimiter rejectedRequestLog;
 
-    /** A server of at most {@code maxConnections} connections, for requests with bodies of at most {@code maxBodyBytes}. */
+    /** Creates a server of at most {@code maxConnections} connections, for bodies of at most {@code maxBodyBytes}. */
     public HttpServer(
             EventLoop loop,
             InetSocketAddress address,
             int maxBodyBytes,
             IntSupplier maxConnections,
-            HttpRequestHandler service)
+            HttpRequestHandler handler)
             throws IOException {
-        this(loop, address, EventLoop.SocketScope.EXCLUSIVE, REQUEST_TIMEOUT_S, maxBodyBytes, maxConnections, service);
+        this(loop, address, EventLoop.SocketScope.EXCLUSIVE, REQUEST_TIMEOUT_S, maxBodyBytes, maxConnections, handler);
     }
 
     /**
-     * The same for an address of the given scope; on one outside the cap each response closes its connection.
+     * Creates a server on an address of the given scope; on one outside the cap each response closes its connection.
      *
      * @param requestTimeoutS seconds in which a request must arrive, from its first byte or from connecting
      */
@@ -74,33 +76,33 @@
             double requestTimeoutS,
             int maxBodyBytes,
             IntSupplier maxConnections,
-            HttpRequestHandler service)
+            HttpRequestHandler handler)
             throws IOException {
         this.loop = loop;
         this.scope = scope;
         this.requestTimeoutS = requestTimeoutS;
         draining = scope == EventLoop.SocketScope.OUTSIDE_CAP;
-        rejectedRequestLog = new LogRateLimiter(LOG, loop, "malformed or not taken");
-        this.service = service;
+        rejectedRequestLog = new LogRateLimiter(LOG, loop, "malformed or rejected requests");
+        this.handler = handler;
         this.maxBodyBytes = maxBodyBytes;
         this.maxConnections = maxConnections;
         listening = loop.listen(address, scope, this::makeRoom, connection -> {
-            ServerConnection clientConnection = new ServerConnection(connection);
-            connections.add(clientConnection);
+            ServerConnection client = new ServerConnection(connection);
+            connections.add(client);
             connection.limitUnconsumedBytes(MAX_UNCONSUMED_BYTES);
-            connection.start(clientConnection);
-            // Whoever waited in the system's queue has mostly asked by now, and perhaps left: not a turn of the loop
-            // later.
+            connection.start(client);
+            // Read at once, not a turn of the loop later: a client that waited in the system's queue has usually sent
+            // its request by now, and may have disconnected.
             connection.readNow();
         });
         loop.after(TIMEOUT_SWEEP_INTERVAL_S, this::enforceTimeouts);
     }
-    /** The address that is listened on. */
+    /** The address that the server listens on. */
     public InetSocketAddress address() {
         return listening.address();
     }
 
-    /** From now on each reply closes its connection, so that clients turn elsewhere. */
+    /** Makes each response from now on close its connection, so that clients connect elsewhere. */
     public void drain() {
         draining = true;
     }
@@ -110,15 +112,16 @@
         return !stopped;
     }
 
-    /** Takes in whoever waits and stops listening at once, where another process listens on the same address. */
+    /** Accepts the waiting clients and stops listening at once; for an address on which another process listens too. */
     public void stopListeningAtOnce() {
         stopped = true;
         listening.close();
     }
 
     /**
-     * Closes what stands idle, as {@link #closeIfIdle} does, and stops listening some turns of the loop later: whoever
-     * stands in the queue then was accepted by the machine, and closed with it its request would be lost.
+     * Closes idle connections, as {@link #closeIfIdle} does, and stops listening some turns of the loop later. The
+     * kernel has accepted the clients that are still in its queue, and their requests would be lost if the queue were
+     * closed now.
      */
     public void stopListening() {
         stopped = true;
@@ -127,41 +130,42 @@
     }
 
     /**
-     * Closes a connection that has nothing in hand once all that has come on it is read, and what was answered is written:
-     * closed blindly, a request that came since the last look is taken and never answered.
+     * Closes a connection if it has no request in progress after all its input is read, and all responses are written.
+     * Without that check, a request that has arrived since the last read would be accepted and never answered.
      */
-    private static void closeIfIdle(ServerConnection clientConnection) {
-        clientConnection.connection.readNow();
-        if ((clientConnection.state == ConnectionState.IDLE || clientConnection.state == ConnectionState.NEW)
-                && !clientConnection.connection.hasUnwrittenBytes()) {
-            clientConnection.connection.close();
+    private static void closeIfIdle(ServerConnection client) {
+        client.connection.readNow();
+        if ((client.state == ConnectionState.IDLE || client.state == ConnectionState.NEW)
+                && !client.connection.hasUnwrittenBytes()) {
+            client.connection.close();
         }
     }
 
-    /** Takes what has come on all connections by now: for whoever is about to end, and must answer it first. */
+    /** Reads what has arrived on all connections; for a process that is about to end and must answer it first. */
     public void readAllNow() {
-        List.copyOf(connections).forEach(clientConnection -> clientConnection.connection.readNow());
+        List.copyOf(connections).forEach(client -> client.connection.readNow());
     }
 
-    /** Connections that stand, idle ones included. */
+    /** Number of open connections, idle ones included. */
     public int connectionCount() {
-        connections.removeIf(clientConnection -> clientConnection.connection.isClosed());
+        connections.removeIf(client -> client.connection.isClosed());
         return connections.size();
     }
 
-    /** Connections with a request in hand, or with a reply not wholly written. */
+    /** Number of connections with a request in progress, or with a response that is not wholly written. */
     public int busyConnectionCount() {
         return (int) connections.stream()
-                .filter(clientConnection -> !clientConnection.connection.isClosed())
-                .filter(clientConnection -> clientConnection.state == ConnectionState.SERVING
-                        || clientConnection.state == ConnectionState.READING
-                        || clientConnection.connection.hasUnwrittenBytes())
+                .filter(client -> !client.connection.isClosed())
+                .filter(client -> client.state == ConnectionState.SERVING
+                        || client.state == ConnectionState.READING
+                        || client.connection.hasUnwrittenBytes())
                 .count();
     }
 
     /**
-     * Guards against running out of descriptors. Whoever asked once and only keeps its connection gives way first, then
-     * whoever never asked, the longest waiting first; those with a request in hand stay.
+     * Returns whether there is room for a connection, after closing another one if necessary; this guards against
+     * running out of descriptors. Connections that are only kept after a request are closed first, then those that
+     * never completed one, the longest waiting first; those with a request in progress stay.
      */
     private boolean makeRoom() {
         if (connectionCount() < maxConnections.getAsInt()
@@ -169,23 +173,21 @@
             return true;
         }
         double now = loop.now();
-        return evictFirst(clientConnection -> clientConnection.state == ConnectionState.CLOSING)
-                || evictFirst(clientConnection -> clientConnection.state == ConnectionState.IDLE
-                        && now - clientConnection.stateSince > MIN_IDLE_BEFORE_EVICTION_S)
-                || evictFirst(clientConnection -> clientConnection.state == ConnectionState.NEW)
-                || evictFirst(clientConnection ->
-                        clientConnection.state == ConnectionState.READING && clientConnection.requestNumber == 0)
-                || evictFirst(clientConnection -> clientConnection.state == ConnectionState.IDLE);
+        return evictFirst(client -> client.state == ConnectionState.CLOSING)
+                || evictFirst(client ->
+                        client.state == ConnectionState.IDLE && now - client.stateSince > MIN_IDLE_BEFORE_EVICTION_S)
+                || evictFirst(client -> client.state == ConnectionState.NEW)
+                || evictFirst(client -> client.state == ConnectionState.READING && client.requestNumber == 0)
+                || evictFirst(client -> client.state == ConnectionState.IDLE);
     }
 
-    /** What has come on it is read first: whoever has just asked does not give way. */
-    private boolean evictFirst(Predicate<ServerConnection> which) {
-        for (ServerConnection clientConnection :
-                connections.stream().filter(which).toList()) {
-            clientConnection.connection.readNow();
-            if (which.test(clientConnection) || clientConnection.connection.isClosed()) {
-                clientConnection.connection.close();
-                connections.remove(clientConnection);
+    /** Closes the first evictable connection, once its input is read: a client that has just sent a request stays. */
+    private boolean evictFirst(Predicate<ServerConnection> evictable) {
+        for (ServerConnection client : connections.stream().filter(evictable).toList()) {
+            client.connection.readNow();
+            if (evictable.test(client) || client.connection.isClosed()) {
+                client.connection.close();
+                connections.remove(client);
                 return true;
             }
         }
@@ -194,10 +196,10 @@
 
     private void enforceTimeouts() {
         double now = loop.now();
-        for (ServerConnection clientConnection : List.copyOf(connections)) {
-            clientConnection.enforceTimeout(now);
+        for (ServerConnection client : List.copyOf(connections)) {
+            client.enforceTimeout(now);
         }
-        connections.removeIf(clientConnection -> clientConnection.connection.isClosed());
+        connections.removeIf(client -> client.connection.isClosed());
         loop.after(TIMEOUT_SWEEP_INTERVAL_S, this::enforceTimeouts);
     }
 
@@ -207,7 +209,7 @@
         private final HttpParser parser = HttpParser.ofRequests(maxBodyBytes);
         private Runnable disconnectHandler;
         private boolean isHeadRequest;
-        private boolean feeding;
+        private boolean readingRequests;
         private long requestNumber;
         private ConnectionState state = ConnectionState.NEW;
         private double stateSince = loop.now();
@@ -226,7 +228,7 @@
             }
         }
 
-        /** Closes the connection, or answers 408, where it has been in its state for too long; called periodically. */
+        /** Closes the connection, or answers 408, if it has been in its state for too long; called periodically. */
         void enforceTimeout(double now) {
             if (connection.isClosed()) {
                 return;
@@ -242,7 +244,7 @@
                     || isTimedOut(ConnectionState.IDLE, IDLE_TIMEOUT_S, now)) {
                 closeIfIdle(this);
             } else if (isTimedOut(ConnectionState.READING, requestTimeoutS, now)) {
-                rejectMalformed(new HttpException(408, "request not finished in time"));
+                rejectMalformed(new HttpException(408, "request not complete within the time limit"));
             }
         }
 
@@ -260,16 +262,17 @@
         }
 
         /**
-         * Not called anew from within: hundreds of requests sent at once would otherwise pile up on the stack. Nothing is
-         * taken behind an answer that waits to be read: with answers upon answers the connection's buffer fills up, reading
-         * pauses, and the end of a client whose next request is in hand would not be seen.
+         * Serves requests until one is in progress. Nested calls return at once: hundreds of requests sent at once
+         * would otherwise overflow the stack. No request is taken while a response waits to be read: further responses
+         * would fill the connection's buffer, reading would pause, and the disconnect of a client whose next request is
+         * in progress would go unnoticed.
          */
         @Override
         public void onBytes(Connection connection) {
-            if (feeding) {
+            if (readingRequests) {
                 return;
             }
-            feeding = true;
+            readingRequests = true;
             try {
                 while (disconnectHandler == null
                         && connection.readEnd() > connection.readStart()
@@ -279,7 +282,7 @@
                     if (state == ConnectionState.IDLE) {
                         enter(ConnectionState.READING);
                     } else if (state == ConnectionState.NEW) {
-                        // The limit counts from connecting: a client that sends byte by byte gains nothing by it.
+                        // The time limit counts from connecting: a client gains nothing by sending byte by byte.
                         state = ConnectionState.READING;
                     }
                     connection.consume(parser.feed(connection.bytes(), connection.readStart(), connection.readEnd()));
@@ -291,22 +294,22 @@
             } catch (HttpException e) {
                 rejectMalformed(e);
             } finally {
-                feeding = false;
+                readingRequests = false;
             }
         }
 
-        /** The answer is with the kernel: what its client sent behind it is taken now. */
+        /** The kernel has taken the whole response: requests that the client sent behind it are served now. */
         @Override
         public void onFlushed(Connection connection) {
             onBytes(connection);
         }
 
-        /** What follows something malformed can't be told from it: answered, and not read on. */
+        /** Answers a malformed request and reads no further, as later input can't be told apart from it. */
         private void rejectMalformed(HttpException e) {
             long number = ++requestNumber;
             disconnectHandler = () -> {};
             rejectedRequestLog.log(System.Logger.Level.INFO, () -> "malformed request: " + e.getMessage());
-            service.rejectMalformed(
+            handler.rejectMalformed(
                     e.status(),
                     e.getMessage(),
                     (status, type, extra, body) -> respond(number, false, status, type, extra, body));
@@ -319,18 +322,18 @@
             isHeadRequest = message.method().equals("HEAD");
             HttpResponseSender reply = responseSender(number, message.keepAlive());
             try {
-                Runnable onDisconnect = service.serve(message, reply);
+                Runnable onDisconnect = handler.serve(message, reply);
                 if (number == requestNumber && disconnectHandler != null) {
                     disconnectHandler = onDisconnect;
                 }
             } catch (HttpException e) {
                 rejectedRequestLog.log(
                         System.Logger.Level.INFO,
-                        () -> "request for " + message.path() + " not taken: " + e.status() + ' ' + e.getMessage());
-                service.rejectMalformed(e.status(), e.getMessage(), reply);
+                        () -> "request for " + message.path() + " rejected: " + e.status() + ' ' + e.getMessage());
+                handler.rejectMalformed(e.status(), e.getMessage(), reply);
             } catch (RuntimeException e) {
-                LOG.log(System.Logger.Level.ERROR, "request failed", e);
-                service.rejectMalformed(500, "internal error", reply);
+                LOG.log(System.Logger.Level.ERROR, "request handler failed", e);
+                handler.rejectMalformed(500, "internal error", reply);
             }
         }
 
@@ -355,11 +358,11 @@
                 return;
             }
             disconnectHandler = null;
-            // Requests that were thrown away can't be answered: their client sees that this was the last.
+            // Discarded requests can't be answered: closing shows the client that this response is the last.
             boolean keep = keepAlive && !draining && !connection.hasDiscardedInput();
-            byte[] whole = HttpWriter.response(status, type, extra, body, keep);
-            // A HEAD is answered without the body: its bytes would be taken for the next response.
-            connection.write(isHeadRequest ? Arrays.copyOf(whole, whole.length - body.length) : whole);
+            byte[] response = HttpWriter.response(status, type, extra, body, keep);
+            // A HEAD is answered without the body: the client would take its bytes for the next response.
+            connection.write(isHeadRequest ? Arrays.copyOf(response, response.length - body.length) : response);
             if (!keep) {
                 enter(ConnectionState.CLOSING);
                 connection.closeAfterWrites();
@@ -371,11 +374,11 @@
             }
         }
 
-        /** Whoever sends on and on behind a request that is in hand does not wait for its answer. */
+        /** Ends the request in progress with 413: a client that keeps sending behind it does not await the response. */
         @Override
-        public void onFlooded(Connection connection) {
+        public void onInputOverflow(Connection connection) {
             notifyDisconnect();
-            rejectMalformed(new HttpException(413, "too much sent behind a request in hand"));
+            rejectMalformed(new HttpException(413, "too much data sent behind a request in progress"));
         }
 
         @Override
--- a/src/main/java/pepperdock/transport/DirectServer.java
+++ b/src/main/java/pepperdock/transport/LoopServerSocket.java
@@ -13,22 +13,24 @@
 import org.xnio.channels.AcceptingChannel;
 
 /**
- * A listening socket that the loop itself accepts from. XNIO's usual one accepts on a thread of its own, as fast as clients
- * come, and hands over later: what it holds meanwhile is bounded by nothing but the system, and hundreds of clients that
- * come at once took the process over its limit of descriptors. XNIO's server for a channel that is there already can't be
- * reached from outside but by reflection; the version is fixed in the build, and tests listen with it.
+ * Creates listening sockets from which the loop itself accepts. XNIO's usual server accepts on a thread of its own, as
+ * fast as clients connect, and hands the connections over later. Only the operating system bounds how many it holds
+ * meanwhile: hundreds of clients that connected at once took the process over its limit of descriptors. XNIO's server
+ * for an existing channel is accessible by reflection only; the version of XNIO is fixed in the build, and tests listen
+ * with this server.
  */
-final class DirectServer {
+final class LoopServerSocket {
 
-    private DirectServer() {}
+    private LoopServerSocket() {}
 
     /**
-     * Accepts straight from the system, one connection for each that is asked for. {@code shared}: another process may listen
-     * on the address too (SO_REUSEPORT, to be set before the address is bound), as an upgrade's two processes do.
+     * Listens on an address; each accept takes one connection straight from the operating system. If {@code shared},
+     * another process may listen on the address too, as the two processes of an upgrade do (SO_REUSEPORT, which must be
+     * set before the address is bound).
      */
     static AcceptingChannel<StreamConnection> listen(
             XnioWorker worker,
-            InetSocketAddress at,
+            InetSocketAddress address,
             int backlog,
             boolean shared,
             OptionMap options,
@@ -39,7 +41,7 @@
             channel.setOption(StandardSocketOptions.SO_REUSEADDR, true);
             channel.setOption(StandardSocketOptions.SO_REUSEPORT, shared);
             channel.configureBlocking(false);
-            channel.bind(at, backlog);
+            channel.bind(address, backlog);
             AcceptingChannel<StreamConnection> server = server(worker, channel, options);
             server.getAcceptSetter().set(accept);
             return server;
@@ -53,16 +55,17 @@
     private static AcceptingChannel<StreamConnection> server(
             XnioWorker worker, ServerSocketChannel channel, OptionMap options) throws IOException {
         try {
-            Constructor<?> made = Class.forName("org.xnio.nio.NioTcpServer")
+            Constructor<?> constructor = Class.forName("org.xnio.nio.NioTcpServer")
                     .getDeclaredConstructor(
                             Class.forName("org.xnio.nio.NioXnioWorker"),
                             ServerSocketChannel.class,
                             OptionMap.class,
                             boolean.class);
-            made.setAccessible(true);
-            return (AcceptingChannel<StreamConnection>) made.newInstance(worker, channel, options, false);
+            constructor.setAccessible(true);
+            return (AcceptingChannel<StreamConnection>) constructor.newInstance(worker, channel, options, false);
         } catch (ReflectiveOperationException e) {
-            throw new IOException("this version of XNIO can't accept on the loop", e);
+            throw new IOException(
+                    "this version of XNIO has no NioTcpServer for an existing channel, which the event loop needs", e);
         }
     }
 }
--- a/src/test/java/pepperdock/transport/ClientGoneTest.java
+++ b/src/test/java/pepperdock/transport/ClientGoneTest.java
@@ -19,25 +19,28 @@
 import org.junit.jupiter.params.provider.ValueSource;
 import pepperdock.codec.http.HttpMessage;
 
-/** Clients that go while their request is in hand, by each way of going, also with more behind it than is kept unread. */
+/**
+ * Checks that the server notices clients that disconnect while their request is in progress, in each way of
+ * disconnecting, also with more input behind the request than is kept.
+ */
 @Timeout(60)
 class ClientGoneTest {
 
     private static final String REQUEST = "POST /hold HTTP/1.1\r\nContent-Length: 2\r\n\r\n{}";
 
-    /** What the front was told, in order: each request taken, and each client gone. */
-    private final BlockingQueue<String> told = new LinkedBlockingQueue<>();
+    /** What the handler was told, in order: each request taken, and each client gone. */
+    private final BlockingQueue<String> events = new LinkedBlockingQueue<>();
 
-    private final BlockingQueue<HttpResponseSender> held = new LinkedBlockingQueue<>();
-    private final HttpRequestHandler service = new HttpRequestHandler() {
+    private final BlockingQueue<HttpResponseSender> pendingReplies = new LinkedBlockingQueue<>();
+    private final HttpRequestHandler handler = new HttpRequestHandler() {
         private int taken;
 
         @Override
         public Runnable serve(HttpMessage request, HttpResponseSender reply) {
-            int no = ++taken;
-            told.add("taken " + no);
-            held.add(reply);
-            return () -> told.add("gone " + no);
+            int number = ++taken;
+            events.add("taken " + number);
+            pendingReplies.add(reply);
+            return () -> events.add("gone " + number);
         }
 
         @Override
@@ -55,8 +58,9 @@
         loop.close();
     }
 
-    private HttpServer server(EventLoop by) throws IOException {
-        return new HttpServer(by, new InetSocketAddress(InetAddress.getLoopbackAddress(), 0), 1024, () -> 10, service);
+    private HttpServer server(EventLoop eventLoop) throws IOException {
+        return new HttpServer(
+                eventLoop, new InetSocketAddress(InetAddress.getLoopbackAddress(), 0), 1024, () -> 10, handler);
     }
 
     private Socket ask(String text) throws IOException {
@@ -64,179 +68,190 @@
     }
 
     private static Socket ask(HttpServer server, String text) throws IOException {
-        Socket s = new Socket(server.address().getAddress(), server.address().getPort());
-        s.setSoTimeout(30_000);
-        s.getOutputStream().write(text.getBytes(StandardCharsets.US_ASCII));
-        return s;
+        Socket socket =
+                new Socket(server.address().getAddress(), server.address().getPort());
+        socket.setSoTimeout(30_000);
+        socket.getOutputStream().write(text.getBytes(StandardCharsets.US_ASCII));
+        return socket;
     }
 
     private String next() throws InterruptedException {
-        return told.poll(30, TimeUnit.SECONDS);
+        return events.poll(30, TimeUnit.SECONDS);
     }
 
-    private enum Way {
+    private enum Disconnect {
         CLOSE,
         HALF_CLOSE,
         RESET;
 
-        void go(Socket s) throws IOException {
+        void apply(Socket client) throws IOException {
             switch (this) {
-                case CLOSE -> s.close();
-                case HALF_CLOSE -> s.shutdownOutput();
+                case CLOSE -> client.close();
+                case HALF_CLOSE -> client.shutdownOutput();
                 default -> {
-                    s.setSoLinger(true, 0);
-                    s.close();
+                    client.setSoLinger(true, 0);
+                    client.close();
                 }
             }
         }
     }
 
     @ParameterizedTest
-    @EnumSource(Way.class)
-    void aClientThatGoesIsNoticed(Way way) throws Exception {
-        Socket s = ask(REQUEST);
+    @EnumSource(Disconnect.class)
+    void disconnectDuringARequestIsNoticed(Disconnect disconnect) throws Exception {
+        Socket client = ask(REQUEST);
         assertEquals("taken 1", next());
-        way.go(s);
+        disconnect.apply(client);
         assertEquals("gone 1", next());
-        s.close();
+        client.close();
     }
 
-    /** Found by reading: reading stopped at 16 KiB behind a request in hand, and an end behind that was never seen. */
+    /**
+     * Guards against reading that stops at 16 KiB behind a request in progress: a disconnect behind that went
+     * unnoticed.
+     */
     @ParameterizedTest
-    @EnumSource(Way.class)
-    void anEndBehindMoreThanIsKeptUnreadIsNoticedAndNothingBehindItServed(Way way) throws Exception {
-        Socket s = ask(REQUEST);
+    @EnumSource(Disconnect.class)
+    void disconnectBehindDiscardedInputIsNoticedAndDiscardedRequestsAreNotServed(Disconnect disconnect)
+            throws Exception {
+        Socket client = ask(REQUEST);
         assertEquals("taken 1", next());
-        s.getOutputStream().write(REQUEST.repeat(2000).getBytes(StandardCharsets.US_ASCII));
-        way.go(s);
+        client.getOutputStream().write(REQUEST.repeat(2000).getBytes(StandardCharsets.US_ASCII));
+        disconnect.apply(client);
         assertEquals("gone 1", next());
-        s.close();
-        // Another client's turn is behind all that the first could have caused.
-        Socket other = ask(REQUEST);
+        client.close();
+        // Another client is served after all that the first could have caused.
+        Socket second = ask(REQUEST);
         assertEquals("taken 2", next());
-        other.close();
+        second.close();
         assertEquals("gone 2", next());
-        assertTrue(told.isEmpty(), told::toString);
+        assertTrue(events.isEmpty(), events::toString);
     }
 
-    /** All that is behind the request in hand at once with its end: read in one go, the second must not be taken. */
+    /**
+     * A second request and the disconnect arrive together, and are read in one go: the second request must not be
+     * taken.
+     */
     @Test
-    void aRequestThatComesWithItsClientsEndIsNotLeftInHand() throws Exception {
-        Socket s = ask(REQUEST + REQUEST);
-        s.shutdownOutput();
+    void requestThatArrivesWithTheDisconnectIsNotTaken() throws Exception {
+        Socket client = ask(REQUEST + REQUEST);
+        client.shutdownOutput();
         assertEquals("taken 1", next());
         assertEquals("gone 1", next());
-        s.close();
-        assertTrue(told.isEmpty(), told::toString);
+        client.close();
+        assertTrue(events.isEmpty(), events::toString);
     }
 
-    /** The first line of an answer, and whether it says that its connection closes. */
-    private static String head(Socket s) throws IOException {
+    /** Reads the head of a response; returns its status, and whether it says that its connection closes. */
+    private static String head(Socket client) throws IOException {
         StringBuilder head = new StringBuilder();
         while (!head.toString().endsWith("\r\n\r\n")) {
-            int next = s.getInputStream().read();
+            int next = client.getInputStream().read();
             assertTrue(next >= 0, head.toString());
             head.append((char) next);
         }
         return head.substring(9, 12) + (head.toString().contains("Connection: close") ? " close" : "");
     }
 
-    /** Read by order, then answered: what was thrown away behind it can't be, so its client must see that it was the last. */
+    /**
+     * Reads the input behind the request, then answers the request. Discarded requests can't be answered, so the client
+     * must see that this response is the last.
+     */
     @ParameterizedTest
     @ValueSource(ints = {100, 1500})
-    void theAnswerSaysItIsTheLastWhereWhatCameBehindItWasThrownAway(int more) throws Exception {
-        try (Socket s = ask(REQUEST)) {
+    void responseClosesTheConnectionIfRequestsBehindItWereDiscarded(int more) throws Exception {
+        try (Socket client = ask(REQUEST)) {
             assertEquals("taken 1", next());
-            s.getOutputStream().write(REQUEST.repeat(more).getBytes(StandardCharsets.US_ASCII));
-            HttpResponseSender first = held.take();
+            client.getOutputStream().write(REQUEST.repeat(more).getBytes(StandardCharsets.US_ASCII));
+            HttpResponseSender first = pendingReplies.take();
             loop.execute(() -> {
                 server.readAllNow();
                 first.send(200, "text/plain", "", new byte[0]);
             });
-            assertEquals(more > 1000 ? "200 close" : "200", head(s));
+            assertEquals(more > 1000 ? "200 close" : "200", head(client));
             if (more > 1000) {
-                assertEquals(-1, s.getInputStream().read());
-                assertTrue(told.isEmpty(), told::toString);
+                assertEquals(-1, client.getInputStream().read());
+                assertTrue(events.isEmpty(), events::toString);
             } else {
                 assertEquals("taken 2", next());
             }
         }
     }
 
-    /** Owed an error; and its request in hand is over, as it does not wait for an answer. */
+    /** The client gets an error, and its request in progress ends, as the client does not wait for the response. */
     @Test
-    void whoSendsOnAndOnBehindARequestInHandIsToldSoAndItsRequestEnds() throws Exception {
-        try (Socket s = ask(REQUEST)) {
+    void clientThatKeepsSendingBehindARequestGets413AndItsRequestEnds() throws Exception {
+        try (Socket client = ask(REQUEST)) {
             assertEquals("taken 1", next());
-            s.getOutputStream()
+            client.getOutputStream()
                     .write(REQUEST.repeat((5 << 18) / REQUEST.length()).getBytes(StandardCharsets.US_ASCII));
             assertEquals("gone 1", next());
-            assertEquals("413 close", head(s));
-            assertTrue(told.isEmpty(), told::toString);
+            assertEquals("413 close", head(client));
+            assertTrue(events.isEmpty(), events::toString);
         }
     }
 
-    /** More than both sockets' buffers take. */
-    private static final int BIG = 24 << 20;
+    /** More than the buffers of both sockets hold. */
+    private static final int LARGE_BODY_BYTES = 24 << 20;
 
     /**
-     * Found by reading: taken at once, a request behind answers that fill the connection's buffer was in hand while reading
-     * paused, and its client's half-close not seen.
+     * Guards against taking a request behind responses that fill the connection's buffer: reading paused while it was
+     * in progress, and its client's half-close went unnoticed.
      */
     @Test
-    void aRequestBehindAnAnswerThatIsNotReadYetWaitsUntilItIs() throws Exception {
+    void requestBehindAnUnreadResponseIsTakenOnceTheResponseIsRead() throws Exception {
         try (EventLoop roomy = new EventLoop(100, 1 << 25)) {
-            HttpServer other = server(roomy);
-            try (Socket s = ask(other, REQUEST + REQUEST)) {
+            HttpServer second = server(roomy);
+            try (Socket client = ask(second, REQUEST + REQUEST)) {
                 assertEquals("taken 1", next());
-                HttpResponseSender first = held.take();
+                HttpResponseSender first = pendingReplies.take();
                 BlockingQueue<Integer> takenMeanwhile = new LinkedBlockingQueue<>();
                 roomy.execute(() -> {
-                    // Both requests are here before the answer to the first.
-                    other.readAllNow();
-                    first.send(200, "text/plain", "", new byte[BIG]);
-                    takenMeanwhile.add(told.size());
+                    // Both requests are received before the response to the first.
+                    second.readAllNow();
+                    first.send(200, "text/plain", "", new byte[LARGE_BODY_BYTES]);
+                    takenMeanwhile.add(events.size());
                 });
                 assertEquals(0, takenMeanwhile.poll(30, TimeUnit.SECONDS));
-                assertEquals("200", head(s));
-                s.getInputStream().readNBytes(BIG);
+                assertEquals("200", head(client));
+                client.getInputStream().readNBytes(LARGE_BODY_BYTES);
                 assertEquals("taken 2", next());
-                s.shutdownOutput();
+                client.shutdownOutput();
                 assertEquals("gone 2", next());
             }
         }
     }
 
-    private static boolean noDelay(Connection c) {
+    private static boolean noDelay(Connection connection) {
         try {
             java.lang.reflect.Field channel = Connection.class.getDeclaredField("channel");
             channel.setAccessible(true);
-            return ((org.xnio.StreamConnection) channel.get(c)).getOption(org.xnio.Options.TCP_NODELAY);
+            return ((org.xnio.StreamConnection) channel.get(connection)).getOption(org.xnio.Options.TCP_NODELAY);
         } catch (ReflectiveOperationException | IOException e) {
             throw new AssertionError(e);
         }
     }
 
-    /** Small writes that the system holds back go with a reset. */
+    /** Small writes that the kernel holds back are lost with a reset. */
     @Test
-    void bothKindsOfConnectionsWriteAtOnce() throws Exception {
+    void acceptedAndOpenedConnectionsWriteWithoutDelay() throws Exception {
         BlockingQueue<Boolean> noDelay = new LinkedBlockingQueue<>();
         Connection.Handler none = new Connection.Handler() {
             @Override
-            public void onBytes(Connection c) {}
+            public void onBytes(Connection connection) {}
 
             @Override
-            public void onClosed(Connection c) {}
+            public void onClosed(Connection connection) {}
         };
-        EventLoop.ServerSocketHandle at =
-                loop.listen(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0), () -> true, c -> {
-                    c.start(none);
-                    noDelay.add(noDelay(c));
+        EventLoop.ServerSocketHandle listening =
+                loop.listen(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0), () -> true, connection -> {
+                    connection.start(none);
+                    noDelay.add(noDelay(connection));
                 });
-        loop.execute(() -> loop.connect(at.address(), 10, new EventLoop.ConnectListener() {
+        loop.execute(() -> loop.connect(listening.address(), 10, new EventLoop.ConnectListener() {
             @Override
-            public void onConnected(Connection c) {
-                noDelay.add(noDelay(c));
+            public void onConnected(Connection connection) {
+                noDelay.add(noDelay(connection));
             }
 
             @Override
--- a/src/test/java/pepperdock/transport/ConnectionTest.java
+++ b/src/test/java/pepperdock/transport/ConnectionTest.java
@@ -11,26 +11,29 @@
 
 class ConnectionTest {
 
-    /** Found by reading: a client could have as much held for it as its buffer may grow to, behind one request in hand. */
+    /**
+     * Guards against a client for which as much input is held as its buffer may grow to, behind one request in
+     * progress.
+     */
     @Test
-    void whatIsNotUsedIsNotReadWithoutEnd() throws Exception {
-        AtomicInteger most = new AtomicInteger();
-        Connection.Handler lazy = new Connection.Handler() {
+    void unconsumedInputIsHeldOnlyUpToTheLimit() throws Exception {
+        AtomicInteger maxHeld = new AtomicInteger();
+        Connection.Handler neverConsumes = new Connection.Handler() {
             @Override
-            public void onBytes(Connection c) {
-                most.accumulateAndGet(c.readEnd() - c.readStart(), Math::max);
+            public void onBytes(Connection connection) {
+                maxHeld.accumulateAndGet(connection.readEnd() - connection.readStart(), Math::max);
             }
 
             @Override
-            public void onClosed(Connection c) {}
+            public void onClosed(Connection connection) {}
         };
         try (EventLoop loop = new EventLoop(10, 1 << 20)) {
-            EventLoop.ServerSocketHandle at =
-                    loop.listen(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0), () -> true, c -> {
-                        c.limitUnconsumedBytes(16 << 10);
-                        c.start(lazy);
+            EventLoop.ServerSocketHandle listening =
+                    loop.listen(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0), () -> true, connection -> {
+                        connection.limitUnconsumedBytes(16 << 10);
+                        connection.start(neverConsumes);
                     });
-            try (SocketChannel client = SocketChannel.open(at.address())) {
+            try (SocketChannel client = SocketChannel.open(listening.address())) {
                 client.configureBlocking(false);
                 ByteBuffer bytes = ByteBuffer.allocate(1 << 16);
                 int refused = 0;
@@ -40,9 +43,9 @@
                     refused = count == 0 ? refused + 1 : 0;
                     Thread.sleep(count == 0 ? 10 : 0);
                 }
-                assertTrue(most.get() > 0 && most.get() < 64 << 10, "held " + most.get());
+                assertTrue(maxHeld.get() > 0 && maxHeld.get() < 64 << 10, "bytes held: " + maxHeld.get());
             }
-            at.close();
+            listening.close();
         }
     }
 }
--- a/src/test/java/pepperdock/transport/EventLoopTest.java
+++ b/src/test/java/pepperdock/transport/EventLoopTest.java
@@ -24,11 +24,13 @@
         loop.close();
     }
 
-    /** The loop is held up until both are due: they were taken out of the queue together, and the second ran though off. */
+    /**
+     * Blocks the loop until both timers are due: they left the queue together, and the second ran although cancelled.
+     */
     @Test
-    void aTimerThatIsTurnedOffInTheTurnInWhichItFallsDueDoesNotRun() throws Exception {
+    void timerCancelledInTheTurnInWhichItExpiresDoesNotRun() throws Exception {
         List<String> ran = new ArrayList<>();
-        CompletableFuture<List<String>> history = new CompletableFuture<>();
+        CompletableFuture<List<String>> result = new CompletableFuture<>();
         loop.execute(() -> {
             Clock.Timer[] second = {null};
             loop.after(SOON_S, () -> {
@@ -40,8 +42,8 @@
             while (loop.now() < due) {
                 Thread.onSpinWait();
             }
-            loop.after(SOON_S, () -> history.complete(List.copyOf(ran)));
+            loop.after(SOON_S, () -> result.complete(List.copyOf(ran)));
         });
-        assertEquals(List.of("first"), history.get(30, TimeUnit.SECONDS));
+        assertEquals(List.of("first"), result.get(30, TimeUnit.SECONDS));
     }
 }
--- a/src/test/java/pepperdock/transport/HttpClientTest.java
+++ b/src/test/java/pepperdock/transport/HttpClientTest.java
@@ -17,49 +17,52 @@
 import pepperdock.codec.http.HttpMessage;
 import pepperdock.codec.http.HttpWriter;
 
-/** How an answer ends, by what its server does to the connection. */
+/**
+ * Checks how a response ends, depending on what the server does to the connection, and that an abandoned request is not
+ * sent.
+ */
 @Timeout(60)
 class HttpClientTest {
 
-    private final BlockingQueue<String> told = new LinkedBlockingQueue<>();
-    private final HttpClient.ResponseListener then = new HttpClient.ResponseListener() {
+    private final BlockingQueue<String> results = new LinkedBlockingQueue<>();
+    private final HttpClient.ResponseListener listener = new HttpClient.ResponseListener() {
         @Override
-        public void onResponse(HttpMessage m) {
-            told.add(new String(m.body(), StandardCharsets.US_ASCII));
+        public void onResponse(HttpMessage message) {
+            results.add(new String(message.body(), StandardCharsets.US_ASCII));
         }
 
         @Override
-        public void onFailure(HttpClient.Failure why) {
-            told.add(why.toString());
+        public void onFailure(HttpClient.Failure failure) {
+            results.add(failure.toString());
         }
     };
 
-    /** Found by reading: half a list without a length passed for the whole one where its connection was reset. */
+    /** Guards against half a response without a length that passes for the whole one when its connection is reset. */
     @ParameterizedTest
     @CsvSource({"false,half", "true,CONNECTION_LOST"})
-    void anAnswerWithoutALengthEndsWithItsServersEndAndNotWithAReset(boolean reset, String expected) throws Exception {
+    void responseWithoutALengthEndsWithACloseButNotWithAReset(boolean reset, String expected) throws Exception {
         try (EventLoop loop = new EventLoop(10, 1 << 16);
                 ServerSocket server = new ServerSocket(0, 5, InetAddress.getLoopbackAddress())) {
             HttpClient client = new HttpClient(loop, (InetSocketAddress) server.getLocalSocketAddress(), 30, 1 << 16);
-            loop.execute(() -> client.send(HttpWriter.request("GET", "/", "h", "", new byte[0]), 30, then));
-            try (Socket s = server.accept()) {
-                s.getInputStream().read();
-                s.getOutputStream().write("HTTP/1.1 200 OK\r\n\r\nhalf".getBytes(StandardCharsets.US_ASCII));
-                // Seen to have come: a reset throws away what was not read.
-                boolean[] read = {false};
-                while (!read[0]) {
-                    BlockingQueue<Boolean> is = new LinkedBlockingQueue<>();
-                    loop.execute(() -> is.add(client.isConnected() && taken(client)));
-                    read[0] = is.take();
+            loop.execute(() -> client.send(HttpWriter.request("GET", "/", "h", "", new byte[0]), 30, listener));
+            try (Socket accepted = server.accept()) {
+                accepted.getInputStream().read();
+                accepted.getOutputStream().write("HTTP/1.1 200 OK\r\n\r\nhalf".getBytes(StandardCharsets.US_ASCII));
+                // Wait until the body is parsed: a reset discards what was not read.
+                boolean[] parsed = {false};
+                while (!parsed[0]) {
+                    BlockingQueue<Boolean> answer = new LinkedBlockingQueue<>();
+                    loop.execute(() -> answer.add(client.isConnected() && hasParsedBody(client)));
+                    parsed[0] = answer.take();
                 }
-                s.setSoLinger(reset, 0);
+                accepted.setSoLinger(reset, 0);
             }
-            assertEquals(expected, told.poll(30, TimeUnit.SECONDS));
+            assertEquals(expected, results.poll(30, TimeUnit.SECONDS));
         }
     }
 
-    /** Whether the parser has been given the answer's body. */
-    private static boolean taken(HttpClient client) {
+    /** Whether the parser has been given the body of the response. */
+    private static boolean hasParsedBody(HttpClient client) {
         try {
             java.lang.reflect.Field parser = HttpClient.class.getDeclaredField("parser");
             parser.setAccessible(true);
@@ -69,21 +72,21 @@
         }
     }
 
-    /** A connection that comes up once nobody waits for it any more is closed, and nothing is written on it. */
+    /** A connection that is established after its request was abandoned is closed, and nothing is written on it. */
     @Test
-    void aRequestGivenUpWhileItsConnectionComesUpIsNeverWritten() throws Exception {
+    void requestAbandonedWhileConnectingIsNeverWritten() throws Exception {
         try (EventLoop loop = new EventLoop(10, 1 << 16);
                 ServerSocket server = new ServerSocket(0, 5, InetAddress.getLoopbackAddress())) {
             HttpClient client = new HttpClient(loop, (InetSocketAddress) server.getLocalSocketAddress(), 30, 1 << 16);
             loop.execute(() -> {
-                client.send(HttpWriter.request("GET", "/", "h", "", new byte[0]), 30, then);
+                client.send(HttpWriter.request("GET", "/", "h", "", new byte[0]), 30, listener);
                 client.close();
             });
             server.setSoTimeout(30_000);
-            try (Socket s = server.accept()) {
-                assertEquals(-1, s.getInputStream().read());
+            try (Socket accepted = server.accept()) {
+                assertEquals(-1, accepted.getInputStream().read());
             }
-            assertEquals(0, told.size());
+            assertEquals(0, results.size());
         }
     }
 }
--- a/src/test/java/pepperdock/transport/HttpServerTest.java
+++ b/src/test/java/pepperdock/transport/HttpServerTest.java
@@ -18,23 +18,24 @@
 import pepperdock.codec.http.HttpMessage;
 
 /**
- * The end of serving, against clients that ask at that very moment. The loop is held up by a task of the test's while the
- * client writes: what it wrote stands in the kernel, unread, when the same task closes what is idle.
+ * Checks how a server stops listening while clients send requests, and how it shares and frees sockets. A task of the
+ * test blocks the loop while the client writes: the client's bytes are still unread in the kernel when the same task
+ * closes idle connections.
  */
 @Timeout(60)
 class HttpServerTest {
 
     private static final byte[] REQUEST = "GET /x HTTP/1.1\r\n\r\n".getBytes(StandardCharsets.US_ASCII);
 
-    /** More than both sockets' buffers take, less than the connection's own cap. */
-    private static final int BIG = 24 << 20;
+    /** More than the buffers of both sockets hold, less than the cap of the connection's own buffer. */
+    private static final int LARGE_BODY_BYTES = 24 << 20;
 
     private final EventLoop loop = new EventLoop(100, 1 << 25);
     private final HttpServer server = new HttpServer(
             loop, new InetSocketAddress(InetAddress.getLoopbackAddress(), 0), 1024, () -> 1, new HttpRequestHandler() {
                 @Override
                 public Runnable serve(HttpMessage request, HttpResponseSender reply) {
-                    reply.send(200, "text/plain", "", new byte[request.path().equals("/big") ? BIG : 0]);
+                    reply.send(200, "text/plain", "", new byte[request.path().equals("/big") ? LARGE_BODY_BYTES : 0]);
                     return () -> {};
                 }
 
@@ -52,18 +53,19 @@
     }
 
     private Socket connect() throws IOException {
-        Socket s = new Socket(server.address().getAddress(), server.address().getPort());
-        s.setSoTimeout(30_000);
-        return s;
+        Socket socket =
+                new Socket(server.address().getAddress(), server.address().getPort());
+        socket.setSoTimeout(30_000);
+        return socket;
     }
 
-    /** The first line of an answer without a body, read to its end and no further. */
+    /** Reads the head of a response without a body, and no further; returns its first line. */
     private static String status(Socket client) throws IOException {
         StringBuilder head = new StringBuilder();
-        for (int b = client.getInputStream().read();
-                b >= 0;
-                b = client.getInputStream().read()) {
-            head.append((char) b);
+        for (int next = client.getInputStream().read();
+                next >= 0;
+                next = client.getInputStream().read()) {
+            head.append((char) next);
             if (head.toString().endsWith("\r\n\r\n")) {
                 break;
             }
@@ -71,17 +73,17 @@
         return head.toString().lines().findFirst().orElse("none");
     }
 
-    /** Serving stops on the loop, after what the client does while the loop stands still. */
-    private void stopAfter(Step whileHeldUp) throws Exception {
-        whileHeldUp(whileHeldUp, server::stopListening);
+    /** Stops listening on the loop, after {@code clientStep} has run while the loop was blocked. */
+    private void stopAfter(IoTask clientStep) throws Exception {
+        whileBlocked(clientStep, server::stopListening);
     }
 
-    /** The loop stands still while one thing is done, and goes on with the other. */
-    private void whileHeldUp(Step step, Runnable then) throws Exception {
-        CountDownLatch heldUp = new CountDownLatch(1);
+    /** Blocks the loop while {@code step} runs, and then runs {@code then} on the loop. */
+    private void whileBlocked(IoTask step, Runnable then) throws Exception {
+        CountDownLatch blocked = new CountDownLatch(1);
         CountDownLatch done = new CountDownLatch(1);
         loop.execute(() -> {
-            heldUp.countDown();
+            blocked.countDown();
             try {
                 assertTrue(done.await(30, TimeUnit.SECONDS));
             } catch (InterruptedException e) {
@@ -89,17 +91,17 @@
             }
             then.run();
         });
-        assertTrue(heldUp.await(30, TimeUnit.SECONDS));
+        assertTrue(blocked.await(30, TimeUnit.SECONDS));
         step.run();
         done.countDown();
     }
 
-    private interface Step {
+    private interface IoTask {
         void run() throws IOException;
     }
 
     @Test
-    void aRequestThatStandsUnreadOnAnIdleConnectionIsAnswered() throws Exception {
+    void unreadRequestOnAnIdleConnectionIsAnswered() throws Exception {
         try (Socket client = connect()) {
             client.getOutputStream().write(REQUEST);
             assertEquals("HTTP/1.1 200 OK", status(client));
@@ -109,20 +111,20 @@
     }
 
     @Test
-    void aRequestOnAConnectionThatIsNotYetAcceptedIsAnswered() throws Exception {
+    void requestOnAConnectionNotYetAcceptedIsAnswered() throws Exception {
         Socket[] client = new Socket[1];
         stopAfter(() -> {
             client[0] = connect();
             client[0].getOutputStream().write(REQUEST);
         });
-        try (Socket c = client[0]) {
-            assertEquals("HTTP/1.1 200 OK", status(c));
+        try (Socket accepted = client[0]) {
+            assertEquals("HTTP/1.1 200 OK", status(accepted));
         }
     }
 
-    /** What stands is kept, nothing is opened beyond the part; a cap that changes meanwhile does not undo it. */
+    /** Open sockets are kept, and none is opened beyond this process's part; a change of the cap does not undo this. */
     @Test
-    void twoProcessesShareTheSocketsThatOneMayHave() {
+    void socketCapIsSharedWithAnUpgradePeer() {
         loop.shareSocketsWithUpgradePeer(true, 30);
         assertEquals(30, loop.socketCap());
         loop.setSocketCap(200);
@@ -147,9 +149,12 @@
         };
     }
 
-    /** Two processes of one gatherer: who waits at the one that stops is taken in, and whoever comes next is the other's. */
+    /**
+     * Two processes of one gatherer listen on one address: clients that wait at the one that stops are accepted, and
+     * later ones go to the other.
+     */
     @Test
-    void anAddressIsSharedAndHandedOverWithAllWhoWait() throws Exception {
+    void sharedAddressIsHandedOverWithoutLosingWaitingClients() throws Exception {
         HttpRequestHandler service = emptyAnswers();
         HttpServer old = new HttpServer(
                 loop,
@@ -162,7 +167,7 @@
         try (EventLoop second = new EventLoop(100, 1 << 16)) {
             List<Socket> clients = new ArrayList<>();
             HttpServer[] other = new HttpServer[1];
-            whileHeldUp(
+            whileBlocked(
                     () -> {
                         for (int i = 0; i < 40; i++) {
                             if (i == 20) {
@@ -181,11 +186,11 @@
                     },
                     old::stopListeningAtOnce);
             assertEquals(old.address(), other[0].address());
-            for (Socket c : clients) {
-                c.setSoTimeout(30_000);
-                c.getOutputStream().write(REQUEST);
-                assertEquals("HTTP/1.1 200 OK", status(c));
-                c.close();
+            for (Socket client : clients) {
+                client.setSoTimeout(30_000);
+                client.getOutputStream().write(REQUEST);
+                assertEquals("HTTP/1.1 200 OK", status(client));
+                client.close();
             }
             try (Socket next =
                     new Socket(old.address().getAddress(), old.address().getPort())) {
@@ -196,14 +201,14 @@
     }
 
     /**
-     * Found by counting a process's descriptors: accepted on a thread of XNIO's own, all who came at once were held beside the
-     * cap, until the loop came to look at them.
+     * Guards against accepting on a thread of XNIO's own: clients that connected at once were all held outside the cap
+     * until the loop handled them.
      */
     @Test
-    void whoComesWhileTheLoopIsHeldUpTakesNoDescriptorHere() throws Exception {
+    void clientsThatConnectWhileTheLoopIsBlockedTakeNoDescriptors() throws Exception {
         List<Socket> clients = new ArrayList<>();
         List<Long> accepted = new ArrayList<>();
-        whileHeldUp(
+        whileBlocked(
                 () -> {
                     for (int i = 0; i < 100; i++) {
                         clients.add(connect());
@@ -212,17 +217,17 @@
                 },
                 () -> {});
         assertEquals(List.of(0L), accepted);
-        for (Socket c : clients) {
-            c.close();
+        for (Socket client : clients) {
+            client.close();
         }
     }
 
-    /** An answer that its client does not read must not hold the room that another could have. */
+    /** A response that its client does not read must not keep another client from connecting. */
     @Test
-    void whoDoesNotReadItsAnswerGivesWay() throws Exception {
-        try (Socket deaf = connect()) {
-            deaf.getOutputStream().write("GET /big HTTP/1.1\r\n\r\n".getBytes(StandardCharsets.US_ASCII));
-            assertEquals('H', deaf.getInputStream().read());
+    void clientThatDoesNotReadItsResponseIsEvicted() throws Exception {
+        try (Socket nonReader = connect()) {
+            nonReader.getOutputStream().write("GET /big HTTP/1.1\r\n\r\n".getBytes(StandardCharsets.US_ASCII));
+            assertEquals('H', nonReader.getInputStream().read());
             try (Socket client = connect()) {
                 client.getOutputStream().write(REQUEST);
                 assertEquals("HTTP/1.1 200 OK", status(client));
@@ -231,7 +236,7 @@
     }
 
     @Test
-    void anIdleConnectionIsClosed() throws Exception {
+    void stopListeningClosesAnIdleConnection() throws Exception {
         try (Socket client = connect()) {
             client.getOutputStream().write(REQUEST);
             assertEquals("HTTP/1.1 200 OK", status(client));
--- a/src/test/java/pepperdock/transport/TcpTable.java
+++ b/src/test/java/pepperdock/transport/TcpTable.java
@@ -6,7 +6,10 @@
 import java.util.Locale;
 import java.util.stream.Stream;
 
-/** What the kernel knows of loopback connections (Linux, /proc): tests wait here until it has what they caused. */
+/**
+ * Reads the kernel's table of loopback connections (Linux, /proc), so that tests can wait until their actions show
+ * there.
+ */
 public final class TcpTable {
 
     private static final String ESTABLISHED = "01";
@@ -14,36 +17,37 @@
 
     private TcpTable() {}
 
-    /** Returns once the end of the connection from {@code peerPort} stands at the socket of {@code port}. */
+    /** Returns once the socket of {@code port} has received the end of the connection from {@code peerPort}. */
     public static void awaitEnd(int port, int peerPort) {
-        String[] words = row(port, peerPort);
-        while (words != null && !words[3].equals(CLOSE_WAIT)) {
+        String[] columns = row(port, peerPort);
+        while (columns != null && !columns[3].equals(CLOSE_WAIT)) {
             Thread.onSpinWait();
-            words = row(port, peerPort);
+            columns = row(port, peerPort);
         }
     }
 
-    /** Returns once bytes of the connection from {@code peerPort} stand unread at the socket of {@code port}. */
+    /** Returns once the socket of {@code port} has unread bytes of the connection from {@code peerPort}. */
     public static void awaitUnread(int port, int peerPort) {
-        String[] words = row(port, peerPort);
-        while (words == null || words[4].endsWith(":00000000")) {
+        String[] columns = row(port, peerPort);
+        while (columns == null || columns[4].endsWith(":00000000")) {
             Thread.onSpinWait();
-            words = row(port, peerPort);
+            columns = row(port, peerPort);
         }
     }
 
-    /** How many connections to {@code port} a program has taken out of the kernel's queue. */
+    /** Returns how many connections to {@code port} a program has accepted from the kernel's queue. */
     public static long accepted(int port) {
         String local = String.format(Locale.ROOT, ":%04X", port);
-        return rows().filter(words -> words[1].endsWith(local) && words[3].equals(ESTABLISHED) && !words[9].equals("0"))
+        return rows().filter(columns ->
+                        columns[1].endsWith(local) && columns[3].equals(ESTABLISHED) && !columns[9].equals("0"))
                 .count();
     }
 
-    /** The columns of one connection's row; null where there is none, as after a reset. */
+    /** Returns the columns of one connection's row, or null if there is none, as after a reset. */
     private static String[] row(int port, int peerPort) {
         String local = String.format(Locale.ROOT, ":%04X", port);
         String peer = String.format(Locale.ROOT, ":%04X", peerPort);
-        return rows().filter(words -> words[1].endsWith(local) && words[2].endsWith(peer))
+        return rows().filter(columns -> columns[1].endsWith(local) && columns[2].endsWith(peer))
                 .findFirst()
                 .orElse(null);
     }
