--- a/src/main/java/pepperdock/opensearch/ApiException.java
+++ b/src/main/java/pepperdock/opensearch/ApiException.java
@@ -1,6 +1,6 @@
 package pepperdock.opensearch;
 
-/** A request that the API does not take, in the words of its error shape. */
+/** Signals a request that the API rejects, with the status, type and reason of its error shape. */
 final class ApiException extends Exception {
 
     private static final long serialVersionUID = 1;
@@ -13,6 +13,7 @@
         this.type = type;
     }
 
+    /** Returns an exception for a request with an illegal argument. */
     static ApiException illegal(String reason) {
         return new ApiException(400, "illegal_argument_exception", reason);
     }
--- a/src/main/java/pepperdock/opensearch/ApiResponses.java
+++ b/src/main/java/pepperdock/opensearch/ApiResponses.java
@@ -7,17 +7,17 @@
 import java.util.List;
 import pepperdock.transport.HttpResponseSender;
 
-/** The API's JSON shapes for answers and errors. */
+/** Builds and sends the API's JSON shapes for answers and errors. */
 final class ApiResponses {
 
     private static final String JSON = "application/json; charset=UTF-8";
 
     private ApiResponses() {}
 
-    /** A shard that is not in the answer, and why. */
+    /** A shard that is missing from the answer, and why. */
     record ShardFailure(int shard, String type, String reason) {}
 
-    static void error(HttpResponseSender reply, int status, String type, String reason, String extra) {
+    static void sendError(HttpResponseSender reply, int status, String type, String reason, String extra) {
         JsonObject cause = new JsonObject();
         cause.addProperty("type", type);
         cause.addProperty("reason", reason);
@@ -33,15 +33,15 @@
         reply.send(status, JSON, extra, bytes(body));
     }
 
-    static void ok(HttpResponseSender reply, JsonObject body) {
+    static void sendOk(HttpResponseSender reply, JsonObject body) {
         reply.send(200, JSON, "", bytes(body));
     }
 
-    static void raw(HttpResponseSender reply, byte[] body) {
+    static void sendRaw(HttpResponseSender reply, byte[] body) {
         reply.send(200, JSON, "", body);
     }
 
-    static JsonObject search(
+    static JsonObject searchBody(
             String index,
             long tookMs,
             boolean timedOut,
--- a/src/main/java/pepperdock/opensearch/Hit.java
+++ b/src/main/java/pepperdock/opensearch/Hit.java
@@ -7,13 +7,15 @@
 import java.util.Comparator;
 import java.util.List;
 
-/** One hit of one shard, as its backend worded it. */
+/** One hit of one shard, in the JSON of its worker. */
 record Hit(int shard, JsonObject json) {
 
-    /** The order of a search body's {@code sort}; without one, the best score first. Ties stay in shard order. */
+    /**
+     * Returns the order of a search body's {@code sort}; without one, the best score first. Ties are in shard order.
+     */
     static Comparator<Hit> order(JsonElement sort) {
         if (sort == null) {
-            return Comparator.comparingDouble((Hit h) -> -h.score()).thenComparingInt(Hit::shard);
+            return Comparator.comparingDouble((Hit hit) -> -hit.score()).thenComparingInt(Hit::shard);
         }
         List<Boolean> descending = new ArrayList<>();
         JsonArray keys = sort.isJsonArray() ? sort.getAsJsonArray() : new JsonArray();
@@ -21,26 +23,26 @@
             keys.add(sort);
         }
         for (JsonElement key : keys) {
-            descending.add(descends(key));
+            descending.add(isDescending(key));
         }
-        return (a, b) -> {
+        return (left, right) -> {
             for (int i = 0; i < descending.size(); i++) {
-                int c = compare(a.sortValue(i), b.sortValue(i));
-                if (c != 0) {
-                    return descending.get(i) ? -c : c;
+                int comparison = compare(left.sortValue(i), right.sortValue(i));
+                if (comparison != 0) {
+                    return descending.get(i) ? -comparison : comparison;
                 }
             }
-            return Integer.compare(a.shard, b.shard);
+            return Integer.compare(left.shard, right.shard);
         };
     }
 
-    private static boolean descends(JsonElement key) {
+    private static boolean isDescending(JsonElement key) {
         if (key.isJsonPrimitive()) {
             return key.getAsString().equals("_score");
         }
         var field = key.getAsJsonObject().entrySet().iterator().next();
-        JsonElement how = field.getValue();
-        JsonElement order = how.isJsonObject() ? how.getAsJsonObject().get("order") : how;
+        JsonElement options = field.getValue();
+        JsonElement order = options.isJsonObject() ? options.getAsJsonObject().get("order") : options;
         return order == null
                 ? field.getKey().equals("_score")
                 : order.getAsString().equalsIgnoreCase("desc");
@@ -51,25 +53,25 @@
         return score == null || !score.isJsonPrimitive() ? 0 : score.getAsDouble();
     }
 
-    private JsonElement sortValue(int at) {
-        return json.has("sort") && at < json.getAsJsonArray("sort").size()
-                ? json.getAsJsonArray("sort").get(at)
+    private JsonElement sortValue(int index) {
+        return json.has("sort") && index < json.getAsJsonArray("sort").size()
+                ? json.getAsJsonArray("sort").get(index)
                 : null;
     }
 
-    /** Numbers as numbers, else as text; what is missing comes last. */
-    private static int compare(JsonElement a, JsonElement b) {
-        boolean noA = a == null || a.isJsonNull();
-        boolean noB = b == null || b.isJsonNull();
-        if (noA || noB) {
-            return Boolean.compare(noA, noB);
+    /** Compares numbers as numbers and all else as text; a missing value is the greatest. */
+    private static int compare(JsonElement left, JsonElement right) {
+        boolean leftMissing = left == null || left.isJsonNull();
+        boolean rightMissing = right == null || right.isJsonNull();
+        if (leftMissing || rightMissing) {
+            return Boolean.compare(leftMissing, rightMissing);
         }
-        boolean numbers = a.isJsonPrimitive()
-                && a.getAsJsonPrimitive().isNumber()
-                && b.isJsonPrimitive()
-                && b.getAsJsonPrimitive().isNumber();
+        boolean numbers = left.isJsonPrimitive()
+                && left.getAsJsonPrimitive().isNumber()
+                && right.isJsonPrimitive()
+                && right.getAsJsonPrimitive().isNumber();
         return numbers
-                ? Double.compare(a.getAsDouble(), b.getAsDouble())
-                : a.getAsString().compareTo(b.getAsString());
+                ? Double.compare(left.getAsDouble(), right.getAsDouble())
+                : left.getAsString().compareTo(right.getAsString());
     }
 }
--- a/src/main/java/pepperdock/opensearch/PartFailures.java
+++ b/src/main/java/pepperdock/opensearch/PartFailures.java
@@ -15,7 +15,7 @@
         return part.isSent() && (last == null || last == AttemptOutcome.TIMEOUT || last == AttemptOutcome.CANCELLED);
     }
 
-    /** The shard failure that stands for a part without an answer. */
+    /** Returns the shard failure for a part without an answer. */
     static ShardFailure of(Part part) {
         if (!part.isSent()) {
             return new ShardFailure(part.shard(), "rejected_execution_exception", "left out under load");
@@ -26,7 +26,7 @@
         return new ShardFailure(part.shard(), "shard_failed_exception", "ended as " + outcomeName(part.lastOutcome()));
     }
 
-    /** The name of an outcome in the API's failure reasons, which is part of the interface. */
+    /** Returns the name of an outcome in the API's failure reasons, which is part of the interface. */
     private static String outcomeName(AttemptOutcome outcome) {
         return switch (outcome) {
             case OVERLOADED -> "FULL";
--- a/src/main/java/pepperdock/opensearch/QueuedRequest.java
+++ b/src/main/java/pepperdock/opensearch/QueuedRequest.java
@@ -7,10 +7,10 @@
  * A request that waits for a connection to its worker.
  *
  * @param request the encoded HTTP request
- * @param deadline when its response is awaited no more, on the clock's time
+ * @param deadline the clock's time after which its response is no longer awaited
  * @param onlyWhileAccepting whether it is abandoned once the worker accepts no calls
- * @param stillWanted asked right before it is sent, as it may have waited
- * @param listener takes the response; its failure is null where the request was never sent
+ * @param stillWanted asked right before it is sent, as it may have become unwanted while it waited
+ * @param listener receives the response, or a null failure if the request was never sent
  */
 record QueuedRequest(
         byte[] request,
--- a/src/main/java/pepperdock/opensearch/RequestReader.java
+++ b/src/main/java/pepperdock/opensearch/RequestReader.java
@@ -26,57 +26,57 @@
 import pepperdock.scheduler.QueryClass;
 import pepperdock.scheduler.RetrySafety;
 
-/** Reads searches and updates into what the core is asked. */
+/** Reads searches and updates into query requests for the core. */
 final class RequestReader {
 
     private static final TypeAdapter<JsonElement> JSON_ADAPTER = new Gson().getAdapter(JsonElement.class);
     private static final Pattern TIME_VALUE = Pattern.compile("([0-9]{1,9})(ms|s|m|h)");
     private static final Pattern UPDATE_PATH = Pattern.compile("/([^/]+)/_update/([^/]+)");
     private static final int MAX_RESULT_WINDOW = 10_000;
-    /** What one search can't merge from its shards' answers is refused rather than answered wrongly. */
+    /** Keys whose results can't be merged from the shards' answers: rejected rather than answered wrongly. */
     private static final Set<String> UNSUPPORTED_KEYS =
             Set.of("aggs", "aggregations", "suggest", "collapse", "rescore", "knn", "pit");
 
-    private final DeploymentSettings site;
+    private final DeploymentSettings settings;
     private final OpenSearchConfig config;
 
-    RequestReader(DeploymentSettings site, OpenSearchConfig config) {
-        this.site = site;
+    RequestReader(DeploymentSettings settings, OpenSearchConfig config) {
+        this.settings = settings;
         this.config = config;
     }
 
-    QueryRequest search(HttpMessage message) throws ApiException {
+    QueryRequest readSearch(HttpMessage message) throws ApiException {
         String index = message.path().substring(1, message.path().length() - "/_search".length());
-        int queryClass = queryClass(index);
+        int queryClass = queryClassOf(index);
         if (classSettings(queryClass).retrySafety() != RetrySafety.IDEMPOTENT) {
             throw ApiException.illegal("index [" + index + "] takes updates only");
         }
-        JsonObject body = body(message);
+        JsonObject body = parseBody(message);
         for (String name : body.keySet()) {
             if (UNSUPPORTED_KEYS.contains(name)) {
                 throw ApiException.illegal("[" + name + "] is not supported");
             }
         }
         try {
-            return search(message, index, queryClass, body);
+            return readSearch(message, index, queryClass, body);
         } catch (ClassCastException | IllegalStateException | NumberFormatException | NullPointerException e) {
             throw new ApiException(400, "parsing_exception", "malformed search body");
         }
     }
 
-    private QueryRequest search(HttpMessage message, String index, int queryClass, JsonObject body)
+    private QueryRequest readSearch(HttpMessage message, String index, int queryClass, JsonObject body)
             throws ApiException {
         int size = nonNegativeInteger(message, body, "size", 10);
         int from = nonNegativeInteger(message, body, "from", 0);
-        double scrollS = message.parameter("scroll") == null ? 0 : keepAliveS(message.parameter("scroll"));
+        double scrollS = message.parameter("scroll") == null ? 0 : readKeepAliveS(message.parameter("scroll"));
         if (from + size > MAX_RESULT_WINDOW) {
             throw ApiException.illegal("result window is too large, from + size must be at most " + MAX_RESULT_WINDOW);
         }
         if (scrollS > 0 && (from > 0 || size == 0)) {
-            throw ApiException.illegal("a scroll takes no [from], and a [size] above 0");
+            throw ApiException.illegal("a scroll must have no [from], and a [size] above 0");
         }
         JsonElement timeout = body.remove("timeout");
-        String time = message.parameter("timeout") != null
+        String timeText = message.parameter("timeout") != null
                 ? message.parameter("timeout")
                 : timeout == null ? null : timeout.getAsString();
         double deadlineS = classSettings(queryClass).deadlineS();
@@ -90,54 +90,55 @@
                 queryId(message),
                 queryClass,
                 "",
-                time == null ? deadlineS : Math.min(deadlineS, seconds(time)),
+                timeText == null ? deadlineS : Math.min(deadlineS, parseSeconds(timeText)),
                 parts,
                 text,
                 request);
     }
 
-    QueryRequest update(HttpMessage message) throws ApiException {
+    QueryRequest readUpdate(HttpMessage message) throws ApiException {
         Matcher path = UPDATE_PATH.matcher(message.path());
         if (!path.matches()) {
-            throw ApiException.illegal("not /INDEX/_update/ID");
+            throw ApiException.illegal("the path of an update must be /INDEX/_update/ID");
         }
-        int queryClass = queryClass(path.group(1));
+        int queryClass = queryClassOf(path.group(1));
         if (classSettings(queryClass).retrySafety() == RetrySafety.IDEMPOTENT) {
             throw ApiException.illegal("index [" + path.group(1) + "] takes searches only");
         }
-        JsonObject body = body(message);
+        JsonObject body = parseBody(message);
         if (!body.has("script") && !body.has("doc")) {
             throw new ApiException(400, "action_request_validation_exception", "script or doc is missing");
         }
-        int shard = shard(message.parameter("routing"));
+        int shard = parseShard(message.parameter("routing"));
         String docId;
         try {
             docId = URLDecoder.decode(path.group(2), StandardCharsets.UTF_8);
         } catch (IllegalArgumentException e) {
-            throw ApiException.illegal("bad document id");
+            throw ApiException.illegal("the document id in the path is not validly URL-encoded");
         }
         double deadlineS = classSettings(queryClass).deadlineS();
-        String time = message.parameter("timeout");
+        String timeText = message.parameter("timeout");
         String key = message.header("Idempotency-Key") == null
                 ? UUID.randomUUID().toString()
                 : message.header("Idempotency-Key");
         if (!key.matches("[!-+\\--~]{1,256}")) {
-            throw ApiException.illegal("Idempotency-Key is not a plain word");
+            throw ApiException.illegal(
+                    "Idempotency-Key must be 1 to 256 printable ASCII characters without spaces or commas");
         }
         byte[] text = body.toString().getBytes(StandardCharsets.UTF_8);
         return new QueryRequest(
                 queryId(message),
                 queryClass,
                 key,
-                time == null ? deadlineS : Math.min(deadlineS, seconds(time)),
+                timeText == null ? deadlineS : Math.min(deadlineS, parseSeconds(timeText)),
                 List.of(new QueryRequest.RequestedPart(shard, 1)),
                 text,
                 new SearchRequest(path.group(1), docId, body, 0, 1, 0, Hit.order(null)));
     }
 
-    /** A scroll's body, or its id in the path as older clients have it. */
-    static JsonObject scroll(HttpMessage message) throws ApiException {
-        JsonObject body = body(message);
+    /** Reads a scroll request: its body, with the scroll id from the path if it is there, as older clients send it. */
+    static JsonObject readScroll(HttpMessage message) throws ApiException {
+        JsonObject body = parseBody(message);
         String rest = message.path().substring("/_search/scroll".length());
         if (rest.length() > 1) {
             body.addProperty("scroll_id", rest.substring(1));
@@ -145,9 +146,9 @@
         return body;
     }
 
-    /** How long a scroll may be kept, within the operator's limit. */
-    double keepAliveS(String time) throws ApiException {
-        double seconds = seconds(time);
+    /** Reads how long a scroll is to be kept, in seconds; throws if this is above the operator's limit. */
+    double readKeepAliveS(String time) throws ApiException {
+        double seconds = parseSeconds(time);
         if (seconds > config.scrollMostS()) {
             throw ApiException.illegal("keep alive for scroll (" + time + ") is too large, it must be at most "
                     + (long) config.scrollMostS() + "s");
@@ -155,7 +156,7 @@
         return seconds;
     }
 
-    private static double seconds(String time) throws ApiException {
+    private static double parseSeconds(String time) throws ApiException {
         Matcher matcher = TIME_VALUE.matcher(time);
         if (!matcher.matches() || Long.parseLong(matcher.group(1)) == 0) {
             throw ApiException.illegal("failed to parse [" + time + "] as a time value");
@@ -169,7 +170,7 @@
                 };
     }
 
-    private int queryClass(String index) throws ApiException {
+    private int queryClassOf(String index) throws ApiException {
         Integer found = config.indices().get(index);
         if (found == null) {
             throw new ApiException(404, "index_not_found_exception", "no such index [" + index + "]");
@@ -178,10 +179,10 @@
     }
 
     private QueryClass classSettings(int queryClass) {
-        return site.scheduler().classes().get(queryClass);
+        return settings.scheduler().classes().get(queryClass);
     }
 
-    private static JsonObject body(HttpMessage message) throws ApiException {
+    private static JsonObject parseBody(HttpMessage message) throws ApiException {
         try {
             return message.body().length == 0 ? new JsonObject() : parseStrictly(message.body());
         } catch (IOException | RuntimeException e) {
@@ -189,7 +190,9 @@
         }
     }
 
-    /** What is repaired on the way in would be searched for as though its client had asked for it. */
+    /**
+     * Parses a body strictly: one that is repaired in parsing would be searched as if its client had asked for that.
+     */
     private static JsonObject parseStrictly(byte[] body) throws IOException {
         try (JsonReader in = new JsonReader(new StringReader(StandardCharsets.UTF_8
                 .newDecoder()
@@ -215,32 +218,35 @@
         return Integer.parseInt(text);
     }
 
-    /** The shards asked for: by {@code ext.pepperdock.ranges} with portions, by preference, or all alike. */
+    /**
+     * Reads the requested shards: by {@code ext.pepperdock.ranges} with portions, by preference, or all with equal
+     * weights.
+     */
     private List<QueryRequest.RequestedPart> requestedParts(HttpMessage message, JsonObject body) throws ApiException {
         List<QueryRequest.RequestedPart> parts = new ArrayList<>();
         JsonObject ext = body.has("ext") ? body.getAsJsonObject("ext").getAsJsonObject("pepperdock") : null;
         String preference = message.parameter("preference");
         if (ext != null) {
             JsonArray ranges = ext.getAsJsonArray("ranges");
-            for (JsonElement e : ranges) {
-                JsonObject range = e.getAsJsonObject();
+            for (JsonElement element : ranges) {
+                JsonObject range = element.getAsJsonObject();
                 double weight = range.has("portion") ? range.get("portion").getAsDouble() : 1.0 / ranges.size();
                 if (!(weight >= 0 && weight <= 1)) {
                     throw ApiException.illegal("[portion] must lie between 0 and 1");
                 }
-                parts.add(
-                        new QueryRequest.RequestedPart(shard(range.get("range").getAsString()), weight));
+                parts.add(new QueryRequest.RequestedPart(
+                        parseShard(range.get("range").getAsString()), weight));
             }
         } else if (preference != null && preference.startsWith("_shards:")) {
             String[] shards =
                     preference.substring("_shards:".length()).split("\\|")[0].split(",");
-            for (String s : shards) {
-                parts.add(new QueryRequest.RequestedPart(shard(s), 1.0 / shards.length));
+            for (String shardText : shards) {
+                parts.add(new QueryRequest.RequestedPart(parseShard(shardText), 1.0 / shards.length));
             }
         } else {
-            int all = site.scheduler().layout().shards();
-            for (int s = 0; s < all; s++) {
-                parts.add(new QueryRequest.RequestedPart(s, 1.0 / all));
+            int shardCount = settings.scheduler().layout().shards();
+            for (int s = 0; s < shardCount; s++) {
+                parts.add(new QueryRequest.RequestedPart(s, 1.0 / shardCount));
             }
         }
         if (parts.isEmpty()
@@ -249,7 +255,7 @@
                                 .distinct()
                                 .count()
                         < parts.size()) {
-            throw ApiException.illegal("no shards, or one given twice");
+            throw ApiException.illegal("no shard is given, or one is given twice");
         }
         if (!QueryRequest.weightsSumToOne(parts)) {
             throw ApiException.illegal("[portion]s do not add up to 1");
@@ -257,12 +263,12 @@
         return parts;
     }
 
-    private int shard(String text) throws ApiException {
+    private int parseShard(String text) throws ApiException {
         if (text == null
                 || !text.matches("[0-9]{1,8}")
-                || Integer.parseInt(text) >= site.scheduler().layout().shards()) {
+                || Integer.parseInt(text) >= settings.scheduler().layout().shards()) {
             throw ApiException.illegal("[" + text + "] is not one of the "
-                    + site.scheduler().layout().shards() + " account ranges");
+                    + settings.scheduler().layout().shards() + " account ranges");
         }
         return Integer.parseInt(text);
     }
--- a/src/main/java/pepperdock/opensearch/ScrollHandler.java
+++ b/src/main/java/pepperdock/opensearch/ScrollHandler.java
@@ -12,10 +12,10 @@
 import pepperdock.opensearch.ApiResponses.ShardFailure;
 import pepperdock.transport.HttpResponseSender;
 
-/** Serves {@code /_search/scroll}: further pages of open scrolls, and their end. Runs on the I/O thread. */
+/** Serves {@code /_search/scroll}: reads further pages of open scrolls, and closes them. Runs on the I/O thread. */
 final class ScrollHandler {
 
-    /** How far the weights of a complete answer may be from 1: they are rounded one by one. */
+    /** How far the sum of a complete answer's weights may be from 1, as each weight is rounded. */
     private static final double COVERAGE_TOLERANCE = 1e-4;
 
     private final ScrollRegistry scrolls;
@@ -31,7 +31,7 @@
 
     /** Closes the scrolls that the request names, or all of them. */
     Runnable clear(HttpMessage message, HttpResponseSender reply) throws ApiException {
-        JsonObject body = RequestReader.scroll(message);
+        JsonObject body = RequestReader.readScroll(message);
         JsonElement ids = body.get("scroll_id");
         int freed = 0;
         if (ids != null && ids.isJsonPrimitive() && ids.getAsString().equals("_all")) {
@@ -48,7 +48,7 @@
         answer.addProperty("succeeded", true);
         answer.addProperty("num_freed", freed);
         if (freed > 0) {
-            ApiResponses.ok(reply, answer);
+            ApiResponses.sendOk(reply, answer);
         } else {
             reply.send(
                     404,
@@ -60,46 +60,47 @@
     }
 
     /**
-     * Reads the next page. Each shard's search context lives at one worker, so the scheduler has nothing to choose; its rules
-     * hold all the same: nothing is sent to a draining worker, and no page is answered below the class's minimum coverage.
+     * Reads the next page. Only one worker holds each shard's search context, so the scheduler has nothing to choose.
+     * Its rules apply all the same: nothing is sent to a draining worker, and no page below the class's minimum
+     * coverage is returned.
      */
     Runnable nextPage(HttpMessage message, HttpResponseSender reply, RequestReader reader) throws ApiException {
-        JsonObject body = RequestReader.scroll(message);
-        ScrollRegistry.Scroll scroll = openScroll(body);
+        JsonObject body = RequestReader.readScroll(message);
+        ScrollRegistry.Scroll scroll = findScroll(body);
         JsonElement keepAlive = body.get("scroll");
         if (keepAlive != null && keepAlive.isJsonPrimitive()) {
-            scroll.keepAliveS = reader.keepAliveS(keepAlive.getAsString());
+            scroll.keepAliveS = reader.readKeepAliveS(keepAlive.getAsString());
         }
-        scroll.extendLifetime();
+        scroll.restartKeepAlive();
         scroll.reading = true;
         double startedAt = clock.now();
         List<ScrollRegistry.ScrollShard> shards = scroll.shards.stream()
                 .filter(shard -> shard.context != null && shard.buffer.size() < scroll.request.size())
                 .toList();
-        int[] awaited = {shards.size()};
+        int[] pendingShards = {shards.size()};
         for (ScrollRegistry.ScrollShard shard : shards) {
             requestPage(scroll, shard, reply, page -> {
-                onPage(scroll, shard, page, startedAt);
-                if (--awaited[0] == 0) {
-                    page(scroll, startedAt, reply);
+                onShardPage(scroll, shard, page, startedAt);
+                if (--pendingShards[0] == 0) {
+                    sendPage(scroll, startedAt, reply);
                 }
             });
         }
         if (shards.isEmpty()) {
-            page(scroll, startedAt, reply);
+            sendPage(scroll, startedAt, reply);
         }
         return () -> scrolls.close(scroll);
     }
 
-    /** The scroll that a request names, where it is open and no other page of it is being read. */
-    private ScrollRegistry.Scroll openScroll(JsonObject body) throws ApiException {
+    /** Returns the scroll that a request names; throws if it is not open, or if another page of it is being read. */
+    private ScrollRegistry.Scroll findScroll(JsonObject body) throws ApiException {
         JsonElement id = body.get("scroll_id");
         ScrollRegistry.Scroll scroll = id != null && id.isJsonPrimitive() ? scrolls.get(id.getAsString()) : null;
         if (scroll == null) {
             throw new ApiException(404, "search_context_missing_exception", "no search context found");
         }
         if (scroll.reading) {
-            throw ApiException.illegal("a page of this scroll is being read");
+            throw ApiException.illegal("another page of this scroll is being read");
         }
         return scroll;
     }
@@ -123,15 +124,15 @@
                 listener);
     }
 
-    /** A shard's page has come, or null where it could not be read. */
-    private void onPage(
+    /** Handles a shard's page, which is null if it could not be read. */
+    private void onShardPage(
             ScrollRegistry.Scroll scroll, ScrollRegistry.ScrollShard shard, ShardAnswer page, double startedAt) {
         if (page == null) {
             shard.timedOut = clock.now() - startedAt >= scroll.queryClass.latencyObjectiveS();
             shard.failure = new ShardFailure(
                     shard.number,
                     shard.timedOut ? "timeout_exception" : "search_context_missing_exception",
-                    "no next page from its worker");
+                    "the worker returned no next page");
             scrolls.release(shard);
         } else if (page.hits().isEmpty()) {
             scrolls.release(shard);
@@ -142,11 +143,12 @@
     }
 
     /** Answers with the next page, once all shards have been read. */
-    private void page(ScrollRegistry.Scroll scroll, double startedAt, HttpResponseSender reply) {
+    private void sendPage(ScrollRegistry.Scroll scroll, double startedAt, HttpResponseSender reply) {
         if (scrolls.get(scroll.id) == null) {
-            // Cleared, expired or abandoned meanwhile: contexts that the last answers renamed are released too.
+            // The scroll was closed, expired or abandoned meanwhile: contexts that the last answers renamed are
+            // released too.
             scroll.shards.forEach(scrolls::release);
-            ApiResponses.error(reply, 404, "search_context_missing_exception", "no search context found", "");
+            ApiResponses.sendError(reply, 404, "search_context_missing_exception", "no search context found", "");
             return;
         }
         scroll.reading = false;
@@ -163,15 +165,15 @@
         }
         if (coverage < scroll.queryClass.minimumCoverage() - COVERAGE_TOLERANCE) {
             scrolls.close(scroll);
-            QueryErrors.failed(reply, timedOut);
+            QueryErrors.sendFailed(reply, timedOut);
             return;
         }
-        scroll.extendLifetime();
+        scroll.restartKeepAlive();
         int shards = scroll.shards.size() + scroll.failures.size();
         List<Hit> page = scroll.takePage();
-        ApiResponses.ok(
+        ApiResponses.sendOk(
                 reply,
-                ApiResponses.search(
+                ApiResponses.searchBody(
                         scroll.request.index(),
                         Math.round((clock.now() - startedAt) * 1e3),
                         timedOut,
--- a/src/main/java/pepperdock/opensearch/ScrollRegistry.java
+++ b/src/main/java/pepperdock/opensearch/ScrollRegistry.java
@@ -11,17 +11,17 @@
 import pepperdock.scheduler.QueryClass;
 
 /**
- * The scrolls that are open: capped, and each let go, here and at the workers that hold its contexts, once it was not
- * used for its time.
+ * Holds the open scrolls, whose number is capped. A scroll that is not used for its keep-alive time is closed, and its
+ * contexts are released at the workers that hold them.
  */
 final class ScrollRegistry {
 
-    /** Where a scroll's context is held, and how it is let go. */
+    /** Releases a scroll's context at the worker that holds it. */
     interface ContextReleaser {
         void release(String worker, String scrollId);
     }
 
-    /** One shard's side of a scroll: the context at its worker, and hits that came but were not given out yet. */
+    /** One shard's part of a scroll: the context at its worker, and hits that were received but not returned yet. */
     static final class ScrollShard {
         final int number;
         final double weight;
@@ -42,7 +42,7 @@
     final class Scroll {
         final String id = UUID.randomUUID().toString();
         final SearchRequest request;
-        /** The class whose rules its pages go by, as the settings were when it was opened. */
+        /** The class whose rules apply to its pages, with the settings of the time when it was opened. */
         final QueryClass queryClass;
 
         final List<ScrollShard> shards;
@@ -66,15 +66,15 @@
             keepAliveS = request.scrollS();
         }
 
-        /** Puts the end of its life off. */
-        void extendLifetime() {
+        /** Restarts the keep-alive time. */
+        void restartKeepAlive() {
             if (expiry != null) {
                 expiry.cancel();
             }
             expiry = clock.after(keepAliveS, () -> close(this));
         }
 
-        /** The next page out of what the shards have brought, best hits first. */
+        /** Takes the next page from the hits that the shards have returned, best hits first. */
         List<Hit> takePage() {
             List<Hit> page = new ArrayList<>();
             while (page.size() < request.size()) {
@@ -96,13 +96,13 @@
     }
 
     private final Clock clock;
-    private final ContextReleaser contexts;
+    private final ContextReleaser contextReleaser;
     private final int maxOpen;
     private final Map<String, Scroll> open = new LinkedHashMap<>();
 
-    ScrollRegistry(Clock clock, ContextReleaser contexts, int maxOpen) {
+    ScrollRegistry(Clock clock, ContextReleaser contextReleaser, int maxOpen) {
         this.clock = clock;
-        this.contexts = contexts;
+        this.contextReleaser = contextReleaser;
         this.maxOpen = maxOpen;
     }
 
@@ -122,16 +122,16 @@
             long total) {
         Scroll scroll = new Scroll(request, queryClass, shards, failures, total);
         open.put(scroll.id, scroll);
-        scroll.extendLifetime();
+        scroll.restartKeepAlive();
         return scroll;
     }
 
-    /** The scroll of that id; null when there is none, or no more. */
+    /** Returns the scroll with that id, or null if there is none, or it is closed. */
     Scroll get(String id) {
         return open.get(id);
     }
 
-    /** Lets a scroll go, here and at its workers; false when it was gone already. */
+    /** Closes a scroll and releases its contexts at the workers; returns false if it was closed already. */
     boolean close(Scroll scroll) {
         if (scroll == null || open.remove(scroll.id) == null) {
             return false;
@@ -143,7 +143,7 @@
 
     void release(ScrollShard shard) {
         if (shard.context != null) {
-            contexts.release(shard.worker, shard.context);
+            contextReleaser.release(shard.worker, shard.context);
             shard.context = null;
         }
     }
--- a/src/main/java/pepperdock/opensearch/SearchBackend.java
+++ b/src/main/java/pepperdock/opensearch/SearchBackend.java
@@ -11,34 +11,34 @@
 import pepperdock.core.WorkerEndpoint;
 import pepperdock.transport.EventLoop;
 
-/** Workers that speak the OpenSearch-style API; a {@link SearchWorker} each. */
+/** A backend of workers that speak the OpenSearch-style API, with a {@link SearchWorker} for each. */
 public final class SearchBackend extends PooledBackend<SearchWorker> {
 
     private final EventLoop loop;
-    private final DeploymentSettings site;
+    private final DeploymentSettings settings;
     private final OpenSearchConfig config;
-    /** One for all workers: a hundred of them may fail in the same second. */
+    /** Shared by all workers, as a hundred of them may fail in the same second. */
     private final LogRateLimiter unusableAnswerLog;
-    /** A backend without workers; they come with the endpoint list. */
-    public SearchBackend(EventLoop loop, DeploymentSettings site, OpenSearchConfig config) {
+    /** Creates a backend without workers; they are added from the endpoint list. */
+    public SearchBackend(EventLoop loop, DeploymentSettings settings, OpenSearchConfig config) {
         this.loop = loop;
-        this.site = site;
+        this.settings = settings;
         this.config = config;
-        unusableAnswerLog = new LogRateLimiter(
-                System.getLogger("pepperdock.opensearch"), loop, "answers of workers that can't be used");
+        unusableAnswerLog =
+                new LogRateLimiter(System.getLogger("pepperdock.opensearch"), loop, "unusable answers of workers");
     }
 
     @Override
-    protected SearchWorker createWorker(WorkerEndpoint host, Gatherer core) {
-        return new SearchWorker(host.id(), host.address(), loop, site, config, core, unusableAnswerLog);
+    protected SearchWorker createWorker(WorkerEndpoint endpoint, Gatherer gatherer) {
+        return new SearchWorker(endpoint.id(), endpoint.address(), loop, settings, config, gatherer, unusableAnswerLog);
     }
 
-    /** Nobody will page on from this copy: its context must not wait for its time-out. */
+    /** Releases the answer's scroll context, which no page will be read from, without waiting for its time-out. */
     @Override
     public void releaseUnusedAnswer(Attempt attempt, byte[] value) {
         if (attempt.part().query().request().frontContext() instanceof SearchRequest searchRequest
-                && searchRequest.scroll()) {
-            String scrollId = ShardAnswer.lenient(attempt.part().shard(), searchRequest.index(), value)
+                && searchRequest.isScroll()) {
+            String scrollId = ShardAnswer.parseLeniently(attempt.part().shard(), searchRequest.index(), value)
                     .scrollId();
             if (scrollId != null) {
                 releaseScroll(attempt.worker(), scrollId);
@@ -47,26 +47,27 @@
     }
 
     /**
-     * The next page of a shard's scroll, from the one worker that holds its context; null says it can't be had. It is asked
-     * for only while it is {@code wanted}, told anew where the request has waited for a connection.
+     * Requests the next page of a shard's scroll from the one worker that holds its context; the listener receives null
+     * if there is no such page. The request is sent only while {@code stillWanted}, which is asked again if the request
+     * has waited for a connection.
      */
     void nextPage(
             String worker,
             int shard,
             String scrollId,
-            double keepS,
+            double keepAliveS,
             double timeoutS,
-            BooleanSupplier wanted,
+            BooleanSupplier stillWanted,
             Consumer<ShardAnswer> listener) {
         SearchWorker searchWorker = worker(worker);
         if (searchWorker == null) {
             loop.execute(() -> listener.accept(null));
         } else {
-            searchWorker.nextPage(shard, scrollId, keepS, timeoutS, wanted, listener);
+            searchWorker.nextPage(shard, scrollId, keepAliveS, timeoutS, stillWanted, listener);
         }
     }
 
-    /** Tells a worker that a scroll context is not wanted any more. */
+    /** Tells a worker that a scroll context is no longer needed. */
     void releaseScroll(String worker, String scrollId) {
         SearchWorker searchWorker = worker(worker);
         if (searchWorker != null) {
--- a/src/main/java/pepperdock/opensearch/SearchFront.java
+++ b/src/main/java/pepperdock/opensearch/SearchFront.java
@@ -20,7 +20,7 @@
 /** The OpenSearch-style front: searches, scrolls and updates, on the same core as the platform's front. */
 public final class SearchFront implements HttpRequestHandler {
 
-    private final Gatherer core;
+    private final Gatherer gatherer;
     private final Clock clock;
     private final SearchBackend backend;
     private RequestReader reader;
@@ -29,31 +29,35 @@
     private final ScrollHandler scrollHandler;
     private final int maxScrolls;
 
-    /** {@code backend} is null where workers speak another protocol; there are no scrolls then. */
+    /** Creates a front; {@code backend} is null if workers speak another protocol, and there are no scrolls then. */
     public SearchFront(
-            DeploymentSettings site, OpenSearchConfig config, Gatherer core, Clock clock, SearchBackend backend) {
-        this.core = core;
+            DeploymentSettings settings,
+            OpenSearchConfig config,
+            Gatherer gatherer,
+            Clock clock,
+            SearchBackend backend) {
+        this.gatherer = gatherer;
         this.clock = clock;
         this.backend = backend;
-        reader = new RequestReader(site, config);
+        reader = new RequestReader(settings, config);
         maxScrolls = config.scrollContexts();
         scrolls = new ScrollRegistry(clock, (worker, id) -> backend.releaseScroll(worker, id), maxScrolls);
         scrollHandler = new ScrollHandler(scrolls, backend, clock);
     }
 
-    /** Other settings, and classes of the indices, for searches from now on. */
-    public void updateSettings(DeploymentSettings site, OpenSearchConfig config) {
-        reader = new RequestReader(site, config);
+    /** Replaces the settings and the classes of the indices, for searches from now on. */
+    public void updateSettings(DeploymentSettings settings, OpenSearchConfig config) {
+        reader = new RequestReader(settings, config);
     }
 
-    /** How many scrolls are open. */
+    /** Number of open scrolls. */
     public int openScrolls() {
         return scrolls.size();
     }
 
     @Override
-    public void rejectMalformed(int status, String why, HttpResponseSender reply) {
-        ApiResponses.error(reply, status, status == 500 ? "exception" : "illegal_argument_exception", why, "");
+    public void rejectMalformed(int status, String reason, HttpResponseSender reply) {
+        ApiResponses.sendError(reply, status, status == 500 ? "exception" : "illegal_argument_exception", reason, "");
     }
 
     @Override
@@ -65,7 +69,7 @@
                 JsonObject body = new JsonObject();
                 body.addProperty("name", "pepperdock");
                 body.addProperty("tagline", "OpenSearch-style queries over sharded ledger nodes");
-                ApiResponses.ok(reply, body);
+                ApiResponses.sendOk(reply, body);
             } else if (path.equals("/_search/scroll") || path.startsWith("/_search/scroll/")) {
                 requireMethod(message, "POST", "GET", "DELETE");
                 return message.method().equals("DELETE")
@@ -76,13 +80,13 @@
                 return search(message, reply);
             } else if (path.matches("/[^/_][^/]*/_update/.+")) {
                 requireMethod(message, "POST");
-                Query query = core.submit(reader.update(message), new UpdateListener(reply));
-                return () -> core.onClientGone(query);
+                Query query = gatherer.submit(reader.readUpdate(message), new UpdateListener(reply));
+                return () -> gatherer.onClientGone(query);
             } else {
                 throw new ApiException(404, "resource_not_found_exception", "no handler for [" + path + "]");
             }
         } catch (ApiException e) {
-            ApiResponses.error(reply, e.status(), e.type(), e.getMessage(), "");
+            ApiResponses.sendError(reply, e.status(), e.type(), e.getMessage(), "");
         }
         return () -> {};
     }
@@ -96,11 +100,11 @@
     // ---- Searches ------------------------------------------------------------
 
     private Runnable search(HttpMessage message, HttpResponseSender reply) throws ApiException {
-        QueryRequest queryRequest = reader.search(message);
+        QueryRequest queryRequest = reader.readSearch(message);
         SearchRequest request = (SearchRequest) queryRequest.frontContext();
-        if (request.scroll()) {
+        if (request.isScroll()) {
             if (backend == null) {
-                throw ApiException.illegal("there are no scrolls on this deployment");
+                throw ApiException.illegal("scrolls are not supported by this deployment");
             }
             if (scrolls.size() + scrollsOpening >= maxScrolls) {
                 throw new ApiException(
@@ -108,21 +112,21 @@
             }
             scrollsOpening++;
         }
-        boolean partial = !"false".equals(message.parameter("allow_partial_search_results"));
-        SearchListener client = new SearchListener(reply, request, clock.now(), partial);
-        Query query = core.submit(queryRequest, client);
+        boolean partialAllowed = !"false".equals(message.parameter("allow_partial_search_results"));
+        SearchListener listener = new SearchListener(reply, request, clock.now(), partialAllowed);
+        Query query = gatherer.submit(queryRequest, listener);
         return () -> {
-            core.onClientGone(query);
-            client.closed(query);
+            gatherer.onClientGone(query);
+            listener.endWithoutScroll(query);
         };
     }
 
-    /** A search has ended without opening a scroll: contexts that its parts opened are let go. */
+    /** Releases the contexts that the parts of a search have opened, where the search ends without opening a scroll. */
     private void releaseContexts(SearchRequest request, Query query) {
-        if (request.scroll()) {
+        if (request.isScroll()) {
             for (Part part : query.parts()) {
                 if (part.value() != null) {
-                    String id = ShardAnswer.lenient(part.shard(), request.index(), part.value())
+                    String id = ShardAnswer.parseLeniently(part.shard(), request.index(), part.value())
                             .scrollId();
                     if (id != null) {
                         backend.releaseScroll(part.servedBy(), id);
@@ -132,30 +136,33 @@
         }
     }
 
-    /** Words the core's one final answer to a search. */
+    /** Sends the core's one final answer to a search in the API's shape. */
     private final class SearchListener implements QueryListener {
         private final HttpResponseSender reply;
         private final SearchRequest request;
         private final double startedAt;
-        private final boolean partial;
+        private final boolean partialAllowed;
         private boolean ended;
 
-        SearchListener(HttpResponseSender reply, SearchRequest request, double startedAt, boolean partial) {
+        SearchListener(HttpResponseSender reply, SearchRequest request, double startedAt, boolean partialAllowed) {
             this.reply = reply;
             this.request = request;
             this.startedAt = startedAt;
-            this.partial = partial;
+            this.partialAllowed = partialAllowed;
         }
 
-        /** No longer about to open a scroll; counted once, however it ended. */
+        /**
+         * Marks the search as no longer about to open a scroll, once, however it ended; returns whether this was the
+         * first time.
+         */
         private boolean markEnded() {
             boolean first = !ended;
             ended = true;
-            scrollsOpening -= first && request.scroll() ? 1 : 0;
+            scrollsOpening -= first && request.isScroll() ? 1 : 0;
             return first;
         }
 
-        private void closed(Query query) {
+        private void endWithoutScroll(Query query) {
             if (markEnded()) {
                 releaseContexts(request, query);
             }
@@ -173,13 +180,13 @@
                     timedOut |= PartFailures.timedOut(part);
                     continue;
                 }
-                ShardAnswer answer = ShardAnswer.lenient(part.shard(), request.index(), part.value());
+                ShardAnswer answer = ShardAnswer.parseLeniently(part.shard(), request.index(), part.value());
                 shards.add(scrollShard(part, answer));
                 total += answer.total();
             }
-            if (!partial && !failures.isEmpty()) {
-                closed(query);
-                ApiResponses.error(
+            if (!partialAllowed && !failures.isEmpty()) {
+                endWithoutScroll(query);
+                ApiResponses.sendError(
                         reply,
                         timedOut ? 504 : 500,
                         "search_phase_execution_exception",
@@ -189,7 +196,7 @@
             }
             ScrollRegistry.Scroll scroll = openScroll(query, shards, failures, total);
             List<Hit> page = scroll != null ? scroll.takePage() : mergedHits(shards);
-            JsonObject body = ApiResponses.search(
+            JsonObject body = ApiResponses.searchBody(
                     request.index(),
                     tookMs(startedAt),
                     timedOut,
@@ -198,7 +205,7 @@
                     total,
                     page,
                     scroll != null ? scroll.id : null);
-            ApiResponses.ok(reply, body);
+            ApiResponses.sendOk(reply, body);
         }
 
         private static ScrollRegistry.ScrollShard scrollShard(Part part, ShardAnswer answer) {
@@ -209,10 +216,10 @@
             return shard;
         }
 
-        /** The scroll that the search asked for; null where it asked for none. */
+        /** Opens the scroll that the search asked for; returns null if it asked for none. */
         private ScrollRegistry.Scroll openScroll(
                 Query query, List<ScrollRegistry.ScrollShard> shards, List<ShardFailure> failures, long total) {
-            if (!request.scroll()) {
+            if (!request.isScroll()) {
                 return null;
             }
             markEnded();
@@ -229,15 +236,15 @@
         }
 
         @Override
-        public void onRejected(Query query, double pauseS) {
-            closed(query);
-            QueryErrors.rejected(reply, pauseS);
+        public void onRejected(Query query, double retryAfterS) {
+            endWithoutScroll(query);
+            QueryErrors.sendRejected(reply, retryAfterS);
         }
 
         @Override
         public void onFailed(Query query, boolean overdue) {
-            closed(query);
-            QueryErrors.failed(reply, overdue);
+            endWithoutScroll(query);
+            QueryErrors.sendFailed(reply, overdue);
         }
 
         @Override
--- a/src/main/java/pepperdock/opensearch/SearchRequest.java
+++ b/src/main/java/pepperdock/opensearch/SearchRequest.java
@@ -4,21 +4,21 @@
 import java.util.Comparator;
 
 /**
- * What one query asks of its index: carried through the core unseen, from the front to the backend.
+ * One query as the API has it; the core passes it from the front to the backend without looking into it.
  *
  * @param docId the document of an update; null for a search
- * @param body what each shard is asked, without {@code from}
- * @param scrollS how long each shard is to keep its context; 0 without a scroll
- * @param order how hits of different shards are merged
+ * @param body the body that is sent to each shard, without {@code from}
+ * @param scrollS how long each shard is to keep its context, in seconds; 0 without a scroll
+ * @param order the order in which hits of different shards are merged
  */
 record SearchRequest(
         String index, String docId, JsonObject body, int from, int size, double scrollS, Comparator<Hit> order) {
 
-    boolean update() {
+    boolean isUpdate() {
         return docId != null;
     }
 
-    boolean scroll() {
+    boolean isScroll() {
         return scrollS > 0;
     }
 }
--- a/src/main/java/pepperdock/opensearch/SearchWorker.java
+++ b/src/main/java/pepperdock/opensearch/SearchWorker.java
@@ -22,12 +22,12 @@
 import pepperdock.transport.EventLoop;
 import pepperdock.transport.HttpClient;
 
-/** One worker of the OpenSearch-style API: asked for one shard a request, over a few kept connections. */
+/** One worker that speaks the OpenSearch-style API; each request is for one shard, over a few kept connections. */
 final class SearchWorker implements PooledBackend.PooledWorker {
 
     private static final int MAX_RESPONSE_BYTES = 4 << 20;
     private static final double IDLE_TIMEOUT_SHARE = 0.8;
-    /** How long a request that nobody awaits may still bring the context that is then freed. */
+    /** How long a search that is no longer awaited may still take to return the scroll context that is then freed. */
     private static final double RELEASE_TIMEOUT_S = 5;
 
     private static final double HEALTH_CHECK_TIMEOUT_S = 0.25;
@@ -36,9 +36,9 @@
     private final String address;
     private final WorkerRequests requests;
     private final EventLoop loop;
-    private final DeploymentSettings site;
+    private final DeploymentSettings settings;
     private final OpenSearchConfig config;
-    private final Gatherer core;
+    private final Gatherer gatherer;
     private final LogRateLimiter unusableAnswerLog;
     private final List<ConnectionSlot> slots = new ArrayList<>();
     private final ArrayDeque<QueuedRequest> queue = new ArrayDeque<>();
@@ -48,17 +48,17 @@
             String id,
             String address,
             EventLoop loop,
-            DeploymentSettings site,
+            DeploymentSettings settings,
             OpenSearchConfig config,
-            Gatherer core,
+            Gatherer gatherer,
             LogRateLimiter unusableAnswerLog) {
         this.id = id;
         this.address = address;
         requests = new WorkerRequests(address);
         this.loop = loop;
-        this.site = site;
+        this.settings = settings;
         this.config = config;
-        this.core = core;
+        this.gatherer = gatherer;
         this.unusableAnswerLog = unusableAnswerLog;
     }
 
@@ -72,16 +72,16 @@
         return queue.isEmpty() && slots.stream().noneMatch(slot -> slot.http.isBusy());
     }
 
-    /** Ends what waits for a connection to a worker that accepts no calls any more: it was never sent. */
+    /** Ends requests that wait for a connection if the worker no longer accepts calls: they were never sent. */
     @Override
-    public void setAcceptingCalls(boolean now) {
-        acceptingCalls = now;
+    public void setAcceptingCalls(boolean accepting) {
+        acceptingCalls = accepting;
         if (!acceptingCalls) {
             List<QueuedRequest> abandoned =
                     queue.stream().filter(QueuedRequest::onlyWhileAccepting).toList();
             queue.removeAll(abandoned);
             abandoned.forEach(queued -> queued.listener().onFailure(null));
-            // Written when the connection is up, which may be after the time to stop.
+            // They would be written once their connections are established, which may be after the time to stop.
             List.copyOf(slots).stream()
                     .filter(slot -> slot.http.isConnecting() && slot.onlyWhileAccepting)
                     .forEach(slot -> {
@@ -108,8 +108,8 @@
     }
 
     @Override
-    public void send(List<Attempt> call) {
-        call.forEach(this::send);
+    public void send(List<Attempt> attempts) {
+        attempts.forEach(this::send);
     }
 
     private void send(Attempt attempt) {
@@ -118,18 +118,18 @@
                 request,
                 attempt.deadline(),
                 true,
-                () -> !core.retainStartable(List.of(attempt)).isEmpty(),
+                () -> !gatherer.retainStartable(List.of(attempt)).isEmpty(),
                 attempt,
                 new HttpClient.ResponseListener() {
                     @Override
                     public void onResponse(HttpMessage message) {
-                        core.onAttemptWritten(attempt);
+                        gatherer.onAttemptWritten(attempt);
                         onAttemptResponse(attempt, message);
                     }
 
                     @Override
                     public void onFailure(HttpClient.Failure failure) {
-                        // A null failure: the worker accepts no calls, and this was never sent.
+                        // A null failure means that the worker accepts no calls, and the request was never sent.
                         AttemptOutcome outcome = failure == null
                                 ? AttemptOutcome.NOT_SENT
                                 : switch (failure) {
@@ -138,9 +138,9 @@
                                     case TIMED_OUT -> AttemptOutcome.TIMEOUT;
                                 };
                         if (failure == HttpClient.Failure.CONNECTION_LOST || failure == HttpClient.Failure.TIMED_OUT) {
-                            core.onAttemptWritten(attempt);
+                            gatherer.onAttemptWritten(attempt);
                         }
-                        core.onAttemptEnded(attempt, outcome, LoadReport.NONE, null);
+                        gatherer.onAttemptEnded(attempt, outcome, LoadReport.NONE, null);
                     }
                 });
     }
@@ -149,7 +149,7 @@
         SearchRequest searched = attempt.part().query().request().frontContext() instanceof SearchRequest searchRequest
                 ? searchRequest
                 : null;
-        boolean update = searched != null && searched.update();
+        boolean update = searched != null && searched.isUpdate();
         byte[] value = null;
         AttemptOutcome outcome = message.status() == 429 ? AttemptOutcome.OVERLOADED : AttemptOutcome.ERROR;
         if (message.status() == 200 || update && message.status() == 201) {
@@ -157,20 +157,21 @@
                 if (update) {
                     checkUpdateSucceeded(message.body());
                 } else {
-                    ShardAnswer.strict(attempt.part().shard(), message.body());
+                    ShardAnswer.parseStrictly(attempt.part().shard(), message.body());
                 }
                 value = message.body();
                 outcome = AttemptOutcome.OK;
             } catch (RuntimeException e) {
                 unusableAnswerLog.log(
                         System.Logger.Level.INFO,
-                        () -> "worker " + id + ", shard " + attempt.part().shard() + ": " + e.getMessage());
+                        () -> "worker " + id + ", unusable answer for shard "
+                                + attempt.part().shard() + ": " + e.getMessage());
             }
         }
-        core.onAttemptEnded(attempt, outcome, LoadReport.NONE, value);
+        gatherer.onAttemptEnded(attempt, outcome, LoadReport.NONE, value);
     }
 
-    /** An update that its primary did not take is an error, whatever the status says. */
+    /** Throws if the primary did not apply the update, which is an error whatever the status says. */
     private static void checkUpdateSucceeded(byte[] body) {
         JsonObject shards = JsonParser.parseString(new String(body, StandardCharsets.UTF_8))
                 .getAsJsonObject()
@@ -178,20 +179,20 @@
         if (shards != null
                 && shards.get("successful").getAsInt() < 1
                 && shards.get("total").getAsInt() > 0) {
-            throw new IllegalArgumentException("no shard took the update");
+            throw new IllegalArgumentException("no shard applied the update");
         }
     }
 
     /**
-     * Ceases to wait. Closing the connection is how this API cancels a search; one that opens a scroll is let finish
-     * instead, as only its answer names the context that has to be freed.
+     * Stops waiting for an attempt. This API cancels a search when its connection is closed. A search that opens a
+     * scroll is allowed to finish instead, as only its answer names the context that has to be freed.
      */
     @Override
     public void cancel(Attempt attempt) {
-        queue.removeIf(queued -> queued.listener() instanceof AttemptListener bound
-                && bound.attempt().hasEnded());
+        queue.removeIf(queued -> queued.listener() instanceof AttemptListener attemptListener
+                && attemptListener.attempt().hasEnded());
         boolean scroll = attempt.part().query().request().frontContext() instanceof SearchRequest searchRequest
-                && searchRequest.scroll();
+                && searchRequest.isScroll();
         for (ConnectionSlot slot : slots) {
             if (slot.attempt == attempt && !scroll) {
                 slot.attempt = null;
@@ -202,16 +203,16 @@
         startQueued();
     }
 
-    /** {@code stillWanted} is asked again where the request has waited for a connection. */
+    /** Requests a scroll's next page; {@code stillWanted} is asked again if the request waited for a connection. */
     void nextPage(
             int shard,
             String scrollId,
-            double keepS,
+            double keepAliveS,
             double timeoutS,
             BooleanSupplier stillWanted,
             Consumer<ShardAnswer> listener) {
         enqueue(
-                requests.nextPage(scrollId, keepS),
+                requests.nextPage(scrollId, keepAliveS),
                 loop.now() + timeoutS,
                 true,
                 stillWanted,
@@ -221,10 +222,11 @@
                     public void onResponse(HttpMessage message) {
                         ShardAnswer page = null;
                         try {
-                            page = message.status() == 200 ? ShardAnswer.strict(shard, message.body()) : null;
+                            page = message.status() == 200 ? ShardAnswer.parseStrictly(shard, message.body()) : null;
                         } catch (RuntimeException e) {
                             unusableAnswerLog.log(
-                                    System.Logger.Level.INFO, () -> "worker " + id + ", scroll: " + e.getMessage());
+                                    System.Logger.Level.INFO,
+                                    () -> "worker " + id + ", unusable page of a scroll: " + e.getMessage());
                         }
                         listener.accept(page);
                     }
@@ -251,7 +253,8 @@
                     public void onFailure(HttpClient.Failure failure) {
                         unusableAnswerLog.log(
                                 System.Logger.Level.INFO,
-                                () -> "worker " + id + " was not told to free a scroll; it will expire");
+                                () -> "worker " + id
+                                        + " may not have freed a scroll context: no response; the context will expire");
                     }
                 });
     }
@@ -268,7 +271,7 @@
                 new HttpClient.ResponseListener() {
                     @Override
                     public void onResponse(HttpMessage message) {
-                        core.onHealthCheckEnded(
+                        gatherer.onHealthCheckEnded(
                                 id,
                                 message.status() == 200 ? AttemptOutcome.OK : AttemptOutcome.ERROR,
                                 loop.now() - sentAt,
@@ -277,7 +280,7 @@
 
                     @Override
                     public void onFailure(HttpClient.Failure failure) {
-                        core.onHealthCheckEnded(id, AttemptOutcome.TIMEOUT, loop.now() - sentAt, LoadReport.NONE);
+                        gatherer.onHealthCheckEnded(id, AttemptOutcome.TIMEOUT, loop.now() - sentAt, LoadReport.NONE);
                     }
                 });
     }
@@ -296,7 +299,7 @@
         }
         ConnectionSlot slot = freeSlot();
         if (slot == null) {
-            // Kept in a queue here rather than in the worker's: what is given up meanwhile is then never sent.
+            // Queued here rather than at the worker: a request that is abandoned meanwhile is then never sent.
             queue.addLast(new QueuedRequest(
                     request,
                     deadline,
@@ -308,6 +311,7 @@
         }
     }
 
+    /** Returns a slot without a request, or a new one while their number allows it, or null. */
     private ConnectionSlot freeSlot() {
         for (ConnectionSlot slot : slots) {
             if (!slot.http.isBusy()) {
@@ -318,12 +322,13 @@
             return null;
         }
         try {
-            ConnectionSlot made = new ConnectionSlot(
-                    new HttpClient(loop, Config.address("dial", address), site.connectTimeoutS(), MAX_RESPONSE_BYTES));
-            slots.add(made);
-            return made;
+            ConnectionSlot added = new ConnectionSlot(new HttpClient(
+                    loop, Config.address("dial", address), settings.connectTimeoutS(), MAX_RESPONSE_BYTES));
+            slots.add(added);
+            return added;
         } catch (ConfigException e) {
-            unusableAnswerLog.log(System.Logger.Level.WARNING, () -> "worker " + id + ": " + e.getMessage());
+            unusableAnswerLog.log(
+                    System.Logger.Level.WARNING, () -> "worker " + id + " has an unusable address: " + e.getMessage());
             return null;
         }
     }
@@ -337,7 +342,7 @@
         };
         boolean scroll = attempt != null
                 && attempt.part().query().request().frontContext() instanceof SearchRequest searchRequest
-                && searchRequest.scroll();
+                && searchRequest.isScroll();
         double timeoutS = Math.max(0.001, queued.deadline() - loop.now()) + (scroll ? RELEASE_TIMEOUT_S : 0);
         slot.http.send(queued.request(), timeoutS, queued.stillWanted(), new HttpClient.ResponseListener() {
             @Override
@@ -359,7 +364,7 @@
     private void releaseSlot(ConnectionSlot slot) {
         slot.attempt = null;
         slot.usedAt = loop.now();
-        double limit = site.idleTimeoutS() * IDLE_TIMEOUT_SHARE;
+        double limit = settings.idleTimeoutS() * IDLE_TIMEOUT_SHARE;
         loop.after(limit, () -> {
             if (!slot.http.isBusy() && loop.now() - slot.usedAt >= limit * 0.99) {
                 slot.http.close();
@@ -368,7 +373,10 @@
         });
     }
 
-    /** Asked whether it is wanted, a request may have others called off, which calls this anew: a line is taken after it. */
+    /**
+     * Starts queued requests while there are free connections. Asking whether a request is still wanted may cancel
+     * others, which calls this method again: the connection is therefore taken afterwards.
+     */
     private void startQueued() {
         while (!queue.isEmpty() && freeSlot() != null) {
             QueuedRequest queued = queue.removeFirst();
@@ -381,7 +389,10 @@
                 queue.addFirst(queued);
                 return;
             }
-            start(slot, queued, queued.listener() instanceof AttemptListener bound ? bound.attempt() : null);
+            start(
+                    slot,
+                    queued,
+                    queued.listener() instanceof AttemptListener attemptListener ? attemptListener.attempt() : null);
         }
     }
 }
--- a/src/main/java/pepperdock/opensearch/ShardAnswer.java
+++ b/src/main/java/pepperdock/opensearch/ShardAnswer.java
@@ -8,14 +8,15 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** What one shard answered to a search: its hits, how many there are in all, and its scroll context, if any. */
+/** One shard's answer to a search: its hits, how many there are in all, and its scroll context, if any. */
 record ShardAnswer(List<Hit> hits, long total, String scrollId) {
 
     /**
-     * Reads a backend's answer. Throws where it is no whole answer of the shard: a success status may still report
-     * shard failures or a time-out inside, and hits that are missing must not pass for hits that don't exist.
+     * Parses a worker's answer. Throws if it is not the complete answer of the shard: a response with a success status
+     * may still report shard failures or a time-out in its body, and missing hits must not pass for hits that don't
+     * exist.
      */
-    static ShardAnswer strict(int shard, byte[] body) {
+    static ShardAnswer parseStrictly(int shard, byte[] body) {
         JsonObject answer = parse(body);
         JsonObject shards = answer.getAsJsonObject("_shards");
         if (flag(answer, "timed_out")
@@ -24,20 +25,20 @@
                 || shards.has("failed") && shards.get("failed").getAsInt() > 0
                 || shards.has("failures") && !shards.getAsJsonArray("failures").isEmpty()
                 || shards.has("successful") && shards.get("successful").getAsInt() < 1) {
-            throw new IllegalArgumentException("the shard did not answer whole");
+            throw new IllegalArgumentException("the shard's answer is not complete");
         }
         return read(shard, answer);
     }
 
-    /** Reads a part's value; a worker of another protocol gives bare text, which becomes one hit. */
-    static ShardAnswer lenient(int shard, String index, byte[] value) {
+    /** Parses a part's value; a worker of another protocol returns bare text, which becomes one hit. */
+    static ShardAnswer parseLeniently(int shard, String index, byte[] value) {
         try {
             JsonObject answer = parse(value);
             if (answer.has("hits")) {
                 return read(shard, answer);
             }
         } catch (RuntimeException e) {
-            // Not of this API: taken as text below.
+            // The value is not of this API: it is taken as text below.
         }
         JsonObject source = new JsonObject();
         source.addProperty("range", shard);
@@ -58,8 +59,8 @@
         JsonObject outer = answer.getAsJsonObject("hits");
         JsonArray inner = outer.getAsJsonArray("hits");
         List<Hit> hits = new ArrayList<>();
-        for (JsonElement h : inner) {
-            hits.add(new Hit(shard, h.getAsJsonObject()));
+        for (JsonElement hit : inner) {
+            hits.add(new Hit(shard, hit.getAsJsonObject()));
         }
         JsonElement total = outer.get("total");
         long count = total == null || total.isJsonNull()
--- a/src/main/java/pepperdock/opensearch/UpdateListener.java
+++ b/src/main/java/pepperdock/opensearch/UpdateListener.java
@@ -14,7 +14,7 @@
         byte[] value = query.parts().get(0).value();
         String text = new String(value, StandardCharsets.UTF_8);
         if (text.startsWith("{")) {
-            ApiResponses.raw(reply, value);
+            ApiResponses.sendRaw(reply, value);
             return;
         }
         SearchRequest request = (SearchRequest) query.request().frontContext();
@@ -23,17 +23,17 @@
         body.addProperty("_id", request.docId());
         body.addProperty("result", "updated");
         body.addProperty("blob", text);
-        ApiResponses.ok(reply, body);
+        ApiResponses.sendOk(reply, body);
     }
 
     @Override
     public void onRejected(Query query, double retryAfterS) {
-        QueryErrors.rejected(reply, retryAfterS);
+        QueryErrors.sendRejected(reply, retryAfterS);
     }
 
     @Override
     public void onFailed(Query query, boolean overdue) {
-        QueryErrors.failed(reply, overdue);
+        QueryErrors.sendFailed(reply, overdue);
     }
 
     @Override
--- a/src/main/java/pepperdock/opensearch/WorkerRequests.java
+++ b/src/main/java/pepperdock/opensearch/WorkerRequests.java
@@ -7,20 +7,22 @@
 import pepperdock.core.Attempt;
 import pepperdock.core.QueryRequest;
 
-/** Encodes the HTTP requests that one worker is sent. Free of I/O. */
+/** Encodes the HTTP requests to one worker; does no I/O. */
 record WorkerRequests(String host) {
 
     private static final String JSON = "Content-Type: application/json\r\n";
 
-    /** The next page of a scroll, which keeps its context for another {@code keepS} seconds. */
-    byte[] nextPage(String scrollId, double keepS) {
+    /**
+     * Encodes a request for the next page of a scroll, whose context is kept for another {@code keepAliveS} seconds.
+     */
+    byte[] nextPage(String scrollId, double keepAliveS) {
         JsonObject body = new JsonObject();
-        body.addProperty("scroll", (long) Math.ceil(keepS) + "s");
+        body.addProperty("scroll", (long) Math.ceil(keepAliveS) + "s");
         body.addProperty("scroll_id", scrollId);
         return post("/_search/scroll", JSON, body);
     }
 
-    /** Frees the search context of a scroll. */
+    /** Encodes a request to free the search context of a scroll. */
     byte[] freeScroll(String scrollId) {
         JsonObject body = new JsonObject();
         body.addProperty("scroll_id", scrollId);
@@ -28,12 +30,15 @@
                 "DELETE", "/_search/scroll", host, JSON, body.toString().getBytes(StandardCharsets.UTF_8));
     }
 
-    /** A health check. */
+    /** Encodes a health check. */
     byte[] healthCheck() {
         return HttpWriter.request("GET", "/", host, "", new byte[0]);
     }
 
-    /** One attempt at a part: a search of its shard, or the update of a document there; {@code now} in seconds. */
+    /**
+     * Encodes one attempt at a part: a search of its shard, or an update of a document there; {@code now} is in
+     * seconds.
+     */
     byte[] search(Attempt attempt, double now) {
         QueryRequest request = attempt.part().query().request();
         int shard = attempt.part().shard();
@@ -52,7 +57,7 @@
                     headers,
                     body);
         }
-        if (search.update()) {
+        if (search.isUpdate()) {
             return post(
                     "/" + search.index() + "/_update/" + encode(search.docId()) + "?routing=" + shard + "&timeout="
                             + timeoutMs + "ms",
@@ -64,7 +69,7 @@
         }
         return post(
                 "/" + search.index() + "/_search?preference=_shards:" + shard + "&timeout=" + timeoutMs + "ms"
-                        + (search.scroll() ? "&scroll=" + (long) Math.ceil(search.scrollS()) + "s" : ""),
+                        + (search.isScroll() ? "&scroll=" + (long) Math.ceil(search.scrollS()) + "s" : ""),
                 headers,
                 search.body());
     }
--- a/src/test/java/pepperdock/opensearch/StandInSearchServer.java
+++ b/src/test/java/pepperdock/opensearch/FakeSearchWorker.java
@@ -19,30 +19,33 @@
 import java.util.regex.Pattern;
 import pepperdock.platform.FakeWorkerBehaviour;
 
-/** A worker of the OpenSearch-style API: searches of one shard, scrolls and updates, as the public API words them. */
-final class StandInSearchServer implements java.io.Closeable {
+/**
+ * A fake worker that speaks the OpenSearch-style API: searches of one shard, scrolls and updates, in the public API's
+ * shapes.
+ */
+final class FakeSearchWorker implements java.io.Closeable {
 
     private static final Pattern SHARD = Pattern.compile("(?:preference=_shards:|routing=)([0-9]+)");
 
-    /** Hits of each shard, for scrolls: ids from 0. */
+    /** Number of hits of each shard, for scrolls; their ids start at 0. */
     static final int HITS = 5;
 
     final Map<String, AtomicInteger> contexts = new ConcurrentHashMap<>();
     final AtomicInteger opened = new AtomicInteger();
-    /** Pages after the first wait for this, where a test wants to leave meanwhile. */
-    volatile CountDownLatch hold = new CountDownLatch(0);
+    /** Pages after the first wait for this latch, so that a test can disconnect meanwhile. */
+    volatile CountDownLatch holdPages = new CountDownLatch(0);
 
-    final CountDownLatch held = new CountDownLatch(1);
+    final CountDownLatch pageRequested = new CountDownLatch(1);
     private final CountDownLatch closing = new CountDownLatch(1);
     private final FakeWorkerBehaviour behaviour;
     private final HttpServer server;
-    private final ExecutorService threads = Executors.newCachedThreadPool(r -> {
-        Thread t = new Thread(r);
-        t.setDaemon(true);
-        return t;
+    private final ExecutorService threads = Executors.newCachedThreadPool(task -> {
+        Thread thread = new Thread(task);
+        thread.setDaemon(true);
+        return thread;
     });
 
-    StandInSearchServer(FakeWorkerBehaviour behaviour) throws IOException {
+    FakeSearchWorker(FakeWorkerBehaviour behaviour) throws IOException {
         this.behaviour = behaviour;
         server = HttpServer.create(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0), 50);
         server.setExecutor(threads);
@@ -50,33 +53,33 @@
         server.start();
     }
 
-    String dial() {
+    String address() {
         return "127.0.0.1:" + server.getAddress().getPort();
     }
 
-    private void serve(HttpExchange x) throws IOException {
-        String body = new String(x.getRequestBody().readAllBytes(), StandardCharsets.UTF_8);
-        JsonObject asked =
+    private void serve(HttpExchange exchange) throws IOException {
+        String body = new String(exchange.getRequestBody().readAllBytes(), StandardCharsets.UTF_8);
+        JsonObject request =
                 body.isEmpty() ? new JsonObject() : JsonParser.parseString(body).getAsJsonObject();
-        String path = x.getRequestURI().getPath();
+        String path = exchange.getRequestURI().getPath();
         try {
             if (path.equals("/_search/scroll")) {
-                scroll(x, asked);
+                scroll(exchange, request);
             } else {
-                part(x, path, asked);
+                part(exchange, path, request);
             }
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         }
     }
 
-    private void part(HttpExchange x, String path, JsonObject asked) throws IOException, InterruptedException {
-        Matcher m = SHARD.matcher(x.getRequestURI().getQuery());
-        int shard = m.find() ? Integer.parseInt(m.group(1)) : -1;
+    private void part(HttpExchange exchange, String path, JsonObject request) throws IOException, InterruptedException {
+        Matcher matcher = SHARD.matcher(exchange.getRequestURI().getQuery());
+        int shard = matcher.find() ? Integer.parseInt(matcher.group(1)) : -1;
         boolean update = path.contains("/_update/");
         String text = update
-                ? asked.getAsJsonObject("script").get("source").getAsString()
-                : asked.getAsJsonObject("query")
+                ? request.getAsJsonObject("script").get("source").getAsString()
+                : request.getAsJsonObject("query")
                         .getAsJsonObject("query_string")
                         .get("query")
                         .getAsString();
@@ -85,49 +88,50 @@
             case GOOD -> {
                 if (update) {
                     answer(
-                            x,
+                            exchange,
                             200,
                             "{\"_id\":\"1\",\"result\":\"updated\",\"_shards\":{\"total\":2,\"successful\":1,"
                                     + "\"failed\":0},\"blob\":\"" + FakeWorkerBehaviour.value(text, shard) + "\"}");
-                } else if (x.getRequestURI().getQuery().contains("scroll=")) {
+                } else if (exchange.getRequestURI().getQuery().contains("scroll=")) {
                     String id = "c" + opened.incrementAndGet() + "-" + shard;
                     contexts.put(id, new AtomicInteger());
-                    answer(x, 200, page(id, asked.get("size").getAsInt()));
+                    answer(exchange, 200, page(id, request.get("size").getAsInt()));
                 } else {
                     answer(
-                            x,
+                            exchange,
                             200,
                             found(1, hit(shard, 0, FakeWorkerBehaviour.value(text, shard)))
                                     .toString());
                 }
             }
             case BAD -> {
-                // The hard case: a success whose inside says that the shard failed.
-                JsonObject o = found(0);
-                o.add(
+                // The hard case: a success status, with a body that says that the shard failed.
+                JsonObject failed = found(0);
+                failed.add(
                         "_shards",
                         JsonParser.parseString("{\"total\":1,\"successful\":0,\"failed\":1,\"failures\":"
                                 + "[{\"shard\":" + shard + ",\"reason\":{\"type\":\"circuit_breaking_exception\"}}]}"));
-                answer(x, 200, o.toString());
+                answer(exchange, 200, failed.toString());
             }
-            case LATER -> answer(x, 429, "{\"error\":{\"type\":\"rejected_execution_exception\"},\"status\":429}");
+            case LATER ->
+                answer(exchange, 429, "{\"error\":{\"type\":\"rejected_execution_exception\"},\"status\":429}");
             default -> closing.await();
         }
     }
 
-    private void scroll(HttpExchange x, JsonObject asked) throws IOException, InterruptedException {
-        String id = asked.get("scroll_id").getAsString();
-        if (x.getRequestMethod().equals("DELETE")) {
-            boolean had = contexts.remove(id) != null;
-            answer(x, had ? 200 : 404, "{\"succeeded\":true,\"num_freed\":" + (had ? 1 : 0) + "}");
+    private void scroll(HttpExchange exchange, JsonObject request) throws IOException, InterruptedException {
+        String id = request.get("scroll_id").getAsString();
+        if (exchange.getRequestMethod().equals("DELETE")) {
+            boolean existed = contexts.remove(id) != null;
+            answer(exchange, existed ? 200 : 404, "{\"succeeded\":true,\"num_freed\":" + (existed ? 1 : 0) + "}");
             return;
         }
-        held.countDown();
-        hold.await();
+        pageRequested.countDown();
+        holdPages.await();
         if (contexts.containsKey(id)) {
-            answer(x, 200, page(id, 2));
+            answer(exchange, 200, page(id, 2));
         } else {
-            answer(x, 404, "{\"error\":{\"type\":\"search_context_missing_exception\"},\"status\":404}");
+            answer(exchange, 404, "{\"error\":{\"type\":\"search_context_missing_exception\"},\"status\":404}");
         }
     }
 
@@ -138,18 +142,18 @@
         for (int i = 0; i < hits.length; i++) {
             hits[i] = hit(shard, from + i, "v");
         }
-        JsonObject o = found(HITS, hits);
-        o.addProperty("_scroll_id", id);
-        return o.toString();
+        JsonObject page = found(HITS, hits);
+        page.addProperty("_scroll_id", id);
+        return page.toString();
     }
 
-    private static JsonObject hit(int shard, int no, String value) {
+    private static JsonObject hit(int shard, int number, String value) {
         JsonObject source = new JsonObject();
         source.addProperty("range", shard);
         source.addProperty("blob", value);
         JsonObject hit = new JsonObject();
-        hit.addProperty("_id", shard + "-" + no);
-        hit.addProperty("_score", 100 - no);
+        hit.addProperty("_id", shard + "-" + number);
+        hit.addProperty("_score", 100 - number);
         hit.add("_source", source);
         return hit;
     }
@@ -162,25 +166,25 @@
         JsonObject outer = new JsonObject();
         outer.add("total", JsonParser.parseString("{\"value\":" + total + ",\"relation\":\"eq\"}"));
         outer.add("hits", list);
-        JsonObject o = new JsonObject();
-        o.addProperty("timed_out", false);
-        o.add("_shards", JsonParser.parseString("{\"total\":1,\"successful\":1,\"skipped\":0,\"failed\":0}"));
-        o.add("hits", outer);
-        return o;
+        JsonObject answer = new JsonObject();
+        answer.addProperty("timed_out", false);
+        answer.add("_shards", JsonParser.parseString("{\"total\":1,\"successful\":1,\"skipped\":0,\"failed\":0}"));
+        answer.add("hits", outer);
+        return answer;
     }
 
-    private static void answer(HttpExchange x, int status, String body) throws IOException {
+    private static void answer(HttpExchange exchange, int status, String body) throws IOException {
         byte[] bytes = body.getBytes(StandardCharsets.UTF_8);
-        x.getResponseHeaders().set("Content-Type", "application/json");
-        x.sendResponseHeaders(status, bytes.length);
-        x.getResponseBody().write(bytes);
-        x.close();
+        exchange.getResponseHeaders().set("Content-Type", "application/json");
+        exchange.sendResponseHeaders(status, bytes.length);
+        exchange.getResponseBody().write(bytes);
+        exchange.close();
     }
 
     @Override
     public void close() {
         closing.countDown();
-        hold.countDown();
+        holdPages.countDown();
         server.stop(0);
         threads.shutdownNow();
     }
--- a/src/test/java/pepperdock/opensearch/SearchBackendTest.java
+++ b/src/test/java/pepperdock/opensearch/SearchBackendTest.java
@@ -31,88 +31,94 @@
 class SearchBackendTest {
 
     /**
-     * Word that a worker drains, while the connection for a part to it is still coming up: found by reading, the request was
-     * written whenever it came up, by then perhaps after the time to stop.
+     * Guards against a request that is written to a draining worker: the worker starts to drain while the connection
+     * for the request is being established, which may be finished only after the time to stop.
      */
     @Test
-    void aRequestThatWaitsForItsConnectionEndsWhenTheWorkerDrains() throws Exception {
-        DeploymentSettings site = TestDeploymentSettings.with(TestDeploymentSettings.SETTINGS
+    void requestThatWaitsForItsConnectionEndsWhenTheWorkerDrains() throws Exception {
+        DeploymentSettings settings = TestDeploymentSettings.with(TestDeploymentSettings.SETTINGS
                         .replace("\"MaxAttempts\":4", "\"MaxAttempts\":1")
                         .replace("\"DialTimeoutS\":0.25", "\"DialTimeoutS\":20"))
                 .withoutIdempotencyKeys();
         BlockingQueue<String> ended = new LinkedBlockingQueue<>();
-        QueryListener client = new QueryListener() {
+        QueryListener listener = new QueryListener() {
             @Override
-            public void onAnswer(Query q, boolean whole) {
+            public void onAnswer(Query query, boolean complete) {
                 ended.add("answered");
             }
 
             @Override
-            public void onRejected(Query q, double pauseS) {
-                ended.add("refused " + q.parts().get(0).lastOutcome());
+            public void onRejected(Query query, double retryAfterS) {
+                ended.add("refused " + query.parts().get(0).lastOutcome());
             }
 
             @Override
-            public void onFailed(Query q, boolean overdue) {
-                ended.add("failed " + q.parts().get(0).lastOutcome());
+            public void onFailed(Query query, boolean overdue) {
+                ended.add("failed " + query.parts().get(0).lastOutcome());
             }
         };
         try (EventLoop loop = new EventLoop(100, 1 << 16);
                 ServerSocket server = new ServerSocket(0, 5, InetAddress.getLoopbackAddress())) {
             SearchBackend backend = new SearchBackend(
-                    loop, site, new OpenSearchConfig(null, new LinkedHashMap<>(Map.of("wallets", 2)), true, 8, 2, 300));
-            Gatherer core = new Gatherer(site.scheduler(), 3, loop, backend, () -> {});
-            backend.start(core);
-            WorkerEndpoint host =
+                    loop,
+                    settings,
+                    new OpenSearchConfig(null, new LinkedHashMap<>(Map.of("wallets", 2)), true, 8, 2, 300));
+            Gatherer gatherer = new Gatherer(settings.scheduler(), 3, loop, backend, () -> {});
+            backend.start(gatherer);
+            WorkerEndpoint endpoint =
                     new WorkerEndpoint("w", "127.0.0.1:" + server.getLocalPort(), 0, 0, 0, EndpointState.HEALTHY, 1, 0);
-            WorkerEndpoint drains = new WorkerEndpoint("w", host.address(), 0, 0, 0, EndpointState.DRAINING, 1, 0);
+            WorkerEndpoint draining =
+                    new WorkerEndpoint("w", endpoint.address(), 0, 0, 0, EndpointState.DRAINING, 1, 0);
             loop.execute(() -> {
-                core.onEndpointList(EndpointListKind.COMPLETE, List.of(host));
-                core.submit(
+                gatherer.onEndpointList(EndpointListKind.COMPLETE, List.of(endpoint));
+                gatherer.submit(
                         new QueryRequest(
                                 "q", 2, "k", 30, List.of(new QueryRequest.RequestedPart(0, 1)), new byte[] {'t'}, null),
-                        client);
-                // Right after the batch that sends, before the loop can tell that the connection is up.
-                loop.execute(() -> core.onEndpointList(EndpointListKind.CHANGES, List.of(drains)));
+                        listener);
+                // Right after the batch that sends, before the loop can notice that the connection is established.
+                loop.execute(() -> gatherer.onEndpointList(EndpointListKind.CHANGES, List.of(draining)));
             });
             assertEquals("refused " + AttemptOutcome.NOT_SENT, ended.poll(30, TimeUnit.SECONDS));
             server.setSoTimeout(30_000);
-            try (Socket s = server.accept()) {
-                assertEquals(-1, s.getInputStream().read(), "nothing of it was written");
+            try (Socket accepted = server.accept()) {
+                assertEquals(-1, accepted.getInputStream().read(), "the request must not be written");
             }
         }
     }
 
     /**
-     * A search that opens a scroll, whose client goes while the connection for it is still coming up. Found by reading: called
-     * off, such a search is let finish for its context's sake, and one that had not begun was begun for nobody.
+     * Guards against starting a search that opens a scroll for a client that has disconnected while the connection was
+     * being established. A cancelled search of this kind is allowed to finish, so that its context can be freed, and
+     * one that had not started yet was started as well.
      */
     @Test
-    void aScrollThatWaitsForItsConnectionIsNotBegunOnceItsClientHasGone() throws Exception {
-        DeploymentSettings site = TestDeploymentSettings.with(
+    void scrollThatWaitsForItsConnectionIsNotStartedOnceItsClientHasGone() throws Exception {
+        DeploymentSettings settings = TestDeploymentSettings.with(
                 TestDeploymentSettings.SETTINGS.replace("\"DialTimeoutS\":0.25", "\"DialTimeoutS\":20"));
-        QueryListener client = new QueryListener() {
+        QueryListener listener = new QueryListener() {
             @Override
-            public void onAnswer(Query q, boolean whole) {}
+            public void onAnswer(Query query, boolean complete) {}
 
             @Override
-            public void onRejected(Query q, double pauseS) {}
+            public void onRejected(Query query, double retryAfterS) {}
 
             @Override
-            public void onFailed(Query q, boolean overdue) {}
+            public void onFailed(Query query, boolean overdue) {}
         };
         try (EventLoop loop = new EventLoop(100, 1 << 16);
                 ServerSocket server = new ServerSocket(0, 5, InetAddress.getLoopbackAddress())) {
             SearchBackend backend = new SearchBackend(
-                    loop, site, new OpenSearchConfig(null, new LinkedHashMap<>(Map.of("wallets", 2)), true, 8, 2, 300));
-            Gatherer core = new Gatherer(site.scheduler(), 3, loop, backend, () -> {});
-            backend.start(core);
-            WorkerEndpoint host =
+                    loop,
+                    settings,
+                    new OpenSearchConfig(null, new LinkedHashMap<>(Map.of("wallets", 2)), true, 8, 2, 300));
+            Gatherer gatherer = new Gatherer(settings.scheduler(), 3, loop, backend, () -> {});
+            backend.start(gatherer);
+            WorkerEndpoint endpoint =
                     new WorkerEndpoint("w", "127.0.0.1:" + server.getLocalPort(), 0, 0, 0, EndpointState.HEALTHY, 1, 0);
             SearchRequest scroll = new SearchRequest("wallets", null, new JsonObject(), 0, 2, 60, null);
             loop.execute(() -> {
-                core.onEndpointList(EndpointListKind.COMPLETE, List.of(host));
-                Query q = core.submit(
+                gatherer.onEndpointList(EndpointListKind.COMPLETE, List.of(endpoint));
+                Query query = gatherer.submit(
                         new QueryRequest(
                                 "q",
                                 1,
@@ -121,14 +127,14 @@
                                 List.of(new QueryRequest.RequestedPart(0, 1)),
                                 new byte[] {'t'},
                                 scroll),
-                        client);
-                // Right after the batch that sends, before the loop can tell that the connection is up.
-                loop.execute(() -> core.onClientGone(q));
+                        listener);
+                // Right after the batch that sends, before the loop can notice that the connection is established.
+                loop.execute(() -> gatherer.onClientGone(query));
             });
             server.setSoTimeout(30_000);
-            try (Socket s = server.accept()) {
-                s.setSoTimeout(30_000);
-                assertEquals(-1, s.getInputStream().read(), "nothing of it was written");
+            try (Socket accepted = server.accept()) {
+                accepted.setSoTimeout(30_000);
+                assertEquals(-1, accepted.getInputStream().read(), "the request must not be written");
             }
         }
     }
--- a/src/test/java/pepperdock/opensearch/SearchFrontTest.java
+++ b/src/test/java/pepperdock/opensearch/SearchFrontTest.java
@@ -21,138 +21,144 @@
 
     private static final String QUERY = "{\"size\":2,\"query\":{\"query_string\":{\"query\":\"%s\"}}}";
 
-    private final Stack stack;
+    private final FrontFixture fixture;
 
     SearchFrontTest() throws Exception {
-        stack = new Stack(true, 2);
+        fixture = new FrontFixture(true, 2);
     }
 
     @AfterEach
     void close() throws Exception {
-        stack.close();
+        fixture.close();
     }
 
-    private JsonObject open(String text) throws Exception {
-        HttpResponse<String> r =
-                stack.send("POST", "/history/_search?scroll=1m&preference=_shards:0,1,2", QUERY.formatted(text));
-        assertEquals(200, r.statusCode(), r.body());
-        return Stack.json(r);
+    private JsonObject openScroll(String text) throws Exception {
+        HttpResponse<String> response =
+                fixture.send("POST", "/history/_search?scroll=1m&preference=_shards:0,1,2", QUERY.formatted(text));
+        assertEquals(200, response.statusCode(), response.body());
+        return FrontFixture.json(response);
     }
 
     private static List<String> ids(JsonObject answer) {
         List<String> ids = new ArrayList<>();
         answer.getAsJsonObject("hits")
                 .getAsJsonArray("hits")
-                .forEach(h -> ids.add(h.getAsJsonObject().get("_id").getAsString()));
+                .forEach(hit -> ids.add(hit.getAsJsonObject().get("_id").getAsString()));
         return ids;
     }
 
-    private static String next(String id) {
+    private static String nextPage(String id) {
         return "{\"scroll\":\"1m\",\"scroll_id\":\"" + id + "\"}";
     }
 
     @Test
-    void aScrollGivesEveryHitOnceAndFreesWhatIsExhausted() throws Exception {
-        JsonObject page = open("s");
+    void scrollReturnsEveryHitOnceAndFreesExhaustedContexts() throws Exception {
+        JsonObject page = openScroll("s");
         String id = page.get("_scroll_id").getAsString();
         List<String> all = new ArrayList<>();
         while (!ids(page).isEmpty()) {
             assertTrue(ids(page).size() <= 2);
             all.addAll(ids(page));
-            page = Stack.json(stack.send("POST", "/_search/scroll", next(id)));
+            page = FrontFixture.json(fixture.send("POST", "/_search/scroll", nextPage(id)));
         }
-        assertEquals(3 * StandInSearchServer.HITS, all.size());
+        assertEquals(3 * FakeSearchWorker.HITS, all.size());
         assertEquals(all.size(), all.stream().distinct().count());
-        Stack.await(() -> stack.contexts() == 0);
-        assertEquals(200, stack.send("DELETE", "/_search/scroll", next(id)).statusCode());
-        assertEquals(404, stack.send("POST", "/_search/scroll", next(id)).statusCode());
+        FrontFixture.await(() -> fixture.contexts() == 0);
+        assertEquals(
+                200, fixture.send("DELETE", "/_search/scroll", nextPage(id)).statusCode());
+        assertEquals(404, fixture.send("POST", "/_search/scroll", nextPage(id)).statusCode());
     }
 
     @Test
-    void deletingAScrollFreesItsContextsAtTheBackends() throws Exception {
-        String id = open("s").get("_scroll_id").getAsString();
-        assertEquals(3, stack.contexts());
-        HttpResponse<String> r = stack.send("DELETE", "/_search/scroll", "{\"scroll_id\":[\"" + id + "\"]}");
-        assertEquals(1, Stack.json(r).get("num_freed").getAsInt());
-        Stack.await(() -> stack.contexts() == 0);
+    void deletingAScrollFreesItsContextsAtTheWorkers() throws Exception {
+        String id = openScroll("s").get("_scroll_id").getAsString();
+        assertEquals(3, fixture.contexts());
+        HttpResponse<String> response = fixture.send("DELETE", "/_search/scroll", "{\"scroll_id\":[\"" + id + "\"]}");
+        assertEquals(1, FrontFixture.json(response).get("num_freed").getAsInt());
+        FrontFixture.await(() -> fixture.contexts() == 0);
         assertEquals(
                 404,
-                stack.send("DELETE", "/_search/scroll", "{\"scroll_id\":\"" + id + "\"}")
+                fixture.send("DELETE", "/_search/scroll", "{\"scroll_id\":\"" + id + "\"}")
                         .statusCode());
     }
 
     @Test
-    void aClientThatLeavesInTheMiddleOfAPageFreesAllContexts() throws Exception {
-        stack.backends.forEach(b -> b.hold = new CountDownLatch(1));
-        String id = open("s").get("_scroll_id").getAsString();
-        stack.send("POST", "/_search/scroll", next(id));
-        String body = next(id);
-        try (Socket s = new Socket("127.0.0.1", stack.port())) {
-            s.getOutputStream()
+    void disconnectDuringAPageFreesAllContexts() throws Exception {
+        fixture.searchWorkers.forEach(worker -> worker.holdPages = new CountDownLatch(1));
+        String id = openScroll("s").get("_scroll_id").getAsString();
+        fixture.send("POST", "/_search/scroll", nextPage(id));
+        String body = nextPage(id);
+        try (Socket client = new Socket("127.0.0.1", fixture.port())) {
+            client.getOutputStream()
                     .write(("POST /_search/scroll HTTP/1.1\r\nHost: x\r\nContent-Length: " + body.length() + "\r\n\r\n"
                                     + body)
                             .getBytes(StandardCharsets.UTF_8));
-            Stack.await(() -> stack.backends.stream().anyMatch(b -> b.held.getCount() == 0));
+            FrontFixture.await(
+                    () -> fixture.searchWorkers.stream().anyMatch(worker -> worker.pageRequested.getCount() == 0));
         }
-        Stack.await(() -> stack.searchFront.openScrolls() == 0);
-        stack.backends.forEach(b -> b.hold.countDown());
-        Stack.await(() -> stack.contexts() == 0);
-        assertEquals(404, stack.send("POST", "/_search/scroll", body).statusCode());
+        FrontFixture.await(() -> fixture.searchFront.openScrolls() == 0);
+        fixture.searchWorkers.forEach(worker -> worker.holdPages.countDown());
+        FrontFixture.await(() -> fixture.contexts() == 0);
+        assertEquals(404, fixture.send("POST", "/_search/scroll", body).statusCode());
     }
 
-    /** The index that a scroll is of has another class from now on: it goes on by its own, whoever comes goes by the new one. */
+    /**
+     * The index of an open scroll gets another class: the scroll keeps the old one, and new requests use the new one.
+     */
     @Test
-    void classesThatChangeLeaveAnOpenScrollAsItWas() throws Exception {
-        String id = open("s").get("_scroll_id").getAsString();
-        stack.change(
-                Stack.SETTINGS.replace("\"MaxAttempts\":4", "\"MaxAttempts\":1"), Map.of("history", 2, "reports", 1));
-        HttpResponse<String> refused = stack.send("POST", "/history/_search", QUERY.formatted("x"));
+    void changedClassesDoNotAffectAnOpenScroll() throws Exception {
+        String id = openScroll("s").get("_scroll_id").getAsString();
+        fixture.change(
+                FrontFixture.SETTINGS.replace("\"MaxAttempts\":4", "\"MaxAttempts\":1"),
+                Map.of("history", 2, "reports", 1));
+        HttpResponse<String> refused = fixture.send("POST", "/history/_search", QUERY.formatted("x"));
         assertEquals(400, refused.statusCode());
         assertTrue(refused.body().contains("takes updates only"), refused.body());
         assertEquals(
                 200,
-                stack.send("POST", "/reports/_search", QUERY.formatted("x")).statusCode());
+                fixture.send("POST", "/reports/_search", QUERY.formatted("x")).statusCode());
         assertEquals(
                 2,
-                ids(Stack.json(stack.send("POST", "/_search/scroll", next(id)))).size());
+                ids(FrontFixture.json(fixture.send("POST", "/_search/scroll", nextPage(id))))
+                        .size());
         assertEquals(
                 404,
-                stack.send("POST", "/payouts/_search", QUERY.formatted("x")).statusCode());
+                fixture.send("POST", "/payouts/_search", QUERY.formatted("x")).statusCode());
     }
 
     @Test
     void scrollContextsAreCapped() throws Exception {
-        open("a");
-        open("b");
-        HttpResponse<String> r = stack.send("POST", "/history/_search?scroll=1m", QUERY.formatted("c"));
-        assertEquals(429, r.statusCode());
-        stack.send("DELETE", "/_search/scroll", "{\"scroll_id\":\"_all\"}");
-        open("d");
+        openScroll("a");
+        openScroll("b");
+        HttpResponse<String> response = fixture.send("POST", "/history/_search?scroll=1m", QUERY.formatted("c"));
+        assertEquals(429, response.statusCode());
+        fixture.send("DELETE", "/_search/scroll", "{\"scroll_id\":\"_all\"}");
+        openScroll("d");
     }
 
     @Test
-    void aScrollThatIsNotReadExpires() throws Exception {
-        HttpResponse<String> r =
-                stack.send("POST", "/history/_search?scroll=50ms&preference=_shards:0", QUERY.formatted("s"));
-        assertEquals(200, r.statusCode());
-        Stack.await(() -> stack.searchFront.openScrolls() == 0 && stack.contexts() == 0);
+    void scrollThatIsNotReadExpires() throws Exception {
+        HttpResponse<String> response =
+                fixture.send("POST", "/history/_search?scroll=50ms&preference=_shards:0", QUERY.formatted("s"));
+        assertEquals(200, response.statusCode());
+        FrontFixture.await(() -> fixture.searchFront.openScrolls() == 0 && fixture.contexts() == 0);
     }
 
     @Test
     void aSearchThatIsRefusedFreesTheContextsThatItsPartsOpened() throws Exception {
-        HttpResponse<String> r =
-                stack.send("POST", "/payouts/_search?scroll=1m&preference=_shards:0,1,2,3", QUERY.formatted("bad:3"));
-        assertEquals(429, r.statusCode(), r.body());
-        assertTrue(stack.backends.stream().mapToInt(b -> b.opened.get()).sum() > 0);
-        Stack.await(() -> stack.contexts() == 0);
-        assertEquals(0, stack.searchFront.openScrolls());
+        HttpResponse<String> response =
+                fixture.send("POST", "/payouts/_search?scroll=1m&preference=_shards:0,1,2,3", QUERY.formatted("bad:3"));
+        assertEquals(429, response.statusCode(), response.body());
+        assertTrue(fixture.searchWorkers.stream().mapToInt(b -> b.opened.get()).sum() > 0);
+        FrontFixture.await(() -> fixture.contexts() == 0);
+        assertEquals(0, fixture.searchFront.openScrolls());
     }
 
     @Test
-    void aPartialAnswerSaysSoInItsCountsAndIsNotGivenWhereNotAllowed() throws Exception {
+    void partialAnswerHasShardCountsAndIsAnErrorIfNotAllowed() throws Exception {
         String target = "/history/_search?preference=_shards:0,1,2,3,4,5";
-        JsonObject o = Stack.json(stack.send("POST", target, QUERY.formatted("bad:5")));
-        JsonObject shards = o.getAsJsonObject("_shards");
+        JsonObject answer = FrontFixture.json(fixture.send("POST", target, QUERY.formatted("bad:5")));
+        JsonObject shards = answer.getAsJsonObject("_shards");
         assertEquals(6, shards.get("total").getAsInt());
         assertEquals(5, shards.get("successful").getAsInt());
         assertEquals(1, shards.get("failed").getAsInt());
@@ -163,35 +169,35 @@
                         .getAsJsonObject()
                         .get("shard")
                         .getAsInt());
-        assertFalse(o.get("timed_out").getAsBoolean());
+        assertFalse(answer.get("timed_out").getAsBoolean());
         assertEquals(
                 "gte",
-                o.getAsJsonObject("hits")
+                answer.getAsJsonObject("hits")
                         .getAsJsonObject("total")
                         .get("relation")
                         .getAsString());
-        try (Stack fresh = new Stack(true, 2)) {
-            HttpResponse<String> r =
+        try (FrontFixture fresh = new FrontFixture(true, 2)) {
+            HttpResponse<String> response =
                     fresh.send("POST", target + "&allow_partial_search_results=false", QUERY.formatted("bad:5"));
-            assertEquals(500, r.statusCode());
+            assertEquals(500, response.statusCode());
         }
     }
 
     @Test
-    void aPartThatStaysSilentMakesItTimedOut() throws Exception {
-        JsonObject o = Stack.json(stack.send(
+    void shardThatDoesNotAnswerSetsTimedOut() throws Exception {
+        JsonObject answer = FrontFixture.json(fixture.send(
                 "POST", "/history/_search?timeout=3000ms&preference=_shards:0,1,2,3,4,5", QUERY.formatted("silent:5")));
-        assertTrue(o.get("timed_out").getAsBoolean());
-        assertEquals(1, o.getAsJsonObject("_shards").get("failed").getAsInt());
+        assertTrue(answer.get("timed_out").getAsBoolean());
+        assertEquals(1, answer.getAsJsonObject("_shards").get("failed").getAsInt());
     }
 
     @Test
-    void aSearchThatNoShardAnswersInTimeIsAnErrorThatSaysHowToGoOn() throws Exception {
-        HttpResponse<String> r =
-                stack.send("POST", "/payouts/_search?timeout=300ms&preference=_shards:0", QUERY.formatted("silent:*"));
-        assertEquals(429, r.statusCode());
-        assertEquals("1", r.headers().firstValue("Retry-After").orElseThrow());
-        assertEquals(429, Stack.json(r).get("status").getAsInt());
+    void searchThatNoShardAnswersInTimeGets429WithRetryAfter() throws Exception {
+        HttpResponse<String> response = fixture.send(
+                "POST", "/payouts/_search?timeout=300ms&preference=_shards:0", QUERY.formatted("silent:*"));
+        assertEquals(429, response.statusCode());
+        assertEquals("1", response.headers().firstValue("Retry-After").orElseThrow());
+        assertEquals(429, FrontFixture.json(response).get("status").getAsInt());
     }
 
     @ParameterizedTest
@@ -219,11 +225,13 @@
                 "PUT|/history/_search|{}|405|method_not_allowed_exception",
                 "POST|/_bulk|{}|404|resource_not_found_exception"
             })
-    void whatIsMalformedIsAnsweredInTheErrorShape(String method, String path, String body, int status, String type)
+    void malformedRequestsAreAnsweredInTheErrorShape(String method, String path, String body, int status, String type)
             throws Exception {
-        HttpResponse<String> r = stack.send(method, path, body);
-        assertEquals(status, r.statusCode(), r.body());
-        assertEquals(type, Stack.json(r).getAsJsonObject("error").get("type").getAsString());
-        assertEquals(status, Stack.json(r).get("status").getAsInt());
+        HttpResponse<String> response = fixture.send(method, path, body);
+        assertEquals(status, response.statusCode(), response.body());
+        assertEquals(
+                type,
+                FrontFixture.json(response).getAsJsonObject("error").get("type").getAsString());
+        assertEquals(status, FrontFixture.json(response).get("status").getAsInt());
     }
 }
