--- a/src/main/java/pepperdock/dnssd/DnsSdDiscovery.java
+++ b/src/main/java/pepperdock/dnssd/DnsSdDiscovery.java
@@ -41,9 +41,10 @@
 import pepperdock.scheduler.EndpointState;
 
 /**
- * The node list from DNS-SD records (RFC 6763): instances are browsed by PTR and resolved by SRV, TXT and address, over
- * unicast DNS. Records are kept for their TTL and asked for again when it is over, and no sooner than the configured
- * least pace. All state is owned by the clock's thread; the library's own threads only carry datagrams.
+ * Discovers the endpoint list from DNS-SD records (RFC 6763) over unicast DNS: instances are browsed by PTR records and
+ * resolved by SRV, TXT and address records. Records are cached for their TTL and queried again when it is over, but no
+ * sooner than the configured minimum interval. All state is owned by the clock's thread; the library's own threads only
+ * carry datagrams.
  */
 public final class DnsSdDiscovery implements EndpointDiscovery {
 
@@ -54,32 +55,35 @@
     private record CachedRecords(List<Record> records, double expiresAt) {}
 
     private final DnsSdConfig config;
-    private final DeploymentSettings site;
+    private final DeploymentSettings settings;
     private final Clock clock;
     private final Executor ioThread;
     private final Resolver resolver;
     private final Name service;
     private final Map<RecordKey, CachedRecords> cache = new HashMap<>();
-    private Gatherer core;
+    private Gatherer gatherer;
     private boolean running;
-    /** Browses with the given configuration; callbacks run on {@code ioThread}, and nothing is sent before {@link #watch}. */
-    public DnsSdDiscovery(DnsSdConfig config, DeploymentSettings site, Clock clock, Executor ioThread) {
+    /**
+     * Creates a discovery with the given configuration; callbacks run on {@code ioThread}, and nothing is sent before
+     * {@link #watch}.
+     */
+    public DnsSdDiscovery(DnsSdConfig config, DeploymentSettings settings, Clock clock, Executor ioThread) {
         this.config = config;
-        this.site = site;
+        this.settings = settings;
         this.clock = clock;
         this.ioThread = ioThread;
-        SimpleResolver simple = new SimpleResolver(config.server());
-        simple.setTimeout(Duration.ofMillis((long) (config.timeoutS() * 1e3)));
-        resolver = simple;
+        SimpleResolver simpleResolver = new SimpleResolver(config.server());
+        simpleResolver.setTimeout(Duration.ofMillis((long) (config.timeoutS() * 1e3)));
+        resolver = simpleResolver;
         try {
             service = Name.concatenate(Name.fromString(config.service()), Name.fromString(config.domain(), Name.root));
         } catch (TextParseException | org.xbill.DNS.NameTooLongException e) {
             throw new ConfigException("dnssd.service", e.getMessage());
         }
     }
-    /** Sets the core that receives the endpoint lists; called once, before {@link #watch}. */
-    public void start(Gatherer core) {
-        this.core = core;
+    /** Sets the gatherer that receives the endpoint lists; called once, before {@link #watch}. */
+    public void start(Gatherer gatherer) {
+        this.gatherer = gatherer;
     }
 
     @Override
@@ -90,18 +94,21 @@
         }
     }
 
-    /** Browses and resolves whatever is not kept any more, tells the whole list, and sets the next round. */
+    /**
+     * Browses and resolves all instances, querying what is no longer cached; reports the list and schedules the next
+     * round.
+     */
     private void browse() {
         CompletableFuture<?> unused = lookup(service, Type.PTR)
                 .thenCompose(instances -> {
-                    List<CompletableFuture<WorkerEndpoint>> hosts = new ArrayList<>();
+                    List<CompletableFuture<WorkerEndpoint>> endpoints = new ArrayList<>();
                     for (Record record : instances) {
                         if (record instanceof PTRRecord ptr) {
-                            hosts.add(resolve(ptr.getTarget()));
+                            endpoints.add(resolve(ptr.getTarget()));
                         }
                     }
-                    return CompletableFuture.allOf(hosts.toArray(new CompletableFuture<?>[0]))
-                            .thenApply(done -> hosts.stream()
+                    return CompletableFuture.allOf(endpoints.toArray(new CompletableFuture<?>[0]))
+                            .thenApply(done -> endpoints.stream()
                                     .map(CompletableFuture::join)
                                     .filter(Objects::nonNull)
                                     .sorted(Comparator.comparing(WorkerEndpoint::id))
@@ -110,27 +117,27 @@
                 .whenCompleteAsync(this::onBrowsed, ioThread);
     }
 
-    private void onBrowsed(List<WorkerEndpoint> hosts, Throwable failure) {
+    private void onBrowsed(List<WorkerEndpoint> endpoints, Throwable failure) {
         if (failure != null) {
-            // The list last told stays; the module decides when to ask again.
+            // The last reported list stays in force; the scheduler decides when to ask again.
             running = false;
-            LOG.log(System.Logger.Level.WARNING, "browsing {0} failed: {1}", service, failure.getMessage());
-            core.onEndpointList(EndpointListKind.FAILED, List.of());
+            LOG.log(System.Logger.Level.WARNING, "DNS-SD browsing of {0} failed: {1}", service, failure.getMessage());
+            gatherer.onEndpointList(EndpointListKind.FAILED, List.of());
             return;
         }
-        core.onEndpointList(EndpointListKind.COMPLETE, hosts);
-        double next = cache.values().stream()
+        gatherer.onEndpointList(EndpointListKind.COMPLETE, endpoints);
+        double delayS = cache.values().stream()
                         .mapToDouble(CachedRecords::expiresAt)
                         .min()
                         .orElse(clock.now())
                 - clock.now();
-        clock.after(Math.max(config.leastS(), next), this::browse);
+        clock.after(Math.max(config.leastS(), delayS), this::browse);
     }
 
-    /** One instance: null where its records are gone, or do not say enough to send it anything. */
+    /** Resolves one instance; null if its records are gone, or do not suffice for sending to it. */
     private CompletableFuture<WorkerEndpoint> resolve(Name instance) {
-        return lookup(instance, Type.SRV).thenCompose(srvs -> {
-            SRVRecord srv = srvs.stream()
+        return lookup(instance, Type.SRV).thenCompose(srvRecords -> {
+            SRVRecord srv = srvRecords.stream()
                     .filter(SRVRecord.class::isInstance)
                     .map(SRVRecord.class::cast)
                     .min(Comparator.comparingInt(SRVRecord::getPriority))
@@ -146,10 +153,10 @@
 
     private CompletableFuture<InetAddress> address(Name target) {
         return lookup(target, Type.A)
-                .thenCompose(a -> a.isEmpty()
+                .thenCompose(ipv4 -> ipv4.isEmpty()
                         ? lookup(target, Type.AAAA)
-                                .thenApply(b -> b.isEmpty() ? null : ((AAAARecord) b.get(0)).getAddress())
-                        : CompletableFuture.completedFuture(((ARecord) a.get(0)).getAddress()));
+                                .thenApply(ipv6 -> ipv6.isEmpty() ? null : ((AAAARecord) ipv6.get(0)).getAddress())
+                        : CompletableFuture.completedFuture(((ARecord) ipv4.get(0)).getAddress()));
     }
 
     private WorkerEndpoint endpoint(Name instance, SRVRecord srv, List<Record> txt, InetAddress address) {
@@ -159,7 +166,7 @@
                 String pair = new String(raw, StandardCharsets.UTF_8);
                 int separator = pair.indexOf('=');
                 if (separator > 0) {
-                    // The first of a key counts, and keys know no case (RFC 6763, 6.4).
+                    // The first occurrence of a key counts, and keys are case-insensitive (RFC 6763, 6.4).
                     attributes.putIfAbsent(
                             pair.substring(0, separator).toLowerCase(Locale.ROOT), pair.substring(separator + 1));
                 }
@@ -167,35 +174,44 @@
         }
         try {
             if (address == null) {
-                throw new IllegalArgumentException("no address");
+                throw new IllegalArgumentException(
+                        "the target " + srv.getTarget() + " of its SRV record has no address");
             }
             byte[] label = instance.getLabel(0);
             String id = attributes.getOrDefault("host", new String(label, 1, label.length - 1, StandardCharsets.UTF_8));
-            InetSocketAddress at = new InetSocketAddress(address, srv.getPort());
-            String hostAndPort = at.getAddress().getHostAddress() + ':' + at.getPort();
+            InetSocketAddress socketAddress = new InetSocketAddress(address, srv.getPort());
+            String hostAndPort = socketAddress.getAddress().getHostAddress() + ':' + socketAddress.getPort();
             if (!attributes.containsKey("block")) {
-                throw new IllegalArgumentException("TXT has no block");
+                throw new IllegalArgumentException("its TXT record has no key block");
             }
             return new WorkerEndpoint(
                     id,
                     hostAndPort,
-                    Math.max(0, site.zones().indexOf(attributes.get("site"))),
-                    Math.max(0, site.kinds().indexOf(attributes.get("class"))),
+                    Math.max(0, settings.zones().indexOf(attributes.get("site"))),
+                    Math.max(0, settings.kinds().indexOf(attributes.get("class"))),
                     Integer.parseInt(attributes.get("block")),
                     switch (attributes.getOrDefault("health", "in_service")) {
                         case "in_service" -> EndpointState.HEALTHY;
                         case "terminating" -> EndpointState.DRAINING;
-                        default -> throw new IllegalArgumentException("health unknown");
+                        default ->
+                            throw new IllegalArgumentException("health in its TXT record is " + attributes.get("health")
+                                    + ", expected in_service or terminating");
                     },
                     Double.parseDouble(attributes.getOrDefault("share", "1")),
                     Double.parseDouble(attributes.getOrDefault("born_ms", "0")) / 1e3);
         } catch (IllegalArgumentException e) {
-            LOG.log(System.Logger.Level.WARNING, "instance {0} left out: {1}", instance, e.getMessage());
+            LOG.log(
+                    System.Logger.Level.WARNING,
+                    "instance {0} is left out of the endpoint list: {1}",
+                    instance,
+                    e.getMessage());
             return null;
         }
     }
 
-    /** The records of a name, from those kept or from the server; empty where it says that there are none. */
+    /**
+     * Returns the records of a name from the cache or from the server; empty if the server says that there are none.
+     */
     private CompletableFuture<List<Record>> lookup(Name name, int type) {
         RecordKey key = new RecordKey(name, type);
         CachedRecords cached = cache.get(key);
@@ -210,11 +226,11 @@
     private List<Record> cacheAnswer(RecordKey key, Message answer) {
         int code = answer.getRcode();
         if (code != Rcode.NOERROR && code != Rcode.NXDOMAIN) {
-            throw new IllegalStateException(key.name() + ": " + Rcode.string(code));
+            throw new IllegalStateException(key.name() + ": the DNS server answered " + Rcode.string(code));
         }
         cache.remove(key);
         cache.values().removeIf(cached -> cached.expiresAt() <= clock.now());
-        // What comes along in the additional section saves asking for it (RFC 6763, 12).
+        // Records in the additional section need not be queried separately (RFC 6763, 12).
         for (int section : new int[] {Section.ADDITIONAL, Section.ANSWER}) {
             for (RRset set : answer.getSectionRRsets(section)) {
                 if (set.getType() != Type.OPT) {
--- a/src/test/java/pepperdock/dnssd/DnsSdTest.java
+++ b/src/test/java/pepperdock/dnssd/DnsSdTest.java
@@ -21,35 +21,36 @@
 import pepperdock.core.WorkerEndpoint;
 import pepperdock.scheduler.EndpointState;
 
-/** Against a stand-in server on loopback; time is moved by hand, and the library's answers are run by the test. */
+/** Tests discovery against a fake server on loopback; the test advances the time and runs the library's callbacks. */
 class DnsSdTest {
 
     private final ManualClock clock = new ManualClock(1000);
-    private final BlockingQueue<Runnable> thread = new LinkedBlockingQueue<>();
-    private final StandInDns dns;
-    private Collection<WorkerEndpoint> listed;
-    private int lists;
+    private final BlockingQueue<Runnable> callbacks = new LinkedBlockingQueue<>();
+    private final FakeDnsServer dns;
+    private Collection<WorkerEndpoint> endpoints;
+    private int listCount;
 
     DnsSdTest() throws Exception {
-        dns = new StandInDns();
+        dns = new FakeDnsServer();
     }
 
     @BeforeEach
     void start() throws Exception {
-        DnsSdDiscovery sd = new DnsSdDiscovery(
+        DnsSdDiscovery discovery = new DnsSdDiscovery(
                 new DnsSdConfig(dns.address(), "_ledger._tcp", "room.example", 20, 1),
                 TestDeploymentSettings.small(),
                 clock,
-                thread::add);
-        Gatherer core = new Gatherer(TestDeploymentSettings.small().scheduler(), 1, clock, new InertBackend(), sd);
-        sd.start(core);
-        core.addEndpointListListener(hosts -> {
-            listed = hosts;
-            lists++;
+                callbacks::add);
+        Gatherer gatherer =
+                new Gatherer(TestDeploymentSettings.small().scheduler(), 1, clock, new InertBackend(), discovery);
+        discovery.start(gatherer);
+        gatherer.addEndpointListListener(reported -> {
+            endpoints = reported;
+            listCount++;
         });
         dns.instance("one", 8001, 60, "BLOCK=2", "block=3", "class=std");
         dns.instance("two", 8002, 10, "block=1", "health=terminating", "born_ms=5000");
-        sd.watch();
+        discovery.watch();
     }
 
     @AfterEach
@@ -57,69 +58,71 @@
         dns.close();
     }
 
-    /** Runs what the library hands over until another list has been told. */
-    private void next() throws Exception {
-        int before = lists;
-        while (lists == before) {
-            Runnable step = thread.poll(30, TimeUnit.SECONDS);
-            assertTrue(step != null, "no list came");
-            step.run();
+    /** Runs the library's callbacks until another list has been reported. */
+    private void awaitNextList() throws Exception {
+        int before = listCount;
+        while (listCount == before) {
+            Runnable callback = callbacks.poll(30, TimeUnit.SECONDS);
+            assertTrue(callback != null, "no callback was handed over within 30 s");
+            callback.run();
             clock.advance(0);
         }
     }
 
-    private Map<String, WorkerEndpoint> hosts() {
-        return listed.stream().collect(java.util.stream.Collectors.toMap(WorkerEndpoint::id, h -> h));
+    private Map<String, WorkerEndpoint> endpointsById() {
+        return endpoints.stream().collect(java.util.stream.Collectors.toMap(WorkerEndpoint::id, h -> h));
     }
 
     @Test
     void instancesAreBrowsedAndResolved() throws Exception {
-        next();
+        awaitNextList();
         assertEquals(
-                new WorkerEndpoint("one", "127.0.0.9:8001", 0, 0, 2, EndpointState.HEALTHY, 1, 0), hosts().get("one"));
+                new WorkerEndpoint("one", "127.0.0.9:8001", 0, 0, 2, EndpointState.HEALTHY, 1, 0),
+                endpointsById().get("one"));
         assertEquals(
-                new WorkerEndpoint("two", "127.0.0.9:8002", 0, 0, 1, EndpointState.DRAINING, 1, 5), hosts().get("two"));
+                new WorkerEndpoint("two", "127.0.0.9:8002", 0, 0, 1, EndpointState.DRAINING, 1, 5),
+                endpointsById().get("two"));
     }
 
     @Test
-    void recordsAreKeptForTheirTimeAndAskedForAgainAfterIt() throws Exception {
-        next();
+    void recordsAreCachedForTheirTtlAndQueriedAgainAfterIt() throws Exception {
+        awaitNextList();
         clock.advance(9);
-        assertEquals(7, dns.asked.size(), dns.asked.toString());
+        assertEquals(7, dns.queries.size(), dns.queries.toString());
         dns.remove("two");
         clock.advance(2);
-        next();
-        assertEquals(List.of("one"), List.copyOf(hosts().keySet()));
-        // A TTL belongs to its record: of the first instance nothing was asked again.
+        awaitNextList();
+        assertEquals(List.of("one"), List.copyOf(endpointsById().keySet()));
+        // Each record has its own TTL: the records of the first instance were not queried again.
         assertEquals(
                 1,
-                dns.asked.stream()
+                dns.queries.stream()
                         .filter(a -> a.startsWith("one.") && a.endsWith("SRV"))
                         .count());
     }
 
     @Test
-    void anInstanceWithoutUsableRecordsIsLeftOut() throws Exception {
+    void instanceWithoutUsableRecordsIsLeftOut() throws Exception {
         dns.instance("bad", 8003, 60, "block=x");
-        next();
-        assertEquals(2, listed.size());
+        awaitNextList();
+        assertEquals(2, endpoints.size());
     }
 
     @Test
-    void aFailingServerIsAFailureTheListStaysAndItIsAskedAgain() throws Exception {
-        next();
+    void failingServerLeavesTheListInForceAndIsQueriedAgain() throws Exception {
+        awaitNextList();
         dns.rcode = Rcode.SERVFAIL;
         clock.advance(11);
-        for (int step = 0; step < 2; step++) {
-            Runnable task = thread.poll(30, TimeUnit.SECONDS);
-            assertTrue(task != null, "no answer came");
-            task.run();
+        for (int i = 0; i < 2; i++) {
+            Runnable callback = callbacks.poll(30, TimeUnit.SECONDS);
+            assertTrue(callback != null, "no callback was handed over within 30 s");
+            callback.run();
         }
-        assertEquals(1, lists);
-        assertEquals(2, listed.size());
+        assertEquals(1, listCount);
+        assertEquals(2, endpoints.size());
         dns.rcode = Rcode.NOERROR;
         clock.advance(3);
-        next();
-        assertEquals(2, listed.size());
+        awaitNextList();
+        assertEquals(2, endpoints.size());
     }
 }
--- a/src/test/java/pepperdock/dnssd/StandInDns.java
+++ b/src/test/java/pepperdock/dnssd/FakeDnsServer.java
@@ -17,32 +17,32 @@
 import org.xbill.DNS.Section;
 import org.xbill.DNS.Type;
 
-/** An authoritative server for a handful of records, over UDP on loopback. */
-final class StandInDns implements java.io.Closeable {
+/** A fake authoritative DNS server for a few records, over UDP on loopback. */
+final class FakeDnsServer implements java.io.Closeable {
 
     final List<Record> records = new CopyOnWriteArrayList<>();
-    final List<String> asked = new CopyOnWriteArrayList<>();
+    final List<String> queries = new CopyOnWriteArrayList<>();
     volatile int rcode = Rcode.NOERROR;
     private final DatagramSocket socket = new DatagramSocket(0, InetAddress.getLoopbackAddress());
 
-    StandInDns() throws IOException {
-        Thread t = new Thread(() -> {
+    FakeDnsServer() throws IOException {
+        Thread thread = new Thread(() -> {
             try {
                 while (true) {
-                    DatagramPacket p = new DatagramPacket(new byte[4096], 4096);
-                    socket.receive(p);
-                    byte[] answer = answer(new Message(java.util.Arrays.copyOf(p.getData(), p.getLength())))
+                    DatagramPacket packet = new DatagramPacket(new byte[4096], 4096);
+                    socket.receive(packet);
+                    byte[] answer = answer(new Message(java.util.Arrays.copyOf(packet.getData(), packet.getLength())))
                             .toWire();
-                    socket.send(new DatagramPacket(answer, answer.length, p.getSocketAddress()));
+                    socket.send(new DatagramPacket(answer, answer.length, packet.getSocketAddress()));
                 }
             } catch (SocketException e) {
-                // The test is over.
+                // The socket was closed: the test is over.
             } catch (IOException e) {
                 throw new java.io.UncheckedIOException(e);
             }
         });
-        t.setDaemon(true);
-        t.start();
+        thread.setDaemon(true);
+        thread.start();
     }
 
     InetSocketAddress address() {
@@ -51,7 +51,7 @@
 
     private Message answer(Message query) {
         Record question = query.getQuestion();
-        asked.add(question.getName() + " " + Type.string(question.getType()));
+        queries.add(question.getName() + " " + Type.string(question.getType()));
         Message answer = new Message(query.getHeader().getID());
         answer.getHeader().setFlag(Flags.QR);
         answer.getHeader().setFlag(Flags.AA);
@@ -76,9 +76,9 @@
     }
 
     void remove(String label) {
-        records.removeIf(r -> r.getName().toString().startsWith(label)
-                || r instanceof org.xbill.DNS.PTRRecord p
-                        && p.getTarget().toString().startsWith(label));
+        records.removeIf(candidate -> candidate.getName().toString().startsWith(label)
+                || candidate instanceof org.xbill.DNS.PTRRecord pointer
+                        && pointer.getTarget().toString().startsWith(label));
     }
 
     @Override
