--- a/src/main/java/pepperdock/estimate/DecayingCount.java
+++ b/src/main/java/pepperdock/estimate/DecayingCount.java
@@ -1,6 +1,6 @@
 package pepperdock.estimate;
 
-/** A count in which each event weighs less the longer ago it was, by a factor of e for each time constant. */
+/** A count whose events lose weight with age, by a factor of e per time constant. */
 public final class DecayingCount {
 
     private double count;
@@ -12,17 +12,17 @@
         updatedAt = now;
     }
 
-    /** The count as it weighs at the time {@code now}. */
+    /** Returns the count at the time {@code now}. */
     public double at(double now, double timeConstantS) {
         return count * Math.exp((updatedAt - now) / timeConstantS);
     }
 
-    /** The count as it weighed at the last event. */
+    /** Returns the count at the time of the last event. */
     public double latest() {
         return count;
     }
 
-    /** When the last event was added, 0 before any. */
+    /** Returns when the last event was added, 0 before any. */
     public double updatedAt() {
         return updatedAt;
     }
--- a/src/main/java/pepperdock/estimate/PartWork.java
+++ b/src/main/java/pepperdock/estimate/PartWork.java
@@ -3,21 +3,23 @@
 import java.util.Arrays;
 
 /**
- * The work of a part of each class, in seconds, from the time of parts that did not queue. Kept by class: one estimate for all
- * would follow the quickest class, and take ten heavy parts for ten light ones.
+ * Estimates the work of a part of each class, in seconds, from the time of parts that did not queue. Each class has its
+ * own estimate: a single one would follow the quickest class and take ten heavy parts for ten light ones.
  */
 public final class PartWork {
 
-    /** Weight of one part towards a shorter time, which shows work without queueing. */
+    /** Weight of one part towards a shorter time, which shows the work without queueing. */
     private static final double SHORTER_GAIN = 0.1;
 
-    /** Weight of one part in the mean over classes: some sixty parts, a few seconds of traffic. */
+    /** Weight of one part in the mean over classes, which thus spans about sixty parts: a few seconds of traffic. */
     private static final double MEAN_GAIN = 1.0 / 64;
 
-    /** Weight of one part towards a longer time, which may be due to queueing. */
+    /** Weight of one part towards a longer time, which queueing may have caused. */
     private static final double LONGER_GAIN = SHORTER_GAIN * MEAN_GAIN;
 
-    /** So many first parts of a class count alike: an initial guess that is too short would last. */
+    /**
+     * Number of first parts of a class that have equal weight; otherwise an initial guess that is too short would last.
+     */
     private static final int FIRST_PARTS = 16;
 
     private final double[] workS;
@@ -25,7 +27,7 @@
     private double meanS;
     private int partsInMean;
 
-    /** Begins with a guess for all classes, in seconds. */
+    /** Creates an estimate that starts with the same guess for all classes, in seconds. */
     public PartWork(int classes, double guessS) {
         workS = new double[classes];
         Arrays.fill(workS, guessS);
@@ -33,7 +35,7 @@
         meanS = guessS;
     }
 
-    /** Takes in a part of a class that was answered after {@code elapsedS}. */
+    /** Records a part of a class that was answered after {@code elapsedS}. */
     public void add(int classIndex, double elapsedS) {
         double difference = elapsedS - workS[classIndex];
         double gain = difference < 0 ? SHORTER_GAIN : LONGER_GAIN;
@@ -45,22 +47,22 @@
         meanS += (workS[classIndex] - meanS) / partsInMean;
     }
 
-    /** Work of a part of the class, in seconds. */
+    /** Returns the work of a part of the class, in seconds. */
     public double of(int classIndex) {
         return workS[classIndex];
     }
 
-    /** Mean over the parts answered, in seconds. */
+    /** Returns the mean over the parts answered, in seconds. */
     public double mean() {
         return meanS;
     }
 
-    /** Work of a part of the lightest class, in seconds. */
+    /** Returns the work of a part of the lightest class, in seconds. */
     public double least() {
         return Arrays.stream(workS).min().orElseThrow();
     }
 
-    /** Work of a part of the heaviest class, in seconds. */
+    /** Returns the work of a part of the heaviest class, in seconds. */
     public double most() {
         return Arrays.stream(workS).max().orElseThrow();
     }
--- a/src/main/java/pepperdock/estimate/RetryBudget.java
+++ b/src/main/java/pepperdock/estimate/RetryBudget.java
@@ -1,30 +1,33 @@
 package pepperdock.estimate;
 
 /**
- * How many retries may be made: a share of the first attempts, saved up to a limit, and where the settings state a budget over a
- * window, that as well. Guards against retry storms.
+ * Limits the number of retries to a share of the first attempts, saved up to a limit, and to the budget over a window
+ * where the settings define one. Guards against retry storms.
  */
 public final class RetryBudget {
 
-    /** Retries earned by a first attempt: ordinary faults hit fewer, and load grows by no more than this share. */
+    /**
+     * Retries added by a first attempt: ordinary faults affect fewer attempts, and load grows by no more than this
+     * share.
+     */
     private static final double RETRIES_PER_FIRST_ATTEMPT = 0.15;
 
-    /** Most retries saved up, so that a quiet hour is no burst of retries. */
+    /** Most retries saved up, so that a quiet hour is not followed by a burst of retries. */
     private static final double MAX_SAVED_RETRIES = 10;
 
     /** Most retries saved up while queries have many parts, as a share of a query's parts. */
     private static final double MAX_SAVED_SHARE_OF_QUERY = 0.25;
 
-    /** Retries of the stated budget left unused, against rounding at the window's edge. */
+    /** Retries of the window budget that are left unused, to allow for rounding at the window's edge. */
     private static final double UNUSED_RETRIES = 1;
 
-    /** Seconds added to the window in which retries are counted, against rounding at its edge. */
+    /** Seconds by which the window is extended when retries are counted, to allow for rounding at its edge. */
     private static final double WINDOW_TOLERANCE_S = 1e-6;
 
     /**
-     * The budget that the settings state.
+     * The budget over a window that the settings define.
      *
-     * @param windowS length of the window in seconds, 0 where no budget is stated
+     * @param windowS length of the window in seconds, 0 where no budget is defined
      * @param free retries within the window that are always allowed
      * @param share further retries, as a share of the queries and parts that arrived within the window
      */
@@ -35,22 +38,22 @@
     private Stated stated;
     private double savedRetries = MAX_SAVED_RETRIES;
 
-    /** Begins with as much saved up as may be. */
+    /** Creates a budget that starts with the most retries that may be saved up. */
     public RetryBudget(Stated stated) {
         this.stated = stated;
     }
 
-    /** Replaces the stated budget. */
+    /** Replaces the window budget. */
     public void update(Stated newStated) {
         stated = newStated;
     }
 
-    /** Whether the settings state a budget. */
+    /** Returns whether the settings define a window budget. */
     public boolean isStated() {
         return stated.windowS() > 0;
     }
 
-    /** Counts a query or part that has arrived; nothing is kept where no budget is stated. */
+    /** Counts a query or part that has arrived; keeps nothing where no window budget is defined. */
     public void onArrival(double now) {
         if (isStated()) {
             arrivals.add(now);
@@ -58,13 +61,15 @@
         }
     }
 
-    /** Counts a first attempt, at a part of a query of so many parts. */
+    /** Counts a first attempt at a part of a query that has {@code partsOfQuery} parts. */
     public void onFirstAttempt(int partsOfQuery) {
-        double most = Math.max(MAX_SAVED_RETRIES, MAX_SAVED_SHARE_OF_QUERY * partsOfQuery);
-        savedRetries = Math.max(savedRetries, Math.min(savedRetries + RETRIES_PER_FIRST_ATTEMPT, most));
+        double maxSaved = Math.max(MAX_SAVED_RETRIES, MAX_SAVED_SHARE_OF_QUERY * partsOfQuery);
+        savedRetries = Math.max(savedRetries, Math.min(savedRetries + RETRIES_PER_FIRST_ATTEMPT, maxSaved));
     }
 
-    /** Counts a retry; one after a response of failure costs nothing of what is saved, as the endpoint did little work. */
+    /**
+     * Counts a retry. A retry after a failure response uses none of the saved retries, as the endpoint did little work.
+     */
     public void onRetry(double now, boolean afterFailureResponse) {
         savedRetries -= afterFailureResponse ? 0 : 1;
         if (isStated()) {
@@ -72,7 +77,7 @@
         }
     }
 
-    /** Whether a retry may be made now. */
+    /** Returns whether a retry may be made now. */
     public boolean allows(double now, boolean afterFailureResponse) {
         if (savedRetries < 1 && !afterFailureResponse) {
             return false;
--- a/src/main/java/pepperdock/estimate/SlidingWindow.java
+++ b/src/main/java/pepperdock/estimate/SlidingWindow.java
@@ -12,7 +12,7 @@
         times.addLast(now);
     }
 
-    /** Forgets the events before a time, and says how many are left. */
+    /** Removes the events before {@code time} and returns the number left. */
     public int countSince(double time) {
         while (!times.isEmpty() && times.peekFirst() < time) {
             times.removeFirst();
--- a/src/main/java/pepperdock/estimate/TokenBucket.java
+++ b/src/main/java/pepperdock/estimate/TokenBucket.java
@@ -1,12 +1,15 @@
 package pepperdock.estimate;
 
-/** Tokens that come at a rate, are kept up to a capacity, and are taken one by one. */
+/** A token bucket: tokens arrive at a rate, are kept up to a capacity, and are taken one at a time. */
 public final class TokenBucket {
 
     private double tokens;
     private double updatedAt;
 
-    /** Takes a token if there is one; rate in tokens a second, the time in seconds. */
+    /**
+     * Takes a token if there is one, and returns whether there was; {@code rate} is in tokens per second, {@code now}
+     * in seconds.
+     */
     public boolean take(double now, double rate, double capacity) {
         double saved = Math.min(capacity, tokens + rate * (now - updatedAt));
         updatedAt = now;
--- a/src/main/java/pepperdock/estimate/WarmUpAllowance.java
+++ b/src/main/java/pepperdock/estimate/WarmUpAllowance.java
@@ -1,10 +1,12 @@
 package pepperdock.estimate;
 
 /**
- * One instance's part of the work that all instances together may send to an endpoint that warms up: work comes at a rate, is saved
- * up to a limit, and may be overdrawn by one part, which the instance then waits for. Times and work are in seconds.
+ * One instance's portion of the work that all instances together may send to an endpoint that is warming up. Work
+ * accrues at a rate, is saved up to a limit, and may be overdrawn by one part, after which the instance waits until the
+ * debt is paid. Times and work are in seconds.
  *
- * <p>Instances that begin with a random share of a part overdrawn send evenly in the sum, although all learn of a start together.
+ * <p>Instances that start with a random share of a part overdrawn send evenly in total, although all learn of a start
+ * together.
  */
 public final class WarmUpAllowance {
 
@@ -12,14 +14,17 @@
     private double rate;
     private double updatedAt;
 
-    /** Begins with so much overdrawn, at a rate in seconds of work a second. */
+    /** Creates an allowance that is overdrawn by {@code overdrawnS}, at a rate in seconds of work per second. */
     public WarmUpAllowance(double now, double rate, double overdrawnS) {
         savedS = -overdrawnS;
         this.rate = rate;
         updatedAt = now;
     }
 
-    /** Whether a part may be sent; the rate has moved evenly since the last call, and at most so much is saved. */
+    /**
+     * Returns whether a part may be sent. The rate is taken to have changed linearly since the last call; at most
+     * {@code maxSavedS} is saved.
+     */
     public boolean allows(double now, double newRate, double maxSavedS) {
         double earned = (now - updatedAt) * (rate + newRate) / 2;
         savedS = Math.min(maxSavedS, savedS + earned);
@@ -28,7 +33,7 @@
         return savedS >= 0;
     }
 
-    /** Takes out the estimated work of a part that is sent. */
+    /** Deducts the estimated work of a part that is sent. */
     public void send(double workS) {
         savedS -= workS;
     }
--- a/src/main/java/pepperdock/estimate/package-info.java
+++ b/src/main/java/pepperdock/estimate/package-info.java
@@ -1,5 +1,5 @@
 /**
- * Running estimates and token buckets that the scheduler reads: means, rates, budgets. They decide nothing, do no
- * I/O and read no clock: each call is given the time, in seconds of one clock that never runs backwards.
+ * Running estimates and token buckets that the scheduler reads: means, rates, budgets. The classes make no decisions,
+ * do no I/O and read no clock: each call is given the time, in seconds of one clock that never runs backwards.
  */
 package pepperdock.estimate;
--- a/src/main/java/pepperdock/scheduler/AdaptiveScheduler.java
+++ b/src/main/java/pepperdock/scheduler/AdaptiveScheduler.java
@@ -5,12 +5,14 @@
 import java.util.SplittableRandom;
 
 /**
- * The {@link Scheduler} of the product: passes events on to the policies and owns the order of a batch. It decides nothing;
- * each rule stands in the class of its name. All state is owned by the thread that calls the scheduler.
+ * The production {@link Scheduler}: passes events on to the policies and defines the order of work in a batch. It makes
+ * no decisions itself; each rule is in the policy class named after it. All state is owned by the thread that calls the
+ * scheduler.
  *
- * <p>At the end of a batch: a call for the endpoint list where due; arrivals, in order; overdue attempts; each dispatched
- * query, in order of arrival; queued queries; the timer. All policies share one source of randomness, so that the same events
- * and seed give the same actions; {@link EndpointListPoller} has one of its own.
+ * <p>At the end of a batch it requests the endpoint list if a call is due, decides the arrivals in order, checks for
+ * overdue attempts, reviews each dispatched query in order of arrival, dispatches queued queries and sets the timer.
+ * All policies share one source of randomness, so that the same events and seed give the same actions;
+ * {@link EndpointListPoller} has its own.
  */
 final class AdaptiveScheduler implements Scheduler {
 
@@ -34,7 +36,7 @@
     private final QueryReviewer reviewer;
     private final AdmissionController admission;
 
-    /** Queries of the open batch; they are decided when all their parts have come. */
+    /** Queries of the open batch, which are decided once all their parts have arrived. */
     private final List<QueryState> arrivals = new ArrayList<>();
 
     AdaptiveScheduler(SchedulerSettings settings, long seed, SchedulerActions actions) {
@@ -177,13 +179,16 @@
         selector.updatePlannedShares(planned);
     }
 
-    /** Open queries keep their class and limit on attempts; what was learnt of each class is learnt anew for other classes. */
+    /**
+     * Replaces the settings. Open queries keep their class and their limit on attempts; estimates kept by class start
+     * anew if the classes have changed.
+     */
     @Override
     public void updateSettings(SchedulerSettings settings) {
-        boolean otherClasses = !settings.classes().equals(context.settings().classes());
+        boolean classesChanged = !settings.classes().equals(context.settings().classes());
         context.updateSettings(settings);
         retries.onSettings();
-        if (otherClasses) {
+        if (classesChanged) {
             freshness.reset();
             estimates.resetPartWork();
         }
@@ -200,7 +205,7 @@
         sweepTimer.onExpired();
     }
 
-    /** Ignored: endpoints are judged by their attempts alone. */
+    /** Does nothing: endpoints are judged by their attempts alone. */
     @Override
     public void onHealthCheckResult(HealthCheckResult result) {}
 
@@ -241,7 +246,7 @@
         arrivals.clear();
     }
 
-    /** How many endpoints it keeps a record of: those listed, and those removed with attempts outstanding. */
+    /** Returns the number of endpoints with a record: those listed, and those removed with attempts outstanding. */
     int endpointsKnown() {
         return registry.all().size();
     }
--- a/src/main/java/pepperdock/scheduler/AdmissionController.java
+++ b/src/main/java/pepperdock/scheduler/AdmissionController.java
@@ -3,20 +3,22 @@
 import java.util.ArrayDeque;
 
 /**
- * Decides whether a query is dispatched, queued or rejected when it arrives, and when a queued one is dispatched.
+ * Decides whether a query is dispatched, queued or rejected when it arrives, and when a queued query is dispatched.
  *
- * <p>Rule: {@link LoadShedder} may reject the query. Otherwise it is dispatched if none waits and the {@link ConcurrencyLimit}
- * has room, queued if it would still be answered within its objective, and rejected if not. Queued queries leave first in,
- * first out; one whose objective can't be met any more is rejected. The expected wait is the time in which the parts ahead,
- * Pmin of each query, are answered at the present rate. Inputs: times in seconds, counts of parts. Guards against a queue of
- * queries whose answers come too late, and leaves the client time to turn elsewhere. Harms where the rate of answers has
- * just risen: the expected wait is too long then.
+ * <p>{@link LoadShedder} may reject the query first. Otherwise it is dispatched if no query is queued and the
+ * {@link ConcurrencyLimit} has room, queued if it would still be answered within its objective, and rejected if not.
+ * Queued queries are dispatched first in, first out; one whose objective can no longer be met is rejected. The expected
+ * wait is the time in which the parts ahead, Pmin of each query, are answered at the present rate. Inputs are times in
+ * seconds and counts of parts.
+ *
+ * <p>This guards against a queue of queries whose answers come too late, and leaves the client time to turn elsewhere.
+ * It rejects too many queries where the rate of answers has just risen, because the expected wait is then too long.
  */
 final class AdmissionController {
 
     /**
-     * Requests that are probably stale are dispatched while less than this share of the limit is in use: idle endpoints cost
-     * nothing, and the guess may be wrong.
+     * Requests that are probably stale are dispatched while less than this share of the limit is in use: idle endpoints
+     * cost nothing, and the estimate may be wrong.
      */
     private static final double STALE_REQUEST_LIMIT_SHARE = 0.3;
 
@@ -62,7 +64,10 @@
         }
     }
 
-    /** Rejects queued queries that would be too late, and dispatches others from the head while the limit has room. */
+    /**
+     * Rejects queued queries that would be answered too late, and dispatches the others in order while the limit has
+     * room.
+     */
     void dispatchQueued(QueryTable queries) {
         for (QueryState query : queue) {
             if (!query.ended && (isTooLate(query) || completion.isUnreached(query))) {
@@ -81,7 +86,7 @@
         return context.nowS() + estimates.cautiousPartTimeS() > query.objectiveAtS - deadlines.marginS();
     }
 
-    /** Seconds until the parts of the queued queries and of this one are answered, Pmin of each. */
+    /** Returns the seconds until Pmin parts of each queued query and of this one are answered. */
     private double expectedWaitS(QueryState query) {
         int parts = fanOut.minimumCount(query)
                 + queue.stream().mapToInt(fanOut::minimumCount).sum();
--- a/src/main/java/pepperdock/scheduler/AttemptResultHandler.java
+++ b/src/main/java/pepperdock/scheduler/AttemptResultHandler.java
@@ -1,16 +1,23 @@
 package pepperdock.scheduler;
 
 /**
- * Passes the result of an attempt on to the policies that learn from it. A timely answer is no failure up to
- * {@link #SLOW_QUARTILES} times the lower quartile of part times, part of one above, and a whole one from twice that on.
- * Answers that were late because this process stood still teach nothing.
+ * Passes the result of an attempt on to the policies that learn from it. A timely answer counts as no failure while it
+ * takes at most {@link #SLOW_QUARTILES} times the lower quartile of part times, as a fraction of a failure above that,
+ * and as a whole failure from twice that time on. Answers that were late because this process was paused are not learnt
+ * from.
  */
 final class AttemptResultHandler {
 
-    /** An answer counts as part of a failure from so many lower quartiles on: few healthy answers take as long. */
+    /**
+     * Multiple of the lower quartile of part times from which an answer counts as part of a failure: few healthy
+     * answers take that long.
+     */
     private static final double SLOW_QUARTILES = 3;
 
-    /** Without a watch, an unreachable endpoint silent for so many shortest objectives may have been restarted unseen. */
+    /**
+     * While the list is not watched, an unreachable endpoint that has not answered for this many shortest objectives
+     * may have restarted unnoticed.
+     */
     private static final double RESTART_OBJECTIVES = 2;
 
     private final SchedulerContext context;
@@ -41,7 +48,7 @@
         this.slowStart = slowStart;
     }
 
-    /** Takes in the result of an attempt whose outcome is set. */
+    /** Processes the result of an attempt whose outcome is set. */
     void onResult(AttemptState attempt, double elapsedS) {
         EndpointRecord endpoint = attempt.endpoint;
         AttemptOutcome outcome = attempt.outcome;
@@ -73,9 +80,9 @@
         EndpointRecord endpoint = attempt.endpoint;
         endpoint.lastCallUnanswered = false;
         idleConnections.observe(attempt, false);
-        boolean ownLateness =
+        boolean delayedByStall =
                 context.stalled() && elapsedS > estimates.partTime().lowerQuartileS();
-        if (!ownLateness) {
+        if (!delayedByStall) {
             estimates.addPartTime(attempt, elapsedS);
             limit.onAnswer();
             shedder.onAnswer(endpoint, elapsedS);
@@ -88,12 +95,12 @@
             slowStart.onStarted(endpoint, context.nowS() - elapsedS);
         }
         endpoint.unreachable = false;
-        if (!attempt.overdue && !ownLateness) {
+        if (!attempt.overdue && !delayedByStall) {
             outliers.onTimelyAnswer(attempt, slowness(elapsedS));
         }
     }
 
-    /** 0 for a quick answer, up to 1 for one that is as bad as a failure. */
+    /** Returns 0 for a quick answer, and up to 1 for one that is as bad as a failure. */
     private double slowness(double elapsedS) {
         double quartiles = elapsedS / estimates.partTime().lowerQuartileS();
         return Math.max(0, Math.min(1, quartiles / SLOW_QUARTILES - 1));
--- a/src/main/java/pepperdock/scheduler/AttemptSender.java
+++ b/src/main/java/pepperdock/scheduler/AttemptSender.java
@@ -1,12 +1,14 @@
 package pepperdock.scheduler;
 
 /**
- * The one way out for attempts: checks, at the moment of use, everything that allows an attempt, and counts it.
+ * Sends and counts attempts. Every attempt passes through this class, which checks all conditions for an attempt when
+ * it is sent.
  *
- * <p>Rule: the query is open and its answer still worth something, the part is wanted and has attempts left, attempts run
- * beside each other only as {@link HedgingPolicy} allows and never at one endpoint, the repeat is safe and within budget
- * ({@link RetryPolicy}), and the endpoint is listed as healthy and has room in its slow start ({@link SlowStart}). Guards
- * against decisions on state that has changed since they were proposed.
+ * <p>The query must be open and its answer must still have value; the part must be wanted and have attempts left;
+ * attempts at a part run concurrently only where {@link HedgingPolicy} allows it, and never at the same endpoint; a
+ * retry must be safe and within the budget ({@link RetryPolicy}); and the endpoint must be listed as healthy and have
+ * room in its slow start ({@link SlowStart}). This guards against decisions based on state that has changed since they
+ * were proposed.
  */
 final class AttemptSender {
 
@@ -14,7 +16,7 @@
     private final SchedulerActions actions;
     private final Policies policies;
 
-    /** The policies that each attempt passes. */
+    /** The policies that are consulted for each attempt. */
     record Policies(
             AnswerDeadlines deadlines,
             OutlierDetector outliers,
@@ -30,7 +32,7 @@
         this.policies = policies;
     }
 
-    /** Whether an attempt at the part may be sent to the endpoint now. */
+    /** Returns whether an attempt at the part may be sent to the endpoint now. */
     boolean isAllowed(PartState part, EndpointRecord endpoint) {
         return isOpen(part)
                 && endpoint.usable
@@ -42,7 +44,7 @@
                 && (part.attempts.isEmpty() || policies.retries.allowsRetry(part, endpoint));
     }
 
-    /** Sends an attempt if it is allowed, and tells whether it was. */
+    /** Sends an attempt if it is allowed, and returns whether it was. */
     boolean send(PartState part, EndpointRecord endpoint) {
         if (!isAllowed(part, endpoint)) {
             return false;
@@ -76,7 +78,10 @@
                         && endpoint.outstanding.stream().noneMatch(attempt -> attempt.part == part);
     }
 
-    /** The call that the next part sent to the endpoint travels in: that of this batch while it has room, or a new one. */
+    /**
+     * Returns the call that carries the next part sent to the endpoint: the call of this batch while it has room,
+     * otherwise a new one.
+     */
     private CallState joinCall(EndpointRecord endpoint) {
         CallState call = endpoint.lastCall;
         boolean joins = call != null
--- a/src/main/java/pepperdock/scheduler/AttemptState.java
+++ b/src/main/java/pepperdock/scheduler/AttemptState.java
@@ -3,7 +3,7 @@
 /** One attempt at a part. Plain data; times are seconds on the batch clock. */
 final class AttemptState {
 
-    /** Part that is attempted. */
+    /** Part that the attempt is for. */
     final PartState part;
 
     /** Number among the attempts at the part, from 0. */
@@ -18,19 +18,19 @@
     /** When the attempt was sent. */
     final double sentAtS;
 
-    /** Out for longer than {@link OverdueDetector#overdueAfterS}. */
+    /** Whether it has been outstanding for longer than {@link OverdueDetector#overdueAfterS}. */
     boolean overdue;
 
-    /** Out for so long that queueing at the endpoint does not explain it. */
+    /** Whether it has been outstanding for longer than queueing at the endpoint explains. */
     boolean lost;
 
-    /** The caller has been asked to cancel it. */
+    /** Whether the caller has been asked to cancel it. */
     boolean cancelRequested;
 
-    /** Sent to an ejected endpoint to find out whether it has recovered. */
+    /** Whether it was sent to an ejected endpoint to find out whether that has recovered. */
     boolean trial;
 
-    /** How it ended; null while it is outstanding. */
+    /** Its outcome; null while it is outstanding. */
     AttemptOutcome outcome;
 
     AttemptState(PartState part, EndpointRecord endpoint, CallState call) {
@@ -41,7 +41,7 @@
         sentAtS = call.sentAtS;
     }
 
-    /** Whether the attempt may have had an effect at the endpoint. */
+    /** Returns whether the attempt may have had an effect at the endpoint. */
     boolean mayHaveExecuted() {
         return outcome == null || !outcome.neverExecuted();
     }
--- a/src/main/java/pepperdock/scheduler/CallState.java
+++ b/src/main/java/pepperdock/scheduler/CallState.java
@@ -1,18 +1,18 @@
 package pepperdock.scheduler;
 
-/** The parts sent to one endpoint within one batch that travel together in one call. Plain data. */
+/** A call: the parts that are sent together to one endpoint within one batch. Plain data. */
 final class CallState {
 
     /** When the call was sent, in seconds on the batch clock. */
     final double sentAtS;
 
-    /** How long its connection had been idle, in seconds; 0 where it was in use or is new. */
+    /** How long its connection had been idle, in seconds; 0 if the connection was in use or is new. */
     final double idleS;
 
-    /** Parts in the call. */
+    /** Number of parts in the call. */
     int parts;
 
-    /** Its result after idleness has been counted in {@link IdleConnectionPolicy}. */
+    /** Whether {@link IdleConnectionPolicy} has counted the result of this call on an idle connection. */
     boolean idleReported;
 
     CallState(double sentAtS, double idleS) {
--- a/src/main/java/pepperdock/scheduler/CompletionPolicy.java
+++ b/src/main/java/pepperdock/scheduler/CompletionPolicy.java
@@ -1,17 +1,22 @@
 package pepperdock.scheduler;
 
 /**
- * When a dispatched query is answered, rejected or failed.
+ * Decides when a dispatched query is answered, rejected or failed.
  *
- * <p>Rule: it is answered once it is complete; at its latency objective, or when nothing more can come, from the class's
- * minimum coverage, then marked incomplete; and it ends without an answer when its time is up, when the minimum is out of
- * reach, or when half of its time is gone and no endpoint was reached. Inputs: coverage as shares of weight, deadlines in
- * seconds. Guards against answers that come too late for the client, and against answers called complete that are not. Harms
- * where a part would have come just after the objective.
+ * <p>A query is answered as soon as it is complete. At its latency objective, or when no further part can be answered,
+ * it is answered if it has reached the class's minimum coverage, and the answer is marked incomplete. It ends without
+ * an answer when its time is up, when the minimum coverage is out of reach, or when half of its time has passed and no
+ * endpoint was reached. Inputs are coverage as shares of weight, and deadlines in seconds.
+ *
+ * <p>This guards against answers that come too late for the client, and against incomplete answers marked as complete.
+ * A part that would have been answered just after the objective is lost.
  */
 final class CompletionPolicy {
 
-    /** Mean deviations above the mean that are kept for a second stage, before the objective. */
+    /**
+     * Mean deviations that are added to the mean part time to get the time reserved for a second stage before the
+     * objective.
+     */
     private static final double SECOND_STAGE_DEVIATIONS = 2;
 
     private final SchedulerContext context;
@@ -46,14 +51,15 @@
             return;
         }
         double minimum = minimumCoverage(query) - QueryState.COVERAGE_TOLERANCE;
-        boolean enough = query.coverage >= minimum;
-        boolean answersNow = enough && (context.nowS() >= lastAnswerAtS(query) || !hasPendingParts(query));
-        if (answersNow) {
+        boolean hasMinimumCoverage = query.coverage >= minimum;
+        boolean partialAnswerDue =
+                hasMinimumCoverage && (context.nowS() >= lastAnswerAtS(query) || !hasPendingParts(query));
+        if (partialAnswerDue) {
             finisher.answer(query, false);
         } else if (context.nowS() >= deadlines.answerUntilS(query)
                 || reachableCoverage(query) < minimum
                 || isUnreached(query)) {
-            if (enough) {
+            if (hasMinimumCoverage) {
                 finisher.answer(query, false);
             } else {
                 finisher.endWithoutAnswer(query);
@@ -61,7 +67,7 @@
         }
     }
 
-    /** Weight of the parts that are answered or may still come, 0 to 1. */
+    /** Returns the weight of the parts that are answered or may still be answered, 0 to 1. */
     double reachableCoverage(QueryState query) {
         return query.parts.stream()
                 .filter(this::isReachable)
@@ -70,8 +76,8 @@
     }
 
     /**
-     * Whether half of the query's time is gone, and either nothing was sent or no attempt reached an endpoint: its client may
-     * still turn to another instance.
+     * Returns whether half of the query's time has passed and no attempt was sent or none reached an endpoint. The
+     * client then still has time to turn to another instance.
      */
     boolean isUnreached(QueryState query) {
         return context.nowS() >= query.halfTimeAtS - deadlines.marginS()
@@ -94,7 +100,9 @@
         return !query.parts.isEmpty() && query.parts.stream().allMatch(part -> part.answered);
     }
 
-    /** Least coverage to answer from; a class that takes no partial answers needs a whole second stage. */
+    /**
+     * Returns the least coverage that may be answered; a class without partial answers needs a complete second stage.
+     */
     private static double minimumCoverage(QueryState query) {
         QueryClass queryClass = query.queryClass;
         if (queryClass.minimumCoverage() < queryClass.completeCoverage()) {
@@ -103,7 +111,7 @@
         return query.stage == QueryState.FIRST_STAGE ? queryClass.completeCoverage() : 1;
     }
 
-    /** When an incomplete answer is due: at the objective, earlier where a second stage must follow. */
+    /** Returns when an incomplete answer is due: at the objective, or earlier where a second stage must follow. */
     private double lastAnswerAtS(QueryState query) {
         boolean secondStageFollows = query.stage == QueryState.FIRST_STAGE && query.queryClass.secondStageParts() > 0;
         double secondStageS = secondStageFollows
--- a/src/main/java/pepperdock/scheduler/ConcurrencyLimit.java
+++ b/src/main/java/pepperdock/scheduler/ConcurrencyLimit.java
@@ -1,28 +1,39 @@
 package pepperdock.scheduler;
 
 /**
- * Bounds the parts that this instance has outstanding; the limit stands for the processor count of the RMAP paper, section
- * 3.2.
+ * Limits the parts that this instance has outstanding. The limit takes the place of the processor count in section 3.2
+ * of the RMAP paper.
  *
- * <p>Rule: unset at the start. A cut sets it to a share of the parts outstanding, never below two whole queries' parts; each
- * part answered within its objective raises it. It is cut when an endpoint rejects an attempt as overloaded, when parts at
- * two endpoints are late within one objective, and while the mean part is slow. Inputs: outcomes and part times in seconds.
- * Guards against queues at the endpoints, which no instance sees as a whole. Harms after a short fault, until answers have
- * raised it again; with many instances the least limits together may exceed what the fleet serves in time, which
- * {@link LoadShedder} covers.
+ * <p>There is no limit until the first decrease. A decrease sets the limit to a share of the parts outstanding, but
+ * never below the parts of two whole queries; each part answered within its objective raises it. The limit is decreased
+ * when an endpoint rejects an attempt as overloaded, when parts at two endpoints are late within one objective, and
+ * while the mean part time is high. Inputs are outcomes, and part times in seconds.
+ *
+ * <p>This guards against queues at the endpoints, which no single instance sees as a whole. After a short fault the
+ * limit is too low until answers have raised it again. With many instances, the sum of their lowest limits may exceed
+ * what the fleet serves in time; {@link LoadShedder} covers that case.
  */
 final class ConcurrencyLimit {
 
-    /** The limit is cut while the mean part takes this share of the shortest latency objective: endpoints queue. */
+    /**
+     * The limit is decreased while the mean part time exceeds this share of the shortest latency objective: parts then
+     * queue at the endpoints.
+     */
     static final double SLOW_PART_OBJECTIVE_SHARE = 0.3;
 
-    /** Raise by one answer, divided by the limit: so much for each round of answers, as in TCP's congestion avoidance. */
+    /**
+     * Increase of the limit per round of answers, as in TCP's congestion avoidance: each timely answer adds this value
+     * divided by the limit.
+     */
     private static final double RAISE_PER_ROUND = 2;
 
-    /** What a cut leaves of the parts outstanding; there is one cut per part time, as its effect shows no sooner. */
+    /**
+     * Share of the parts outstanding that a decrease leaves. There is at most one decrease per mean part time, since
+     * its effect does not show sooner.
+     */
     private static final double CUT_FACTOR = 0.85;
 
-    /** Whole queries that always fit, so that a cut never stops the service. */
+    /** Number of whole queries that always fit, so that a decrease never stops the service. */
     private static final int MIN_QUERIES = 2;
 
     private final SchedulerContext context;
@@ -39,49 +50,51 @@
         this.estimates = estimates;
     }
 
-    /** The limit in parts, infinite before the first cut. */
+    /** Returns the limit in parts, infinite before the first decrease. */
     double limit() {
         return limit;
     }
 
-    /** Whether fewer parts are outstanding than this share of the limit. */
+    /** Returns whether fewer parts are outstanding than this share of the limit. */
     boolean hasRoom(double share) {
         return outstanding < share * limit;
     }
 
-    /** Takes in how many parts a query has. */
+    /** Records the number of parts of a query. */
     void onQuery(int parts) {
         typicalParts += (parts - typicalParts) * (typicalParts == 0 ? 1 : FleetEstimates.SAMPLE_GAIN);
     }
 
-    /** An attempt is sent. */
+    /** Counts an attempt that is sent. */
     void onSend() {
         outstanding++;
     }
 
-    /** An attempt has ended. */
+    /** Counts an attempt that has ended. */
     void onResult() {
         outstanding--;
     }
 
-    /** A part was answered within its latency objective. */
+    /** Raises the limit after a part was answered within its latency objective. */
     void onTimelyPart() {
         limit += Math.min(1, RAISE_PER_ROUND / limit);
     }
 
-    /** An endpoint has rejected an attempt as overloaded. */
+    /** Decreases the limit after an endpoint has rejected an attempt as overloaded. */
     void onOverloaded() {
         cut();
     }
 
-    /** A part was answered; the mean tells whether parts queue. */
+    /** Decreases the limit if, after this answer, the mean part time shows that parts queue. */
     void onAnswer() {
         if (estimates.partTime().meanS() > SLOW_PART_OBJECTIVE_SHARE * context.shortestObjectiveS()) {
             cut();
         }
     }
 
-    /** An attempt at the endpoint is late; late attempts at two endpoints within one objective cut the limit. */
+    /**
+     * Records a late attempt at the endpoint; late attempts at two endpoints within one objective decrease the limit.
+     */
     void onLateAttempt(EndpointRecord endpoint) {
         if (lastLateEndpoint != null
                 && lastLateEndpoint != endpoint
--- a/src/main/java/pepperdock/scheduler/EndpointListKind.java
+++ b/src/main/java/pepperdock/scheduler/EndpointListKind.java
@@ -1,13 +1,13 @@
 package pepperdock.scheduler;
 
-/** What a list event carries. */
+/** What an endpoint list event contains. */
 public enum EndpointListKind {
-    /** Entries that have changed; all others stay. */
+    /** The entries that have changed; all others stay. */
     CHANGES,
     /** The complete list. */
     COMPLETE,
     /** The complete list as last cached, without a call. */
     CACHED,
-    /** A call has failed, or a watch has ended. */
+    /** Nothing, because a call has failed or a watch has ended. */
     FAILED
 }
--- a/src/main/java/pepperdock/scheduler/EndpointRecord.java
+++ b/src/main/java/pepperdock/scheduler/EndpointRecord.java
@@ -5,60 +5,60 @@
 import pepperdock.estimate.WarmUpAllowance;
 
 /**
- * An endpoint as this instance knows it: what the endpoint list says, and what its own attempts have shown. Plain data;
- * times are seconds on the batch clock.
+ * An endpoint as this instance knows it: the contents of the endpoint list, and what this instance's own attempts have
+ * shown. Plain data; times are seconds on the batch clock.
  */
 final class EndpointRecord {
 
     /** Id in the endpoint list. */
     final String id;
 
-    /** Zone that it stands in. */
+    /** Zone that it runs in. */
     int zone;
 
     /** Cell of the {@link ReplicaLayout} that it belongs to. */
     int cell;
 
-    /** Listed as healthy: new attempts may go to it. */
+    /** Whether it is listed as healthy, so that new attempts may go to it. */
     boolean usable;
 
-    /** Listed and not removed. */
+    /** Whether it is listed and not removed. */
     boolean listed;
 
-    /** Start of the slow start, negative infinity where none is known. */
+    /** When its slow start began, negative infinity if no start is known. */
     double startedAtS = Double.NEGATIVE_INFINITY;
 
-    /** This instance's allowance during the slow start; null before the first one. */
+    /** This instance's allowance during the slow start; null before the first slow start. */
     WarmUpAllowance warmUp;
 
     /** Moving average of failures, 0 to 1. */
     double failureRate;
 
-    /** Refuses connections, or has been silent while others answered; until its next answer. */
+    /** Whether it refuses connections or has given no answer while others answered; cleared by its next answer. */
     boolean unreachable;
 
-    /** Its last response was an error: it is reachable and answers quickly. */
+    /** Whether its last response was an error, so that it is reachable and responds quickly. */
     boolean respondsWithErrors;
 
     /** Earliest time of the next trial while it is ejected. */
     double nextTrialAtS;
 
-    /** Present pause between two trials, in seconds. */
+    /** Current backoff between two trials, in seconds. */
     double trialBackoffS;
 
     /** When it last answered a part. */
     double lastOkAtS = Double.NEGATIVE_INFINITY;
 
-    /** When the last attempt that it answered in time was sent. */
+    /** Send time of the latest attempt that it answered in time. */
     double lastTimelySentAtS = Double.NEGATIVE_INFINITY;
 
     /** The last call to it; null before the first. */
     CallState lastCall;
 
-    /** When an attempt at it last ended: since then its connection may be idle. */
+    /** When an attempt at it last ended; its connection may have been idle since then. */
     double lastUsedAtS = Double.NEGATIVE_INFINITY;
 
-    /** The last call stayed without an answer, so its connection is not trusted. */
+    /** Whether the last call got no answer, so that its connection is not trusted. */
     boolean lastCallUnanswered;
 
     /** Attempts without a result, in order of sending. */
--- a/src/main/java/pepperdock/scheduler/EndpointRegistry.java
+++ b/src/main/java/pepperdock/scheduler/EndpointRegistry.java
@@ -6,7 +6,10 @@
 import java.util.List;
 import java.util.Map;
 
-/** The listed endpoints, and which of them hold a shard. Iteration is in the order in which endpoints were first listed. */
+/**
+ * Holds the listed endpoints and finds the replicas of a shard. It iterates in the order in which endpoints were first
+ * listed.
+ */
 final class EndpointRegistry {
 
     private final SchedulerContext context;
@@ -22,7 +25,7 @@
         }
     }
 
-    /** Takes in a list, or changes of it. */
+    /** Applies a complete list, or changes of it. */
     void update(boolean changesOnly, List<Endpoint> entries) {
         if (!changesOnly) {
             endpoints.values().forEach(endpoint -> {
@@ -33,7 +36,7 @@
         for (Endpoint entry : entries) {
             update(entry);
         }
-        // An endpoint that is removed comes back under a new id: its record would only fill memory.
+        // A removed endpoint comes back under a new id, so keeping its record would only use memory.
         endpoints.values().removeIf(endpoint -> !endpoint.listed && endpoint.outstanding.isEmpty());
         usableByCell.forEach(List::clear);
         for (EndpointRecord endpoint : endpoints.values()) {
@@ -54,17 +57,17 @@
         }
     }
 
-    /** The record of an endpoint, null where none is kept. */
+    /** Returns the record of an endpoint, or null if there is none. */
     EndpointRecord find(String id) {
         return endpoints.get(id);
     }
 
-    /** All records: those of listed endpoints, and of removed ones with attempts outstanding. */
+    /** Returns all records: those of listed endpoints, and of removed ones with attempts outstanding. */
     Collection<EndpointRecord> all() {
         return endpoints.values();
     }
 
-    /** The usable replicas of a shard, in the order of the layout's cells. */
+    /** Returns the usable replicas of a shard, in the order of the layout's cells. */
     List<EndpointRecord> replicas(int shard) {
         ReplicaLayout layout = context.settings().layout();
         List<EndpointRecord> replicas = new ArrayList<>();
--- a/src/main/java/pepperdock/scheduler/EndpointState.java
+++ b/src/main/java/pepperdock/scheduler/EndpointState.java
@@ -2,10 +2,10 @@
 
 /** State of a listed endpoint. */
 public enum EndpointState {
-    /** Takes attempts. */
+    /** Takes new attempts. */
     HEALTHY,
     /** Finishes outstanding attempts and takes no new ones. */
     DRAINING,
-    /** Gone; its id is not used again. */
+    /** Removed; its id is not used again. */
     REMOVED
 }
--- a/src/main/java/pepperdock/scheduler/FanOutPolicy.java
+++ b/src/main/java/pepperdock/scheduler/FanOutPolicy.java
@@ -4,27 +4,33 @@
 import java.util.List;
 
 /**
- * How many parts of a query are sent, heaviest first.
+ * Decides how many parts of a query are sent. The heaviest parts are sent first.
  *
- * <p>Rule, from the RMAP paper: a query that waited gets max(1, ceil(N / (q + 1 + f s))) parts, the
- * formula of the RMAP paper, section 3.2, with the {@link ConcurrencyLimit} as N, the queries waiting at this instance as q,
- * those with parts outstanding as s, and f = 0.75. The count stays between Pmin, the fewest parts that reach the class's
- * minimum coverage, and all parts. A query that need not wait gets all of them, and fewer down to Pmin as the mean part
- * takes longer, since then queries wait at the endpoints. Inputs: counts, weights, and the mean part time as a share of the
- * shortest objective. Guards against full fan-out into endpoints that queue. Harms answers' completeness where parts are slow
- * for another reason than load.
+ * <p>A query that was queued gets max(1, ceil(N / (q + 1 + f s))) parts. This is the formula of section 3.2 of the RMAP
+ * paper, with the {@link ConcurrencyLimit} as N, the queries queued at this instance as q, the queries with parts
+ * outstanding as s, and f = 0.75. The count stays between Pmin, the fewest parts that reach the class's minimum
+ * coverage, and all parts. A query that need not wait gets all of its parts, and fewer, down to Pmin, as the mean part
+ * time rises, since queries then wait at the endpoints. Inputs are counts, weights, and the mean part time as a share
+ * of the shortest objective.
+ *
+ * <p>This guards against full fan-out to endpoints that queue. It makes answers less complete where parts are slow for
+ * a reason other than load.
  */
 final class FanOutPolicy {
 
-    /** f of the RMAP paper, section 3.2: weight of a query in progress against one that waits. The paper's value. */
+    /** The value f of the RMAP paper, section 3.2: weight of a query in progress relative to one that waits. */
     private static final double RUNNING_QUERY_WEIGHT = 0.75;
 
-    /** Range of the mean part time, as a share of the shortest objective, over which the count falls from all to Pmin. */
+    /**
+     * Width of the range of mean part times, as a share of the shortest objective, over which the count falls from all
+     * parts to Pmin.
+     */
     private static final double TRIM_RANGE_OBJECTIVE_SHARE = 0.2;
 
     /**
-     * Instances whose own limits see the load well enough: each has queries that wait, which the formula trims. One of many
-     * sees a query now and then, and learns of the load by the time of parts alone, so trimming begins earlier there.
+     * Number of instances up to which an instance's own limit shows the load well enough, because each instance has
+     * queued queries, which the formula trims. One of many instances receives a query now and then and learns of the
+     * load from part times alone, so trimming begins earlier there.
      */
     private static final double FEW_INSTANCES = 2;
 
@@ -36,23 +42,26 @@
         this.estimates = estimates;
     }
 
-    /** Parts to send of a query that waited; {@code limit} in parts, {@code waiting} without the query itself. */
+    /**
+     * Returns the number of parts to send of a query that was queued; {@code limit} is in parts, {@code waiting} does
+     * not count the query itself.
+     */
     int countAfterWaiting(QueryState query, double limit, int waiting, long running) {
         int count = (int) Math.max(1, Math.ceil(limit / (waiting + 1 + RUNNING_QUERY_WEIGHT * running)));
         return Math.max(minimumCount(query), Math.min(count, query.parts.size()));
     }
 
-    /** Parts to send of a query that need not wait. */
+    /** Returns the number of parts to send of a query that need not wait. */
     int countAtOnce(QueryState query) {
-        double fromShare = ConcurrencyLimit.SLOW_PART_OBJECTIVE_SHARE
+        double trimStartShare = ConcurrencyLimit.SLOW_PART_OBJECTIVE_SHARE
                 * (1 + FEW_INSTANCES / context.settings().instances());
         double partShare = estimates.partTime().meanS() / context.shortestObjectiveS();
-        double excess = (partShare - fromShare) / TRIM_RANGE_OBJECTIVE_SHARE;
+        double excess = (partShare - trimStartShare) / TRIM_RANGE_OBJECTIVE_SHARE;
         int parts = query.parts.size();
         return excess <= 0 ? parts : Math.max(minimumCount(query), (int) Math.ceil((1 - Math.min(1, excess)) * parts));
     }
 
-    /** Pmin: the fewest parts whose weight reaches the class's minimum coverage. */
+    /** Returns Pmin: the fewest parts whose weight reaches the class's minimum coverage. */
     int minimumCount(QueryState query) {
         List<PartState> sorted = heaviestFirst(query);
         double minimum = query.queryClass.minimumCoverage() - QueryState.COVERAGE_TOLERANCE;
@@ -63,7 +72,7 @@
         return count;
     }
 
-    /** The query's parts, the heaviest first. */
+    /** Returns the query's parts, the heaviest first. */
     static List<PartState> heaviestFirst(QueryState query) {
         return query.parts.stream()
                 .sorted(Comparator.comparingDouble(part -> -part.weight))
--- a/src/main/java/pepperdock/scheduler/FleetEstimates.java
+++ b/src/main/java/pepperdock/scheduler/FleetEstimates.java
@@ -4,13 +4,16 @@
 import pepperdock.estimate.PartWork;
 import pepperdock.estimate.ServiceTime;
 
-/** Running estimates of the fleet that several policies read, fed by the answers of attempts. All times are seconds. */
+/**
+ * Running estimates about the fleet that several policies use, updated with each answered attempt. All times are
+ * seconds.
+ */
 final class FleetEstimates {
 
-    /** Weight of one sample in moving averages: some sixty samples, a few seconds of traffic. */
+    /** Weight of one sample in moving averages, which thus span about sixty samples: a few seconds of traffic. */
     static final double SAMPLE_GAIN = 1.0 / 64;
 
-    /** Before anything is answered, a part is thought to take this share of the shortest latency objective. */
+    /** Assumed part time before anything is answered, as a share of the shortest latency objective. */
     private static final double INITIAL_PART_TIME_SHARE = 0.15;
 
     private final SchedulerContext context;
@@ -24,45 +27,45 @@
         resetPartWork();
     }
 
-    /** Forgets the work of each class, as the classes are others now. */
+    /** Discards the estimated work of each class, because the classes have changed. */
     void resetPartWork() {
         int classes = context.settings().classes().size();
         partWork = new PartWork(classes, context.shortestObjectiveS() * INITIAL_PART_TIME_SHARE);
     }
 
-    /** Takes in how long an answer took, in seconds. */
+    /** Records how long an answer took, in seconds. */
     void addPartTime(AttemptState attempt, double elapsedS) {
         QueryState query = attempt.part.query;
         partTime.add(elapsedS, query.parts.size());
         partWork.add(query.classIndex, elapsedS);
     }
 
-    /** Counts a part that was answered now. */
+    /** Counts a part that is answered now. */
     void addAnsweredPart() {
         answeredParts.add(1, context.nowS(), context.shortestObjectiveS());
     }
 
-    /** Parts answered within about the last latency objective. */
+    /** Returns the parts answered within about the last shortest latency objective. */
     double answeredParts() {
         return answeredParts.at(context.nowS(), context.shortestObjectiveS());
     }
 
-    /** When any endpoint last answered a part, in seconds on the batch clock. */
+    /** Returns when any endpoint last answered a part, in seconds on the batch clock. */
     double lastAnswerAtS() {
         return answeredParts.updatedAt();
     }
 
-    /** Time that a part takes. */
+    /** Returns the estimate of the time that a part takes. */
     ServiceTime partTime() {
         return partTime;
     }
 
-    /** Work of a part of each class. */
+    /** Returns the estimate of the work of a part of each class. */
     PartWork partWork() {
         return partWork;
     }
 
-    /** Mean time of a part plus its mean deviation, in seconds: most parts take no longer. */
+    /** Returns the mean time of a part plus its mean deviation, in seconds: most parts take no longer. */
     double cautiousPartTimeS() {
         return partTime.meanS() + partTime.deviationS();
     }
--- a/src/main/java/pepperdock/scheduler/HealthCheckResult.java
+++ b/src/main/java/pepperdock/scheduler/HealthCheckResult.java
@@ -1,7 +1,7 @@
 package pepperdock.scheduler;
 
 /**
- * How a health check ended.
+ * The result of a health check.
  *
  * @param endpointId endpoint that was checked
  * @param outcome how the check ended
--- a/src/main/java/pepperdock/scheduler/HedgingPolicy.java
+++ b/src/main/java/pepperdock/scheduler/HedgingPolicy.java
@@ -1,34 +1,37 @@
 package pepperdock.scheduler;
 
 /**
- * Decides what follows on a part that is not answered: nothing yet, another attempt, or the cancellation of the present one.
+ * Decides how a part that is not answered is followed up: nothing is done yet, another attempt is sent, or the current
+ * attempt is cancelled.
  *
- * <p>Rule: a part without an outstanding attempt is sent again. One whose only attempt seems lost gets a hedged request where
- * hedging is allowed and the class idempotent; elsewhere its attempt is cancelled, so that a retry may follow. An attempt
- * seems lost when it is overdue at an ejected endpoint, on a dropped connection, or for longer than queueing explains; and,
- * where the rules state a retry budget, at the last moment before the latency objective. Inputs: times of attempts in
- * seconds. Guards against the tail of slow and silent endpoints. Harms under overload, to which it adds work; so it needs
- * the retry budget, and the last-moment rule applies only while no load is shed.
+ * <p>A part without an outstanding attempt is sent again. A part whose only attempt seems lost gets a hedged request
+ * where hedging is allowed and the class is idempotent; elsewhere its attempt is cancelled, so that a retry may follow.
+ * An attempt seems lost when it is overdue at an ejected endpoint, when it is overdue on a dropped connection, or when
+ * it is outstanding for longer than queueing explains; where the rules set a retry budget, an attempt also seems lost
+ * at the last moment before the latency objective. Inputs are times of attempts in seconds.
+ *
+ * <p>This guards against the latency tail caused by slow and silent endpoints. Under overload it adds work; it
+ * therefore needs the retry budget, and the last-moment rule applies only while no load is shed.
  */
 final class HedgingPolicy {
 
-    /** What follows on a part. */
+    /** The possible reactions to a part that is not answered. */
     enum FollowUp {
-        /** The part is left alone. */
+        /** Does nothing. */
         NONE,
-        /** Another attempt. */
+        /** Sends another attempt. */
         SEND,
-        /** Cancellation of the last attempt. */
+        /** Cancels the last attempt. */
         CANCEL
     }
 
     /**
-     * At the last moment for another attempt before the objective, a part out for so many times the lower quartile of part
-     * times is hedged: most parts are answered by then.
+     * A part is hedged at the last moment before the objective if it has been outstanding for more than this multiple
+     * of the lower quartile of part times: most parts are answered by then.
      */
     private static final double LAST_MOMENT_QUARTILES = 3;
 
-    /** The last moment lasts so many sweeps, so that none is missed. */
+    /** Length of the last moment in sweeps, long enough that it is not missed. */
     private static final int LAST_MOMENT_SWEEPS = 2;
 
     private final SchedulerContext context;
@@ -59,12 +62,12 @@
         this.retries = retries;
     }
 
-    /** Whether attempts at the part may run beside each other. */
+    /** Returns whether attempts at the part may run concurrently. */
     boolean mayHedge(PartState part) {
         return context.settings().limits().hedging() && isIdempotent(part);
     }
 
-    /** What follows on a wanted part that is not answered. */
+    /** Returns how to follow up a wanted part that is not answered. */
     FollowUp followUp(PartState part) {
         double answerUntilS = deadlines.answerUntilS(part.query);
         if (context.nowS() + estimates.partTime().meanS() > answerUntilS) {
@@ -101,7 +104,10 @@
         return mayCancel && (dropped || hasOtherReplica(part, last)) ? FollowUp.CANCEL : FollowUp.NONE;
     }
 
-    /** Seconds in which an attempt sent now could wait and still be answered before the next deadline of the query. */
+    /**
+     * Returns the seconds by which an attempt sent now could be delayed and still be answered before the query's next
+     * deadline.
+     */
     private double timeLeftS(QueryState query, double answerUntilS) {
         double deadlineS = context.nowS() < query.objectiveAtS
                 ? Math.min(query.objectiveAtS - deadlines.marginS(), answerUntilS)
--- a/src/main/java/pepperdock/scheduler/IdleConnectionPolicy.java
+++ b/src/main/java/pepperdock/scheduler/IdleConnectionPolicy.java
@@ -3,13 +3,15 @@
 import pepperdock.estimate.IdleLimit;
 
 /**
- * Closes idle connections that are likely to have been dropped on the network path.
+ * Closes idle connections that have probably been dropped on the network path.
  *
- * <p>Rule: before a call on an idle connection, the connection is closed if the endpoint's last call stayed unanswered, or
- * if the connection was idle for longer than the {@link IdleLimit} learnt from calls after idleness. A call that stays
- * unanswered beyond that limit is not counted against its endpoint. Inputs: idle times and outcomes, in seconds. Reason:
- * firewalls and address translation forget idle connections without a reset. Guards against ejecting healthy endpoints for
- * that; costs a handshake, and harms where new connections fail, which ends the mistrust.
+ * <p>Before a call on an idle connection, the connection is closed if the endpoint's last call got no answer, or if it
+ * was idle for longer than the {@link IdleLimit} learnt from earlier calls on idle connections. A call that gets no
+ * answer on a connection idle for longer than that limit is not counted against its endpoint. Inputs are idle times and
+ * outcomes, in seconds. The reason is that firewalls and address translation drop idle connections without a reset.
+ *
+ * <p>This guards against ejecting healthy endpoints because of dropped connections. It costs a handshake and does harm
+ * where new connections fail; such a failure therefore resets the limit.
  */
 final class IdleConnectionPolicy {
 
@@ -23,9 +25,9 @@
     }
 
     /**
-     * Prepares the connection of the next call to an endpoint, closing idle ones that are not trusted.
+     * Prepares the connection of the next call to an endpoint, and closes idle connections that are not trusted.
      *
-     * @return seconds that the connection has been idle, 0 where it is in use or will be new
+     * @return seconds that the connection has been idle, 0 if it is in use or will be new
      */
     double prepareConnection(EndpointRecord endpoint) {
         boolean idle = endpoint.outstanding.size() == 0 && endpoint.lastUsedAtS > Double.NEGATIVE_INFINITY;
@@ -47,12 +49,15 @@
         }
     }
 
-    /** Whether the attempt is unanswered because its idle connection was dropped, and not by the endpoint's fault. */
+    /**
+     * Returns whether the attempt is unanswered because its idle connection was dropped, and not because of its
+     * endpoint.
+     */
     boolean isConnectionDropped(AttemptState attempt) {
         return attempt.call.idleS > limitS() && noAnswerSinceSend(attempt);
     }
 
-    /** A new connection has failed: closing idle ones would harm. */
+    /** Resets the limit, because a new connection has failed and closing idle ones would do harm. */
     void onConnectFailed() {
         idleLimit.forget();
     }
--- a/src/main/java/pepperdock/scheduler/LoadShedder.java
+++ b/src/main/java/pepperdock/scheduler/LoadShedder.java
@@ -3,23 +3,25 @@
 import java.util.SplittableRandom;
 
 /**
- * Rejects a random share of arrivals while parts are slow fleet-wide.
+ * Rejects a random share of arrivals while parts are slow in the whole fleet.
  *
- * <p>Rule: the share rises with each part of a healthy endpoint that takes longer than {@link #SLOW_PART_OBJECTIVE_SHARE} of
- * the shortest latency objective, and falls with each that is quicker. Tenants beyond their quota are rejected more often.
- * Inputs: part times as a share of the objective. Reason: the least {@link ConcurrencyLimit}, over many instances, may be
- * more than the fleet serves in time; then only fewer arrivals help. Guards against a fleet that answers everything too late.
- * Harms where parts are slow for another reason than load.
+ * <p>The share rises with each part of a healthy endpoint that takes longer than {@link #SLOW_PART_OBJECTIVE_SHARE} of
+ * the shortest latency objective, and falls with each part that is quicker. Queries of tenants over their quota are
+ * rejected more often. Inputs are part times as a share of the objective. With many instances, the sum of the lowest
+ * {@link ConcurrencyLimit}s may exceed what the fleet serves in time; then only admitting fewer arrivals helps.
+ *
+ * <p>This guards against a fleet that answers everything too late. It rejects queries needlessly where parts are slow
+ * for a reason other than load.
  */
 final class LoadShedder {
 
-    /** A part is too slow from this share of the shortest latency objective on: the rest is needed for queueing. */
+    /** Share of the shortest latency objective from which a part is too slow: the rest is needed for queueing. */
     private static final double SLOW_PART_OBJECTIVE_SHARE = 0.6;
 
-    /** Arrivals of a tenant beyond its quota are rejected so many times as often as others. */
+    /** Factor by which arrivals of a tenant over its quota are rejected more often than others. */
     private static final double OVER_QUOTA_FACTOR = 4;
 
-    /** Largest share of arrivals that is rejected: the rest keeps showing how slow parts are. */
+    /** Largest share of arrivals that is rejected; the arrivals that are served keep showing how slow parts are. */
     private static final double MAX_REJECTED_SHARE = 0.9;
 
     private final SchedulerContext context;
@@ -33,30 +35,33 @@
         this.random = random;
     }
 
-    /** Whether arrivals are rejected at present. */
+    /** Returns whether arrivals are rejected at present. */
     boolean isShedding() {
         return rejectedShare != 0;
     }
 
-    /** Whether to reject this arrival; draws from the seed while arrivals are rejected. */
+    /** Returns whether to reject this arrival; draws a random number only while arrivals are rejected. */
     boolean rejects(QueryState query) {
         return rejectedShare > 0 && random.nextDouble() < rejectedShare * (query.overQuota ? OVER_QUOTA_FACTOR : 1);
     }
 
-    /** A part of the endpoint was answered after {@code elapsedS}. */
+    /** Adjusts the share after the endpoint has answered a part within {@code elapsedS}. */
     void onAnswer(EndpointRecord endpoint, double elapsedS) {
         adjust(endpoint, elapsedS / (SLOW_PART_OBJECTIVE_SHARE * context.shortestObjectiveS()) - 1);
     }
 
-    /** The endpoint has rejected an attempt as overloaded, or an attempt at it is lost: counts as the slowest part. */
+    /**
+     * Raises the share, as for the slowest part, after the endpoint has rejected an attempt as overloaded or an attempt
+     * at it is lost.
+     */
     void onOverload(EndpointRecord endpoint) {
         adjust(endpoint, 1);
     }
 
     private void adjust(EndpointRecord endpoint, double excess) {
         if (!outliers.isOutlier(endpoint)) {
-            double moved = rejectedShare + FleetEstimates.SAMPLE_GAIN * Math.min(1, excess);
-            rejectedShare = Math.max(0, Math.min(MAX_REJECTED_SHARE, moved));
+            double adjusted = rejectedShare + FleetEstimates.SAMPLE_GAIN * Math.min(1, excess);
+            rejectedShare = Math.max(0, Math.min(MAX_REJECTED_SHARE, adjusted));
         }
     }
 }
--- a/src/main/java/pepperdock/scheduler/OutlierDetector.java
+++ b/src/main/java/pepperdock/scheduler/OutlierDetector.java
@@ -4,49 +4,62 @@
 import java.util.Map;
 
 /**
- * Ejects endpoints that fail clearly more often than the fleet, and lets them back after a successful trial.
+ * Ejects endpoints that fail clearly more often than the fleet, and readmits them after a successful trial.
  *
- * <p>Rule: an endpoint's failure rate is a moving average of its outcomes, 1 for a failure, 0 for a timely answer. It is an
- * outlier, and ejected, while it is unreachable, or while its rate exceeds both {@link #EJECTED_RATE} and that of the
- * fleet by {@link #CLEARLY_WORSE_RATE}. An ejected endpoint receives one attempt at a time as a trial, after a backoff that
- * doubles; a budget bounds the trials of all endpoints together. The path to a zone has a record of its own, which counts
- * for each endpoint of the zone that has not answered in time since the path became degraded.
+ * <p>An endpoint's failure rate is a moving average of its outcomes, with 1 for a failure and 0 for a timely answer.
+ * The endpoint is an outlier, and ejected, while it is unreachable, or while its rate exceeds both
+ * {@link #EJECTED_RATE} and the fleet's rate plus {@link #CLEARLY_WORSE_RATE}. An ejected endpoint receives one attempt
+ * at a time as a trial, after a backoff that doubles; a budget limits the trials of all endpoints together. The path to
+ * a zone has a failure rate of its own, which applies to each endpoint of the zone that has not answered in time since
+ * the path became degraded.
  *
- * <p>Inputs: outcomes of this instance's attempts; rates are 0 to 1, times seconds. Guards against endpoints and paths between
- * zones that fail, are slow or silent. The zone's record finds a cut path within part of one query instead of endpoint by
- * endpoint; the comparison with the fleet keeps a shared fault from crowding a few endpoints. Harms, until a trial, where the
- * suspicion is out of date, or where many endpoints of one zone fail by themselves.
+ * <p>Inputs are the outcomes of this instance's attempts; rates are 0 to 1, times are seconds. This guards against
+ * endpoints, and paths between zones, that fail, are slow or give no answer. The zone's rate detects a cut path within
+ * part of one query instead of endpoint by endpoint; the comparison with the fleet keeps a shared fault from
+ * concentrating traffic on a few endpoints. Until a trial, ejection does harm where the failure rate is out of date or
+ * where many endpoints of one zone fail independently.
  */
 final class OutlierDetector {
 
-    /** An endpoint or path is clearly worse than another from this difference on: two failures in a row. */
+    /**
+     * Difference in failure rate from which an endpoint or path is clearly worse than another: two failures in a row.
+     */
     static final double CLEARLY_WORSE_RATE = 0.4;
 
-    /** Weight of one outcome in an endpoint's rate: two failures in a row eject it, one does not. */
+    /** Weight of one outcome in an endpoint's failure rate: two failures in a row eject it, one does not. */
     private static final double ENDPOINT_GAIN = 0.35;
 
-    /** Rate above which an endpoint is ejected. */
+    /** Failure rate above which an endpoint is ejected. */
     private static final double EJECTED_RATE = 0.5;
 
-    /** Weight of one outcome in a zone's rate: some sixteen outcomes, part of one query. */
+    /** Weight of one outcome in a zone's failure rate, which thus spans about sixteen outcomes: part of one query. */
     private static final double ZONE_GAIN = 1.0 / 16;
 
-    /** First backoff before a trial, as a share of the shortest latency objective: a short fault is soon over. */
+    /**
+     * First backoff before a trial, as a share of the shortest latency objective; it is short because a short fault is
+     * soon over.
+     */
     private static final double FIRST_BACKOFF_SHARE = 0.25;
 
-    /** Longest backoff, in shortest latency objectives: a recovered endpoint is found within a client's patience. */
+    /**
+     * Longest backoff before a trial, in shortest latency objectives, so that a recovered endpoint is found before
+     * clients give up.
+     */
     private static final double MAX_BACKOFF_OBJECTIVES = 2;
 
-    /** Trials earned by a first attempt: ejected endpoints cost each query little. */
+    /** Trials that a first attempt adds to the budget; few, so that ejected endpoints cost each query little. */
     private static final double TRIALS_PER_FIRST_ATTEMPT = 0.007;
 
-    /** Most trials saved up from first attempts, so that a quiet hour is no burst of trials. */
+    /** Most trials that first attempts can save up, so that a quiet hour is not followed by a burst of trials. */
     private static final double MAX_TRIALS_FROM_ATTEMPTS = 2;
 
-    /** Trials earned by one that succeeds: after a shared fault all endpoints are soon won back. */
+    /**
+     * Trials that a successful trial adds to the budget, so that all endpoints are soon readmitted after a shared
+     * fault.
+     */
     private static final double TRIALS_PER_SUCCESS = 1.5;
 
-    /** Most trials saved up from successful ones. */
+    /** Most trials that successful trials can save up. */
     private static final double MAX_TRIALS_FROM_SUCCESSES = 3;
 
     private final SchedulerContext context;
@@ -61,34 +74,38 @@
         this.registry = registry;
     }
 
-    /** Whether the endpoint is ejected: unreachable, or clearly worse than the fleet is at present. */
+    /** Returns whether the endpoint is ejected: unreachable, or at present clearly worse than the fleet. */
     boolean isOutlier(EndpointRecord endpoint) {
         return endpoint.unreachable
                 || failureRate(endpoint) > Math.max(EJECTED_RATE, fleetFailureRate + CLEARLY_WORSE_RATE);
     }
 
-    /** The endpoint's failure rate, or that of its zone if worse and not disproved since by a timely answer; 0 to 1. */
+    /**
+     * Returns the endpoint's failure rate, 0 to 1, or that of its zone if that is worse and the endpoint has not
+     * answered in time since the zone became degraded.
+     */
     double failureRate(EndpointRecord endpoint) {
         return endpoint.lastTimelySentAtS < zone(endpoint).degradedSinceS
                 ? Math.max(endpoint.failureRate, zone(endpoint).failureRate)
                 : endpoint.failureRate;
     }
 
-    /** Whether an attempt at the endpoint is justified: it is not ejected, or due for a trial. */
+    /** Returns whether an attempt at the endpoint is justified: it is not ejected, or a trial is due. */
     boolean isAvailable(EndpointRecord endpoint) {
         return !isOutlier(endpoint) || isTrialDue(endpoint);
     }
 
     /**
-     * Whether the endpoint has answered within the last objective: no ground to reject unsent what it alone may serve. Guards
-     * against rejections beside one replica that fails now and then and one that is a little slow; harms, for one objective
-     * at most, where both have just gone silent.
+     * Returns whether the endpoint has answered within the last shortest objective. Queries that only such an endpoint
+     * may serve are not rejected without an attempt. This guards against rejections where one replica fails now and
+     * then and another is a little slow; it does harm, for one objective at most, where both have just stopped
+     * answering.
      */
     boolean hasAnsweredRecently(EndpointRecord endpoint) {
         return !endpoint.unreachable && context.nowS() - endpoint.lastOkAtS < context.shortestObjectiveS();
     }
 
-    /** Whether an ejected endpoint may be tried now. */
+    /** Returns whether a trial of an ejected endpoint is due. */
     boolean isTrialDue(EndpointRecord endpoint) {
         double dueAtS = zone(endpoint).failureRate > CLEARLY_WORSE_RATE
                 ? Math.max(endpoint.nextTrialAtS, zone(endpoint).nextTrialAtS)
@@ -99,16 +116,19 @@
     }
 
     /**
-     * Whether the endpoint responds with errors while no replica of the part is available: an error costs a call, and the next
-     * attempt may be answered. Guards against rejections where the healthy replica is draining; harms where the errors come
-     * from overload.
+     * Returns whether the endpoint responds with errors while no replica of the part is available: an error costs only
+     * a call, and the next attempt may be answered. This guards against rejections while the healthy replica is
+     * draining; it does harm where the errors come from overload.
      */
     boolean isLastResort(PartState part, EndpointRecord endpoint) {
         return endpoint.respondsWithErrors
                 && registry.replicas(part.shard).stream().noneMatch(this::isAvailable);
     }
 
-    /** Whether fewer than half of the usable endpoints are ejected. Looks at each, so not for every part. */
+    /**
+     * Returns whether fewer than half of the usable endpoints are ejected. It checks every endpoint, so it is not meant
+     * to be called for every part.
+     */
     boolean isMostOfFleetHealthy() {
         long usable =
                 registry.all().stream().filter(endpoint -> endpoint.usable).count();
@@ -118,7 +138,7 @@
         return 2 * ejected < usable;
     }
 
-    /** Whether the endpoint is ejected and has received no attempt for the longest backoff. */
+    /** Returns whether the endpoint is ejected and has received no attempt for the longest backoff. */
     boolean isAvoided(EndpointRecord endpoint) {
         if (!isOutlier(endpoint)) {
             return false;
@@ -127,14 +147,14 @@
         return call == null || context.nowS() - call.sentAtS > MAX_BACKOFF_OBJECTIVES * context.shortestObjectiveS();
     }
 
-    /** A failure of the endpoint. */
+    /** Counts a failure of the endpoint. */
     void onFailure(EndpointRecord endpoint) {
         boolean wasOutlier = isOutlier(endpoint);
         observe(endpoint, 1);
         ejectIfNew(endpoint, wasOutlier);
     }
 
-    /** A failure that shows that the endpoint can't be reached. */
+    /** Counts a failure that shows that the endpoint can't be reached. */
     void onUnreachable(EndpointRecord endpoint) {
         boolean wasOutlier = isOutlier(endpoint);
         observe(endpoint, 1);
@@ -143,13 +163,13 @@
         ejectIfNew(endpoint, wasOutlier);
     }
 
-    /** The endpoint has rejected an attempt as overloaded: one such response ejects it. */
+    /** Counts a rejection as overloaded by the endpoint; one such response ejects it. */
     void onOverloaded(EndpointRecord endpoint) {
         endpoint.failureRate = Math.max(endpoint.failureRate, EJECTED_RATE);
         onFailure(endpoint);
     }
 
-    /** A timely answer; {@code failure} is above 0, up to 1, where it was slow. */
+    /** Counts a timely answer; {@code failure} is above 0, up to 1, if the answer was slow. */
     void onTimelyAnswer(AttemptState attempt, double failure) {
         EndpointRecord endpoint = attempt.endpoint;
         observe(endpoint, failure);
@@ -160,18 +180,18 @@
         }
     }
 
-    /** The failures seen so far were not the endpoint's. */
+    /** Clears the failures seen so far, because the endpoint did not cause them. */
     void acquit(EndpointRecord endpoint) {
         endpoint.failureRate = 0;
         endpoint.unreachable = false;
     }
 
-    /** A first attempt at a part is sent: it earns part of a trial. */
+    /** Counts a first attempt at a part, which adds a fraction of a trial to the budget. */
     void onFirstAttempt() {
         savedTrials = Math.max(savedTrials, Math.min(MAX_TRIALS_FROM_ATTEMPTS, savedTrials + TRIALS_PER_FIRST_ATTEMPT));
     }
 
-    /** A trial of the endpoint is sent. */
+    /** Counts a trial that is sent to the endpoint, and postpones the next one. */
     void onTrial(EndpointRecord endpoint) {
         savedTrials = Math.max(0, savedTrials - 1);
         unearnedTrialAtS = context.nowS() + context.shortestObjectiveS() * MAX_BACKOFF_OBJECTIVES;
@@ -187,12 +207,15 @@
     }
 
     private void postponeTrial(EndpointRecord endpoint) {
-        double longerS = Math.max(2 * endpoint.trialBackoffS, context.shortestObjectiveS() * FIRST_BACKOFF_SHARE);
-        endpoint.trialBackoffS = Math.min(longerS, context.shortestObjectiveS() * MAX_BACKOFF_OBJECTIVES);
+        double doubledS = Math.max(2 * endpoint.trialBackoffS, context.shortestObjectiveS() * FIRST_BACKOFF_SHARE);
+        endpoint.trialBackoffS = Math.min(doubledS, context.shortestObjectiveS() * MAX_BACKOFF_OBJECTIVES);
         endpoint.nextTrialAtS = context.nowS() + endpoint.trialBackoffS;
     }
 
-    /** Takes one outcome, 0 to 1, into the rates of the endpoint, the fleet and the zone; a slow answer only into the first. */
+    /**
+     * Adds one outcome, 0 to 1, to the failure rates of the endpoint, the fleet and the zone; a slow answer changes
+     * only the endpoint's.
+     */
     private void observe(EndpointRecord endpoint, double failure) {
         endpoint.failureRate += ENDPOINT_GAIN * (failure - endpoint.failureRate);
         fleetFailureRate += FleetEstimates.SAMPLE_GAIN * (Math.floor(failure) - fleetFailureRate);
--- a/src/main/java/pepperdock/scheduler/OverdueDetector.java
+++ b/src/main/java/pepperdock/scheduler/OverdueDetector.java
@@ -3,26 +3,34 @@
 /**
  * Finds outstanding attempts that take too long, and reports them to the policies concerned.
  *
- * <p>Rule: an attempt is overdue after a multiple of the lower quartile of part times, which is a failure of its endpoint. It
- * is lost when even queueing does not explain it: another failure, and a sign of overload. An endpoint silent for twice the
- * overdue time, while others answer, is unreachable. An attempt out for a share of its class's objective is late and counts
- * for the {@link ConcurrencyLimit}. Attempts on dropped idle connections are left to {@link IdleConnectionPolicy}. Inputs:
- * times in seconds. The quartile is used as it stays true while up to three quarters of the endpoints are slow, where the
- * mean follows them; under overload the quartile rises too. Guards against silent endpoints, whose attempts would otherwise
- * end at the query's deadline. Harms endpoints whose parts are much heavier than most.
+ * <p>An attempt is overdue after a multiple of the lower quartile of part times, which counts as a failure of its
+ * endpoint. It is lost when even queueing does not explain its duration, which counts as another failure and as a sign
+ * of overload. An endpoint that gives no answer for twice the overdue time, while others answer, is unreachable. An
+ * attempt outstanding for longer than a share of its class's objective is late and is reported to the
+ * {@link ConcurrencyLimit}. Attempts on dropped idle connections are left to {@link IdleConnectionPolicy}. Inputs are
+ * times in seconds. The lower quartile is used because it stays correct while up to three quarters of the endpoints are
+ * slow, whereas the mean follows them; under overload the quartile rises too.
+ *
+ * <p>This guards against silent endpoints, whose attempts would otherwise end at the query's deadline. It does harm to
+ * endpoints whose parts are much heavier than most.
  */
 final class OverdueDetector {
 
-    /** An attempt is overdue after so many times the lower quartile of part times: few healthy ones take as long. */
+    /**
+     * Multiple of the lower quartile of part times after which an attempt is overdue: few healthy attempts take that
+     * long.
+     */
     private static final double OVERDUE_QUARTILES = 6;
 
-    /** An attempt is lost after the mean part time and so many mean deviations: it may have queued until then. */
+    /** Mean deviations above the mean part time after which an attempt is lost: until then it may have been queued. */
     private static final double LOST_DEVIATIONS = 5;
 
-    /** An endpoint without an answer is unreachable after so many times the overdue time. */
+    /** Multiple of the overdue time after which an endpoint without an answer is unreachable. */
     private static final double SILENT_OVERDUE_FACTOR = 2;
 
-    /** An attempt is late from this share of its class's latency objective on: half remains to react. */
+    /**
+     * Share of its class's latency objective after which an attempt is late: half of the objective remains to react.
+     */
     private static final double LATE_OBJECTIVE_SHARE = 0.5;
 
     private final SchedulerContext context;
@@ -63,7 +71,7 @@
         }
     }
 
-    /** How long an attempt may be outstanding before it is overdue, in seconds. */
+    /** Returns how long an attempt may be outstanding before it is overdue, in seconds. */
     double overdueAfterS() {
         return OVERDUE_QUARTILES * estimates.partTime().lowerQuartileS();
     }
--- a/src/main/java/pepperdock/scheduler/PartArrival.java
+++ b/src/main/java/pepperdock/scheduler/PartArrival.java
@@ -1,7 +1,7 @@
 package pepperdock.scheduler;
 
 /**
- * A part of a query; a later batch may bring those of a second stage.
+ * A part of a query that has arrived; the parts of a second stage may arrive in a later batch.
  *
  * @param id the caller's id of the part
  * @param querySequenceNumber {@link QueryArrival#sequenceNumber} of its query
--- a/src/main/java/pepperdock/scheduler/PartState.java
+++ b/src/main/java/pepperdock/scheduler/PartState.java
@@ -3,10 +3,10 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** A part of a query: what one shard contributes. Plain data. */
+/** A part of a query: the contribution of one shard. Plain data. */
 final class PartState {
 
-    /** The caller's id, by which actions name the part. */
+    /** The caller's id, which identifies the part in actions. */
     final long id;
 
     /** Query that the part belongs to. */
@@ -18,13 +18,13 @@
     /** Share of the complete answer, 0 to 1. */
     final double weight;
 
-    /** An answer has come and counts towards the query's coverage. */
+    /** Whether an answer has arrived that counts towards the query's coverage. */
     boolean answered;
 
-    /** The query's fan-out includes the part; false where it is left out or no longer needed. */
+    /** Whether the query's fan-out includes the part; false if the part is left out or no longer needed. */
     boolean wanted;
 
-    /** Attempts without a result. */
+    /** Number of attempts without a result. */
     int outstanding;
 
     /** All attempts, in order of sending. */
@@ -41,7 +41,7 @@
         return attempts.get(attempts.size() - 1);
     }
 
-    /** Whether the limit on attempts leaves another one. */
+    /** Returns whether the limit on attempts permits another one. */
     boolean hasAttemptsLeft() {
         return attempts.size() < query.maxAttempts;
     }
--- a/src/main/java/pepperdock/scheduler/PlannedShares.java
+++ b/src/main/java/pepperdock/scheduler/PlannedShares.java
@@ -4,6 +4,9 @@
 @FunctionalInterface
 public interface PlannedShares {
 
-    /** Share of the shard's work planned for the endpoint, above 0; only ratios between replicas of a shard count. */
+    /**
+     * Returns the share of the shard's work planned for the endpoint, above 0; only ratios between replicas of a shard
+     * matter.
+     */
     double shareOf(int shard, String endpointId);
 }
--- a/src/main/java/pepperdock/scheduler/ProtocolRules.java
+++ b/src/main/java/pepperdock/scheduler/ProtocolRules.java
@@ -1,13 +1,14 @@
 package pepperdock.scheduler;
 
 /**
- * Figures of the protocol that all instances obey.
+ * Figures of the protocol that apply to all instances.
  *
  * @param answerSlackS seconds after its deadline in which an answer still counts as in time
  * @param drainGraceS seconds after the notice in which a draining endpoint may still receive attempts
  * @param warmUpInitialShare share of its capacity that a started endpoint has at first, above 0 and up to 1
  * @param warmUpS seconds until a started endpoint has all of its capacity
- * @param warmUpOverloadMultiple work that an endpoint warming up takes within the overload window, as a multiple of its capacity
+ * @param warmUpOverloadMultiple work that an endpoint warming up takes within the overload window, as a multiple of its
+ *     capacity
  * @param warmUpOverloadWindowS length of the overload window in seconds, 0 where endpoints need no slow start
  * @param retryBudgetFree retries within the budget's window that are always allowed
  * @param retryBudgetShare further retries, as a share of the queries and parts that arrived within the window
@@ -26,10 +27,13 @@
         double retryBudgetWindowS,
         double listPollIntervalS) {
 
-    /** By the protocol, a change counts as notified so many seconds after the list could be reached. */
+    /** Seconds after which the protocol counts a change of the list as notified, once the list could be reached. */
     private static final double NOTIFICATION_DEADLINE_S = 6;
 
-    /** How long an instance without a watch may hold an old list, in seconds: by the protocol, or less by the settings. */
+    /**
+     * Returns how long an instance without a watch may use an old list, in seconds: the protocol's limit, or the
+     * settings' if that is shorter.
+     */
     double maxListAgeS() {
         return listPollIntervalS > 0 ? Math.min(listPollIntervalS, NOTIFICATION_DEADLINE_S) : NOTIFICATION_DEADLINE_S;
     }
--- a/src/main/java/pepperdock/scheduler/QueryDispatcher.java
+++ b/src/main/java/pepperdock/scheduler/QueryDispatcher.java
@@ -3,12 +3,14 @@
 /**
  * Sends the first attempts of a query.
  *
- * <p>Rule: so many parts as {@link FanOutPolicy} says, heaviest first. Parts without an available replica are left out as far
- * as the class's minimum coverage allows. A query that can't spare them is rejected at once while most endpoints are healthy.
- * Where hedging is allowed, the trial of an ejected replica is sent as a hedged request. Inputs: weights as shares of
- * the answer, health of the replicas. Guards against crowding the one healthy replica of a shard, against metastable overload,
- * which lasts since retries add to it, and against waiting out an outage of all replicas. Harms, until a
- * trial, where an ejection is out of date.
+ * <p>It sends as many parts as {@link FanOutPolicy} allows, the heaviest first. Parts without an available replica are
+ * left out as far as the class's minimum coverage permits. A query that can't do without them is rejected at once while
+ * most endpoints are healthy. Where hedging is allowed, the trial of an ejected replica is sent as a hedged request.
+ * Inputs are weights as shares of the answer, and the health of the replicas.
+ *
+ * <p>This guards against concentrating load on the one healthy replica of a shard, against metastable overload, which
+ * persists because retries add to it, and against waiting out an outage of all replicas. Until a trial, it does harm
+ * where an ejection is out of date.
  */
 final class QueryDispatcher {
 
@@ -51,20 +53,20 @@
     }
 
     private void sendParts(QueryState query, int count, double spareableWeight) {
-        int left = count;
+        int remaining = count;
         double spareable = spareableWeight;
         for (PartState part : FanOutPolicy.heaviestFirst(query)) {
-            part.wanted = left > 0;
+            part.wanted = remaining > 0;
             if (part.weight <= spareable && !hasAvailableReplica(part)) {
                 spareable -= part.weight;
                 part.wanted = false;
-            } else if (left-- > 0 && selector.sendToBest(part) && hedging.mayHedge(part)) {
+            } else if (remaining-- > 0 && selector.sendToBest(part) && hedging.mayHedge(part)) {
                 selector.sendHedgedTrial(part);
             }
         }
     }
 
-    /** Weight of the parts of which no replica is likely to answer. */
+    /** Returns the weight of the parts for which no replica is likely to answer. */
     private double unservableWeight(QueryState query) {
         return query.parts.stream()
                 .filter(part -> registry.replicas(part.shard).stream().noneMatch(this::mayAnswer))
--- a/src/main/java/pepperdock/scheduler/QueryFinisher.java
+++ b/src/main/java/pepperdock/scheduler/QueryFinisher.java
@@ -3,12 +3,12 @@
 import java.util.ArrayList;
 
 /**
- * Carries out the scheduler's decision that a query ends: answered, rejected or failed. (Shutdown, a client that disconnects and
- * the guard at the deadline end queries in the core.)
+ * Ends queries as the scheduler has decided: answered, rejected or failed. A shutdown, a client that disconnects and
+ * the deadline check end queries in the core instead.
  *
- * <p>Rule: a query that ends without an answer is rejected where the client's repeat does no harm, that is, where its class is
- * idempotent or no attempt can have executed; otherwise it fails. Attempts that are still outstanding are cancelled. Guards
- * against a second final answer and against attempts after it.
+ * <p>A query that ends without an answer is rejected where a repeat by the client does no harm, that is, where its
+ * class is idempotent or no attempt can have executed; otherwise it fails. Attempts that are still outstanding are
+ * cancelled. This guards against a second final answer, and against attempts after the final one.
  */
 final class QueryFinisher {
 
@@ -22,7 +22,7 @@
         this.queries = queries;
     }
 
-    /** Answers from the parts that have come; a query of two stages goes on with its second one. */
+    /** Answers from the parts answered so far; a query of two stages continues with its second stage. */
     void answer(QueryState query, boolean complete) {
         actions.answerQuery(query.id, complete);
         if (query.stage == QueryState.FIRST_STAGE && query.queryClass.secondStageParts() > 0) {
@@ -46,7 +46,7 @@
         forget(query);
     }
 
-    /** Drops a query without an answer from here. */
+    /** Closes a query: removes it and cancels its attempts. */
     void forget(QueryState query) {
         query.ended = true;
         queries.remove(query);
--- a/src/main/java/pepperdock/scheduler/QueryReviewer.java
+++ b/src/main/java/pepperdock/scheduler/QueryReviewer.java
@@ -1,8 +1,8 @@
 package pepperdock.scheduler;
 
 /**
- * Looks after dispatched queries: follows up parts without an answer, sends parts left out so far where the minimum coverage
- * is out of reach without them, and ends queries that are due. Decides nothing itself; the rules stand in
+ * Reviews dispatched queries: follows up parts without an answer, sends parts left out so far if the minimum coverage
+ * is out of reach without them, and ends queries that are due. It makes no decisions itself; the rules are in
  * {@link HedgingPolicy}, {@link ReplicaSelector} and {@link CompletionPolicy}.
  */
 final class QueryReviewer {
--- a/src/main/java/pepperdock/scheduler/QueryState.java
+++ b/src/main/java/pepperdock/scheduler/QueryState.java
@@ -6,61 +6,61 @@
 /** A query from its arrival to its final answer. Plain data; times are seconds on the batch clock. */
 final class QueryState {
 
-    /** Rounding tolerance of sums of weights. */
+    /** Tolerance for rounding in sums of weights. */
     static final double COVERAGE_TOLERANCE = 1e-6;
 
-    /** Stage of a query whose class has one stage, and of the others until their first answer. */
+    /** The only stage of a query whose class has one stage, and the stage of other queries until their first answer. */
     static final int FIRST_STAGE = 1;
 
-    /** Stage after the first answer of a class with {@link QueryClass#secondStageParts}. */
+    /** Stage after the first answer, for classes with {@link QueryClass#secondStageParts}. */
     static final int SECOND_STAGE = 2;
 
-    /** The caller's id, by which actions name the query. */
+    /** The caller's id, which identifies the query in actions. */
     final long id;
 
-    /** Number by which {@link PartArrival} names the query. */
+    /** Number by which {@link PartArrival} refers to the query. */
     final long sequenceNumber;
 
-    /** Index into {@link SchedulerSettings#classes} at the arrival. */
+    /** Index into {@link SchedulerSettings#classes} when the query arrived. */
     final int classIndex;
 
-    /** The class at the arrival; settings that change later leave it. */
+    /** The class when the query arrived; later changes of the settings don't affect it. */
     final QueryClass queryClass;
 
-    /** Most attempts at one part. */
+    /** Maximum number of attempts at one part. */
     final int maxAttempts;
 
     /** End of the latency objective, or of this request if that is sooner. */
     double objectiveAtS;
 
-    /** Half of the time that the client waits for this request. */
+    /** When half of the time that the client waits for this request has passed. */
     double halfTimeAtS;
 
-    /** Until when the client's first request would have been answered within the latency objective. */
+    /** End of the latency objective as counted from the client's first request. */
     double firstRequestObjectiveAtS;
 
     /** When the client gives up this request. */
     double endAtS;
 
-    /** {@link #FIRST_STAGE} or {@link #SECOND_STAGE}. */
+    /** Current stage: {@link #FIRST_STAGE} or {@link #SECOND_STAGE}. */
     int stage = FIRST_STAGE;
 
     /** Weight of the parts of this stage that are answered, 0 to 1. */
     double coverage;
 
-    /** Answered, rejected, failed or cancelled: nothing more may be done for it. */
+    /** Whether it was answered, rejected, failed or cancelled; nothing more may be done for it then. */
     boolean ended;
 
-    /** Its parts have been sent; false while it is queued. */
+    /** Whether its parts have been sent; false while it is queued. */
     boolean dispatched;
 
-    /** Its tenant was beyond its quota when it arrived. */
+    /** Whether its tenant was over its quota when the query arrived. */
     boolean overQuota;
 
-    /** The first stage was answered completely. */
+    /** Whether the first stage was answered completely. */
     boolean firstStageComplete;
 
-    /** Parts of the present stage. */
+    /** Parts of the current stage. */
     List<PartState> parts = new ArrayList<>();
 
     QueryState(QueryArrival arrival, QueryClass queryClass, int maxAttempts) {
--- a/src/main/java/pepperdock/scheduler/QueryTable.java
+++ b/src/main/java/pepperdock/scheduler/QueryTable.java
@@ -5,7 +5,7 @@
 import java.util.LinkedHashMap;
 import java.util.Map;
 
-/** The queries that have not ended and the parts that await a result. Iteration is in order of arrival. */
+/** The queries that have not ended and the parts that await a result. It iterates over queries in order of arrival. */
 final class QueryTable {
 
     private final Map<Long, QueryState> byId = new LinkedHashMap<>();
@@ -31,17 +31,17 @@
         parts.remove(part.id);
     }
 
-    /** The query of an id, null where it has ended or is unknown. */
+    /** Returns the query with an id, or null if it has ended or is unknown. */
     QueryState find(long id) {
         return byId.get(id);
     }
 
-    /** The query of a sequence number, null where it has ended or is unknown. */
+    /** Returns the query with a sequence number, or null if it has ended or is unknown. */
     QueryState findBySequenceNumber(long number) {
         return bySequenceNumber.get(number);
     }
 
-    /** The part of an id, null where no result is awaited. */
+    /** Returns the part with an id, or null if no result is awaited for it. */
     PartState findPart(long id) {
         return parts.get(id);
     }
@@ -54,7 +54,7 @@
         return byId.isEmpty();
     }
 
-    /** Open queries that have been dispatched. */
+    /** Returns the number of open queries that have been dispatched. */
     long dispatchedCount() {
         return byId.values().stream().filter(query -> query.dispatched).count();
     }
--- a/src/main/java/pepperdock/scheduler/ReplicaSelector.java
+++ b/src/main/java/pepperdock/scheduler/ReplicaSelector.java
@@ -6,19 +6,24 @@
 /**
  * Selects the replica for an attempt at a part.
  *
- * <p>Rule, from the RMAP paper: the replica with fewest own parts outstanding, counted by call
- * where parts share calls and divided by its planned share; ties are broken by the seed. Only replicas count whose health is
- * not clearly worse than that of the best one; the difference allowed grows with the best one's failure rate, which is less
- * certain the higher it is. A first attempt that can't be hedged goes to an ejected replica whose trial is due. Inputs: this
- * instance's outstanding calls, planned shares, failure rates. Where all replicas are alike none is passed over, so a
- * shared fault does not crowd a few. Harms where the best replica is good by chance only.
+ * <p>As in the RMAP paper, it selects the replica with the fewest own parts outstanding, counted by call where parts
+ * share calls and divided by its planned share; ties are broken at random, by the seed. Only replicas whose health is
+ * not clearly worse than that of the best one are considered; the difference allowed grows with the failure rate of the
+ * best one, which is less certain the higher it is. A first attempt that can't be hedged goes to an ejected replica
+ * whose trial is due. Inputs are this instance's outstanding calls, planned shares and failure rates.
+ *
+ * <p>Where all replicas are equally healthy or unhealthy, none is passed over, so that a shared fault does not
+ * concentrate load on a few. The choice does harm where the best replica is good only by chance.
  */
 final class ReplicaSelector {
 
-    /** What an earlier attempt at the part adds to a replica's failure rate: more than one failure, less than two. */
+    /**
+     * Penalty of a replica that an earlier attempt at the part was sent to: more than one failure adds to the failure
+     * rate, less than two.
+     */
     private static final double ATTEMPTED_PENALTY = 0.5;
 
-    /** What an unreachable replica has added, so that it comes after every reachable one. */
+    /** Penalty of an unreachable replica, large enough that it comes after every reachable one. */
     private static final double UNREACHABLE_PENALTY = 1;
 
     private final EndpointRegistry registry;
@@ -46,7 +51,7 @@
         plannedShares = shares;
     }
 
-    /** Sends an attempt at the part to the replica selected, and tells whether there was one. */
+    /** Sends an attempt at the part to the replica selected, and returns whether an attempt was sent. */
     boolean sendToBest(PartState part) {
         List<EndpointRecord> candidates = registry.replicas(part.shard).stream()
                 .filter(endpoint -> sender.isAllowed(part, endpoint))
@@ -73,7 +78,7 @@
         return best != null && sender.send(part, best);
     }
 
-    /** Sends a hedged request to an ejected replica whose trial is due, so that the trial risks no query. */
+    /** Sends a hedged request to an ejected replica whose trial is due, so that the trial puts no query at risk. */
     void sendHedgedTrial(PartState part) {
         for (EndpointRecord endpoint : registry.replicas(part.shard)) {
             if (part.outstanding == 1
@@ -84,7 +89,7 @@
         }
     }
 
-    /** Health of a replica as far as it concerns the part: the lower the better. */
+    /** Returns the penalty of a replica for the part: the lower, the healthier. */
     private double penalty(EndpointRecord endpoint, PartState part) {
         boolean attempted = part.attempts.stream().anyMatch(attempt -> attempt.endpoint == endpoint);
         return outliers.failureRate(endpoint)
--- a/src/main/java/pepperdock/scheduler/RequestFreshness.java
+++ b/src/main/java/pepperdock/scheduler/RequestFreshness.java
@@ -1,17 +1,22 @@
 package pepperdock.scheduler;
 
 /**
- * Estimates how long a client has waited already when its request arrives.
+ * Estimates how long a client has already waited when its request arrives.
  *
- * <p>Rule: a client tries again until its class's deadline, and the last request is cut short by it. A request whose remaining
- * time is clearly shorter than the class's moving average is taken for such a last one, and the rest of the deadline counts as
- * spent. Inputs: remaining times in seconds. Reason: the latency objective counts from the client's first request, which this
- * instance may not have seen. Guards against spending capacity on answers that are too late. Harms the few clients that give
- * short timeouts from the start, and only while queries wait.
+ * <p>A client retries until its class's deadline, which cuts its last request short. A request whose remaining time is
+ * clearly shorter than the class's moving average is taken for such a last request, and the rest of the deadline counts
+ * as spent. Inputs are remaining times in seconds. The estimate is needed because the latency objective counts from the
+ * client's first request, which this instance may not have seen.
+ *
+ * <p>This guards against spending capacity on answers that are too late. It does harm to the few clients that give
+ * short timeouts from the start, and only while queries are queued.
  */
 final class RequestFreshness {
 
-    /** A request with less than this share of the usual remaining time is a last one; network delay takes less. */
+    /**
+     * Share of the usual remaining time below which a request is taken for a last one; network delay takes less than
+     * the rest.
+     */
     private static final double SHORT_REQUEST_SHARE = 0.9;
 
     private final SchedulerContext context;
@@ -22,12 +27,12 @@
         reset();
     }
 
-    /** Forgets what is usual in each class, as the classes are others now. */
+    /** Discards the averages of all classes, because the classes have changed. */
     void reset() {
         usualRemainingS = new double[context.settings().classes().size()];
     }
 
-    /** Takes in a request, and returns the seconds that its client is thought to have spent before. */
+    /** Records a request, and returns the seconds that its client has probably waited before it. */
     double spentS(int classIndex, QueryClass queryClass, double remainingS) {
         double usualS = usualRemainingS[classIndex] == 0 ? remainingS : usualRemainingS[classIndex];
         usualRemainingS[classIndex] = usualS + FleetEstimates.SAMPLE_GAIN * (remainingS - usualS);
--- a/src/main/java/pepperdock/scheduler/RetryPolicy.java
+++ b/src/main/java/pepperdock/scheduler/RetryPolicy.java
@@ -3,13 +3,15 @@
 import pepperdock.estimate.RetryBudget;
 
 /**
- * Whether a part may be attempted again.
+ * Decides whether a part may be attempted again.
  *
- * <p>Rule: a part of an idempotent class may be repeated; one with an idempotency key while the endpoints recognise the
- * repeat; any other only if no attempt can have executed. Attempts beyond the first are bounded by a {@link RetryBudget},
- * and an ejected endpoint is retried only after its backoff, or as the last resort. Inputs: outcomes, the budget figures of
- * {@link ProtocolRules}; times in seconds. Guards against effects that happen twice, and against retry storms. Harms where
- * a fault hits more parts than the budget covers: those parts are missing from the answers.
+ * <p>A part of an idempotent class may be repeated; a part with an idempotency key may be repeated while the endpoints
+ * recognise the repeat; any other part only if no attempt can have executed. Attempts after the first are limited by a
+ * {@link RetryBudget}, and an ejected endpoint is retried only after its backoff, or as the last resort. Inputs are
+ * outcomes and the budget figures of {@link ProtocolRules}; times are seconds.
+ *
+ * <p>This guards against effects that happen twice, and against retry storms. Where a fault affects more parts than the
+ * budget covers, those parts are missing from the answers.
  */
 final class RetryPolicy {
 
@@ -23,14 +25,14 @@
         onSettings();
     }
 
-    /** The settings have been replaced. */
+    /** Applies the retry budget of the settings, which have been replaced. */
     void onSettings() {
         ProtocolRules rules = context.settings().rules();
         budget.update(
                 new RetryBudget.Stated(rules.retryBudgetWindowS(), rules.retryBudgetFree(), rules.retryBudgetShare()));
     }
 
-    /** Counts a query or part that has arrived, from which the budget is reckoned. */
+    /** Counts a query or part that has arrived, from which the budget is computed. */
     void onArrival() {
         budget.onArrival(context.nowS());
     }
@@ -44,17 +46,17 @@
         }
     }
 
-    /** Whether the rules state a budget. */
+    /** Returns whether the rules set a budget. */
     boolean isBudgetStated() {
         return budget.isStated();
     }
 
-    /** Whether the budget leaves another attempt at the part, which has been attempted. */
+    /** Returns whether the budget permits another attempt at the part, which has been attempted. */
     boolean hasBudget(PartState part) {
         return budget.allows(context.nowS(), hasFailureResponse(part));
     }
 
-    /** Whether the part, which has been attempted, may be retried at the endpoint. */
+    /** Returns whether the part, which has been attempted, may be retried at the endpoint. */
     boolean allowsRetry(PartState part, EndpointRecord endpoint) {
         return hasBudget(part)
                 && (!outliers.isOutlier(endpoint)
@@ -62,7 +64,7 @@
                         || outliers.isLastResort(part, endpoint));
     }
 
-    /** Whether another attempt at the part can't repeat an effect. */
+    /** Returns whether another attempt at the part can't repeat an effect. */
     boolean isRepeatable(PartState part) {
         QueryClass queryClass = part.query.queryClass;
         return switch (queryClass.retrySafety()) {
@@ -77,7 +79,10 @@
         };
     }
 
-    /** Whether the last attempt ended with a response of failure, so that another adds little work to the first. */
+    /**
+     * Returns whether the last attempt ended with an error, with a reset or without being executed, so that another one
+     * adds little work to it.
+     */
     private static boolean hasFailureResponse(PartState part) {
         AttemptOutcome last = part.lastAttempt().outcome;
         return last == AttemptOutcome.ERROR || last == AttemptOutcome.RESET || last != null && last.neverExecuted();
--- a/src/main/java/pepperdock/scheduler/RetrySafety.java
+++ b/src/main/java/pepperdock/scheduler/RetrySafety.java
@@ -1,6 +1,6 @@
 package pepperdock.scheduler;
 
-/** Whether a part may be repeated. */
+/** Tells whether a part may be repeated. */
 public enum RetrySafety {
     /** A repeat has no further effect. */
     IDEMPOTENT,
--- a/src/main/java/pepperdock/scheduler/SchedulerActions.java
+++ b/src/main/java/pepperdock/scheduler/SchedulerActions.java
@@ -1,8 +1,8 @@
 package pepperdock.scheduler;
 
 /**
- * What the scheduler asks of its caller, which carries it out in the order of the calls and must not call back into the
- * scheduler meanwhile. All times are seconds.
+ * The actions that the scheduler requests from its caller. The caller carries them out in the order of the calls and
+ * must not call back into the scheduler meanwhile. All times are seconds.
  */
 public interface SchedulerActions {
 
@@ -15,30 +15,35 @@
      */
     void sendAttempt(long part, String endpointId, double until);
 
-    /** Cancels an attempt, by the part's id and the attempt's number; its result is still reported. */
+    /** Cancels an attempt, identified by the part's id and the attempt's number; its result is still reported. */
     void cancelAttempt(long part, int attempt);
 
     /**
-     * Answers a query from the parts that have come: the final answer, unless a second stage follows.
+     * Answers a query from the parts answered so far. The answer is final unless a second stage follows.
      *
      * @param query {@link QueryArrival#id}
      * @param complete whether the class's complete coverage was reached, in both stages where there are two
      */
     void answerQuery(long query, boolean complete);
 
-    /** Final: rejects a query, whose repeat does no harm; {@code retryAfterS} is the Retry-After in seconds, 0 for none. */
+    /**
+     * Rejects a query, which the client may safely repeat; this ends the query. {@code retryAfterS} is the Retry-After
+     * in seconds, 0 for none.
+     */
     void rejectQuery(long query, double retryAfterS);
 
-    /** Final: fails a query, of which it is not known whether it had an effect. */
+    /** Fails a query that may or may not have had an effect; this ends the query. */
     void failQuery(long query);
 
-    /** Sends a health check to an endpoint. {@link AdaptiveScheduler} judges endpoints by their attempts and sends none. */
+    /**
+     * Sends a health check to an endpoint. {@link AdaptiveScheduler} judges endpoints by their attempts and sends none.
+     */
     void checkHealth(String endpointId);
 
     /** Closes the idle connections to an endpoint, so that the next call opens a new one. */
     void closeIdleConnections(String endpointId);
 
-    /** Asks for {@link Scheduler#onTimer} with {@code token} after so many seconds. */
+    /** Requests a call of {@link Scheduler#onTimer} with {@code token} after {@code afterS} seconds. */
     void setTimer(double afterS, String token);
 
     /** Requests the endpoint list, and its changes from then on. */
--- a/src/main/java/pepperdock/scheduler/SchedulerContext.java
+++ b/src/main/java/pepperdock/scheduler/SchedulerContext.java
@@ -1,8 +1,8 @@
 package pepperdock.scheduler;
 
 /**
- * What all policies of one instance read: the time of the open batch and the settings in force. Written by
- * {@link AdaptiveScheduler} alone, between events.
+ * The state that all policies of one instance read: the time of the open batch and the settings in force. Only
+ * {@link AdaptiveScheduler} writes it, between events.
  */
 final class SchedulerContext {
 
@@ -30,22 +30,27 @@
         stalled = isStalled;
     }
 
-    /** Settings in force. */
+    /** Returns the settings in force. */
     SchedulerSettings settings() {
         return settings;
     }
 
-    /** Shortest latency objective of all classes, in seconds: the time scale of the policies that know no class. */
+    /**
+     * Returns the shortest latency objective of all classes, in seconds: the time scale of policies that do not depend
+     * on a class.
+     */
     double shortestObjectiveS() {
         return shortestObjectiveS;
     }
 
-    /** Time of the batch, in seconds. */
+    /** Returns the time of the batch, in seconds. */
     double nowS() {
         return nowS;
     }
 
-    /** Whether this process stood still before the batch, so that lateness seen in it says nothing about endpoints. */
+    /**
+     * Returns whether this process was paused before the batch, so that delays seen in it say nothing about endpoints.
+     */
     boolean stalled() {
         return stalled;
     }
--- a/src/main/java/pepperdock/scheduler/SchedulerSettings.java
+++ b/src/main/java/pepperdock/scheduler/SchedulerSettings.java
@@ -3,18 +3,18 @@
 import java.util.List;
 
 /**
- * The settings of one instance. Immutable.
+ * The settings of one scheduler instance. Immutable.
  *
- * @param instances gatherers that share the fleet, at least 1
+ * @param instances number of gatherers that share the fleet, at least 1
  * @param zone zone that this instance runs in
- * @param tickS length of a tick in seconds: the grain of the caller's clock
+ * @param tickS length of a tick in seconds: the resolution of the caller's clock
  * @param pollsEndpointList whether endpoint lists have to be requested; otherwise they are pushed from the start
  * @param classes query classes; {@link QueryArrival#queryClass} is an index into them
- * @param tenantRates quota of each tenant in queries a second, for the whole fleet
- * @param overQuotaWeight share of its value that a query beyond its tenant's quota keeps; from 1 on quotas have no effect
+ * @param tenantRates quota of each tenant in queries per second, for the whole fleet
+ * @param overQuotaWeight share of its value that a query over its tenant's quota keeps; from 1 on quotas have no effect
  * @param reportNames names of the figures of a {@link LoadReport}
  * @param layout which endpoints hold a shard
- * @param limits what the operator allows
+ * @param limits limits set by the operator
  * @param rules figures of the protocol
  */
 public record SchedulerSettings(
@@ -30,7 +30,7 @@
         SchedulerLimits limits,
         ProtocolRules rules) {
 
-    /** Rejects settings that make no sense, naming the first one found. */
+    /** Checks that the settings are in range. The exception names the first one that is not. */
     public SchedulerSettings {
         check(instances >= 1, "instances");
         check(tickS > 0, "tickS");
@@ -45,7 +45,7 @@
         reportNames = List.copyOf(reportNames);
     }
 
-    /** The same with another number of instances. */
+    /** Returns the same settings with another number of instances. */
     public SchedulerSettings withInstances(int instances) {
         return new SchedulerSettings(
                 instances,
@@ -66,7 +66,9 @@
         check(objectiveS > 0 && objectiveS <= queryClass.deadlineS(), "aimS");
         double minimum = queryClass.minimumCoverage();
         double complete = queryClass.completeCoverage();
-        check(minimum > 0 && minimum <= complete && complete <= 1, "floor and need");
+        check(
+                minimum > 0 && minimum <= complete && complete <= 1,
+                "minimum or complete coverage (expected 0 < floor <= need <= 1)");
         check(queryClass.secondStageParts() >= 0, "secondStep");
         check(
                 queryClass.priorityWeight() >= 0
@@ -79,16 +81,18 @@
         check(rules.warmUpInitialShare() > 0 && rules.warmUpInitialShare() <= 1, "coldFrom");
         check(
                 rules.warmUpS() >= 0 && rules.warmUpOverloadWindowS() >= 0 && rules.warmUpOverloadMultiple() > 0,
-                "warm-up and fall figures");
+                "warm-up figures (expected time and overload window >= 0, overload multiple > 0)");
         check(
                 rules.retryBudgetWindowS() >= 0 && rules.retryBudgetFree() >= 0 && rules.retryBudgetShare() >= 0,
-                "budget figures");
-        check(rules.drainGraceS() >= 0 && rules.answerSlackS() >= 0 && rules.listPollIntervalS() >= 0, "rule periods");
+                "retry budget figures (expected >= 0)");
+        check(
+                rules.drainGraceS() >= 0 && rules.answerSlackS() >= 0 && rules.listPollIntervalS() >= 0,
+                "drain grace, answer slack or list poll interval (expected >= 0)");
     }
 
-    private static void check(boolean ok, String what) {
-        if (!ok) {
-            throw new IllegalArgumentException("settings: " + what + " out of range");
+    private static void check(boolean inRange, String name) {
+        if (!inRange) {
+            throw new IllegalArgumentException("settings: " + name + " out of range");
         }
     }
 }
--- a/src/main/java/pepperdock/scheduler/SweepTimer.java
+++ b/src/main/java/pepperdock/scheduler/SweepTimer.java
@@ -1,22 +1,27 @@
 package pepperdock.scheduler;
 
 /**
- * Keeps a periodic timer while there is anything to look after, and notices when the process stood still.
+ * Runs a periodic timer while there is anything to check, and detects that the process was paused.
  *
- * <p>Rule: while queries are open, or the endpoint list is not watched, a timer expires every {@link #PERIOD_TICKS} ticks.
- * A batch that opens long after the timer was due means that this process was paused. Input: the time in seconds. Reason:
- * time-outs have no event of their own. Guards against blaming endpoints for answers that waited in this process; harms by
- * one batch in which overdue attempts are not looked for.
+ * <p>While queries are open, or the endpoint list is not watched, a timer expires every {@link #PERIOD_TICKS} ticks. A
+ * batch that opens long after the timer was due means that this process was paused. Its input is the time in seconds.
+ * The timer is needed because time-outs cause no events.
+ *
+ * <p>Detecting pauses keeps answers that waited in this process from being counted against endpoints. It costs one
+ * batch in which overdue attempts are not checked.
  */
 final class SweepTimer {
 
-    /** Period in ticks: fine enough for time-outs, coarse enough to cost little. */
+    /** Period in ticks: short enough for time-outs, long enough to cost little. */
     static final int PERIOD_TICKS = 5;
 
-    /** A timer late by so many periods shows that the process was paused: scheduling jitter stays well below. */
+    /**
+     * Number of periods by which a timer must be late to show that the process was paused; scheduling jitter is well
+     * below.
+     */
     private static final double STALL_PERIODS = 4;
 
-    /** Token of the timer; it is the only one that the scheduler sets. */
+    /** Token of the only timer that the scheduler sets. */
     private static final String TOKEN = "sweep";
 
     private final SchedulerActions actions;
@@ -27,12 +32,12 @@
         this.actions = actions;
     }
 
-    /** Whether the timer is so late at {@code nowS} that the process must have been paused. */
+    /** Returns whether the timer is so late at {@code nowS} that the process must have been paused. */
     boolean isStalled(double nowS, double tickS) {
         return armed && nowS > dueAtS + STALL_PERIODS * PERIOD_TICKS * tickS;
     }
 
-    /** Sets the timer unless it is set. */
+    /** Sets the timer unless it is already set. */
     void arm(double nowS, double tickS) {
         if (armed) {
             return;
@@ -42,7 +47,7 @@
         actions.setTimer(PERIOD_TICKS * tickS, TOKEN);
     }
 
-    /** The timer has expired. */
+    /** Records that the timer has expired. */
     void onExpired() {
         armed = false;
     }
--- a/src/main/java/pepperdock/scheduler/TenantQuota.java
+++ b/src/main/java/pepperdock/scheduler/TenantQuota.java
@@ -4,19 +4,23 @@
 import pepperdock.estimate.TokenBucket;
 
 /**
- * Knows which queries are beyond their tenant's quota.
+ * Determines which queries are over their tenant's quota.
  *
- * <p>Rule: a token bucket per tenant, filled at this instance's part of the tenant's rate; a query that finds no token is
- * beyond the quota. Inputs: rates in queries a second for the fleet, the number of instances. Has effect only while
- * {@link LoadShedder} rejects arrivals. Guards against one tenant's excess being paid by all; harms where a tenant's
- * queries are spread unevenly over the instances.
+ * <p>Each tenant has a token bucket, filled at this instance's portion of the tenant's rate; a query that finds no
+ * token is over the quota. Inputs are rates in queries per second for the whole fleet, and the number of instances. The
+ * quota has an effect only while {@link LoadShedder} rejects arrivals.
+ *
+ * <p>This guards against one tenant's excess load affecting all tenants. It does harm where a tenant's queries are
+ * spread unevenly over the instances.
  */
 final class TenantQuota {
 
-    /** What a tenant may save up, in shortest latency objectives of its rate: bursts are ordinary. */
+    /** Queries that a tenant may save up, in shortest latency objectives at its rate, since bursts are normal. */
     private static final double BURST_OBJECTIVES = 3;
 
-    /** Least that a tenant may save up, in queries: a quota below one query an objective must still admit a few. */
+    /**
+     * Least number of queries that a tenant may save up: a quota below one query per objective must still admit a few.
+     */
     private static final double MIN_BURST_QUERIES = 3;
 
     private final SchedulerContext context;
@@ -28,7 +32,7 @@
         Arrays.setAll(buckets, tenant -> new TokenBucket());
     }
 
-    /** Counts a query of the tenant, and tells whether it is beyond the quota. */
+    /** Counts a query of the tenant, and returns whether it is over the quota. */
     boolean isExceededBy(int tenant) {
         SchedulerSettings settings = context.settings();
         if (tenant < 0 || tenant >= buckets.length || settings.overQuotaWeight() >= 1) {
--- a/src/test/java/pepperdock/estimate/EstimatesTest.java
+++ b/src/test/java/pepperdock/estimate/EstimatesTest.java
@@ -78,13 +78,13 @@
     void anAllowanceOfAWarmingWorkerEarnsByItsRisingRateAndMayOverdrawByOnePart() {
         WarmUpAllowance allowance = new WarmUpAllowance(10, 0.1, 0.05);
         assertFalse(allowance.allows(10, 0.1, 0));
-        // From 0.1 to 0.3 a second over half a second: 0.1 in all.
+        // The rate rises from 0.1 to 0.3 per second over half a second, which earns 0.1 in total.
         assertTrue(allowance.allows(10.5, 0.3, 0));
         allowance.send(0.3);
         assertFalse(allowance.allows(10.5, 0.3, 0));
         assertFalse(allowance.allows(11.4, 0.3, 0));
         assertTrue(allowance.allows(11.6, 0.3, 0));
-        // Nothing more is saved up than may be, however long nothing is sent.
+        // No more than the limit is saved up, however long nothing is sent.
         assertTrue(allowance.allows(100, 0.3, 0.2));
         allowance.send(0.2);
         assertTrue(allowance.allows(100, 0.3, 0.2));
--- a/src/test/java/pepperdock/scheduler/AdmissionControllerTest.java
+++ b/src/test/java/pepperdock/scheduler/AdmissionControllerTest.java
@@ -17,7 +17,7 @@
         fixture.query(2, 3.99, SchedulerFixture.equal(4));
         fixture.scheduler.endBatch();
         double until = fixture.actions.sends.get(4).until();
-        assertTrue(until > 101.9, "time left to the second query: " + until);
+        assertTrue(until > 101.9, "deadline of the second query's first attempt: " + until);
     }
 
     @Test
@@ -34,7 +34,7 @@
         full.query(3, 0.9, SchedulerFixture.equal(8));
         full.scheduler.endBatch();
         full.sweep(full.now + 0.9);
-        assertEquals(List.of("reject 3"), full.actions.endings(3), "a held query ends within a short try");
+        assertEquals(List.of("reject 3"), full.actions.endings(3), "a queued query ends before its short deadline");
     }
 
     @Test
@@ -45,7 +45,7 @@
         }
         fixture.scheduler.endBatch();
         long rejected = fixture.actions.count("reject");
-        assertTrue(rejected > 10 && rejected < 70, "rejected at once: " + rejected);
-        assertEquals(List.of(), fixture.actions.endings(3), "the first to wait is held");
+        assertTrue(rejected > 10 && rejected < 70, "queries rejected at once: " + rejected);
+        assertEquals(List.of(), fixture.actions.endings(3), "the first query to wait is queued");
     }
 }
--- a/src/test/java/pepperdock/scheduler/CompletionPolicyTest.java
+++ b/src/test/java/pepperdock/scheduler/CompletionPolicyTest.java
@@ -29,20 +29,20 @@
 
     @Test
     void answerAtTheObjectiveNeedsMinimumCoverageAndIsIncomplete() {
-        for (int in : new int[] {2, 3}) {
+        for (int answeredParts : new int[] {2, 3}) {
             SchedulerFixture fixture = new SchedulerFixture();
             fixture.minimumCoverage = 0.6;
             fixture.start("a", "b");
             fixture.query(1, 6, SchedulerFixture.equal(4));
             fixture.scheduler.endBatch();
             fixture.at(100.2);
-            for (long part : SchedulerFixture.parts(1, in)) {
+            for (long part : SchedulerFixture.parts(1, answeredParts)) {
                 fixture.end(part, 0, AttemptOutcome.OK, 0.2);
             }
             fixture.scheduler.endBatch();
             assertEquals(List.of(), fixture.actions.endings(1));
             fixture.sweep(102);
-            assertEquals(List.of(in == 3 ? "answer 1 false" : "reject 1"), fixture.actions.endings(1));
+            assertEquals(List.of(answeredParts == 3 ? "answer 1 false" : "reject 1"), fixture.actions.endings(1));
         }
     }
 
@@ -70,7 +70,7 @@
                     odd.completeCoverage = 0.5;
                     odd.start("a");
                 },
-                "minimum above complete coverage");
+                "minimum coverage above complete coverage");
     }
 
     @Test
@@ -93,7 +93,7 @@
 
     @Test
     void secondStageIsCompleteOnlyIfBothStagesAre() {
-        for (boolean firstWhole : new boolean[] {true, false}) {
+        for (boolean firstComplete : new boolean[] {true, false}) {
             SchedulerFixture fixture = new SchedulerFixture();
             fixture.minimumCoverage = 0.5;
             fixture.secondStageParts = 2;
@@ -101,12 +101,12 @@
             fixture.query(1, 6, SchedulerFixture.equal(4));
             fixture.scheduler.endBatch();
             fixture.at(100.2);
-            for (long part : SchedulerFixture.parts(1, firstWhole ? 4 : 3)) {
+            for (long part : SchedulerFixture.parts(1, firstComplete ? 4 : 3)) {
                 fixture.end(part, 0, AttemptOutcome.OK, 0.2);
             }
             fixture.scheduler.endBatch();
-            fixture.sweep(firstWhole ? 100.3 : 101.45);
-            assertEquals(List.of("answer 1 " + firstWhole), fixture.actions.endings(1));
+            fixture.sweep(firstComplete ? 100.3 : 101.45);
+            assertEquals(List.of("answer 1 " + firstComplete), fixture.actions.endings(1));
             fixture.actions.clear();
             fixture.at(fixture.now + 0.005);
             fixture.scheduler.onPart(new PartArrival(150, fixture.lastSequenceNumber, 0, 0.5));
@@ -117,14 +117,14 @@
             fixture.end(103, 0, AttemptOutcome.OK, 0.4);
             fixture.end(150, 0, AttemptOutcome.OK, 0.01);
             fixture.scheduler.endBatch();
-            assertEquals(List.of(), fixture.actions.endings(1), "a late part of the first step counts for nothing");
+            assertEquals(List.of(), fixture.actions.endings(1), "a late part of the first stage does not count");
             fixture.end(151, 0, AttemptOutcome.OK, 0.01);
             fixture.scheduler.endBatch();
-            assertEquals(List.of("answer 1 " + firstWhole), fixture.actions.endings(1));
+            assertEquals(List.of("answer 1 " + firstComplete), fixture.actions.endings(1));
         }
     }
 
-    /** Rejected near its deadline, it would cost its client the whole wait. */
+    /** Guards against rejecting such a query only near its deadline, which would cost its client the whole wait. */
     @Test
     void unreachedQueryIsRejectedByHalfItsTime() {
         SchedulerFixture fixture = new SchedulerFixture();
--- a/src/test/java/pepperdock/scheduler/ConcurrencyLimitTest.java
+++ b/src/test/java/pepperdock/scheduler/ConcurrencyLimitTest.java
@@ -11,6 +11,6 @@
         SchedulerFixture fixture = SchedulerFixture.atConcurrencyLimit(1);
         fixture.query(3, 6, SchedulerFixture.equal(8));
         fixture.scheduler.endBatch();
-        assertEquals(17, fixture.actions.sends.size(), "the third query waits");
+        assertEquals(17, fixture.actions.sends.size(), "attempts sent; the third query is queued");
     }
 }
--- a/src/test/java/pepperdock/scheduler/EndpointListPollerTest.java
+++ b/src/test/java/pepperdock/scheduler/EndpointListPollerTest.java
@@ -21,19 +21,20 @@
         fixture.scheduler.onEndpointList(EndpointListKind.FAILED, List.of());
         fixture.query(1, 6, 1.0);
         fixture.scheduler.endBatch();
-        assertEquals(1, fixture.actions.count("subscribe"), "not at once");
+        assertEquals(1, fixture.actions.count("subscribe"), "the call is not retried at once");
         assertEquals(1, fixture.actions.sends.size());
         fixture.sweep(102);
         assertEquals(2, fixture.actions.count("subscribe"));
     }
 
     /**
-     * Discovery is one service, and calls that come together fail together: no tenth of a second may see most of the calls.
+     * Guards against instances calling at the same time: discovery is one service, and calls that arrive together fail
+     * together. No tenth of a second may contain most of the calls.
      */
     @Test
     void instancesSpreadFirstListCallsAndTheirRetries() {
         Map<Long, Integer> first = new HashMap<>();
-        Map<Long, Integer> again = new HashMap<>();
+        Map<Long, Integer> retries = new HashMap<>();
         for (int i = 0; i < 100; i++) {
             SchedulerFixture fixture = new SchedulerFixture();
             fixture.pollsEndpointList = true;
@@ -44,13 +45,13 @@
             fixture.at(101);
             fixture.scheduler.onEndpointList(EndpointListKind.FAILED, List.of());
             fixture.scheduler.endBatch();
-            again.merge(tenthOfSecondOfCall(fixture, 2), 1, Integer::sum);
+            retries.merge(tenthOfSecondOfCall(fixture, 2), 1, Integer::sum);
         }
-        assertTrue(first.values().stream().allMatch(n -> n < 40), first::toString);
-        assertTrue(again.values().stream().allMatch(n -> n < 40), again::toString);
+        assertTrue(first.values().stream().allMatch(calls -> calls < 40), first::toString);
+        assertTrue(retries.values().stream().allMatch(calls -> calls < 40), retries::toString);
     }
 
-    /** The tenth of a second in which an instance makes its call number {@code call} for the list. */
+    /** Returns the tenth of a second in which an instance makes its call number {@code call} for the list. */
     private static long tenthOfSecondOfCall(SchedulerFixture fixture, int call) {
         double limit = fixture.now + 5;
         while (fixture.actions.count("subscribe") < call && fixture.now < limit) {
--- a/src/test/java/pepperdock/scheduler/EndpointRegistryTest.java
+++ b/src/test/java/pepperdock/scheduler/EndpointRegistryTest.java
@@ -40,7 +40,7 @@
                         .toList());
     }
 
-    /** A day of releases lists hundreds of endpoints that never come back; each must be let go. */
+    /** Guards against a leak of records: a day of releases lists hundreds of endpoints that never come back. */
     @Test
     void removedEndpointIsForgottenOnceItsAttemptsEnd() {
         SchedulerFixture fixture = new SchedulerFixture().start("a0");
--- a/src/test/java/pepperdock/scheduler/FanOutPolicyTest.java
+++ b/src/test/java/pepperdock/scheduler/FanOutPolicyTest.java
@@ -30,7 +30,8 @@
         fixture.scheduler.endBatch();
         fixture.actions.clear();
         fixture.at(fixture.now + 0.1);
-        // The part answered raises the limit over 16: one waits behind, two are out: ceil(16.1 / (1 + 1 + 1.5)) = 5.
+        // The answered part raises the limit above 16. One query is queued behind and two are running, which gives
+        // ceil(16.1 / (1 + 1 + 1.5)) = 5.
         fixture.scheduler.onAttemptResult(new AttemptResult(101, 0, "a", AttemptOutcome.OK, 0.1, LoadReport.NONE));
         fixture.scheduler.endBatch();
         assertEquals(List.of(301L, 302L, 303L, 304L, 305L), fixture.actions.sentParts());
@@ -63,28 +64,28 @@
     }
 
     /**
-     * Guards against full fan-out into endpoints that queue: one of many instances sees a query now and then, so none waits
-     * there.
+     * Guards against full fan-out to endpoints that queue: one of many instances receives a query now and then, so no
+     * query is queued at that instance.
      */
     @Test
     void slowPartsTrimQueriesThatNeedNotWait() {
         List<Long> all = List.of(200L, 201L, 202L, 203L, 204L, 205L);
-        assertEquals(all.subList(1, 6), sentWhilePartsAreSlow(0.6, 50), "all but the lightest");
-        assertEquals(all, sentWhilePartsAreSlow(1, 50), "all are needed");
-        assertEquals(all, sentWhilePartsAreSlow(0.6, 1), "the instance's own ceiling sees the load");
+        assertEquals(all.subList(1, 6), sentWhilePartsAreSlow(0.6, 50), "all parts but the lightest are sent");
+        assertEquals(all, sentWhilePartsAreSlow(1, 50), "all parts are needed");
+        assertEquals(all, sentWhilePartsAreSlow(0.6, 1), "a sole instance's own limit shows the load");
     }
 
-    private static List<Long> sentWhilePartsAreSlow(double floor, int instances) {
+    private static List<Long> sentWhilePartsAreSlow(double minimumCoverage, int instances) {
         double[] weights = {0.05, 0.3, 0.1, 0.25, 0.1, 0.2};
         SchedulerFixture fixture = new SchedulerFixture();
-        fixture.minimumCoverage = floor;
+        fixture.minimumCoverage = minimumCoverage;
         fixture.instances = instances;
         fixture.shards = 6;
         fixture.start("a", "b", "c");
         fixture.serve(40, 6, 0.2 * SchedulerFixture.OBJECTIVE_S);
         fixture.query(1, 6, weights);
         fixture.scheduler.endBatch();
-        assertEquals(6, fixture.actions.sends.size(), "while parts are quick");
+        assertEquals(6, fixture.actions.sends.size(), "attempts sent while parts are quick");
         SchedulerFixture.parts(1, 6).forEach(p -> fixture.end(p, 0, AttemptOutcome.OK, 0.1));
         fixture.scheduler.endBatch();
         fixture.at(fixture.now + 1).serve(60, 6, 0.36 * SchedulerFixture.OBJECTIVE_S);
--- a/src/test/java/pepperdock/scheduler/HedgingPolicyTest.java
+++ b/src/test/java/pepperdock/scheduler/HedgingPolicyTest.java
@@ -18,7 +18,10 @@
             fixture.scheduler.endBatch();
             fixture.sweep(sent + 1.5);
             assertEquals(allowed ? 2 : 1, fixture.actions.sends.size());
-            assertEquals(allowed ? 0 : 1, fixture.actions.count("cancel"), "cancelled where it may not be hedged");
+            assertEquals(
+                    allowed ? 0 : 1,
+                    fixture.actions.count("cancel"),
+                    "the attempt is cancelled where it may not be hedged");
         }
     }
 
@@ -44,16 +47,16 @@
         fixture.retryBudgetWindowS = 5;
         fixture.start("a", "b", "c", "d", "e", "f", "g", "h", "i", "j");
         for (int id = 1; id <= 6; id++) {
-            double asked = fixture.now;
+            double queryStart = fixture.now;
             fixture.query(id, 6, SchedulerFixture.equal(100));
             fixture.scheduler.endBatch();
             for (int n = 0; n < 100; n++) {
                 double spent = 0.1 + 0.005 * n;
-                fixture.at(asked + spent);
+                fixture.at(queryStart + spent);
                 fixture.end(id * 100L + n, 0, AttemptOutcome.OK, spent);
                 fixture.scheduler.endBatch();
             }
-            fixture.sweep(asked + 3);
+            fixture.sweep(queryStart + 3);
         }
         fixture.actions.clear();
         return fixture;
@@ -62,19 +65,19 @@
     @Test
     void overduePartsAreHedgedThoughAnswersComeSorted() {
         SchedulerFixture fixture = afterSortedAnswers();
-        double asked = fixture.now;
+        double queryStart = fixture.now;
         fixture.query(7, 6, SchedulerFixture.equal(100));
         fixture.scheduler.endBatch();
-        fixture.at(asked + 0.15);
+        fixture.at(queryStart + 0.15);
         for (int n = 15; n < 100; n++) {
             fixture.end(700L + n, 0, AttemptOutcome.OK, 0.15);
         }
         fixture.scheduler.endBatch();
-        fixture.sweep(asked + 1.9);
-        long again = fixture.actions.sends.size() - 100L;
-        // 5 and a fifth of the 101 arrivals, less the one left unused: more than the ten saved up, and all that are
-        // missing.
-        assertEquals(15, again);
+        fixture.sweep(queryStart + 1.9);
+        long retries = fixture.actions.sends.size() - 100L;
+        // The budget is 5 and a fifth of the 101 arrivals, less the one left unused. This is more than the ten saved
+        // up, and covers all missing parts.
+        assertEquals(15, retries);
     }
 
     @Test
@@ -86,12 +89,12 @@
             fixture.retryBudgetWindowS = budgeted ? 5 : 0;
             fixture.start("a", "b", "c");
             fixture.serve(200, 0.35);
-            double asked = fixture.now;
+            double queryStart = fixture.now;
             fixture.query(1, 6, 1.0);
             fixture.scheduler.endBatch();
-            fixture.sweep(asked + 1.2);
-            assertEquals(1, fixture.actions.sends.size(), "neither overdue nor the last moment");
-            fixture.sweep(asked + 1.75);
+            fixture.sweep(queryStart + 1.2);
+            assertEquals(1, fixture.actions.sends.size(), "the part is not overdue, and it is not the last moment");
+            fixture.sweep(queryStart + 1.75);
             assertEquals(budgeted ? 2 : 1, fixture.actions.sends.size());
         }
     }
--- a/src/test/java/pepperdock/scheduler/IdleConnectionPolicyTest.java
+++ b/src/test/java/pepperdock/scheduler/IdleConnectionPolicyTest.java
@@ -11,7 +11,7 @@
 
 class IdleConnectionPolicyTest {
 
-    /** Sends a query of a part for each endpoint named; all but the silent ones answer in time. */
+    /** Sends a query with the given number of parts. All endpoints but the silent ones answer in time. */
     private static void ask(SchedulerFixture fixture, long id, int parts, Set<String> silent) {
         int before = fixture.actions.sends.size();
         fixture.query(id, 6, SchedulerFixture.equal(parts));
@@ -33,6 +33,10 @@
         fixture.sweep(fixture.now + 4);
     }
 
+    /**
+     * Returns a fixture after five queries that all endpoints answered, one that the given number of endpoints left
+     * unanswered, and one that was just sent.
+     */
     private static SchedulerFixture afterManyQueries(int silent) {
         SchedulerFixture fixture = new SchedulerFixture();
         String[] names = IntStream.range(0, 12).mapToObj(i -> "s" + i).toArray(String[]::new);
@@ -51,15 +55,16 @@
     void silentlyDroppedIdleConnectionsAreClosedAndTheirEndpointsNotBlamed() {
         SchedulerFixture fixture = afterManyQueries(8);
         assertEquals(12, fixture.actions.count("drop"));
-        assertTrue(fixture.actions.all.get(0).startsWith("drop"), "before the send");
-        assertEquals(12, fixture.counts().size(), "no endpoint is passed over");
+        assertTrue(
+                fixture.actions.all.get(0).startsWith("drop"), "connections are closed before the attempts are sent");
+        assertEquals(12, fixture.counts().size(), "every endpoint receives attempts");
     }
 
     @Test
     void fewSilentEndpointsAreNotTakenForDroppedConnections() {
         SchedulerFixture fixture = afterManyQueries(3);
-        assertTrue(fixture.actions.count("drop") <= 3, "at most at the silent ones");
-        assertTrue(fixture.counts().size() <= 11, "they are passed over, but for trials: " + fixture.counts());
+        assertTrue(fixture.actions.count("drop") <= 3, "connections are closed at most to the silent endpoints");
+        assertTrue(fixture.counts().size() <= 11, "silent endpoints receive only trials: " + fixture.counts());
     }
 
     @Test
--- a/src/test/java/pepperdock/scheduler/LargeFleetTest.java
+++ b/src/test/java/pepperdock/scheduler/LargeFleetTest.java
@@ -9,10 +9,10 @@
 import java.util.stream.Collectors;
 import org.junit.jupiter.api.Test;
 
-/** Decisions in large fleets: sparse evidence, paths between zones, loads that no concurrency limit bounds. */
+/** Tests decisions in large fleets: sparse evidence, paths between zones, loads that no concurrency limit bounds. */
 class LargeFleetTest {
 
-    /** Sends a query of so many parts and ends each attempt: parts at the endpoints named late, all others in time. */
+    /** Sends a query of {@code parts} parts and ends each attempt: late at the endpoints named, in time at others. */
     private static void round(SchedulerFixture fixture, long id, int parts, double lateS, String... late) {
         int before = fixture.actions.sends.size();
         fixture.query(id, 6, SchedulerFixture.equal(parts));
@@ -53,7 +53,7 @@
         fixture.query(50, 6, SchedulerFixture.equal(8));
         fixture.scheduler.endBatch();
         long slow = fixture.counts().getOrDefault("c", 0L) + fixture.counts().getOrDefault("d", 0L);
-        assertTrue(slow <= 2, "no more than trials: " + fixture.counts());
+        assertTrue(slow <= 2, "slow endpoints receive only trials: " + fixture.counts());
     }
 
     @Test
@@ -84,7 +84,7 @@
         assertTrue(
                 fixture.counts().getOrDefault("n3", 0L) >= 3, fixture.counts().toString());
         assertTrue(
-                fixture.counts().getOrDefault("f3", 0L) <= 1, "never met, but behind the bad way: " + fixture.counts());
+                fixture.counts().getOrDefault("f3", 0L) <= 1, "new, but behind a degraded path: " + fixture.counts());
     }
 
     @Test
@@ -95,18 +95,18 @@
         fixture.serve(100, 3, 0.15);
         fixture.query(1, 6, 1.0);
         fixture.scheduler.endBatch();
-        String mute = fixture.actions.sends.get(0).endpointId();
+        String silent = fixture.actions.sends.get(0).endpointId();
         double sent = fixture.now;
         for (int i = 0; i < 8; i++) {
             fixture.sweep(sent + 0.2 * (i + 1));
-            String before = mute;
-            int n = fixture.actions.sends.size();
+            String excluded = silent;
+            int first = fixture.actions.sends.size();
             fixture.query(10 + i, 6, SchedulerFixture.equal(3));
             fixture.scheduler.endBatch();
             fixture.at(fixture.now + 0.1);
             for (RecordingActions.Sent s :
-                    List.copyOf(fixture.actions.sends.subList(n, fixture.actions.sends.size()))) {
-                if (!s.endpointId().equals(before)) {
+                    List.copyOf(fixture.actions.sends.subList(first, fixture.actions.sends.size()))) {
+                if (!s.endpointId().equals(excluded)) {
                     fixture.scheduler.onAttemptResult(
                             new AttemptResult(s.part(), 0, s.endpointId(), AttemptOutcome.OK, 0.1, LoadReport.NONE));
                 }
@@ -118,7 +118,7 @@
         fixture.query(50, 6, SchedulerFixture.equal(6));
         fixture.scheduler.endBatch();
         assertTrue(
-                fixture.counts().getOrDefault(mute, 0L) <= 1, fixture.counts().toString());
+                fixture.counts().getOrDefault(silent, 0L) <= 1, fixture.counts().toString());
     }
 
     @Test
@@ -150,7 +150,7 @@
         long trials = fixture.actions.sends.stream()
                 .filter(s -> Integer.parseInt(s.endpointId().substring(1)) < 10)
                 .count();
-        assertTrue(trials >= 1 && trials <= 3, "trials in one query: " + trials);
+        assertTrue(trials >= 1 && trials <= 3, "trials in one query, expected 1 to 3: " + trials);
     }
 
     @Test
@@ -207,7 +207,7 @@
             fixture.scheduler.endBatch();
         }
         long rejected = fixture.actions.count("reject");
-        assertTrue(rejected >= 20 && rejected < 40, "rejected: " + rejected);
+        assertTrue(rejected >= 20 && rejected < 40, "rejected, expected 20 to 39: " + rejected);
         for (long part : fixture.actions.sentParts()) {
             fixture.end(part, 0, AttemptOutcome.OK, 0.1);
         }
@@ -249,7 +249,7 @@
             idle.query(i, 6, 1.0);
             idle.scheduler.endBatch();
         }
-        assertEquals(0, idle.actions.count("reject"), "no effect while there is room");
+        assertEquals(0, idle.actions.count("reject"), "the quota has no effect while no load is shed");
     }
 
     @Test
@@ -297,11 +297,13 @@
             }
             sent += fixture.counts().getOrDefault("cold", 0L);
         }
-        // Twice a fifth of what one core does in the second at 0.1 s a part, and what chance and safety leave of it.
-        assertTrue(sent <= 8, "sent by all in the first second: " + sent);
+        // Twice a fifth of a core's ten parts a second at 0.1 s each, changed by random waits and the safety margin.
+        assertTrue(sent <= 8, "attempts sent by all instances in the first second: " + sent);
     }
 
-    /** The protocol's bound on the parts sent to an endpoint that warms up, N + 2 sqrt(N) + 2, while all instances have parts for it. */
+    /**
+     * Checks the protocol's bound on parts sent in a warm-up, N + 2 sqrt(N) + 2, while all instances have parts for it.
+     */
     @Test
     void busyInstancesStayWithinTheBoundOverTheWholeWarmUp() {
         double partS = 0.1;
@@ -331,16 +333,16 @@
             }
             sends.sort(null);
             for (int last = 0, first = 0; last < sends.size(); last++) {
-                double at = sends.get(last);
-                while (sends.get(first) <= at - 1) {
+                double time = sends.get(last);
+                while (sends.get(first) <= time - 1) {
                     first++;
                 }
-                double allowed = 2 * (0.2 + 0.8 * (at - boot) / 10) / partS;
+                double allowed = 2 * (0.2 + 0.8 * (time - boot) / 10) / partS;
                 double bound = allowed + 2 * Math.sqrt(allowed) + 2;
-                int got = last - first + 1;
-                assertTrue(got <= bound, instances + " instances, " + (at - boot) + " s: " + got + " of " + bound);
+                int sent = last - first + 1;
+                assertTrue(sent <= bound, instances + " instances, " + (time - boot) + " s: " + sent + " of " + bound);
             }
-            assertTrue(sends.size() > 60, instances + " instances starve it: " + sends.size() + " of some 108");
+            assertTrue(sends.size() > 60, instances + " instances send too few: " + sends.size() + " of about 108");
         }
     }
 
@@ -373,7 +375,7 @@
         fixture.scheduler.endBatch();
         fixture.query(1, 6, SchedulerFixture.equal(4));
         fixture.scheduler.endBatch();
-        assertEquals(4, fixture.counts().size(), "four different endpoints of six hundred");
+        assertEquals(4, fixture.counts().size(), "the parts go to four different endpoints of six hundred");
         fixture.scheduler.onQueryCancelled(1);
         fixture.scheduler.onEndpointList(
                 EndpointListKind.COMPLETE,
@@ -383,14 +385,14 @@
         fixture.actions.clear();
         fixture.query(2, 6, 0.5, 0.5);
         fixture.scheduler.endBatch();
-        Map<Long, String> to = fixture.actions.sends.stream()
+        Map<Long, String> endpointByPart = fixture.actions.sends.stream()
                 .collect(Collectors.toMap(RecordingActions.Sent::part, RecordingActions.Sent::endpointId));
-        assertEquals(Map.of(200L, "s1", 201L, "s0"), to, "each holds the other's shard now");
+        assertEquals(Map.of(200L, "s1", 201L, "s0"), endpointByPart, "each endpoint now holds the other's shard");
         fixture.scheduler.onQueryCancelled(2);
         fixture.scheduler.onEndpointList(EndpointListKind.COMPLETE, List.of());
         fixture.actions.clear();
         fixture.query(3, 6, 0.5, 0.5);
         fixture.scheduler.endBatch();
-        assertEquals(List.of("reject 3"), fixture.actions.endings(3), "nobody holds anything");
+        assertEquals(List.of("reject 3"), fixture.actions.endings(3), "no endpoint holds the shards");
     }
 }
--- a/src/test/java/pepperdock/scheduler/OutlierDetectorTest.java
+++ b/src/test/java/pepperdock/scheduler/OutlierDetectorTest.java
@@ -15,8 +15,8 @@
 class OutlierDetectorTest {
 
     /**
-     * Where the healthy replicas of a shard are draining, queries must not be rejected unsent while the last one answers some
-     * attempts: an error comes at once, so that the next attempt costs no more than a call.
+     * Guards against rejecting queries without an attempt where the healthy replicas of a shard are draining and the
+     * last one answers some attempts. An error comes at once, so that the next attempt costs no more than a call.
      */
     @Test
     void lastReplicaIsRetriedThoughItRespondsWithErrors() {
@@ -103,7 +103,7 @@
             fixture.end(i * 100L, 0, AttemptOutcome.TIMEOUT, 2);
             fixture.scheduler.endBatch();
         }
-        assertTrue(rejectedAtOnce >= 5, "ejected replicas are spared: " + rejectedAtOnce);
+        assertTrue(rejectedAtOnce >= 5, "queries rejected at once because all replicas are ejected: " + rejectedAtOnce);
         int answered = 0;
         for (int i = 101; i <= 120; i++) {
             fixture.query(i, 6, 1.0);
@@ -114,10 +114,12 @@
             answered += fixture.actions.endings(i).contains("answer " + i + " true") ? 1 : 0;
             fixture.sweep(fixture.now + 2.2);
         }
-        assertTrue(answered >= 15, "served again: " + answered);
+        assertTrue(answered >= 15, "queries answered after the replicas have recovered: " + answered);
     }
 
-    /** A replica that answered a part a moment ago may answer the next one. */
+    /**
+     * Guards against rejecting a query whose replicas answered a part a moment ago, since they may answer the next one.
+     */
     @Test
     void replicasWithOccasionalErrorsAreNoGroundForRejection() {
         SchedulerFixture fixture = new SchedulerFixture();
@@ -148,8 +150,8 @@
     @Test
     void sharedFaultDoesNotCrowdTheRemainingEndpoints() {
         SchedulerFixture fixture = new SchedulerFixture().start("a", "b", "c", "d");
-        for (int round = 0; round < 4; round++) {
-            long id = 1L + round;
+        for (int i = 0; i < 4; i++) {
+            long id = 1L + i;
             int before = fixture.actions.sends.size();
             fixture.query(id, 6, SchedulerFixture.equal(4));
             fixture.scheduler.endBatch();
@@ -180,9 +182,9 @@
         fixture.at(100.005);
         fixture.end(100, 0, AttemptOutcome.OVERLOADED, 0.001);
         fixture.scheduler.endBatch();
-        assertEquals(1, fixture.actions.sends.size(), "not again at once");
+        assertEquals(1, fixture.actions.sends.size(), "the endpoint is not retried at once");
         fixture.sweep(101);
-        assertEquals(2, fixture.actions.sends.size(), "but after a pause");
+        assertEquals(2, fixture.actions.sends.size(), "the endpoint is retried after its backoff");
     }
 
     @Test
--- a/src/test/java/pepperdock/scheduler/RecordingActions.java
+++ b/src/test/java/pepperdock/scheduler/RecordingActions.java
@@ -7,6 +7,7 @@
 /** Records the actions of a scheduler, in order. */
 final class RecordingActions implements SchedulerActions {
 
+    /** An attempt that the scheduler sent. */
     record Sent(long part, String endpointId, double until) {}
 
     final List<String> all = new ArrayList<>();
@@ -63,17 +64,19 @@
         all.add("log " + text);
     }
 
+    /** Returns the number of recorded actions that start with {@code start}. */
     long count(String start) {
         return all.stream().filter(a -> a.startsWith(start)).count();
     }
 
-    /** The answers, rejections and failures of a query. */
+    /** Returns the answers, rejections and failures of a query. */
     List<String> endings(long query) {
         return all.stream()
                 .filter(a -> a.matches("(answer|reject|fail) " + query + "( .*)?"))
                 .collect(Collectors.toList());
     }
 
+    /** Returns the parts of the attempts sent, in order. */
     List<Long> sentParts() {
         return sends.stream().map(Sent::part).toList();
     }
--- a/src/test/java/pepperdock/scheduler/ReplicaSelectorTest.java
+++ b/src/test/java/pepperdock/scheduler/ReplicaSelectorTest.java
@@ -20,7 +20,10 @@
         assertEquals(Map.of("a", 3L, "b", 3L, "c", 3L), counts);
     }
 
-    /** Outstanding parts are divided by the planned share, three to one here; health goes before it. */
+    /**
+     * Checks that outstanding parts are divided by the planned share, three to one here, and that health takes
+     * precedence over it.
+     */
     @Test
     void plannedSharesWeightReplicasAfterHealth() {
         SchedulerFixture fixture = new SchedulerFixture().start("a", "b");
@@ -56,7 +59,7 @@
 
     @Test
     void loadCountsCallsWherePartsShareThem() {
-        int toTheFuller = 0;
+        int sentToBusier = 0;
         for (int seed = 0; seed < 20; seed++) {
             SchedulerFixture fixture = new SchedulerFixture();
             fixture.maxPartsPerCall = 4;
@@ -64,12 +67,14 @@
             fixture.start("a", "b");
             fixture.query(1, 6, SchedulerFixture.equal(3));
             fixture.scheduler.endBatch();
-            String fuller = fixture.counts().get("a") == 2 ? "a" : "b";
+            String busier = fixture.counts().get("a") == 2 ? "a" : "b";
             fixture.at(100.01);
             fixture.query(2, 6, 1.0);
             fixture.scheduler.endBatch();
-            toTheFuller += fixture.actions.sends.get(3).endpointId().equals(fuller) ? 1 : 0;
+            sentToBusier += fixture.actions.sends.get(3).endpointId().equals(busier) ? 1 : 0;
         }
-        assertTrue(toTheFuller > 3 && toTheFuller < 17, "one call out at each: a tie: " + toTheFuller);
+        assertTrue(
+                sentToBusier > 3 && sentToBusier < 17,
+                "one call is outstanding at each, a tie; attempts to the endpoint with two parts: " + sentToBusier);
     }
 }
--- a/src/test/java/pepperdock/scheduler/RetryPolicyTest.java
+++ b/src/test/java/pepperdock/scheduler/RetryPolicyTest.java
@@ -86,7 +86,7 @@
         }
         fixture.scheduler.endBatch();
         fixture.sweep(103);
-        int further = fixture.actions.sends.size() - 29;
-        assertTrue(further >= 1 && further <= 5, "further attempts: " + further);
+        int retries = fixture.actions.sends.size() - 29;
+        assertTrue(retries >= 1 && retries <= 5, "retries, expected 1 to 5: " + retries);
     }
 }
--- a/src/test/java/pepperdock/scheduler/SchedulerFixture.java
+++ b/src/test/java/pepperdock/scheduler/SchedulerFixture.java
@@ -8,7 +8,7 @@
 import java.util.Map;
 import java.util.stream.Collectors;
 
-/** A small fleet and one scheduler in front of it, driven through {@link Scheduler} alone. */
+/** A small fleet with one scheduler, which is driven through {@link Scheduler} only. */
 final class SchedulerFixture {
 
     static final double OBJECTIVE_S = 2;
@@ -42,7 +42,7 @@
     private long nextSequenceNumber;
 
     SchedulerSettings settings() {
-        var kind = new QueryClass(
+        var queryClass = new QueryClass(
                 OBJECTIVE_S,
                 DEADLINE_S,
                 1,
@@ -58,7 +58,7 @@
                 0,
                 0.005,
                 pollsEndpointList,
-                List.of(kind),
+                List.of(queryClass),
                 tenantRates,
                 0.1,
                 List.of(),
@@ -81,7 +81,7 @@
         return new Endpoint(id, 0, 0, 0, state, 1, startedAtS);
     }
 
-    /** Starts with the named endpoints, each a replica of every shard. */
+    /** Creates the scheduler and lists the named endpoints, each a replica of every shard. */
     SchedulerFixture start(String... endpoints) {
         scheduler = Scheduler.create(settings(), seed, actions);
         at(now);
@@ -94,17 +94,19 @@
         return this;
     }
 
+    /** Sets the time and opens a batch. */
     SchedulerFixture at(double time) {
         now = time;
         scheduler.beginBatch(time);
         return this;
     }
 
+    /** Reports changed entries of the endpoint list. */
     void change(Endpoint... entries) {
         scheduler.onEndpointList(EndpointListKind.CHANGES, List.of(entries));
     }
 
-    /** A query with parts {@code id * 100 + i} at shard i, of the given weights; the batch stays open. */
+    /** Reports a query with parts {@code id * 100 + i} at shard i, of the given weights; the batch stays open. */
     void query(long id, double remainingS, double... weights) {
         long number = nextSequenceNumber++;
         scheduler.onQuery(new QueryArrival(id, 0, tenant, "", remainingS, number, weights.length));
@@ -127,34 +129,38 @@
         scheduler.onAttemptResult(new AttemptResult(part, attempt, endpointId, outcome, elapsedS, LoadReport.NONE));
     }
 
-    /** Lets time pass in sweeps until {@code until}. */
+    /** Advances the time to {@code until} in sweeps. */
     void sweep(double until) {
-        for (double t = now + 0.025; t <= until + 1e-9; t += 0.025) {
-            at(t);
+        for (double time = now + 0.025; time <= until + 1e-9; time += 0.025) {
+            at(time);
             scheduler.onTimer("sweep");
             scheduler.endBatch();
         }
     }
 
+    /** Returns the weights of a query whose parts have equal weights. */
     static double[] equal(int parts) {
         double[] weights = new double[parts];
         Arrays.fill(weights, 1.0 / parts);
         return weights;
     }
 
-    /** Serves one-part queries one after another, so that the scheduler knows the part time of healthy endpoints. */
+    /**
+     * Serves queries of one part one after another, so that the scheduler learns the part time of healthy endpoints.
+     */
     void serve(int queries, double elapsedS) {
         serve(queries, 1, elapsedS);
     }
 
+    /** Serves queries of several parts one after another. */
     void serve(int queries, int parts, double elapsedS) {
         for (int i = 0; i < queries; i++) {
             long id = 900_000 + nextSequenceNumber;
-            double asked = now;
+            double queryStart = now;
             query(id, DEADLINE_S, equal(parts));
             scheduler.endBatch();
             sweep(now + elapsedS);
-            at(Math.max(now, asked + elapsedS));
+            at(Math.max(now, queryStart + elapsedS));
             for (long part : parts(id, parts)) {
                 end(part, 0, AttemptOutcome.OK, elapsedS);
             }
@@ -164,7 +170,10 @@
         actions.clear();
     }
 
-    /** Has two queries of eight parts outstanding and the limit cut to sixteen by one part rejected as overloaded. */
+    /**
+     * Returns a fixture with two queries of eight parts outstanding, whose limit was decreased to sixteen parts by one
+     * part rejected as overloaded.
+     */
     static SchedulerFixture atConcurrencyLimit(double minimumCoverage) {
         SchedulerFixture fixture = new SchedulerFixture();
         fixture.minimumCoverage = minimumCoverage;
@@ -182,6 +191,7 @@
         return fixture;
     }
 
+    /** Returns the ids of the first {@code count} parts of a query. */
     static List<Long> parts(long query, int count) {
         List<Long> ids = new ArrayList<>();
         for (int i = 0; i < count; i++) {
@@ -190,7 +200,7 @@
         return ids;
     }
 
-    /** Attempts sent to each endpoint. */
+    /** Returns the number of attempts sent to each endpoint. */
     Map<String, Long> counts() {
         return actions.sends.stream()
                 .collect(Collectors.groupingBy(RecordingActions.Sent::endpointId, Collectors.counting()));
--- a/src/test/java/pepperdock/scheduler/SchedulerSettingsTest.java
+++ b/src/test/java/pepperdock/scheduler/SchedulerSettingsTest.java
@@ -11,15 +11,15 @@
     void invalidSettingsAreRejectedByName() {
         SchedulerFixture fixture = new SchedulerFixture();
         fixture.maxAttempts = 0;
-        var e = assertThrows(IllegalArgumentException.class, fixture::settings);
-        assertTrue(e.getMessage().contains("maxAttempts"), e.getMessage());
+        var exception = assertThrows(IllegalArgumentException.class, fixture::settings);
+        assertTrue(exception.getMessage().contains("maxAttempts"), exception.getMessage());
         fixture.maxAttempts = 1;
         fixture.minimumCoverage = 0;
-        e = assertThrows(IllegalArgumentException.class, fixture::settings);
-        assertTrue(e.getMessage().contains("floor"), e.getMessage());
+        exception = assertThrows(IllegalArgumentException.class, fixture::settings);
+        assertTrue(exception.getMessage().contains("floor"), exception.getMessage());
         fixture.minimumCoverage = 1;
         fixture.instances = 0;
-        e = assertThrows(IllegalArgumentException.class, fixture::settings);
-        assertTrue(e.getMessage().contains("instances"), e.getMessage());
+        exception = assertThrows(IllegalArgumentException.class, fixture::settings);
+        assertTrue(exception.getMessage().contains("instances"), exception.getMessage());
     }
 }
--- a/src/test/java/pepperdock/scheduler/SlowStartTest.java
+++ b/src/test/java/pepperdock/scheduler/SlowStartTest.java
@@ -18,9 +18,11 @@
         fixture.query(1, 6, SchedulerFixture.equal(40));
         fixture.scheduler.endBatch();
         fixture.sweep(boot + 0.95);
-        // 2 x 0.2 to 0.28 of ten parts a second, halved between two instances.
-        assertTrue(fixture.actions.sends.size() <= 2, "sent in the first second: " + fixture.actions.sends.size());
-        assertTrue(!fixture.actions.sends.isEmpty(), "a sole replica is used");
+        // The allowance is 2 x 0.2 to 0.28 of ten parts a second, halved between two instances.
+        assertTrue(
+                fixture.actions.sends.size() <= 2,
+                "attempts sent in the first second, expected at most 2: " + fixture.actions.sends.size());
+        assertTrue(!fixture.actions.sends.isEmpty(), "the only replica is used");
     }
 
     @Test
@@ -41,8 +43,10 @@
                     .filter(s -> s.endpointId().equals("a"))
                     .count();
         }
-        assertTrue(sent[0] >= 2, "sent to the warming endpoint: " + sent[0]);
-        assertTrue(sent[1] >= sent[0] / 2, sent[1] + " against " + sent[0]);
+        assertTrue(sent[0] >= 2, "attempts sent to the endpoint that warms up, expected at least 2: " + sent[0]);
+        assertTrue(
+                sent[1] >= sent[0] / 2,
+                "attempts sent after parts queued: " + sent[1] + ", expected at least half of " + sent[0]);
     }
 
     @Test
@@ -56,7 +60,10 @@
         assertEquals(4, fixture.actions.sends.size());
     }
 
-    /** Drawn at the first part instead, the turn of an instance with little traffic would never come. */
+    /**
+     * Guards against drawing the random wait at the first part, after which an instance with little traffic would never
+     * send one.
+     */
     @Test
     void turnCountsFromTheNoticeOfTheStart() {
         int used = 0;
@@ -74,7 +81,7 @@
             fixture.scheduler.endBatch();
             used += fixture.actions.sends.size();
         }
-        // The twenty were allowed some fifty parts by then, between them.
+        // The twenty instances together were allowed about fifty parts by then.
         assertEquals(20, used);
     }
 }
