--- a/src/main/java/pepperdock/estimate/IdleLimit.java
+++ b/src/main/java/pepperdock/estimate/IdleLimit.java
@@ -31,22 +31,22 @@
     private double limitS;
 
     /** Records a call on a connection that had been idle for {@code idleS}, and whether the call got no answer. */
-    public void add(double idleS, boolean unanswered, double now, double timeConstantS) {
+    public void recordCall(double idleS, boolean unanswered, double now, double timeConstantS) {
         unansweredCalls.add(unanswered ? 1 : 0, now, timeConstantS);
         calls.add(1, now, timeConstantS);
         if (unanswered && unansweredCalls.latest() > DROPPED_SHARE * (calls.latest() + PRIOR_ANSWERED_CALLS)) {
-            limitS = Math.min(seconds(now, timeConstantS), TRUSTED_SHARE * idleS);
+            limitS = Math.min(limitS(now, timeConstantS), TRUSTED_SHARE * idleS);
             lastDropAtS = now;
         }
     }
 
     /** Returns the limit, infinite where no connections seem to be dropped. */
-    public double seconds(double now, double timeConstantS) {
+    public double limitS(double now, double timeConstantS) {
         return now < lastDropAtS + HOLD_TIME_CONSTANTS * timeConstantS ? limitS : Double.POSITIVE_INFINITY;
     }
 
     /** Resets the limit, because new connections fail and closing idle ones would do harm. */
-    public void forget() {
+    public void reset() {
         lastDropAtS = Double.NEGATIVE_INFINITY;
     }
 }
--- a/src/main/java/pepperdock/estimate/PartWork.java
+++ b/src/main/java/pepperdock/estimate/PartWork.java
@@ -48,22 +48,22 @@
     }
 
     /** Returns the work of a part of the class, in seconds. */
-    public double of(int classIndex) {
+    public double estimateS(int classIndex) {
         return workS[classIndex];
     }
 
     /** Returns the mean over the parts answered, in seconds. */
-    public double mean() {
+    public double meanS() {
         return meanS;
     }
 
     /** Returns the work of a part of the lightest class, in seconds. */
-    public double least() {
+    public double minS() {
         return Arrays.stream(workS).min().orElseThrow();
     }
 
     /** Returns the work of a part of the heaviest class, in seconds. */
-    public double most() {
+    public double maxS() {
         return Arrays.stream(workS).max().orElseThrow();
     }
 }
--- a/src/main/java/pepperdock/estimate/RetryBudget.java
+++ b/src/main/java/pepperdock/estimate/RetryBudget.java
@@ -31,33 +31,33 @@
      * @param free retries within the window that are always allowed
      * @param share further retries, as a share of the queries and parts that arrived within the window
      */
-    public record Stated(double windowS, double free, double share) {}
+    public record WindowBudget(double windowS, double free, double share) {}
 
     private final SlidingWindow arrivals = new SlidingWindow();
     private final SlidingWindow retries = new SlidingWindow();
-    private Stated stated;
+    private WindowBudget windowBudget;
     private double savedRetries = MAX_SAVED_RETRIES;
 
     /** Creates a budget that starts with the most retries that may be saved up. */
-    public RetryBudget(Stated stated) {
-        this.stated = stated;
+    public RetryBudget(WindowBudget windowBudget) {
+        this.windowBudget = windowBudget;
     }
 
     /** Replaces the window budget. */
-    public void update(Stated newStated) {
-        stated = newStated;
+    public void update(WindowBudget newWindowBudget) {
+        windowBudget = newWindowBudget;
     }
 
     /** Returns whether the settings define a window budget. */
-    public boolean isStated() {
-        return stated.windowS() > 0;
+    public boolean hasWindowBudget() {
+        return windowBudget.windowS() > 0;
     }
 
     /** Counts a query or part that has arrived; keeps nothing where no window budget is defined. */
     public void onArrival(double now) {
-        if (isStated()) {
+        if (hasWindowBudget()) {
             arrivals.add(now);
-            arrivals.countSince(now - stated.windowS());
+            arrivals.countSince(now - windowBudget.windowS());
         }
     }
 
@@ -72,7 +72,7 @@
      */
     public void onRetry(double now, boolean afterFailureResponse) {
         savedRetries -= afterFailureResponse ? 0 : 1;
-        if (isStated()) {
+        if (hasWindowBudget()) {
             retries.add(now);
         }
     }
@@ -82,11 +82,11 @@
         if (savedRetries < 1 && !afterFailureResponse) {
             return false;
         }
-        if (!isStated()) {
+        if (!hasWindowBudget()) {
             return true;
         }
-        int arrived = arrivals.countSince(now - stated.windowS());
-        int made = retries.countSince(now - stated.windowS() - WINDOW_TOLERANCE_S);
-        return made + 1 <= stated.free() + stated.share() * arrived - UNUSED_RETRIES;
+        int arrived = arrivals.countSince(now - windowBudget.windowS());
+        int made = retries.countSince(now - windowBudget.windowS() - WINDOW_TOLERANCE_S);
+        return made + 1 <= windowBudget.free() + windowBudget.share() * arrived - UNUSED_RETRIES;
     }
 }
--- a/src/main/java/pepperdock/estimate/WarmUpAllowance.java
+++ b/src/main/java/pepperdock/estimate/WarmUpAllowance.java
@@ -34,7 +34,7 @@
     }
 
     /** Deducts the estimated work of a part that is sent. */
-    public void send(double workS) {
+    public void onSend(double workS) {
         savedS -= workS;
     }
 }
--- a/src/main/java/pepperdock/scheduler/AdaptiveScheduler.java
+++ b/src/main/java/pepperdock/scheduler/AdaptiveScheduler.java
@@ -109,11 +109,12 @@
         QueryState query = new QueryState(arrival, queryClass, settings.limits().maxAttempts());
         double now = context.nowS();
         double remainingS = arrival.remainingS();
-        query.endAtS = now + remainingS;
+        query.deadlineAtS = now + remainingS;
         query.objectiveAtS = now + Math.min(queryClass.latencyObjectiveS(), remainingS);
         query.halfTimeAtS = now + remainingS / 2;
-        double spentS = freshness.spentS(query.classIndex, queryClass, remainingS);
-        query.firstRequestObjectiveAtS = Math.min(query.objectiveAtS, now + queryClass.latencyObjectiveS() - spentS);
+        double alreadyWaitedS = freshness.alreadyWaitedS(query.classIndex, queryClass, remainingS);
+        query.firstRequestObjectiveAtS =
+                Math.min(query.objectiveAtS, now + queryClass.latencyObjectiveS() - alreadyWaitedS);
         retries.onArrival();
         query.overQuota = quota.isExceededBy(arrival.tenant());
         queries.add(query);
@@ -170,7 +171,7 @@
     public void onQueryCancelled(long id) {
         QueryState query = queries.find(id);
         if (query != null) {
-            finisher.forget(query);
+            finisher.close(query);
         }
     }
 
@@ -212,7 +213,7 @@
     @Override
     public void endBatch() {
         SchedulerSettings settings = context.settings();
-        if (listPoller.callDue(
+        if (listPoller.startCallIfDue(
                 context.nowS(), settings.instances(), settings.rules().maxListAgeS())) {
             actions.watchEndpointList();
         }
@@ -237,7 +238,7 @@
                 continue;
             }
             limit.onQuery(query.parts.size());
-            if (shedder.rejects(query)) {
+            if (shedder.shouldReject(query)) {
                 finisher.endWithoutAnswer(query);
             } else {
                 admission.onArrival(query);
@@ -247,7 +248,7 @@
     }
 
     /** Returns the number of endpoints with a record: those listed, and those removed with attempts outstanding. */
-    int endpointsKnown() {
+    int knownEndpointCount() {
         return registry.all().size();
     }
 }
--- a/src/main/java/pepperdock/scheduler/AdmissionController.java
+++ b/src/main/java/pepperdock/scheduler/AdmissionController.java
@@ -55,8 +55,8 @@
     void onArrival(QueryState query) {
         boolean stale = context.nowS() + estimates.partTime().meanS() > query.firstRequestObjectiveAtS;
         if (queue.isEmpty() && limit.hasRoom(stale ? STALE_REQUEST_LIMIT_SHARE : 1)) {
-            dispatcher.dispatch(query, fanOut.countAtOnce(query));
-        } else if (context.nowS() + expectedWaitS(query) + estimates.cautiousPartTimeS()
+            dispatcher.dispatch(query, fanOut.countForImmediateDispatch(query));
+        } else if (context.nowS() + expectedWaitS(query) + estimates.conservativePartTimeS()
                 > query.firstRequestObjectiveAtS - deadlines.marginS()) {
             finisher.endWithoutAnswer(query);
         } else {
@@ -70,7 +70,7 @@
      */
     void dispatchQueued(QueryTable queries) {
         for (QueryState query : queue) {
-            if (!query.ended && (isTooLate(query) || completion.isUnreached(query))) {
+            if (!query.ended && (isTooLate(query) || completion.hasReachedNoEndpoint(query))) {
                 finisher.endWithoutAnswer(query);
             }
         }
@@ -78,12 +78,12 @@
         while (!queue.isEmpty() && limit.hasRoom(1)) {
             QueryState head = queue.removeFirst();
             long running = queries.dispatchedCount();
-            dispatcher.dispatch(head, fanOut.countAfterWaiting(head, limit.limit(), queue.size(), running));
+            dispatcher.dispatch(head, fanOut.countForQueuedQuery(head, limit.limit(), queue.size(), running));
         }
     }
 
     private boolean isTooLate(QueryState query) {
-        return context.nowS() + estimates.cautiousPartTimeS() > query.objectiveAtS - deadlines.marginS();
+        return context.nowS() + estimates.conservativePartTimeS() > query.objectiveAtS - deadlines.marginS();
     }
 
     /** Returns the seconds until Pmin parts of each queued query and of this one are answered. */
--- a/src/main/java/pepperdock/scheduler/AnswerDeadlines.java
+++ b/src/main/java/pepperdock/scheduler/AnswerDeadlines.java
@@ -25,8 +25,9 @@
      * counts, otherwise the latency objective, in both cases less the margin.
      */
     double answerUntilS(QueryState query) {
-        double lastS =
-                query.queryClass.lateAnswerWeight() > 0 ? query.endAtS : Math.min(query.objectiveAtS, query.endAtS);
+        double lastS = query.queryClass.lateAnswerWeight() > 0
+                ? query.deadlineAtS
+                : Math.min(query.objectiveAtS, query.deadlineAtS);
         return lastS - marginS();
     }
 }
--- a/src/main/java/pepperdock/scheduler/AttemptResultHandler.java
+++ b/src/main/java/pepperdock/scheduler/AttemptResultHandler.java
@@ -55,7 +55,7 @@
         if (outcome != AttemptOutcome.OK && attempt.overdue && endpoint.lastOkAtS < attempt.sentAtS) {
             endpoint.lastCallUnanswered = true;
             if (idleConnections.isConnectionDropped(attempt)) {
-                outliers.acquit(endpoint);
+                outliers.clearFailures(endpoint);
             }
         }
         endpoint.respondsWithErrors =
@@ -79,7 +79,7 @@
     private void onAnswer(AttemptState attempt, double elapsedS) {
         EndpointRecord endpoint = attempt.endpoint;
         endpoint.lastCallUnanswered = false;
-        idleConnections.observe(attempt, false);
+        idleConnections.countResult(attempt, false);
         boolean delayedByStall =
                 context.stalled() && elapsedS > estimates.partTime().lowerQuartileS();
         if (!delayedByStall) {
--- a/src/main/java/pepperdock/scheduler/AttemptSender.java
+++ b/src/main/java/pepperdock/scheduler/AttemptSender.java
@@ -38,8 +38,8 @@
                 && endpoint.usable
                 && context.nowS() < policies.deadlines.answerUntilS(part.query)
                 && part.hasAttemptsLeft()
-                && mayRunBeside(part, endpoint)
-                && policies.retries.isRepeatable(part)
+                && mayRunConcurrently(part, endpoint)
+                && policies.retries.isRetrySafe(part)
                 && policies.slowStart.admits(endpoint)
                 && (part.attempts.isEmpty() || policies.retries.allowsRetry(part, endpoint));
     }
@@ -72,7 +72,7 @@
         return !part.query.ended && !part.answered && part.wanted;
     }
 
-    private boolean mayRunBeside(PartState part, EndpointRecord endpoint) {
+    private boolean mayRunConcurrently(PartState part, EndpointRecord endpoint) {
         return part.outstanding == 0
                 || policies.hedging.mayHedge(part)
                         && endpoint.outstanding.stream().noneMatch(attempt -> attempt.part == part);
--- a/src/main/java/pepperdock/scheduler/CallState.java
+++ b/src/main/java/pepperdock/scheduler/CallState.java
@@ -13,7 +13,7 @@
     int parts;
 
     /** Whether {@link IdleConnectionPolicy} has counted the result of this call on an idle connection. */
-    boolean idleReported;
+    boolean idleResultCounted;
 
     CallState(double sentAtS, double idleS) {
         this.sentAtS = sentAtS;
--- a/src/main/java/pepperdock/scheduler/CompletionPolicy.java
+++ b/src/main/java/pepperdock/scheduler/CompletionPolicy.java
@@ -53,12 +53,12 @@
         double minimum = minimumCoverage(query) - QueryState.COVERAGE_TOLERANCE;
         boolean hasMinimumCoverage = query.coverage >= minimum;
         boolean partialAnswerDue =
-                hasMinimumCoverage && (context.nowS() >= lastAnswerAtS(query) || !hasPendingParts(query));
+                hasMinimumCoverage && (context.nowS() >= partialAnswerAtS(query) || !hasPendingParts(query));
         if (partialAnswerDue) {
             finisher.answer(query, false);
         } else if (context.nowS() >= deadlines.answerUntilS(query)
                 || reachableCoverage(query) < minimum
-                || isUnreached(query)) {
+                || hasReachedNoEndpoint(query)) {
             if (hasMinimumCoverage) {
                 finisher.answer(query, false);
             } else {
@@ -79,7 +79,7 @@
      * Returns whether half of the query's time has passed and no attempt was sent or none reached an endpoint. The
      * client then still has time to turn to another instance.
      */
-    boolean isUnreached(QueryState query) {
+    boolean hasReachedNoEndpoint(QueryState query) {
         return context.nowS() >= query.halfTimeAtS - deadlines.marginS()
                 && query.parts.stream()
                         .flatMap(part -> part.attempts.stream())
@@ -112,13 +112,13 @@
     }
 
     /** Returns when an incomplete answer is due: at the objective, or earlier where a second stage must follow. */
-    private double lastAnswerAtS(QueryState query) {
+    private double partialAnswerAtS(QueryState query) {
         boolean secondStageFollows = query.stage == QueryState.FIRST_STAGE && query.queryClass.secondStageParts() > 0;
         double secondStageS = secondStageFollows
                 ? estimates.partTime().meanS()
                         + SECOND_STAGE_DEVIATIONS * estimates.partTime().deviationS()
                 : 0;
-        return Math.min(query.objectiveAtS, query.endAtS) - deadlines.marginS() - secondStageS;
+        return Math.min(query.objectiveAtS, query.deadlineAtS) - deadlines.marginS() - secondStageS;
     }
 
     private static boolean hasPendingParts(QueryState query) {
@@ -132,7 +132,7 @@
 
     private boolean mayBeRetried(PartState part) {
         return part.hasAttemptsLeft()
-                && retries.isRepeatable(part)
+                && retries.isRetrySafe(part)
                 && !registry.replicas(part.shard).isEmpty();
     }
 }
--- a/src/main/java/pepperdock/scheduler/ConcurrencyLimit.java
+++ b/src/main/java/pepperdock/scheduler/ConcurrencyLimit.java
@@ -25,13 +25,13 @@
      * Increase of the limit per round of answers, as in TCP's congestion avoidance: each timely answer adds this value
      * divided by the limit.
      */
-    private static final double RAISE_PER_ROUND = 2;
+    private static final double INCREASE_PER_ROUND = 2;
 
     /**
      * Share of the parts outstanding that a decrease leaves. There is at most one decrease per mean part time, since
      * its effect does not show sooner.
      */
-    private static final double CUT_FACTOR = 0.85;
+    private static final double DECREASE_FACTOR = 0.85;
 
     /** Number of whole queries that always fit, so that a decrease never stops the service. */
     private static final int MIN_QUERIES = 2;
@@ -40,8 +40,8 @@
     private final FleetEstimates estimates;
     private int outstanding;
     private double limit = Double.POSITIVE_INFINITY;
-    private double lastCutAtS = Double.NEGATIVE_INFINITY;
-    private double typicalParts;
+    private double lastDecreaseAtS = Double.NEGATIVE_INFINITY;
+    private double meanPartsPerQuery;
     private EndpointRecord lastLateEndpoint;
     private double lastLateAtS = Double.NEGATIVE_INFINITY;
 
@@ -62,7 +62,7 @@
 
     /** Records the number of parts of a query. */
     void onQuery(int parts) {
-        typicalParts += (parts - typicalParts) * (typicalParts == 0 ? 1 : FleetEstimates.SAMPLE_GAIN);
+        meanPartsPerQuery += (parts - meanPartsPerQuery) * (meanPartsPerQuery == 0 ? 1 : FleetEstimates.SAMPLE_GAIN);
     }
 
     /** Counts an attempt that is sent. */
@@ -77,18 +77,18 @@
 
     /** Raises the limit after a part was answered within its latency objective. */
     void onTimelyPart() {
-        limit += Math.min(1, RAISE_PER_ROUND / limit);
+        limit += Math.min(1, INCREASE_PER_ROUND / limit);
     }
 
     /** Decreases the limit after an endpoint has rejected an attempt as overloaded. */
     void onOverloaded() {
-        cut();
+        decrease();
     }
 
     /** Decreases the limit if, after this answer, the mean part time shows that parts queue. */
     void onAnswer() {
         if (estimates.partTime().meanS() > SLOW_PART_OBJECTIVE_SHARE * context.shortestObjectiveS()) {
-            cut();
+            decrease();
         }
     }
 
@@ -99,16 +99,16 @@
         if (lastLateEndpoint != null
                 && lastLateEndpoint != endpoint
                 && context.nowS() - lastLateAtS < context.shortestObjectiveS()) {
-            cut();
+            decrease();
         }
         lastLateEndpoint = endpoint;
         lastLateAtS = context.nowS();
     }
 
-    private void cut() {
-        if (context.nowS() - lastCutAtS > estimates.partTime().meanS()) {
-            lastCutAtS = context.nowS();
-            limit = Math.max(CUT_FACTOR * Math.min(outstanding, limit), MIN_QUERIES * typicalParts);
+    private void decrease() {
+        if (context.nowS() - lastDecreaseAtS > estimates.partTime().meanS()) {
+            lastDecreaseAtS = context.nowS();
+            limit = Math.max(DECREASE_FACTOR * Math.min(outstanding, limit), MIN_QUERIES * meanPartsPerQuery);
         }
     }
 }
--- a/src/main/java/pepperdock/scheduler/EndpointListPoller.java
+++ b/src/main/java/pepperdock/scheduler/EndpointListPoller.java
@@ -18,13 +18,13 @@
     /**
      * First backoff after a failed call, as a share of the longest list age, so that several calls fit into that age.
      */
-    private static final double FIRST_PAUSE_SHARE = 1.0 / 12;
+    private static final double FIRST_BACKOFF_SHARE = 1.0 / 12;
 
     /**
      * Longest time from one call to the next, as a share of the longest list age: discovery may recover right after a
      * failed call, and the rest of that age is needed for a slow connection and for a response that queues.
      */
-    private static final double MAX_CALL_GAP_SHARE = 0.5;
+    private static final double MAX_CALL_INTERVAL_SHARE = 0.5;
 
     /** Upper bound of the random factor by which a backoff is multiplied; the lower bound is one half. */
     private static final double MAX_JITTER_FACTOR = 1.5;
@@ -38,9 +38,9 @@
     private final SplittableRandom random;
     private boolean watching;
     private boolean callOutstanding;
-    private double nextCallAt = Double.NaN;
-    private double lastCallAt = Double.NEGATIVE_INFINITY;
-    private double pauseS;
+    private double nextCallAtS = Double.NaN;
+    private double lastCallAtS = Double.NEGATIVE_INFINITY;
+    private double backoffS;
 
     /**
      * Creates a poller; {@code pollsEndpointList} tells whether lists have to be requested, and are not pushed from the
@@ -60,7 +60,7 @@
     void onList() {
         callOutstanding = false;
         watching = true;
-        pauseS = 0;
+        backoffS = 0;
     }
 
     /**
@@ -70,23 +70,23 @@
     void onFailure(double now, double maxListAgeS) {
         callOutstanding = false;
         watching = false;
-        double firstS = FIRST_PAUSE_SHARE * maxListAgeS;
-        double remainingS = lastCallAt + MAX_CALL_GAP_SHARE * maxListAgeS - now;
-        pauseS = Math.max(firstS, Math.min(2 * pauseS, remainingS / MAX_JITTER_FACTOR));
-        nextCallAt = now + pauseS * (MAX_JITTER_FACTOR - 1 + random.nextDouble());
+        double firstS = FIRST_BACKOFF_SHARE * maxListAgeS;
+        double remainingS = lastCallAtS + MAX_CALL_INTERVAL_SHARE * maxListAgeS - now;
+        backoffS = Math.max(firstS, Math.min(2 * backoffS, remainingS / MAX_JITTER_FACTOR));
+        nextCallAtS = now + backoffS * (MAX_JITTER_FACTOR - 1 + random.nextDouble());
     }
 
     /** Returns whether a call is due now, and if so records that it is made. */
-    boolean callDue(double now, int gatherers, double maxListAgeS) {
-        if (Double.isNaN(nextCallAt)) {
-            double firstS = Math.min(gatherers * FIRST_CALL_SPREAD_S, FIRST_PAUSE_SHARE * maxListAgeS);
-            nextCallAt = now + random.nextDouble() * firstS;
+    boolean startCallIfDue(double now, int gatherers, double maxListAgeS) {
+        if (Double.isNaN(nextCallAtS)) {
+            double firstS = Math.min(gatherers * FIRST_CALL_SPREAD_S, FIRST_BACKOFF_SHARE * maxListAgeS);
+            nextCallAtS = now + random.nextDouble() * firstS;
         }
-        if (watching || callOutstanding || now < nextCallAt) {
+        if (watching || callOutstanding || now < nextCallAtS) {
             return false;
         }
         callOutstanding = true;
-        lastCallAt = now;
+        lastCallAtS = now;
         return true;
     }
 }
--- a/src/main/java/pepperdock/scheduler/EndpointRecord.java
+++ b/src/main/java/pepperdock/scheduler/EndpointRecord.java
@@ -29,7 +29,7 @@
     double startedAtS = Double.NEGATIVE_INFINITY;
 
     /** This instance's allowance during the slow start; null before the first slow start. */
-    WarmUpAllowance warmUp;
+    WarmUpAllowance warmUpAllowance;
 
     /** Moving average of failures, 0 to 1. */
     double failureRate;
--- a/src/main/java/pepperdock/scheduler/FanOutPolicy.java
+++ b/src/main/java/pepperdock/scheduler/FanOutPolicy.java
@@ -46,13 +46,13 @@
      * Returns the number of parts to send of a query that was queued; {@code limit} is in parts, {@code waiting} does
      * not count the query itself.
      */
-    int countAfterWaiting(QueryState query, double limit, int waiting, long running) {
+    int countForQueuedQuery(QueryState query, double limit, int waiting, long running) {
         int count = (int) Math.max(1, Math.ceil(limit / (waiting + 1 + RUNNING_QUERY_WEIGHT * running)));
         return Math.max(minimumCount(query), Math.min(count, query.parts.size()));
     }
 
     /** Returns the number of parts to send of a query that need not wait. */
-    int countAtOnce(QueryState query) {
+    int countForImmediateDispatch(QueryState query) {
         double trimStartShare = ConcurrencyLimit.SLOW_PART_OBJECTIVE_SHARE
                 * (1 + FEW_INSTANCES / context.settings().instances());
         double partShare = estimates.partTime().meanS() / context.shortestObjectiveS();
--- a/src/main/java/pepperdock/scheduler/FleetEstimates.java
+++ b/src/main/java/pepperdock/scheduler/FleetEstimates.java
@@ -66,7 +66,7 @@
     }
 
     /** Returns the mean time of a part plus its mean deviation, in seconds: most parts take no longer. */
-    double cautiousPartTimeS() {
+    double conservativePartTimeS() {
         return partTime.meanS() + partTime.deviationS();
     }
 }
--- a/src/main/java/pepperdock/scheduler/HedgingPolicy.java
+++ b/src/main/java/pepperdock/scheduler/HedgingPolicy.java
@@ -76,8 +76,8 @@
         if (part.outstanding == 0) {
             return FollowUp.SEND;
         }
-        double leftS = timeLeftS(part.query, answerUntilS);
-        if (part.outstanding > 1 || leftS < 0) {
+        double slackS = slackS(part.query, answerUntilS);
+        if (part.outstanding > 1 || slackS < 0) {
             return FollowUp.NONE;
         }
         AttemptState last = part.lastAttempt();
@@ -85,7 +85,7 @@
         boolean seemsLost = dropped
                 || last.lost
                 || last.overdue && outliers.isOutlier(last.endpoint)
-                || isLastMoment(part, last, leftS);
+                || isLastMoment(part, last, slackS);
         if (last.outcome != null
                 || !seemsLost
                 || last.cancelRequested
@@ -93,10 +93,10 @@
                 || !part.hasAttemptsLeft()) {
             return FollowUp.NONE;
         }
-        return replace(part, last, dropped);
+        return replaceAttempt(part, last, dropped);
     }
 
-    private FollowUp replace(PartState part, AttemptState last, boolean dropped) {
+    private FollowUp replaceAttempt(PartState part, AttemptState last, boolean dropped) {
         if (mayHedge(part) && !dropped) {
             return FollowUp.SEND;
         }
@@ -108,18 +108,18 @@
      * Returns the seconds by which an attempt sent now could be delayed and still be answered before the query's next
      * deadline.
      */
-    private double timeLeftS(QueryState query, double answerUntilS) {
+    private double slackS(QueryState query, double answerUntilS) {
         double deadlineS = context.nowS() < query.objectiveAtS
                 ? Math.min(query.objectiveAtS - deadlines.marginS(), answerUntilS)
                 : answerUntilS;
-        return deadlineS - context.nowS() - estimates.cautiousPartTimeS();
+        return deadlineS - context.nowS() - estimates.conservativePartTimeS();
     }
 
-    private boolean isLastMoment(PartState part, AttemptState last, double leftS) {
-        return retries.isBudgetStated()
+    private boolean isLastMoment(PartState part, AttemptState last, double slackS) {
+        return retries.hasWindowBudget()
                 && !shedder.isShedding()
                 && mayHedge(part)
-                && leftS
+                && slackS
                         < LAST_MOMENT_SWEEPS
                                 * SweepTimer.PERIOD_TICKS
                                 * context.settings().tickS()
--- a/src/main/java/pepperdock/scheduler/IdleConnectionPolicy.java
+++ b/src/main/java/pepperdock/scheduler/IdleConnectionPolicy.java
@@ -41,11 +41,11 @@
     }
 
     /** Counts once whether a call on an idle connection was answered. */
-    void observe(AttemptState attempt, boolean unanswered) {
+    void countResult(AttemptState attempt, boolean unanswered) {
         CallState call = attempt.call;
-        if (call.idleS > 0 && !call.idleReported && (!unanswered || noAnswerSinceSend(attempt))) {
-            call.idleReported = true;
-            idleLimit.add(call.idleS, unanswered, context.nowS(), context.shortestObjectiveS());
+        if (call.idleS > 0 && !call.idleResultCounted && (!unanswered || noAnswerSinceSend(attempt))) {
+            call.idleResultCounted = true;
+            idleLimit.recordCall(call.idleS, unanswered, context.nowS(), context.shortestObjectiveS());
         }
     }
 
@@ -59,11 +59,11 @@
 
     /** Resets the limit, because a new connection has failed and closing idle ones would do harm. */
     void onConnectFailed() {
-        idleLimit.forget();
+        idleLimit.reset();
     }
 
     private double limitS() {
-        return idleLimit.seconds(context.nowS(), context.shortestObjectiveS());
+        return idleLimit.limitS(context.nowS(), context.shortestObjectiveS());
     }
 
     private static boolean noAnswerSinceSend(AttemptState attempt) {
--- a/src/main/java/pepperdock/scheduler/LoadShedder.java
+++ b/src/main/java/pepperdock/scheduler/LoadShedder.java
@@ -41,7 +41,7 @@
     }
 
     /** Returns whether to reject this arrival; draws a random number only while arrivals are rejected. */
-    boolean rejects(QueryState query) {
+    boolean shouldReject(QueryState query) {
         return rejectedShare > 0 && random.nextDouble() < rejectedShare * (query.overQuota ? OVER_QUOTA_FACTOR : 1);
     }
 
--- a/src/main/java/pepperdock/scheduler/OutlierDetector.java
+++ b/src/main/java/pepperdock/scheduler/OutlierDetector.java
@@ -67,7 +67,7 @@
     private final Map<Integer, ZoneRecord> zones = new LinkedHashMap<>();
     private double fleetFailureRate;
     private double savedTrials = MAX_TRIALS_FROM_ATTEMPTS;
-    private double unearnedTrialAtS;
+    private double nextUnbudgetedTrialAtS;
 
     OutlierDetector(SchedulerContext context, EndpointRegistry registry) {
         this.context = context;
@@ -112,7 +112,7 @@
                 : endpoint.nextTrialAtS;
         return endpoint.outstanding.stream().allMatch(attempt -> attempt.overdue)
                 && context.nowS() >= dueAtS
-                && (savedTrials >= 1 || context.nowS() >= unearnedTrialAtS);
+                && (savedTrials >= 1 || context.nowS() >= nextUnbudgetedTrialAtS);
     }
 
     /**
@@ -150,17 +150,17 @@
     /** Counts a failure of the endpoint. */
     void onFailure(EndpointRecord endpoint) {
         boolean wasOutlier = isOutlier(endpoint);
-        observe(endpoint, 1);
-        ejectIfNew(endpoint, wasOutlier);
+        addOutcome(endpoint, 1);
+        startBackoffIfEjected(endpoint, wasOutlier);
     }
 
     /** Counts a failure that shows that the endpoint can't be reached. */
     void onUnreachable(EndpointRecord endpoint) {
         boolean wasOutlier = isOutlier(endpoint);
-        observe(endpoint, 1);
+        addOutcome(endpoint, 1);
         endpoint.failureRate = 1;
         endpoint.unreachable = true;
-        ejectIfNew(endpoint, wasOutlier);
+        startBackoffIfEjected(endpoint, wasOutlier);
     }
 
     /** Counts a rejection as overloaded by the endpoint; one such response ejects it. */
@@ -172,7 +172,7 @@
     /** Counts a timely answer; {@code failure} is above 0, up to 1, if the answer was slow. */
     void onTimelyAnswer(AttemptState attempt, double failure) {
         EndpointRecord endpoint = attempt.endpoint;
-        observe(endpoint, failure);
+        addOutcome(endpoint, failure);
         endpoint.lastTimelySentAtS = attempt.sentAtS;
         if (attempt.trial) {
             zone(endpoint).nextTrialAtS = context.nowS();
@@ -181,7 +181,7 @@
     }
 
     /** Clears the failures seen so far, because the endpoint did not cause them. */
-    void acquit(EndpointRecord endpoint) {
+    void clearFailures(EndpointRecord endpoint) {
         endpoint.failureRate = 0;
         endpoint.unreachable = false;
     }
@@ -194,12 +194,12 @@
     /** Counts a trial that is sent to the endpoint, and postpones the next one. */
     void onTrial(EndpointRecord endpoint) {
         savedTrials = Math.max(0, savedTrials - 1);
-        unearnedTrialAtS = context.nowS() + context.shortestObjectiveS() * MAX_BACKOFF_OBJECTIVES;
+        nextUnbudgetedTrialAtS = context.nowS() + context.shortestObjectiveS() * MAX_BACKOFF_OBJECTIVES;
         postponeTrial(endpoint);
-        zone(endpoint).nextTrialAtS = unearnedTrialAtS;
+        zone(endpoint).nextTrialAtS = nextUnbudgetedTrialAtS;
     }
 
-    private void ejectIfNew(EndpointRecord endpoint, boolean wasOutlier) {
+    private void startBackoffIfEjected(EndpointRecord endpoint, boolean wasOutlier) {
         if (!wasOutlier && isOutlier(endpoint)) {
             endpoint.trialBackoffS = 0;
             postponeTrial(endpoint);
@@ -216,7 +216,7 @@
      * Adds one outcome, 0 to 1, to the failure rates of the endpoint, the fleet and the zone; a slow answer changes
      * only the endpoint's.
      */
-    private void observe(EndpointRecord endpoint, double failure) {
+    private void addOutcome(EndpointRecord endpoint, double failure) {
         endpoint.failureRate += ENDPOINT_GAIN * (failure - endpoint.failureRate);
         fleetFailureRate += FleetEstimates.SAMPLE_GAIN * (Math.floor(failure) - fleetFailureRate);
         ZoneRecord zone = zone(endpoint);
--- a/src/main/java/pepperdock/scheduler/OverdueDetector.java
+++ b/src/main/java/pepperdock/scheduler/OverdueDetector.java
@@ -102,7 +102,7 @@
     private void onOverdue(AttemptState attempt) {
         attempt.overdue = true;
         attempt.endpoint.respondsWithErrors = false;
-        idleConnections.observe(attempt, true);
+        idleConnections.countResult(attempt, true);
         if (!idleConnections.isConnectionDropped(attempt)) {
             outliers.onFailure(attempt.endpoint);
         }
--- a/src/main/java/pepperdock/scheduler/QueryDispatcher.java
+++ b/src/main/java/pepperdock/scheduler/QueryDispatcher.java
@@ -41,24 +41,24 @@
 
     /** Sends {@code count} parts of the query, or rejects it. */
     void dispatch(QueryState query, int count) {
-        double spareableWeight = 1 - query.queryClass.minimumCoverage();
-        if (unservableWeight(query) > spareableWeight + QueryState.COVERAGE_TOLERANCE
+        double omittableWeight = 1 - query.queryClass.minimumCoverage();
+        if (unservableWeight(query) > omittableWeight + QueryState.COVERAGE_TOLERANCE
                 && outliers.isMostOfFleetHealthy()) {
             finisher.endWithoutAnswer(query);
             return;
         }
         query.dispatched = true;
-        sendParts(query, count, spareableWeight);
+        sendParts(query, count, omittableWeight);
         reviewer.review(query);
     }
 
-    private void sendParts(QueryState query, int count, double spareableWeight) {
+    private void sendParts(QueryState query, int count, double omittableWeight) {
         int remaining = count;
-        double spareable = spareableWeight;
+        double remainingOmittableWeight = omittableWeight;
         for (PartState part : FanOutPolicy.heaviestFirst(query)) {
             part.wanted = remaining > 0;
-            if (part.weight <= spareable && !hasAvailableReplica(part)) {
-                spareable -= part.weight;
+            if (part.weight <= remainingOmittableWeight && !hasAvailableReplica(part)) {
+                remainingOmittableWeight -= part.weight;
                 part.wanted = false;
             } else if (remaining-- > 0 && selector.sendToBest(part) && hedging.mayHedge(part)) {
                 selector.sendHedgedTrial(part);
--- a/src/main/java/pepperdock/scheduler/QueryFinisher.java
+++ b/src/main/java/pepperdock/scheduler/QueryFinisher.java
@@ -32,28 +32,28 @@
             cancelAttempts(query);
             query.parts = new ArrayList<>();
         } else {
-            forget(query);
+            close(query);
         }
     }
 
     /** Ends a query without an answer. */
     void endWithoutAnswer(QueryState query) {
-        if (isRepeatHarmless(query)) {
+        if (isClientRetrySafe(query)) {
             actions.rejectQuery(query.id, context.settings().limits().retryAfterS());
         } else {
             actions.failQuery(query.id);
         }
-        forget(query);
+        close(query);
     }
 
     /** Closes a query: removes it and cancels its attempts. */
-    void forget(QueryState query) {
+    void close(QueryState query) {
         query.ended = true;
         queries.remove(query);
         cancelAttempts(query);
     }
 
-    private static boolean isRepeatHarmless(QueryState query) {
+    private static boolean isClientRetrySafe(QueryState query) {
         return query.queryClass.retrySafety() == RetrySafety.IDEMPOTENT
                 || query.parts.stream()
                         .flatMap(part -> part.attempts.stream())
--- a/src/main/java/pepperdock/scheduler/QueryState.java
+++ b/src/main/java/pepperdock/scheduler/QueryState.java
@@ -40,7 +40,7 @@
     double firstRequestObjectiveAtS;
 
     /** When the client gives up this request. */
-    double endAtS;
+    double deadlineAtS;
 
     /** Current stage: {@link #FIRST_STAGE} or {@link #SECOND_STAGE}. */
     int stage = FIRST_STAGE;
--- a/src/main/java/pepperdock/scheduler/RequestFreshness.java
+++ b/src/main/java/pepperdock/scheduler/RequestFreshness.java
@@ -20,7 +20,7 @@
     private static final double SHORT_REQUEST_SHARE = 0.9;
 
     private final SchedulerContext context;
-    private double[] usualRemainingS;
+    private double[] meanRemainingS;
 
     RequestFreshness(SchedulerContext context) {
         this.context = context;
@@ -29,13 +29,13 @@
 
     /** Discards the averages of all classes, because the classes have changed. */
     void reset() {
-        usualRemainingS = new double[context.settings().classes().size()];
+        meanRemainingS = new double[context.settings().classes().size()];
     }
 
     /** Records a request, and returns the seconds that its client has probably waited before it. */
-    double spentS(int classIndex, QueryClass queryClass, double remainingS) {
-        double usualS = usualRemainingS[classIndex] == 0 ? remainingS : usualRemainingS[classIndex];
-        usualRemainingS[classIndex] = usualS + FleetEstimates.SAMPLE_GAIN * (remainingS - usualS);
-        return remainingS < SHORT_REQUEST_SHARE * usualS ? queryClass.deadlineS() - remainingS : 0;
+    double alreadyWaitedS(int classIndex, QueryClass queryClass, double remainingS) {
+        double meanS = meanRemainingS[classIndex] == 0 ? remainingS : meanRemainingS[classIndex];
+        meanRemainingS[classIndex] = meanS + FleetEstimates.SAMPLE_GAIN * (remainingS - meanS);
+        return remainingS < SHORT_REQUEST_SHARE * meanS ? queryClass.deadlineS() - remainingS : 0;
     }
 }
--- a/src/main/java/pepperdock/scheduler/RetryPolicy.java
+++ b/src/main/java/pepperdock/scheduler/RetryPolicy.java
@@ -17,7 +17,7 @@
 
     private final SchedulerContext context;
     private final OutlierDetector outliers;
-    private final RetryBudget budget = new RetryBudget(new RetryBudget.Stated(0, 0, 0));
+    private final RetryBudget budget = new RetryBudget(new RetryBudget.WindowBudget(0, 0, 0));
 
     RetryPolicy(SchedulerContext context, OutlierDetector outliers) {
         this.context = context;
@@ -28,8 +28,8 @@
     /** Applies the retry budget of the settings, which have been replaced. */
     void onSettings() {
         ProtocolRules rules = context.settings().rules();
-        budget.update(
-                new RetryBudget.Stated(rules.retryBudgetWindowS(), rules.retryBudgetFree(), rules.retryBudgetShare()));
+        budget.update(new RetryBudget.WindowBudget(
+                rules.retryBudgetWindowS(), rules.retryBudgetFree(), rules.retryBudgetShare()));
     }
 
     /** Counts a query or part that has arrived, from which the budget is computed. */
@@ -47,8 +47,8 @@
     }
 
     /** Returns whether the rules set a budget. */
-    boolean isBudgetStated() {
-        return budget.isStated();
+    boolean hasWindowBudget() {
+        return budget.hasWindowBudget();
     }
 
     /** Returns whether the budget permits another attempt at the part, which has been attempted. */
@@ -65,7 +65,7 @@
     }
 
     /** Returns whether another attempt at the part can't repeat an effect. */
-    boolean isRepeatable(PartState part) {
+    boolean isRetrySafe(PartState part) {
         QueryClass queryClass = part.query.queryClass;
         return switch (queryClass.retrySafety()) {
             case IDEMPOTENT -> true;
--- a/src/main/java/pepperdock/scheduler/SlowStart.java
+++ b/src/main/java/pepperdock/scheduler/SlowStart.java
@@ -49,20 +49,20 @@
         boolean sendsAtOnce = context.settings().instances() == 1 || maxSavedS(endpoint) > 0;
         double overdrawnS = sendsAtOnce
                 ? -maxSavedS(endpoint)
-                : random.nextDouble() * estimates.partWork().mean();
-        endpoint.warmUp = new WarmUpAllowance(context.nowS(), workRate(endpoint), overdrawnS);
+                : random.nextDouble() * estimates.partWork().meanS();
+        endpoint.warmUpAllowance = new WarmUpAllowance(context.nowS(), workRate(endpoint), overdrawnS);
     }
 
     /** Returns whether the allowance has room for a part; always true outside the warm-up. */
     boolean admits(EndpointRecord endpoint) {
         return !isWarmingUp(endpoint)
-                || endpoint.warmUp.allows(context.nowS(), workRate(endpoint), maxSavedS(endpoint));
+                || endpoint.warmUpAllowance.allows(context.nowS(), workRate(endpoint), maxSavedS(endpoint));
     }
 
     /** Deducts the work of a part of the class {@code classIndex} that is sent to the endpoint. */
     void onSend(EndpointRecord endpoint, int classIndex) {
         if (isWarmingUp(endpoint)) {
-            endpoint.warmUp.send(estimates.partWork().of(classIndex));
+            endpoint.warmUpAllowance.onSend(estimates.partWork().estimateS(classIndex));
         }
     }
 
@@ -78,11 +78,11 @@
         SchedulerSettings settings = context.settings();
         double fleetS =
                 workRate(endpoint) * settings.instances() * settings.rules().warmUpOverloadWindowS();
-        double shortestPartS = estimates.partWork().least();
+        double shortestPartS = estimates.partWork().minS();
         double slackS = 2 * Math.sqrt(fleetS * shortestPartS) + 2 * shortestPartS;
         double fleetSavedS = Math.min(slackS, SAVED_SHARE * fleetS);
         return Math.max(
-                0, fleetSavedS / settings.instances() - estimates.partWork().most());
+                0, fleetSavedS / settings.instances() - estimates.partWork().maxS());
     }
 
     /** Returns this instance's portion of the allowance, in seconds of work per second. */
--- a/src/test/java/pepperdock/estimate/EstimatesTest.java
+++ b/src/test/java/pepperdock/estimate/EstimatesTest.java
@@ -9,7 +9,7 @@
 class EstimatesTest {
 
     @Test
-    void aTokenBucketGivesItsRateAndNoMoreThanItsCapacityAtOnce() {
+    void tokenBucketGivesItsRateAndAtMostItsCapacityAtOnce() {
         TokenBucket bucket = new TokenBucket();
         int taken = 0;
         for (int i = 0; i < 10; i++) {
@@ -21,8 +21,8 @@
     }
 
     @Test
-    void furtherAttemptsAreAShareOfFirstOnesAndThoseAfterAnAnsweredFailureAreFree() {
-        RetryBudget budget = new RetryBudget(new RetryBudget.Stated(0, 0, 0));
+    void retriesAreAShareOfFirstAttemptsAndFreeAfterAFailureResponse() {
+        RetryBudget budget = new RetryBudget(new RetryBudget.WindowBudget(0, 0, 0));
         int made = 0;
         while (budget.allows(1, false)) {
             budget.onRetry(1, false);
@@ -37,8 +37,8 @@
     }
 
     @Test
-    void aStatedBudgetHoldsOverItsWindow() {
-        RetryBudget budget = new RetryBudget(new RetryBudget.Stated(10, 2, 0.1));
+    void windowBudgetLimitsRetriesOverItsWindow() {
+        RetryBudget budget = new RetryBudget(new RetryBudget.WindowBudget(10, 2, 0.1));
         for (int i = 0; i < 10; i++) {
             budget.onArrival(5);
         }
@@ -49,7 +49,7 @@
     }
 
     @Test
-    void theLowerQuartileStaysWhileThreeQuartersOfTheAnswersAreSlow() {
+    void lowerQuartileStaysWhileThreeQuartersOfTheAnswersAreSlow() {
         ServiceTime time = new ServiceTime(0.1);
         PartWork work = new PartWork(1, 0.1);
         for (int i = 0; i < 4000; i++) {
@@ -58,42 +58,42 @@
         }
         assertTrue(time.lowerQuartileS() < 0.2, "" + time.lowerQuartileS());
         assertTrue(time.meanS() > 3, "" + time.meanS());
-        assertTrue(work.of(0) < 1, "" + work.of(0));
+        assertTrue(work.estimateS(0) < 1, "" + work.estimateS(0));
     }
 
     @Test
-    void theWorkOfAClassIsNotThatOfTheLightestOne() {
+    void workIsEstimatedForEachClassByItself() {
         PartWork work = new PartWork(2, 0.1);
         for (int i = 0; i < 4000; i++) {
             work.add(i % 10 == 0 ? 1 : 0, i % 10 == 0 ? 0.15 : 0.015);
         }
-        assertEquals(0.015, work.of(0), 1e-3);
-        assertEquals(0.15, work.of(1), 1e-2);
-        assertEquals(0.0285, work.mean(), 0.01);
-        assertEquals(work.of(0), work.least());
-        assertEquals(work.of(1), work.most());
+        assertEquals(0.015, work.estimateS(0), 1e-3);
+        assertEquals(0.15, work.estimateS(1), 1e-2);
+        assertEquals(0.0285, work.meanS(), 0.01);
+        assertEquals(work.estimateS(0), work.minS());
+        assertEquals(work.estimateS(1), work.maxS());
     }
 
     @Test
-    void anAllowanceOfAWarmingWorkerEarnsByItsRisingRateAndMayOverdrawByOnePart() {
+    void warmUpAllowanceEarnsAtItsRisingRateAndMayBeOverdrawnByOnePart() {
         WarmUpAllowance allowance = new WarmUpAllowance(10, 0.1, 0.05);
         assertFalse(allowance.allows(10, 0.1, 0));
         // The rate rises from 0.1 to 0.3 per second over half a second, which earns 0.1 in total.
         assertTrue(allowance.allows(10.5, 0.3, 0));
-        allowance.send(0.3);
+        allowance.onSend(0.3);
         assertFalse(allowance.allows(10.5, 0.3, 0));
         assertFalse(allowance.allows(11.4, 0.3, 0));
         assertTrue(allowance.allows(11.6, 0.3, 0));
         // No more than the limit is saved up, however long nothing is sent.
         assertTrue(allowance.allows(100, 0.3, 0.2));
-        allowance.send(0.2);
+        allowance.onSend(0.2);
         assertTrue(allowance.allows(100, 0.3, 0.2));
-        allowance.send(0.2);
+        allowance.onSend(0.2);
         assertFalse(allowance.allows(100, 0.3, 0.2));
     }
 
     @Test
-    void aDecayingCountLosesAFactorOfEInItsTimeConstant() {
+    void decayingCountLosesAFactorOfEPerTimeConstant() {
         DecayingCount count = new DecayingCount();
         count.add(3, 10, 2);
         assertEquals(3 / Math.E, count.at(12, 2), 1e-9);
@@ -101,16 +101,16 @@
     }
 
     @Test
-    void idleConnectionsAreTrustedForHalfOfWhatWasDroppedAndAgainAfterAWhile() {
+    void idleLimitIsHalfOfTheIdleTimeThatWasDroppedAndExpires() {
         IdleLimit limit = new IdleLimit();
-        limit.add(8, true, 100, 1);
-        assertEquals(Double.POSITIVE_INFINITY, limit.seconds(100, 1));
-        limit.add(8, true, 100, 1);
-        assertEquals(4, limit.seconds(100, 1));
-        assertEquals(Double.POSITIVE_INFINITY, limit.seconds(121, 1));
-        limit.add(6, true, 121, 1);
-        limit.add(6, true, 121, 1);
-        limit.forget();
-        assertEquals(Double.POSITIVE_INFINITY, limit.seconds(121, 1));
+        limit.recordCall(8, true, 100, 1);
+        assertEquals(Double.POSITIVE_INFINITY, limit.limitS(100, 1));
+        limit.recordCall(8, true, 100, 1);
+        assertEquals(4, limit.limitS(100, 1));
+        assertEquals(Double.POSITIVE_INFINITY, limit.limitS(121, 1));
+        limit.recordCall(6, true, 121, 1);
+        limit.recordCall(6, true, 121, 1);
+        limit.reset();
+        assertEquals(Double.POSITIVE_INFINITY, limit.limitS(121, 1));
     }
 }
--- a/src/test/java/pepperdock/scheduler/AdaptiveSchedulerTest.java
+++ b/src/test/java/pepperdock/scheduler/AdaptiveSchedulerTest.java
@@ -12,12 +12,12 @@
     @Test
     void cancelledQueriesLateResultsAndUnknownIdsAreIgnored() {
         SchedulerFixture fixture = new SchedulerFixture().start("a");
-        fixture.query(1, 6, SchedulerFixture.equal(4));
+        fixture.query(1, 6, SchedulerFixture.equalWeights(4));
         fixture.scheduler.endBatch();
-        fixture.at(100.1);
+        fixture.beginBatch(100.1);
         fixture.scheduler.onQueryCancelled(1);
         fixture.scheduler.onQueryCancelled(77);
-        fixture.end(100, 0, AttemptOutcome.OK, 0.1);
+        fixture.endAttempt(100, 0, AttemptOutcome.OK, 0.1);
         fixture.scheduler.onAttemptResult(new AttemptResult(4242, 3, "z", AttemptOutcome.OK, 0.1, LoadReport.NONE));
         fixture.scheduler.onPart(new PartArrival(4243, 999, 0, 1));
         fixture.query(5, 6);
@@ -35,11 +35,11 @@
             fixture.seed = seed;
             fixture.start("a", "b", "c");
             for (int i = 1; i <= 20; i++) {
-                fixture.query(i, 6, SchedulerFixture.equal(5));
+                fixture.query(i, 6, SchedulerFixture.equalWeights(5));
                 fixture.scheduler.endBatch();
                 fixture.sweep(fixture.now + 0.1);
             }
-            runs.add(fixture.actions.all);
+            runs.add(fixture.actions.recorded);
         }
         assertEquals(runs.get(0), runs.get(1));
         assertNotEquals(runs.get(0), runs.get(2));
--- a/src/test/java/pepperdock/scheduler/AdmissionControllerTest.java
+++ b/src/test/java/pepperdock/scheduler/AdmissionControllerTest.java
@@ -11,10 +11,10 @@
     @Test
     void networkDelayIsNotTakenForAShortRequest() {
         SchedulerFixture fixture = new SchedulerFixture().start("a", "b");
-        fixture.query(1, 4.0, SchedulerFixture.equal(4));
+        fixture.query(1, 4.0, SchedulerFixture.equalWeights(4));
         fixture.scheduler.endBatch();
-        fixture.at(100.1);
-        fixture.query(2, 3.99, SchedulerFixture.equal(4));
+        fixture.beginBatch(100.1);
+        fixture.query(2, 3.99, SchedulerFixture.equalWeights(4));
         fixture.scheduler.endBatch();
         double until = fixture.actions.sends.get(4).until();
         assertTrue(until > 101.9, "deadline of the second query's first attempt: " + until);
@@ -31,7 +31,7 @@
         fixture.sweep(start + 0.6);
         assertEquals(List.of("reject 1"), fixture.actions.endings(1));
         SchedulerFixture full = SchedulerFixture.atConcurrencyLimit(1);
-        full.query(3, 0.9, SchedulerFixture.equal(8));
+        full.query(3, 0.9, SchedulerFixture.equalWeights(8));
         full.scheduler.endBatch();
         full.sweep(full.now + 0.9);
         assertEquals(List.of("reject 3"), full.actions.endings(3), "a queued query ends before its short deadline");
@@ -41,7 +41,7 @@
     void queryThatWouldWaitPastItsObjectiveIsRejectedAtOnce() {
         SchedulerFixture fixture = SchedulerFixture.atConcurrencyLimit(1);
         for (int i = 3; i < 83; i++) {
-            fixture.query(i, 6, SchedulerFixture.equal(8));
+            fixture.query(i, 6, SchedulerFixture.equalWeights(8));
         }
         fixture.scheduler.endBatch();
         long rejected = fixture.actions.count("reject");
--- a/src/test/java/pepperdock/scheduler/EndpointListPollerTest.java
+++ b/src/test/java/pepperdock/scheduler/EndpointListPollerTest.java
@@ -17,7 +17,7 @@
         fixture.start("a");
         fixture.sweep(100.4);
         assertEquals(1, fixture.actions.count("subscribe"));
-        fixture.at(100.5);
+        fixture.beginBatch(100.5);
         fixture.scheduler.onEndpointList(EndpointListKind.FAILED, List.of());
         fixture.query(1, 6, 1.0);
         fixture.scheduler.endBatch();
@@ -42,7 +42,7 @@
             fixture.seed = i;
             fixture.start("a");
             first.merge(tenthOfSecondOfCall(fixture, 1), 1, Integer::sum);
-            fixture.at(101);
+            fixture.beginBatch(101);
             fixture.scheduler.onEndpointList(EndpointListKind.FAILED, List.of());
             fixture.scheduler.endBatch();
             retries.merge(tenthOfSecondOfCall(fixture, 2), 1, Integer::sum);
--- a/src/test/java/pepperdock/scheduler/EndpointRegistryTest.java
+++ b/src/test/java/pepperdock/scheduler/EndpointRegistryTest.java
@@ -10,11 +10,11 @@
     @Test
     void drainingAndRemovedEndpointsReceiveNoAttempts() {
         SchedulerFixture fixture = new SchedulerFixture().start("a", "b", "c");
-        fixture.at(101);
-        fixture.change(
+        fixture.beginBatch(101);
+        fixture.updateEndpoints(
                 SchedulerFixture.endpoint("a", EndpointState.DRAINING, 0),
                 SchedulerFixture.endpoint("b", EndpointState.REMOVED, 0));
-        fixture.query(1, 6, SchedulerFixture.equal(6));
+        fixture.query(1, 6, SchedulerFixture.equalWeights(6));
         fixture.scheduler.endBatch();
         assertEquals(
                 List.of("c"),
@@ -27,10 +27,10 @@
     @Test
     void endpointMissingFromCompleteListIsRemoved() {
         SchedulerFixture fixture = new SchedulerFixture().start("a", "b");
-        fixture.at(101);
+        fixture.beginBatch(101);
         fixture.scheduler.onEndpointList(
                 EndpointListKind.COMPLETE, List.of(SchedulerFixture.endpoint("b", EndpointState.HEALTHY, 0)));
-        fixture.query(1, 6, SchedulerFixture.equal(6));
+        fixture.query(1, 6, SchedulerFixture.equalWeights(6));
         fixture.scheduler.endBatch();
         assertEquals(
                 List.of("b"),
@@ -42,23 +42,23 @@
 
     /** Guards against a leak of records: a day of releases lists hundreds of endpoints that never come back. */
     @Test
-    void removedEndpointIsForgottenOnceItsAttemptsEnd() {
+    void recordOfRemovedEndpointIsDroppedOnceItsAttemptsEnd() {
         SchedulerFixture fixture = new SchedulerFixture().start("a0");
         for (int i = 1; i <= 50; i++) {
-            fixture.at(fixture.now + 0.1);
-            fixture.change(
+            fixture.beginBatch(fixture.now + 0.1);
+            fixture.updateEndpoints(
                     SchedulerFixture.endpoint("a" + (i - 1), EndpointState.REMOVED, 0),
                     SchedulerFixture.endpoint("a" + i, EndpointState.HEALTHY, 0));
             fixture.query(i, 6, 1.0);
             fixture.scheduler.endBatch();
         }
-        assertEquals(50, ((AdaptiveScheduler) fixture.scheduler).endpointsKnown());
-        fixture.at(fixture.now + 0.1);
+        assertEquals(50, ((AdaptiveScheduler) fixture.scheduler).knownEndpointCount());
+        fixture.beginBatch(fixture.now + 0.1);
         for (int i = 1; i <= 50; i++) {
-            fixture.end(i * 100L, 0, AttemptOutcome.OK, 0.1);
+            fixture.endAttempt(i * 100L, 0, AttemptOutcome.OK, 0.1);
         }
-        fixture.change();
+        fixture.updateEndpoints();
         fixture.scheduler.endBatch();
-        assertEquals(1, ((AdaptiveScheduler) fixture.scheduler).endpointsKnown());
+        assertEquals(1, ((AdaptiveScheduler) fixture.scheduler).knownEndpointCount());
     }
 }
--- a/src/test/java/pepperdock/scheduler/FanOutPolicyTest.java
+++ b/src/test/java/pepperdock/scheduler/FanOutPolicyTest.java
@@ -13,10 +13,10 @@
         fixture.query(1, 6, 0.4, 0.3, 0.2, 0.1);
         fixture.scheduler.endBatch();
         assertEquals(List.of(100L, 101L, 102L, 103L), fixture.actions.sentParts());
-        fixture.at(100.2);
-        for (long part : SchedulerFixture.parts(1, 4)) {
+        fixture.beginBatch(100.2);
+        for (long part : SchedulerFixture.partIds(1, 4)) {
             assertEquals(List.of(), fixture.actions.endings(1));
-            fixture.end(part, 0, AttemptOutcome.OK, 0.2);
+            fixture.endAttempt(part, 0, AttemptOutcome.OK, 0.2);
             fixture.scheduler.endBatch();
         }
         assertEquals(List.of("answer 1 true"), fixture.actions.endings(1));
@@ -26,10 +26,10 @@
     void queuedQueryGetsRmapCountWithoutLightestParts() {
         SchedulerFixture fixture = SchedulerFixture.atConcurrencyLimit(0.2);
         fixture.query(3, 6, 0.05, 0.3, 0.2, 0.15, 0.12, 0.08, 0.06, 0.04);
-        fixture.query(4, 6, SchedulerFixture.equal(8));
+        fixture.query(4, 6, SchedulerFixture.equalWeights(8));
         fixture.scheduler.endBatch();
         fixture.actions.clear();
-        fixture.at(fixture.now + 0.1);
+        fixture.beginBatch(fixture.now + 0.1);
         // The answered part raises the limit above 16. One query is queued behind and two are running, which gives
         // ceil(16.1 / (1 + 1 + 1.5)) = 5.
         fixture.scheduler.onAttemptResult(new AttemptResult(101, 0, "a", AttemptOutcome.OK, 0.1, LoadReport.NONE));
@@ -40,11 +40,11 @@
     @Test
     void rmapCountReachesMinimumCoverage() {
         SchedulerFixture fixture = SchedulerFixture.atConcurrencyLimit(0.8);
-        fixture.query(3, 6, SchedulerFixture.equal(8));
-        fixture.query(4, 6, SchedulerFixture.equal(8));
+        fixture.query(3, 6, SchedulerFixture.equalWeights(8));
+        fixture.query(4, 6, SchedulerFixture.equalWeights(8));
         fixture.scheduler.endBatch();
         fixture.actions.clear();
-        fixture.at(fixture.now + 0.1);
+        fixture.beginBatch(fixture.now + 0.1);
         fixture.scheduler.onAttemptResult(new AttemptResult(101, 0, "a", AttemptOutcome.OK, 0.1, LoadReport.NONE));
         fixture.scheduler.endBatch();
         assertEquals(7, fixture.actions.sends.size());
@@ -53,14 +53,14 @@
     @Test
     void classWithoutPartialAnswersSendsAllParts() {
         SchedulerFixture fixture = SchedulerFixture.atConcurrencyLimit(1);
-        fixture.query(3, 6, SchedulerFixture.equal(8));
-        fixture.query(4, 6, SchedulerFixture.equal(8));
+        fixture.query(3, 6, SchedulerFixture.equalWeights(8));
+        fixture.query(4, 6, SchedulerFixture.equalWeights(8));
         fixture.scheduler.endBatch();
         fixture.actions.clear();
-        fixture.at(fixture.now + 0.1);
+        fixture.beginBatch(fixture.now + 0.1);
         fixture.scheduler.onAttemptResult(new AttemptResult(101, 0, "a", AttemptOutcome.OK, 0.1, LoadReport.NONE));
         fixture.scheduler.endBatch();
-        assertEquals(SchedulerFixture.parts(3, 8), fixture.actions.sentParts());
+        assertEquals(SchedulerFixture.partIds(3, 8), fixture.actions.sentParts());
     }
 
     /**
@@ -86,9 +86,9 @@
         fixture.query(1, 6, weights);
         fixture.scheduler.endBatch();
         assertEquals(6, fixture.actions.sends.size(), "attempts sent while parts are quick");
-        SchedulerFixture.parts(1, 6).forEach(p -> fixture.end(p, 0, AttemptOutcome.OK, 0.1));
+        SchedulerFixture.partIds(1, 6).forEach(p -> fixture.endAttempt(p, 0, AttemptOutcome.OK, 0.1));
         fixture.scheduler.endBatch();
-        fixture.at(fixture.now + 1).serve(60, 6, 0.36 * SchedulerFixture.OBJECTIVE_S);
+        fixture.beginBatch(fixture.now + 1).serve(60, 6, 0.36 * SchedulerFixture.OBJECTIVE_S);
         fixture.query(2, 6, weights);
         fixture.scheduler.endBatch();
         return fixture.actions.sends.stream()
--- a/src/test/java/pepperdock/scheduler/HedgingPolicyTest.java
+++ b/src/test/java/pepperdock/scheduler/HedgingPolicyTest.java
@@ -48,12 +48,12 @@
         fixture.start("a", "b", "c", "d", "e", "f", "g", "h", "i", "j");
         for (int id = 1; id <= 6; id++) {
             double queryStart = fixture.now;
-            fixture.query(id, 6, SchedulerFixture.equal(100));
+            fixture.query(id, 6, SchedulerFixture.equalWeights(100));
             fixture.scheduler.endBatch();
             for (int n = 0; n < 100; n++) {
                 double spent = 0.1 + 0.005 * n;
-                fixture.at(queryStart + spent);
-                fixture.end(id * 100L + n, 0, AttemptOutcome.OK, spent);
+                fixture.beginBatch(queryStart + spent);
+                fixture.endAttempt(id * 100L + n, 0, AttemptOutcome.OK, spent);
                 fixture.scheduler.endBatch();
             }
             fixture.sweep(queryStart + 3);
@@ -66,11 +66,11 @@
     void overduePartsAreHedgedThoughAnswersComeSorted() {
         SchedulerFixture fixture = afterSortedAnswers();
         double queryStart = fixture.now;
-        fixture.query(7, 6, SchedulerFixture.equal(100));
+        fixture.query(7, 6, SchedulerFixture.equalWeights(100));
         fixture.scheduler.endBatch();
-        fixture.at(queryStart + 0.15);
+        fixture.beginBatch(queryStart + 0.15);
         for (int n = 15; n < 100; n++) {
-            fixture.end(700L + n, 0, AttemptOutcome.OK, 0.15);
+            fixture.endAttempt(700L + n, 0, AttemptOutcome.OK, 0.15);
         }
         fixture.scheduler.endBatch();
         fixture.sweep(queryStart + 1.9);
--- a/src/test/java/pepperdock/scheduler/IdleConnectionPolicyTest.java
+++ b/src/test/java/pepperdock/scheduler/IdleConnectionPolicyTest.java
@@ -12,23 +12,23 @@
 class IdleConnectionPolicyTest {
 
     /** Sends a query with the given number of parts. All endpoints but the silent ones answer in time. */
-    private static void ask(SchedulerFixture fixture, long id, int parts, Set<String> silent) {
+    private static void runQuery(SchedulerFixture fixture, long id, int parts, Set<String> silent) {
         int before = fixture.actions.sends.size();
-        fixture.query(id, 6, SchedulerFixture.equal(parts));
+        fixture.query(id, 6, SchedulerFixture.equalWeights(parts));
         fixture.scheduler.endBatch();
         List<RecordingActions.Sent> sent =
                 List.copyOf(fixture.actions.sends.subList(before, fixture.actions.sends.size()));
-        fixture.at(fixture.now + 0.15);
+        fixture.beginBatch(fixture.now + 0.15);
         sent.stream()
-                .filter(s -> !silent.contains(s.endpointId()))
-                .forEach(s -> fixture.scheduler.onAttemptResult(
-                        new AttemptResult(s.part(), 0, s.endpointId(), AttemptOutcome.OK, 0.15, LoadReport.NONE)));
+                .filter(attempt -> !silent.contains(attempt.endpointId()))
+                .forEach(attempt -> fixture.scheduler.onAttemptResult(new AttemptResult(
+                        attempt.part(), 0, attempt.endpointId(), AttemptOutcome.OK, 0.15, LoadReport.NONE)));
         fixture.scheduler.endBatch();
         fixture.sweep(fixture.now + 1.9);
         sent.stream()
-                .filter(s -> silent.contains(s.endpointId()))
-                .forEach(s -> fixture.scheduler.onAttemptResult(
-                        new AttemptResult(s.part(), 0, s.endpointId(), AttemptOutcome.CANCELLED, 2, LoadReport.NONE)));
+                .filter(attempt -> silent.contains(attempt.endpointId()))
+                .forEach(attempt -> fixture.scheduler.onAttemptResult(new AttemptResult(
+                        attempt.part(), 0, attempt.endpointId(), AttemptOutcome.CANCELLED, 2, LoadReport.NONE)));
         fixture.scheduler.endBatch();
         fixture.sweep(fixture.now + 4);
     }
@@ -42,21 +42,22 @@
         String[] names = IntStream.range(0, 12).mapToObj(i -> "s" + i).toArray(String[]::new);
         fixture.start(names);
         for (int i = 1; i <= 5; i++) {
-            ask(fixture, i, 12, Set.of());
+            runQuery(fixture, i, 12, Set.of());
         }
-        ask(fixture, 6, 12, Set.of(Arrays.copyOf(names, silent)));
+        runQuery(fixture, 6, 12, Set.of(Arrays.copyOf(names, silent)));
         fixture.actions.clear();
-        fixture.query(7, 6, SchedulerFixture.equal(12));
+        fixture.query(7, 6, SchedulerFixture.equalWeights(12));
         fixture.scheduler.endBatch();
         return fixture;
     }
 
     @Test
-    void silentlyDroppedIdleConnectionsAreClosedAndTheirEndpointsNotBlamed() {
+    void silentlyDroppedIdleConnectionsAreClosedAndEndpointsNotEjected() {
         SchedulerFixture fixture = afterManyQueries(8);
         assertEquals(12, fixture.actions.count("drop"));
         assertTrue(
-                fixture.actions.all.get(0).startsWith("drop"), "connections are closed before the attempts are sent");
+                fixture.actions.recorded.get(0).startsWith("drop"),
+                "connections are closed before the attempts are sent");
         assertEquals(12, fixture.counts().size(), "every endpoint receives attempts");
     }
 
@@ -68,21 +69,21 @@
     }
 
     @Test
-    void failedConnectsEndTheMistrustOfIdleConnections() {
+    void failedConnectResetsTheIdleLimit() {
         SchedulerFixture fixture = afterManyQueries(8);
         List<RecordingActions.Sent> sent = List.copyOf(fixture.actions.sends);
-        fixture.at(fixture.now + 0.25);
+        fixture.beginBatch(fixture.now + 0.25);
         fixture.scheduler.onAttemptResult(new AttemptResult(
                 sent.get(0).part(), 0, sent.get(0).endpointId(), AttemptOutcome.CONNECT_FAILED, 0.25, LoadReport.NONE));
         sent.stream()
                 .skip(1)
-                .forEach(s -> fixture.scheduler.onAttemptResult(
-                        new AttemptResult(s.part(), 0, s.endpointId(), AttemptOutcome.OK, 0.25, LoadReport.NONE)));
+                .forEach(attempt -> fixture.scheduler.onAttemptResult(new AttemptResult(
+                        attempt.part(), 0, attempt.endpointId(), AttemptOutcome.OK, 0.25, LoadReport.NONE)));
         fixture.scheduler.onQueryCancelled(7);
         fixture.scheduler.endBatch();
         fixture.sweep(fixture.now + 5);
         fixture.actions.clear();
-        fixture.query(8, 6, SchedulerFixture.equal(12));
+        fixture.query(8, 6, SchedulerFixture.equalWeights(12));
         fixture.scheduler.endBatch();
         assertEquals(0, fixture.actions.count("drop"));
     }
--- a/src/test/java/pepperdock/scheduler/LargeFleetTest.java
+++ b/src/test/java/pepperdock/scheduler/LargeFleetTest.java
@@ -13,27 +13,27 @@
 class LargeFleetTest {
 
     /** Sends a query of {@code parts} parts and ends each attempt: late at the endpoints named, in time at others. */
-    private static void round(SchedulerFixture fixture, long id, int parts, double lateS, String... late) {
+    private static void runQuery(SchedulerFixture fixture, long id, int parts, double lateS, String... late) {
         int before = fixture.actions.sends.size();
-        fixture.query(id, 6, SchedulerFixture.equal(parts));
+        fixture.query(id, 6, SchedulerFixture.equalWeights(parts));
         fixture.scheduler.endBatch();
         List<RecordingActions.Sent> sent =
                 List.copyOf(fixture.actions.sends.subList(before, fixture.actions.sends.size()));
         double start = fixture.now;
-        fixture.at(start + 0.15);
-        for (RecordingActions.Sent s : sent) {
-            if (!List.of(late).contains(s.endpointId())) {
+        fixture.beginBatch(start + 0.15);
+        for (RecordingActions.Sent send : sent) {
+            if (!List.of(late).contains(send.endpointId())) {
                 fixture.scheduler.onAttemptResult(
-                        new AttemptResult(s.part(), 0, s.endpointId(), AttemptOutcome.OK, 0.15, LoadReport.NONE));
+                        new AttemptResult(send.part(), 0, send.endpointId(), AttemptOutcome.OK, 0.15, LoadReport.NONE));
             }
         }
         fixture.scheduler.endBatch();
         fixture.sweep(start + lateS);
-        fixture.at(start + lateS + 0.005);
-        for (RecordingActions.Sent s : sent) {
-            if (List.of(late).contains(s.endpointId())) {
-                fixture.scheduler.onAttemptResult(
-                        new AttemptResult(s.part(), 0, s.endpointId(), AttemptOutcome.OK, lateS, LoadReport.NONE));
+        fixture.beginBatch(start + lateS + 0.005);
+        for (RecordingActions.Sent send : sent) {
+            if (List.of(late).contains(send.endpointId())) {
+                fixture.scheduler.onAttemptResult(new AttemptResult(
+                        send.part(), 0, send.endpointId(), AttemptOutcome.OK, lateS, LoadReport.NONE));
             }
         }
         fixture.scheduler.onQueryCancelled(id);
@@ -47,17 +47,17 @@
         fixture.start("a", "b", "c", "d");
         fixture.serve(40, 4, 0.15);
         for (int i = 1; i <= 12; i++) {
-            round(fixture, i, 8, 1.5, "c", "d");
+            runQuery(fixture, i, 8, 1.5, "c", "d");
         }
         fixture.actions.clear();
-        fixture.query(50, 6, SchedulerFixture.equal(8));
+        fixture.query(50, 6, SchedulerFixture.equalWeights(8));
         fixture.scheduler.endBatch();
         long slow = fixture.counts().getOrDefault("c", 0L) + fixture.counts().getOrDefault("d", 0L);
         assertTrue(slow <= 2, "slow endpoints receive only trials: " + fixture.counts());
     }
 
     @Test
-    void degradedZonePathIsLearntFromSomeEndpointsForAll() {
+    void degradedZonePathDetectedAtSomeEndpointsAppliesToAll() {
         SchedulerFixture fixture = new SchedulerFixture();
         fixture.cancellation = false;
         fixture.start();
@@ -69,7 +69,7 @@
         fixture.scheduler.endBatch();
         fixture.serve(40, 4, 0.15);
         for (int i = 1; i <= 8; i++) {
-            round(fixture, i, 8, 1.5, "f1", "f2");
+            runQuery(fixture, i, 8, 1.5, "f1", "f2");
         }
         fixture.scheduler.onEndpointList(
                 EndpointListKind.CHANGES,
@@ -78,7 +78,7 @@
                         new Endpoint("f3", 1, 0, 0, EndpointState.HEALTHY, 1, 0)));
         fixture.actions.clear();
         for (int i = 51; i <= 53; i++) {
-            fixture.query(i, 6, SchedulerFixture.equal(4));
+            fixture.query(i, 6, SchedulerFixture.equalWeights(4));
         }
         fixture.scheduler.endBatch();
         assertTrue(
@@ -101,21 +101,21 @@
             fixture.sweep(sent + 0.2 * (i + 1));
             String excluded = silent;
             int first = fixture.actions.sends.size();
-            fixture.query(10 + i, 6, SchedulerFixture.equal(3));
+            fixture.query(10 + i, 6, SchedulerFixture.equalWeights(3));
             fixture.scheduler.endBatch();
-            fixture.at(fixture.now + 0.1);
-            for (RecordingActions.Sent s :
+            fixture.beginBatch(fixture.now + 0.1);
+            for (RecordingActions.Sent send :
                     List.copyOf(fixture.actions.sends.subList(first, fixture.actions.sends.size()))) {
-                if (!s.endpointId().equals(excluded)) {
-                    fixture.scheduler.onAttemptResult(
-                            new AttemptResult(s.part(), 0, s.endpointId(), AttemptOutcome.OK, 0.1, LoadReport.NONE));
+                if (!send.endpointId().equals(excluded)) {
+                    fixture.scheduler.onAttemptResult(new AttemptResult(
+                            send.part(), 0, send.endpointId(), AttemptOutcome.OK, 0.1, LoadReport.NONE));
                 }
             }
             fixture.scheduler.onQueryCancelled(10 + i);
             fixture.scheduler.endBatch();
         }
         fixture.actions.clear();
-        fixture.query(50, 6, SchedulerFixture.equal(6));
+        fixture.query(50, 6, SchedulerFixture.equalWeights(6));
         fixture.scheduler.endBatch();
         assertTrue(
                 fixture.counts().getOrDefault(silent, 0L) <= 1, fixture.counts().toString());
@@ -127,28 +127,28 @@
         String[] names =
                 java.util.stream.IntStream.range(0, 20).mapToObj(i -> "s" + i).toArray(String[]::new);
         fixture.start(names);
-        fixture.query(1, 6, SchedulerFixture.equal(20));
+        fixture.query(1, 6, SchedulerFixture.equalWeights(20));
         fixture.scheduler.endBatch();
         List<RecordingActions.Sent> sent = List.copyOf(fixture.actions.sends);
-        fixture.at(100.1);
-        for (RecordingActions.Sent s : sent) {
-            boolean healthy = Integer.parseInt(s.endpointId().substring(1)) >= 10;
+        fixture.beginBatch(100.1);
+        for (RecordingActions.Sent send : sent) {
+            boolean healthy = Integer.parseInt(send.endpointId().substring(1)) >= 10;
             fixture.scheduler.onAttemptResult(new AttemptResult(
-                    s.part(),
+                    send.part(),
                     0,
-                    s.endpointId(),
+                    send.endpointId(),
                     healthy ? AttemptOutcome.OK : AttemptOutcome.CONNECT_FAILED,
                     0.1,
                     LoadReport.NONE));
         }
         fixture.scheduler.onQueryCancelled(1);
         fixture.scheduler.endBatch();
-        fixture.at(120);
+        fixture.beginBatch(120);
         fixture.actions.clear();
-        fixture.query(2, 6, SchedulerFixture.equal(20));
+        fixture.query(2, 6, SchedulerFixture.equalWeights(20));
         fixture.scheduler.endBatch();
         long trials = fixture.actions.sends.stream()
-                .filter(s -> Integer.parseInt(s.endpointId().substring(1)) < 10)
+                .filter(send -> Integer.parseInt(send.endpointId().substring(1)) < 10)
                 .count();
         assertTrue(trials >= 1 && trials <= 3, "trials in one query, expected 1 to 3: " + trials);
     }
@@ -159,38 +159,38 @@
             SchedulerFixture fixture = new SchedulerFixture();
             fixture.minimumCoverage = floor;
             fixture.start();
-            SchedulerSettings one = fixture.settings();
+            SchedulerSettings base = fixture.settings();
             fixture.scheduler = Scheduler.create(
                     new SchedulerSettings(
                             1,
                             0,
-                            one.tickS(),
+                            base.tickS(),
                             false,
-                            one.classes(),
+                            base.classes(),
                             List.of(),
                             1,
                             List.of(),
                             new ReplicaLayout(4, 4, 1, 1),
-                            one.limits(),
-                            one.rules()),
+                            base.limits(),
+                            base.rules()),
                     7,
                     fixture.actions);
-            fixture.at(100);
+            fixture.beginBatch(100);
             fixture.scheduler.onEndpointList(
                     EndpointListKind.CACHED,
                     java.util.stream.IntStream.range(0, 4)
                             .mapToObj(i -> new Endpoint("s" + i, 0, 0, i, EndpointState.HEALTHY, 1, 0))
                             .toList());
             fixture.scheduler.endBatch();
-            fixture.query(1, 6, SchedulerFixture.equal(4));
+            fixture.query(1, 6, SchedulerFixture.equalWeights(4));
             fixture.scheduler.endBatch();
-            fixture.at(100.1);
+            fixture.beginBatch(100.1);
             for (int i = 0; i < 4; i++) {
-                fixture.end(100 + i, 0, i == 3 ? AttemptOutcome.CONNECT_FAILED : AttemptOutcome.OK, 0.1);
+                fixture.endAttempt(100 + i, 0, i == 3 ? AttemptOutcome.CONNECT_FAILED : AttemptOutcome.OK, 0.1);
             }
             fixture.scheduler.onQueryCancelled(1);
             fixture.actions.clear();
-            fixture.query(2, 6, SchedulerFixture.equal(4));
+            fixture.query(2, 6, SchedulerFixture.equalWeights(4));
             fixture.scheduler.endBatch();
             assertEquals(
                     floor < 1 ? List.of(200L, 201L, 202L) : List.of(), fixture.actions.sentParts(), "floor " + floor);
@@ -209,7 +209,7 @@
         long rejected = fixture.actions.count("reject");
         assertTrue(rejected >= 20 && rejected < 40, "rejected, expected 20 to 39: " + rejected);
         for (long part : fixture.actions.sentParts()) {
-            fixture.end(part, 0, AttemptOutcome.OK, 0.1);
+            fixture.endAttempt(part, 0, AttemptOutcome.OK, 0.1);
         }
         fixture.scheduler.endBatch();
         for (int i = 0; i < 12; i++) {
@@ -218,8 +218,8 @@
         for (int i = 100; i < 120; i++) {
             fixture.query(i, 6, 1.0);
             fixture.scheduler.endBatch();
-            fixture.at(fixture.now + 0.1);
-            fixture.end(i * 100L, 0, AttemptOutcome.OK, 0.1);
+            fixture.beginBatch(fixture.now + 0.1);
+            fixture.endAttempt(i * 100L, 0, AttemptOutcome.OK, 0.1);
             fixture.scheduler.endBatch();
         }
         assertEquals(0, fixture.actions.count("reject"));
@@ -237,7 +237,7 @@
             for (int i = 1; i <= 60; i++) {
                 fixture.query(i, 6, 1.0);
                 fixture.scheduler.endBatch();
-                fixture.end(i * 100L, 0, AttemptOutcome.OK, 1.2);
+                fixture.endAttempt(i * 100L, 0, AttemptOutcome.OK, 1.2);
             }
             rejected[tenant] = fixture.actions.count("reject");
         }
@@ -253,25 +253,25 @@
     }
 
     @Test
-    void clockJumpEjectsNobody() {
+    void clockJumpEjectsNoEndpoint() {
         SchedulerFixture fixture = new SchedulerFixture();
         fixture.lateAnswerWeight = 0.3;
         fixture.start("a", "b", "c");
         fixture.serve(60, 3, 0.15);
-        fixture.query(1, 6, SchedulerFixture.equal(3));
+        fixture.query(1, 6, SchedulerFixture.equalWeights(3));
         fixture.scheduler.endBatch();
-        fixture.at(fixture.now + 1.5);
+        fixture.beginBatch(fixture.now + 1.5);
         fixture.scheduler.onTimer("sweep");
-        for (long part : SchedulerFixture.parts(1, 3)) {
-            fixture.end(part, 0, AttemptOutcome.OK, 1.5);
+        for (long part : SchedulerFixture.partIds(1, 3)) {
+            fixture.endAttempt(part, 0, AttemptOutcome.OK, 1.5);
         }
         fixture.scheduler.endBatch();
         assertEquals(List.of("answer 1 true"), fixture.actions.endings(1));
         fixture.actions.clear();
-        fixture.query(2, 6, SchedulerFixture.equal(9));
+        fixture.query(2, 6, SchedulerFixture.equalWeights(9));
         fixture.scheduler.endBatch();
         assertEquals(Map.of("a", 3L, "b", 3L, "c", 3L), fixture.counts());
-        fixture.at(fixture.now + 1e6);
+        fixture.beginBatch(fixture.now + 1e6);
         fixture.scheduler.onTimer("sweep");
         fixture.scheduler.endBatch();
         assertEquals(List.of("reject 2"), fixture.actions.endings(2));
@@ -286,13 +286,13 @@
             fixture.seed = i;
             fixture.start("warm", "cold");
             fixture.serve(20, 0.15);
-            fixture.change(SchedulerFixture.endpoint("cold", EndpointState.HEALTHY, fixture.now));
+            fixture.updateEndpoints(SchedulerFixture.endpoint("cold", EndpointState.HEALTHY, fixture.now));
             double end = fixture.now + 1;
             for (int n = 0; fixture.now < end; n++) {
                 fixture.query(1000 + n, 6, 1.0);
                 fixture.scheduler.endBatch();
-                fixture.at(fixture.now + 0.1);
-                fixture.end((1000 + n) * 100L, 0, AttemptOutcome.OK, 0.1);
+                fixture.beginBatch(fixture.now + 0.1);
+                fixture.endAttempt((1000 + n) * 100L, 0, AttemptOutcome.OK, 0.1);
                 fixture.scheduler.endBatch();
             }
             sent += fixture.counts().getOrDefault("cold", 0L);
@@ -309,24 +309,24 @@
         double partS = 0.1;
         for (int instances : new int[] {2, 20, 30, 100}) {
             List<Double> sends = new ArrayList<>();
-            double boot = 0;
+            double start = 0;
             for (int i = 0; i < instances; i++) {
                 SchedulerFixture fixture = new SchedulerFixture();
                 fixture.instances = instances;
                 fixture.seed = i;
                 fixture.start("cold");
                 fixture.serve(20, partS);
-                boot = fixture.now;
-                fixture.change(SchedulerFixture.endpoint("cold", EndpointState.HEALTHY, boot));
-                for (long n = 1; fixture.now < boot + 10; n++) {
+                start = fixture.now;
+                fixture.updateEndpoints(SchedulerFixture.endpoint("cold", EndpointState.HEALTHY, start));
+                for (long n = 1; fixture.now < start + 10; n++) {
                     int before = fixture.actions.sends.size();
                     fixture.query(n, 6, 1.0);
                     fixture.scheduler.endBatch();
                     if (fixture.actions.sends.size() > before) {
                         sends.add(fixture.now);
                     }
-                    fixture.at(fixture.now + partS);
-                    fixture.end(n * 100, 0, AttemptOutcome.OK, partS);
+                    fixture.beginBatch(fixture.now + partS);
+                    fixture.endAttempt(n * 100, 0, AttemptOutcome.OK, partS);
                     fixture.scheduler.onQueryCancelled(n);
                     fixture.scheduler.endBatch();
                 }
@@ -337,10 +337,10 @@
                 while (sends.get(first) <= time - 1) {
                     first++;
                 }
-                double allowed = 2 * (0.2 + 0.8 * (time - boot) / 10) / partS;
+                double allowed = 2 * (0.2 + 0.8 * (time - start) / 10) / partS;
                 double bound = allowed + 2 * Math.sqrt(allowed) + 2;
                 int sent = last - first + 1;
-                assertTrue(sent <= bound, instances + " instances, " + (time - boot) + " s: " + sent + " of " + bound);
+                assertTrue(sent <= bound, instances + " instances, " + (time - start) + " s: " + sent + " of " + bound);
             }
             assertTrue(sends.size() > 60, instances + " instances send too few: " + sends.size() + " of about 108");
         }
@@ -350,30 +350,30 @@
     void largeListsUnknownZonesAndMovedEndpointsAreHandled() {
         SchedulerFixture fixture = new SchedulerFixture();
         fixture.start();
-        SchedulerSettings one = fixture.settings();
+        SchedulerSettings base = fixture.settings();
         fixture.scheduler = Scheduler.create(
                 new SchedulerSettings(
                         1,
                         0,
-                        one.tickS(),
+                        base.tickS(),
                         false,
-                        one.classes(),
+                        base.classes(),
                         List.of(),
                         1,
                         List.of(),
                         new ReplicaLayout(2, 2, 1, 1),
-                        one.limits(),
-                        one.rules()),
+                        base.limits(),
+                        base.rules()),
                 7,
                 fixture.actions);
-        fixture.at(100);
+        fixture.beginBatch(100);
         fixture.scheduler.onEndpointList(
                 EndpointListKind.COMPLETE,
                 java.util.stream.IntStream.range(0, 600)
                         .mapToObj(i -> new Endpoint("s" + i, 99, 0, i % 2, EndpointState.HEALTHY, 1, 0))
                         .toList());
         fixture.scheduler.endBatch();
-        fixture.query(1, 6, SchedulerFixture.equal(4));
+        fixture.query(1, 6, SchedulerFixture.equalWeights(4));
         fixture.scheduler.endBatch();
         assertEquals(4, fixture.counts().size(), "the parts go to four different endpoints of six hundred");
         fixture.scheduler.onQueryCancelled(1);
--- a/src/test/java/pepperdock/scheduler/OutlierDetectorTest.java
+++ b/src/test/java/pepperdock/scheduler/OutlierDetectorTest.java
@@ -25,29 +25,30 @@
         fixture.shards = 2;
         fixture.start("a", "b");
         for (String healthy : List.of("x", "y", "z")) {
-            fixture.change(new Endpoint(healthy, 0, 0, 1, EndpointState.HEALTHY, 1, 0));
+            fixture.updateEndpoints(new Endpoint(healthy, 0, 0, 1, EndpointState.HEALTHY, 1, 0));
         }
         for (int query = 1; query <= 9; query++) {
             fixture.query(query, 6, 1.0);
             fixture.scheduler.endBatch();
-            fixture.at(fixture.now + 0.01);
+            fixture.beginBatch(fixture.now + 0.01);
             long part = query * 100L;
             boolean toA = fixture.actions.sends.stream()
-                    .anyMatch(s -> s.part() == part && s.endpointId().equals("a"));
-            fixture.end(part, 0, toA ? AttemptOutcome.ERROR : AttemptOutcome.OK, 0.01);
+                    .anyMatch(attempt ->
+                            attempt.part() == part && attempt.endpointId().equals("a"));
+            fixture.endAttempt(part, 0, toA ? AttemptOutcome.ERROR : AttemptOutcome.OK, 0.01);
             fixture.scheduler.endBatch();
-            fixture.end(part, 1, AttemptOutcome.OK, 0.01);
+            fixture.endAttempt(part, 1, AttemptOutcome.OK, 0.01);
             fixture.scheduler.endBatch();
         }
-        fixture.change(SchedulerFixture.endpoint("b", EndpointState.DRAINING, 0));
+        fixture.updateEndpoints(SchedulerFixture.endpoint("b", EndpointState.DRAINING, 0));
         fixture.actions.clear();
         fixture.query(20, 6, 1.0);
         fixture.scheduler.endBatch();
         for (int i = 0; i < 3; i++) {
             assertEquals(i + 1, fixture.actions.sends.size(), fixture.actions.endings(20)::toString);
             assertEquals("a", fixture.actions.sends.get(i).endpointId());
-            fixture.at(fixture.now + 0.01);
-            fixture.end(2000, i, i < 2 ? AttemptOutcome.ERROR : AttemptOutcome.OK, 0.01);
+            fixture.beginBatch(fixture.now + 0.01);
+            fixture.endAttempt(2000, i, i < 2 ? AttemptOutcome.ERROR : AttemptOutcome.OK, 0.01);
             fixture.scheduler.endBatch();
         }
         assertEquals(List.of("answer 20 true"), fixture.actions.endings(20));
@@ -59,16 +60,16 @@
         fixture.query(1, 6, 1.0);
         fixture.scheduler.endBatch();
         String broken = fixture.actions.sends.get(0).endpointId();
-        fixture.at(100.05);
-        fixture.end(100, 0, AttemptOutcome.CONNECT_FAILED, 0.05);
-        fixture.query(2, 6, SchedulerFixture.equal(4));
+        fixture.beginBatch(100.05);
+        fixture.endAttempt(100, 0, AttemptOutcome.CONNECT_FAILED, 0.05);
+        fixture.query(2, 6, SchedulerFixture.equalWeights(4));
         fixture.scheduler.endBatch();
         assertTrue(fixture.actions.sends.stream()
                 .skip(1)
-                .noneMatch(s -> s.endpointId().equals(broken)));
-        fixture.at(100.1);
+                .noneMatch(attempt -> attempt.endpointId().equals(broken)));
+        fixture.beginBatch(100.1);
         String other = broken.equals("a") ? "b" : "a";
-        fixture.change(SchedulerFixture.endpoint(other, EndpointState.DRAINING, 0));
+        fixture.updateEndpoints(SchedulerFixture.endpoint(other, EndpointState.DRAINING, 0));
         fixture.actions.clear();
         fixture.query(3, 6, 1.0);
         fixture.scheduler.endBatch();
@@ -100,7 +101,7 @@
             fixture.scheduler.endBatch();
             rejectedAtOnce += fixture.actions.endings(i).size();
             fixture.sweep(fixture.now + 2.2);
-            fixture.end(i * 100L, 0, AttemptOutcome.TIMEOUT, 2);
+            fixture.endAttempt(i * 100L, 0, AttemptOutcome.TIMEOUT, 2);
             fixture.scheduler.endBatch();
         }
         assertTrue(rejectedAtOnce >= 5, "queries rejected at once because all replicas are ejected: " + rejectedAtOnce);
@@ -108,8 +109,8 @@
         for (int i = 101; i <= 120; i++) {
             fixture.query(i, 6, 1.0);
             fixture.scheduler.endBatch();
-            fixture.at(fixture.now + 0.15);
-            fixture.end(i * 100L, 0, AttemptOutcome.OK, 0.15);
+            fixture.beginBatch(fixture.now + 0.15);
+            fixture.endAttempt(i * 100L, 0, AttemptOutcome.OK, 0.15);
             fixture.scheduler.endBatch();
             answered += fixture.actions.endings(i).contains("answer " + i + " true") ? 1 : 0;
             fixture.sweep(fixture.now + 2.2);
@@ -121,7 +122,7 @@
      * Guards against rejecting a query whose replicas answered a part a moment ago, since they may answer the next one.
      */
     @Test
-    void replicasWithOccasionalErrorsAreNoGroundForRejection() {
+    void replicasWithOccasionalErrorsDoNotCauseRejection() {
         SchedulerFixture fixture = new SchedulerFixture();
         fixture.cells = 3;
         fixture.shards = 1;
@@ -133,12 +134,12 @@
                         .toList());
         fixture.scheduler.endBatch();
         fixture.serve(40, 0.15);
-        fixture.query(1, 6, SchedulerFixture.equal(8));
+        fixture.query(1, 6, SchedulerFixture.equalWeights(8));
         fixture.scheduler.endBatch();
-        fixture.at(fixture.now + 0.1);
+        fixture.beginBatch(fixture.now + 0.1);
         Set<String> answered = new HashSet<>();
         for (RecordingActions.Sent sent : List.copyOf(fixture.actions.sends)) {
-            fixture.end(
+            fixture.endAttempt(
                     sent.part(), 0, answered.add(sent.endpointId()) ? AttemptOutcome.OK : AttemptOutcome.ERROR, 0.1);
         }
         fixture.scheduler.endBatch();
@@ -148,25 +149,25 @@
     }
 
     @Test
-    void sharedFaultDoesNotCrowdTheRemainingEndpoints() {
+    void sharedFaultDoesNotConcentrateLoadOnRemainingEndpoints() {
         SchedulerFixture fixture = new SchedulerFixture().start("a", "b", "c", "d");
         for (int i = 0; i < 4; i++) {
             long id = 1L + i;
             int before = fixture.actions.sends.size();
-            fixture.query(id, 6, SchedulerFixture.equal(4));
+            fixture.query(id, 6, SchedulerFixture.equalWeights(4));
             fixture.scheduler.endBatch();
             List<RecordingActions.Sent> sent =
                     List.copyOf(fixture.actions.sends.subList(before, fixture.actions.sends.size()));
-            fixture.at(fixture.now + 0.1);
-            for (RecordingActions.Sent s : sent) {
-                fixture.scheduler.onAttemptResult(
-                        new AttemptResult(s.part(), 0, s.endpointId(), AttemptOutcome.RESET, 0.1, LoadReport.NONE));
+            fixture.beginBatch(fixture.now + 0.1);
+            for (RecordingActions.Sent attempt : sent) {
+                fixture.scheduler.onAttemptResult(new AttemptResult(
+                        attempt.part(), 0, attempt.endpointId(), AttemptOutcome.RESET, 0.1, LoadReport.NONE));
             }
             fixture.scheduler.onQueryCancelled(id);
             fixture.scheduler.endBatch();
         }
         fixture.actions.clear();
-        fixture.query(50, 6, SchedulerFixture.equal(8));
+        fixture.query(50, 6, SchedulerFixture.equalWeights(8));
         fixture.scheduler.endBatch();
         Map<String, Long> counts = fixture.actions.sends.stream()
                 .collect(Collectors.groupingBy(RecordingActions.Sent::endpointId, Collectors.counting()));
@@ -179,8 +180,8 @@
         SchedulerFixture fixture = new SchedulerFixture().start("a");
         fixture.query(1, 6, 1.0);
         fixture.scheduler.endBatch();
-        fixture.at(100.005);
-        fixture.end(100, 0, AttemptOutcome.OVERLOADED, 0.001);
+        fixture.beginBatch(100.005);
+        fixture.endAttempt(100, 0, AttemptOutcome.OVERLOADED, 0.001);
         fixture.scheduler.endBatch();
         assertEquals(1, fixture.actions.sends.size(), "the endpoint is not retried at once");
         fixture.sweep(101);
@@ -195,11 +196,11 @@
         fixture.query(1, 6, 1.0);
         fixture.scheduler.endBatch();
         String broken = fixture.actions.sends.get(0).endpointId();
-        fixture.at(100.25);
-        fixture.end(100, 0, AttemptOutcome.CONNECT_FAILED, 0.25);
+        fixture.beginBatch(100.25);
+        fixture.endAttempt(100, 0, AttemptOutcome.CONNECT_FAILED, 0.25);
         fixture.scheduler.onQueryCancelled(1);
         fixture.scheduler.endBatch();
-        fixture.at(102);
+        fixture.beginBatch(102);
         fixture.actions.clear();
         fixture.query(2, 6, 1.0);
         fixture.scheduler.endBatch();
--- a/src/test/java/pepperdock/scheduler/RecordingActions.java
+++ b/src/test/java/pepperdock/scheduler/RecordingActions.java
@@ -10,68 +10,68 @@
     /** An attempt that the scheduler sent. */
     record Sent(long part, String endpointId, double until) {}
 
-    final List<String> all = new ArrayList<>();
+    final List<String> recorded = new ArrayList<>();
     final List<Sent> sends = new ArrayList<>();
 
     @Override
     public void sendAttempt(long part, String endpointId, double until) {
         sends.add(new Sent(part, endpointId, until));
-        all.add("send " + part + " " + endpointId + " " + until);
+        recorded.add("send " + part + " " + endpointId + " " + until);
     }
 
     @Override
     public void cancelAttempt(long part, int attempt) {
-        all.add("cancel " + part + " " + attempt);
+        recorded.add("cancel " + part + " " + attempt);
     }
 
     @Override
     public void answerQuery(long query, boolean complete) {
-        all.add("answer " + query + " " + complete);
+        recorded.add("answer " + query + " " + complete);
     }
 
     @Override
     public void rejectQuery(long query, double retryAfterS) {
-        all.add("reject " + query);
+        recorded.add("reject " + query);
     }
 
     @Override
     public void failQuery(long query) {
-        all.add("fail " + query);
+        recorded.add("fail " + query);
     }
 
     @Override
     public void checkHealth(String endpointId) {
-        all.add("probe " + endpointId);
+        recorded.add("probe " + endpointId);
     }
 
     @Override
     public void closeIdleConnections(String endpointId) {
-        all.add("drop " + endpointId);
+        recorded.add("drop " + endpointId);
     }
 
     @Override
     public void setTimer(double afterS, String token) {
-        all.add("timer");
+        recorded.add("timer");
     }
 
     @Override
     public void watchEndpointList() {
-        all.add("subscribe");
+        recorded.add("subscribe");
     }
 
     @Override
     public void log(String text) {
-        all.add("log " + text);
+        recorded.add("log " + text);
     }
 
     /** Returns the number of recorded actions that start with {@code start}. */
     long count(String start) {
-        return all.stream().filter(a -> a.startsWith(start)).count();
+        return recorded.stream().filter(a -> a.startsWith(start)).count();
     }
 
     /** Returns the answers, rejections and failures of a query. */
     List<String> endings(long query) {
-        return all.stream()
+        return recorded.stream()
                 .filter(a -> a.matches("(answer|reject|fail) " + query + "( .*)?"))
                 .collect(Collectors.toList());
     }
@@ -82,7 +82,7 @@
     }
 
     void clear() {
-        all.clear();
+        recorded.clear();
         sends.clear();
     }
 }
--- a/src/test/java/pepperdock/scheduler/ReplicaSelectorTest.java
+++ b/src/test/java/pepperdock/scheduler/ReplicaSelectorTest.java
@@ -13,7 +13,7 @@
     @Test
     void selectsReplicaWithFewestOutstandingParts() {
         SchedulerFixture fixture = new SchedulerFixture().start("a", "b", "c");
-        fixture.query(1, 6, SchedulerFixture.equal(9));
+        fixture.query(1, 6, SchedulerFixture.equalWeights(9));
         fixture.scheduler.endBatch();
         Map<String, Long> counts = fixture.actions.sends.stream()
                 .collect(Collectors.groupingBy(RecordingActions.Sent::endpointId, Collectors.counting()));
@@ -28,7 +28,7 @@
     void plannedSharesWeightReplicasAfterHealth() {
         SchedulerFixture fixture = new SchedulerFixture().start("a", "b");
         fixture.scheduler.updatePlannedShares((shard, endpoint) -> endpoint.equals("a") ? 0.75 : 0.25);
-        fixture.query(1, 6, SchedulerFixture.equal(12));
+        fixture.query(1, 6, SchedulerFixture.equalWeights(12));
         fixture.scheduler.endBatch();
         assertEquals(
                 Map.of("a", 9L, "b", 3L),
@@ -37,23 +37,24 @@
         SchedulerFixture unhealthy = new SchedulerFixture().start("a", "b");
         unhealthy.scheduler.updatePlannedShares((shard, endpoint) -> endpoint.equals("a") ? 0.9 : 0.1);
         for (int query = 1; query <= 3; query++) {
-            unhealthy.query(query, 6, SchedulerFixture.equal(4));
+            unhealthy.query(query, 6, SchedulerFixture.equalWeights(4));
             unhealthy.scheduler.endBatch();
-            unhealthy.at(unhealthy.now + 0.01);
-            for (long part : SchedulerFixture.parts(query, 4)) {
+            unhealthy.beginBatch(unhealthy.now + 0.01);
+            for (long part : SchedulerFixture.partIds(query, 4)) {
                 boolean toA = unhealthy.actions.sends.stream()
-                        .anyMatch(s -> s.part() == part && s.endpointId().equals("a"));
-                unhealthy.end(part, 0, toA ? AttemptOutcome.ERROR : AttemptOutcome.OK, 0.01);
+                        .anyMatch(attempt ->
+                                attempt.part() == part && attempt.endpointId().equals("a"));
+                unhealthy.endAttempt(part, 0, toA ? AttemptOutcome.ERROR : AttemptOutcome.OK, 0.01);
             }
             unhealthy.scheduler.endBatch();
         }
         unhealthy.actions.clear();
-        unhealthy.query(9, 6, SchedulerFixture.equal(4));
+        unhealthy.query(9, 6, SchedulerFixture.equalWeights(4));
         unhealthy.scheduler.endBatch();
         assertEquals(
                 List.of(),
                 unhealthy.actions.sends.stream()
-                        .filter(s -> s.endpointId().equals("a"))
+                        .filter(attempt -> attempt.endpointId().equals("a"))
                         .toList());
     }
 
@@ -65,10 +66,10 @@
             fixture.maxPartsPerCall = 4;
             fixture.seed = seed;
             fixture.start("a", "b");
-            fixture.query(1, 6, SchedulerFixture.equal(3));
+            fixture.query(1, 6, SchedulerFixture.equalWeights(3));
             fixture.scheduler.endBatch();
             String busier = fixture.counts().get("a") == 2 ? "a" : "b";
-            fixture.at(100.01);
+            fixture.beginBatch(100.01);
             fixture.query(2, 6, 1.0);
             fixture.scheduler.endBatch();
             sentToBusier += fixture.actions.sends.get(3).endpointId().equals(busier) ? 1 : 0;
--- a/src/test/java/pepperdock/scheduler/RetryPolicyTest.java
+++ b/src/test/java/pepperdock/scheduler/RetryPolicyTest.java
@@ -16,8 +16,8 @@
         fixture.start("a", "b");
         fixture.query(1, 3, 1.0);
         fixture.scheduler.endBatch();
-        fixture.at(100.1);
-        fixture.end(100, 0, AttemptOutcome.RESET, 0.1);
+        fixture.beginBatch(100.1);
+        fixture.endAttempt(100, 0, AttemptOutcome.RESET, 0.1);
         fixture.scheduler.endBatch();
         fixture.sweep(103);
         assertEquals(1, fixture.actions.sends.size());
@@ -31,8 +31,8 @@
         fixture.start("a", "b");
         fixture.query(1, 3, 1.0);
         fixture.scheduler.endBatch();
-        fixture.at(100.1);
-        fixture.end(100, 0, AttemptOutcome.CONNECT_FAILED, 0.1);
+        fixture.beginBatch(100.1);
+        fixture.endAttempt(100, 0, AttemptOutcome.CONNECT_FAILED, 0.1);
         fixture.scheduler.endBatch();
         assertEquals(2, fixture.actions.sends.size());
         assertNotEquals(
@@ -48,8 +48,8 @@
             fixture.start("a", "b");
             fixture.query(1, 6, 1.0);
             fixture.scheduler.endBatch();
-            fixture.at(100 + after);
-            fixture.end(100, 0, AttemptOutcome.RESET, after);
+            fixture.beginBatch(100 + after);
+            fixture.endAttempt(100, 0, AttemptOutcome.RESET, after);
             fixture.scheduler.endBatch();
             assertEquals(after < 1 ? 2 : 1, fixture.actions.sends.size());
         }
@@ -63,8 +63,8 @@
         fixture.query(1, 6, 1.0);
         fixture.scheduler.endBatch();
         for (int i = 0; i < 3; i++) {
-            fixture.at(fixture.now + 0.05);
-            fixture.end(100, i, AttemptOutcome.ERROR, 0.05);
+            fixture.beginBatch(fixture.now + 0.05);
+            fixture.endAttempt(100, i, AttemptOutcome.ERROR, 0.05);
             fixture.scheduler.endBatch();
         }
         assertEquals(3, fixture.actions.sends.size());
@@ -78,11 +78,11 @@
         fixture.retryBudgetFree = 2;
         fixture.retryBudgetShare = 0.1;
         fixture.start("a", "b");
-        fixture.query(1, 6, SchedulerFixture.equal(29));
+        fixture.query(1, 6, SchedulerFixture.equalWeights(29));
         fixture.scheduler.endBatch();
-        fixture.at(100.1);
-        for (long part : SchedulerFixture.parts(1, 29)) {
-            fixture.end(part, 0, AttemptOutcome.ERROR, 0.1);
+        fixture.beginBatch(100.1);
+        for (long part : SchedulerFixture.partIds(1, 29)) {
+            fixture.endAttempt(part, 0, AttemptOutcome.ERROR, 0.1);
         }
         fixture.scheduler.endBatch();
         fixture.sweep(103);
--- a/src/test/java/pepperdock/scheduler/SchedulerFixture.java
+++ b/src/test/java/pepperdock/scheduler/SchedulerFixture.java
@@ -84,7 +84,7 @@
     /** Creates the scheduler and lists the named endpoints, each a replica of every shard. */
     SchedulerFixture start(String... endpoints) {
         scheduler = Scheduler.create(settings(), seed, actions);
-        at(now);
+        beginBatch(now);
         scheduler.onEndpointList(
                 EndpointListKind.CACHED,
                 Arrays.stream(endpoints)
@@ -95,14 +95,14 @@
     }
 
     /** Sets the time and opens a batch. */
-    SchedulerFixture at(double time) {
+    SchedulerFixture beginBatch(double time) {
         now = time;
         scheduler.beginBatch(time);
         return this;
     }
 
     /** Reports changed entries of the endpoint list. */
-    void change(Endpoint... entries) {
+    void updateEndpoints(Endpoint... entries) {
         scheduler.onEndpointList(EndpointListKind.CHANGES, List.of(entries));
     }
 
@@ -119,7 +119,7 @@
     long lastSequenceNumber;
 
     /** Reports the result of an attempt that was sent. */
-    void end(long part, int attempt, AttemptOutcome outcome, double elapsedS) {
+    void endAttempt(long part, int attempt, AttemptOutcome outcome, double elapsedS) {
         String endpointId = actions.sends.stream()
                 .filter(s -> s.part() == part)
                 .skip(attempt)
@@ -132,14 +132,14 @@
     /** Advances the time to {@code until} in sweeps. */
     void sweep(double until) {
         for (double time = now + 0.025; time <= until + 1e-9; time += 0.025) {
-            at(time);
+            beginBatch(time);
             scheduler.onTimer("sweep");
             scheduler.endBatch();
         }
     }
 
     /** Returns the weights of a query whose parts have equal weights. */
-    static double[] equal(int parts) {
+    static double[] equalWeights(int parts) {
         double[] weights = new double[parts];
         Arrays.fill(weights, 1.0 / parts);
         return weights;
@@ -157,15 +157,15 @@
         for (int i = 0; i < queries; i++) {
             long id = 900_000 + nextSequenceNumber;
             double queryStart = now;
-            query(id, DEADLINE_S, equal(parts));
+            query(id, DEADLINE_S, equalWeights(parts));
             scheduler.endBatch();
             sweep(now + elapsedS);
-            at(Math.max(now, queryStart + elapsedS));
-            for (long part : parts(id, parts)) {
-                end(part, 0, AttemptOutcome.OK, elapsedS);
+            beginBatch(Math.max(now, queryStart + elapsedS));
+            for (long part : partIds(id, parts)) {
+                endAttempt(part, 0, AttemptOutcome.OK, elapsedS);
             }
             scheduler.endBatch();
-            at(now + 0.005);
+            beginBatch(now + 0.005);
         }
         actions.clear();
     }
@@ -180,19 +180,19 @@
         fixture.cancellation = false;
         fixture.start("a", "b");
         fixture.serve(80, 8, 0.05);
-        fixture.query(1, 6, SchedulerFixture.equal(8));
+        fixture.query(1, 6, SchedulerFixture.equalWeights(8));
         fixture.scheduler.endBatch();
-        fixture.at(fixture.now + 0.01);
-        fixture.end(100, 0, AttemptOutcome.OVERLOADED, 0.01);
+        fixture.beginBatch(fixture.now + 0.01);
+        fixture.endAttempt(100, 0, AttemptOutcome.OVERLOADED, 0.01);
         fixture.scheduler.endBatch();
-        fixture.query(2, 6, SchedulerFixture.equal(8));
+        fixture.query(2, 6, SchedulerFixture.equalWeights(8));
         fixture.scheduler.endBatch();
         assertEquals(17, fixture.actions.sends.size());
         return fixture;
     }
 
     /** Returns the ids of the first {@code count} parts of a query. */
-    static List<Long> parts(long query, int count) {
+    static List<Long> partIds(long query, int count) {
         List<Long> ids = new ArrayList<>();
         for (int i = 0; i < count; i++) {
             ids.add(query * 100 + i);
--- a/src/test/java/pepperdock/scheduler/SlowStartTest.java
+++ b/src/test/java/pepperdock/scheduler/SlowStartTest.java
@@ -13,11 +13,11 @@
         fixture.instances = 2;
         fixture.start("a");
         fixture.serve(80, 0.1);
-        double boot = fixture.now;
-        fixture.change(SchedulerFixture.endpoint("a", EndpointState.HEALTHY, boot));
-        fixture.query(1, 6, SchedulerFixture.equal(40));
+        double startedAt = fixture.now;
+        fixture.updateEndpoints(SchedulerFixture.endpoint("a", EndpointState.HEALTHY, startedAt));
+        fixture.query(1, 6, SchedulerFixture.equalWeights(40));
         fixture.scheduler.endBatch();
-        fixture.sweep(boot + 0.95);
+        fixture.sweep(startedAt + 0.95);
         // The allowance is 2 x 0.2 to 0.28 of ten parts a second, halved between two instances.
         assertTrue(
                 fixture.actions.sends.size() <= 2,
@@ -35,12 +35,12 @@
             if (i == 1) {
                 fixture.serve(40, 0.5);
             }
-            double boot = fixture.now;
-            fixture.change(SchedulerFixture.endpoint("a", EndpointState.HEALTHY, boot));
-            fixture.query(1, 6, SchedulerFixture.equal(40));
+            double startedAt = fixture.now;
+            fixture.updateEndpoints(SchedulerFixture.endpoint("a", EndpointState.HEALTHY, startedAt));
+            fixture.query(1, 6, SchedulerFixture.equalWeights(40));
             fixture.scheduler.endBatch();
             sent[i] = (int) fixture.actions.sends.stream()
-                    .filter(s -> s.endpointId().equals("a"))
+                    .filter(attempt -> attempt.endpointId().equals("a"))
                     .count();
         }
         assertTrue(sent[0] >= 2, "attempts sent to the endpoint that warms up, expected at least 2: " + sent[0]);
@@ -54,8 +54,8 @@
         SchedulerFixture fixture = new SchedulerFixture();
         fixture.warmUpOverloadWindowS = 0;
         fixture.start("a");
-        fixture.change(SchedulerFixture.endpoint("a", EndpointState.HEALTHY, fixture.now));
-        fixture.query(1, 6, SchedulerFixture.equal(4));
+        fixture.updateEndpoints(SchedulerFixture.endpoint("a", EndpointState.HEALTHY, fixture.now));
+        fixture.query(1, 6, SchedulerFixture.equalWeights(4));
         fixture.scheduler.endBatch();
         assertEquals(4, fixture.actions.sends.size());
     }
@@ -65,7 +65,7 @@
      * send one.
      */
     @Test
-    void turnCountsFromTheNoticeOfTheStart() {
+    void randomWaitBeginsWhenTheStartIsLearnt() {
         int used = 0;
         for (int seed = 0; seed < 20; seed++) {
             SchedulerFixture fixture = new SchedulerFixture();
@@ -73,10 +73,10 @@
             fixture.seed = seed;
             fixture.start("a");
             fixture.serve(20, 0.1);
-            double boot = fixture.now;
-            fixture.change(SchedulerFixture.endpoint("a", EndpointState.HEALTHY, boot));
+            double startedAt = fixture.now;
+            fixture.updateEndpoints(SchedulerFixture.endpoint("a", EndpointState.HEALTHY, startedAt));
             fixture.scheduler.endBatch();
-            fixture.at(boot + 7);
+            fixture.beginBatch(startedAt + 7);
             fixture.query(1, 6, 1.0);
             fixture.scheduler.endBatch();
             used += fixture.actions.sends.size();
