--- a/src/test/java/pepperdock/scheduler/SchedulerFixture.java
+++ b/src/test/java/pepperdock/scheduler/SchedulerFixture.java
@@ -8,7 +8,7 @@
 import java.util.Map;
 import java.util.stream.Collectors;
 
-/** A small fleet and one scheduler in front of it, driven through {@link Scheduler} alone. */
+/** A small fleet with one scheduler, which is driven through {@link Scheduler} only. */
 final class SchedulerFixture {
 
     static final double OBJECTIVE_S = 2;
@@ -42,7 +42,7 @@
     private long nextSequenceNumber;
 
     SchedulerSettings settings() {
-        var kind = new QueryClass(
+        var queryClass = new QueryClass(
                 OBJECTIVE_S,
                 DEADLINE_S,
                 1,
@@ -58,7 +58,7 @@
                 0,
                 0.005,
                 pollsEndpointList,
-                List.of(kind),
+                List.of(queryClass),
                 tenantRates,
                 0.1,
                 List.of(),
@@ -81,10 +81,10 @@
         return new Endpoint(id, 0, 0, 0, state, 1, startedAtS);
     }
 
-    /** Starts with the named endpoints, each a replica of every shard. */
+    /** Creates the scheduler and lists the named endpoints, each a replica of every shard. */
     SchedulerFixture start(String... endpoints) {
         scheduler = Scheduler.create(settings(), seed, actions);
-        at(now);
+        beginBatch(now);
         scheduler.onEndpointList(
                 EndpointListKind.CACHED,
                 Arrays.stream(endpoints)
@@ -94,17 +94,19 @@
         return this;
     }
 
-    SchedulerFixture at(double time) {
+    /** Sets the time and opens a batch. */
+    SchedulerFixture beginBatch(double time) {
         now = time;
         scheduler.beginBatch(time);
         return this;
     }
 
-    void change(Endpoint... entries) {
+    /** Reports changed entries of the endpoint list. */
+    void updateEndpoints(Endpoint... entries) {
         scheduler.onEndpointList(EndpointListKind.CHANGES, List.of(entries));
     }
 
-    /** A query with parts {@code id * 100 + i} at shard i, of the given weights; the batch stays open. */
+    /** Reports a query with parts {@code id * 100 + i} at shard i, of the given weights; the batch stays open. */
     void query(long id, double remainingS, double... weights) {
         long number = nextSequenceNumber++;
         scheduler.onQuery(new QueryArrival(id, 0, tenant, "", remainingS, number, weights.length));
@@ -117,7 +119,7 @@
     long lastSequenceNumber;
 
     /** Reports the result of an attempt that was sent. */
-    void end(long part, int attempt, AttemptOutcome outcome, double elapsedS) {
+    void endAttempt(long part, int attempt, AttemptOutcome outcome, double elapsedS) {
         String endpointId = actions.sends.stream()
                 .filter(s -> s.part() == part)
                 .skip(attempt)
@@ -127,62 +129,70 @@
         scheduler.onAttemptResult(new AttemptResult(part, attempt, endpointId, outcome, elapsedS, LoadReport.NONE));
     }
 
-    /** Lets time pass in sweeps until {@code until}. */
+    /** Advances the time to {@code until} in sweeps. */
     void sweep(double until) {
-        for (double t = now + 0.025; t <= until + 1e-9; t += 0.025) {
-            at(t);
+        for (double time = now + 0.025; time <= until + 1e-9; time += 0.025) {
+            beginBatch(time);
             scheduler.onTimer("sweep");
             scheduler.endBatch();
         }
     }
 
-    static double[] equal(int parts) {
+    /** Returns the weights of a query whose parts have equal weights. */
+    static double[] equalWeights(int parts) {
         double[] weights = new double[parts];
         Arrays.fill(weights, 1.0 / parts);
         return weights;
     }
 
-    /** Serves one-part queries one after another, so that the scheduler knows the part time of healthy endpoints. */
+    /**
+     * Serves queries of one part one after another, so that the scheduler learns the part time of healthy endpoints.
+     */
     void serve(int queries, double elapsedS) {
         serve(queries, 1, elapsedS);
     }
 
+    /** Serves queries of several parts one after another. */
     void serve(int queries, int parts, double elapsedS) {
         for (int i = 0; i < queries; i++) {
             long id = 900_000 + nextSequenceNumber;
-            double asked = now;
-            query(id, DEADLINE_S, equal(parts));
+            double queryStart = now;
+            query(id, DEADLINE_S, equalWeights(parts));
             scheduler.endBatch();
             sweep(now + elapsedS);
-            at(Math.max(now, asked + elapsedS));
-            for (long part : parts(id, parts)) {
-                end(part, 0, AttemptOutcome.OK, elapsedS);
+            beginBatch(Math.max(now, queryStart + elapsedS));
+            for (long part : partIds(id, parts)) {
+                endAttempt(part, 0, AttemptOutcome.OK, elapsedS);
             }
             scheduler.endBatch();
-            at(now + 0.005);
+            beginBatch(now + 0.005);
         }
         actions.clear();
     }
 
-    /** Has two queries of eight parts outstanding and the limit cut to sixteen by one part rejected as overloaded. */
+    /**
+     * Returns a fixture with two queries of eight parts outstanding, whose limit was decreased to sixteen parts by one
+     * part rejected as overloaded.
+     */
     static SchedulerFixture atConcurrencyLimit(double minimumCoverage) {
         SchedulerFixture fixture = new SchedulerFixture();
         fixture.minimumCoverage = minimumCoverage;
         fixture.cancellation = false;
         fixture.start("a", "b");
         fixture.serve(80, 8, 0.05);
-        fixture.query(1, 6, SchedulerFixture.equal(8));
+        fixture.query(1, 6, SchedulerFixture.equalWeights(8));
         fixture.scheduler.endBatch();
-        fixture.at(fixture.now + 0.01);
-        fixture.end(100, 0, AttemptOutcome.OVERLOADED, 0.01);
+        fixture.beginBatch(fixture.now + 0.01);
+        fixture.endAttempt(100, 0, AttemptOutcome.OVERLOADED, 0.01);
         fixture.scheduler.endBatch();
-        fixture.query(2, 6, SchedulerFixture.equal(8));
+        fixture.query(2, 6, SchedulerFixture.equalWeights(8));
         fixture.scheduler.endBatch();
         assertEquals(17, fixture.actions.sends.size());
         return fixture;
     }
 
-    static List<Long> parts(long query, int count) {
+    /** Returns the ids of the first {@code count} parts of a query. */
+    static List<Long> partIds(long query, int count) {
         List<Long> ids = new ArrayList<>();
         for (int i = 0; i < count; i++) {
             ids.add(query * 100 + i);
@@ -190,7 +200,7 @@
         return ids;
     }
 
-    /** Attempts sent to each endpoint. */
+    /** Returns the number of attempts sent to each endpoint. */
     Map<String, Long> counts() {
         return actions.sends.stream()
                 .collect(Collectors.groupingBy(RecordingActions.Sent::endpointId, Collectors.counting()));
--- a/src/test/java/pepperdock/scheduler/SlowStartTest.java
+++ b/src/test/java/pepperdock/scheduler/SlowStartTest.java
@@ -13,14 +13,16 @@
         fixture.instances = 2;
         fixture.start("a");
         fixture.serve(80, 0.1);
-        double boot = fixture.now;
-        fixture.change(SchedulerFixture.endpoint("a", EndpointState.HEALTHY, boot));
-        fixture.query(1, 6, SchedulerFixture.equal(40));
+        double startedAt = fixture.now;
+        fixture.updateEndpoints(SchedulerFixture.endpoint("a", EndpointState.HEALTHY, startedAt));
+        fixture.query(1, 6, SchedulerFixture.equalWeights(40));
         fixture.scheduler.endBatch();
-        fixture.sweep(boot + 0.95);
-        // 2 x 0.2 to 0.28 of ten parts a second, halved between two instances.
-        assertTrue(fixture.actions.sends.size() <= 2, "sent in the first second: " + fixture.actions.sends.size());
-        assertTrue(!fixture.actions.sends.isEmpty(), "a sole replica is used");
+        fixture.sweep(startedAt + 0.95);
+        // The allowance is 2 x 0.2 to 0.28 of ten parts a second, halved between two instances.
+        assertTrue(
+                fixture.actions.sends.size() <= 2,
+                "attempts sent in the first second, expected at most 2: " + fixture.actions.sends.size());
+        assertTrue(!fixture.actions.sends.isEmpty(), "the only replica is used");
     }
 
     @Test
@@ -33,16 +35,18 @@
             if (i == 1) {
                 fixture.serve(40, 0.5);
             }
-            double boot = fixture.now;
-            fixture.change(SchedulerFixture.endpoint("a", EndpointState.HEALTHY, boot));
-            fixture.query(1, 6, SchedulerFixture.equal(40));
+            double startedAt = fixture.now;
+            fixture.updateEndpoints(SchedulerFixture.endpoint("a", EndpointState.HEALTHY, startedAt));
+            fixture.query(1, 6, SchedulerFixture.equalWeights(40));
             fixture.scheduler.endBatch();
             sent[i] = (int) fixture.actions.sends.stream()
-                    .filter(s -> s.endpointId().equals("a"))
+                    .filter(attempt -> attempt.endpointId().equals("a"))
                     .count();
         }
-        assertTrue(sent[0] >= 2, "sent to the warming endpoint: " + sent[0]);
-        assertTrue(sent[1] >= sent[0] / 2, sent[1] + " against " + sent[0]);
+        assertTrue(sent[0] >= 2, "attempts sent to the endpoint that warms up, expected at least 2: " + sent[0]);
+        assertTrue(
+                sent[1] >= sent[0] / 2,
+                "attempts sent after parts queued: " + sent[1] + ", expected at least half of " + sent[0]);
     }
 
     @Test
@@ -50,15 +54,18 @@
         SchedulerFixture fixture = new SchedulerFixture();
         fixture.warmUpOverloadWindowS = 0;
         fixture.start("a");
-        fixture.change(SchedulerFixture.endpoint("a", EndpointState.HEALTHY, fixture.now));
-        fixture.query(1, 6, SchedulerFixture.equal(4));
+        fixture.updateEndpoints(SchedulerFixture.endpoint("a", EndpointState.HEALTHY, fixture.now));
+        fixture.query(1, 6, SchedulerFixture.equalWeights(4));
         fixture.scheduler.endBatch();
         assertEquals(4, fixture.actions.sends.size());
     }
 
-    /** Drawn at the first part instead, the turn of an instance with little traffic would never come. */
+    /**
+     * Guards against drawing the random wait at the first part, after which an instance with little traffic would never
+     * send one.
+     */
     @Test
-    void turnCountsFromTheNoticeOfTheStart() {
+    void randomWaitBeginsWhenTheStartIsLearnt() {
         int used = 0;
         for (int seed = 0; seed < 20; seed++) {
             SchedulerFixture fixture = new SchedulerFixture();
@@ -66,15 +73,15 @@
             fixture.seed = seed;
             fixture.start("a");
             fixture.serve(20, 0.1);
-            double boot = fixture.now;
-            fixture.change(SchedulerFixture.endpoint("a", EndpointState.HEALTHY, boot));
+            double startedAt = fixture.now;
+            fixture.updateEndpoints(SchedulerFixture.endpoint("a", EndpointState.HEALTHY, startedAt));
             fixture.scheduler.endBatch();
-            fixture.at(boot + 7);
+            fixture.beginBatch(startedAt + 7);
             fixture.query(1, 6, 1.0);
             fixture.scheduler.endBatch();
             used += fixture.actions.sends.size();
         }
-        // The twenty were allowed some fifty parts by then, between them.
+        // The twenty instances together were allowed about fifty parts by then.
         assertEquals(20, used);
     }
 }
