--- a/src/main/java/pepperdock/membership/AntiEntropy.java
+++ b/src/main/java/pepperdock/membership/AntiEntropy.java
@@ -16,20 +16,24 @@
 import pepperdock.membership.Message.SliceSelection;
 
 /**
- * Writes the messages of an anti-entropy exchange (Demers and others 1987) from the table, none larger than the budget allows.
- * What does not fit waits for the next exchange: where it begins is drawn, so that several get through all. A small table is
- * compared by the digests of its names at once; a large one by the digests of slices first, and by names only in some of those
- * that differ. Owned by the thread that calls {@link Membership}.
+ * Builds the messages of an anti-entropy exchange (Demers and others 1987) from the table, none larger than the budget
+ * allows. Items that do not fit wait for a later exchange; each exchange starts at a random name, so that several
+ * exchanges together transfer everything. A small table is compared by the digests of all names at once; a large one by
+ * the digests of its slices first, and by name only in some of the slices that differ. Owned by the thread that calls
+ * {@link Membership}.
  */
 final class AntiEntropy {
 
-    /** Names in one digest request of some slices, as a rule: what an exchange can move anyway. */
-    private static final int MAX_NAMES = 24;
+    /** Names from which on no further slice is added to a digest request: one exchange can transfer no more anyway. */
+    private static final int TARGET_NAMES = 24;
 
-    /** A table of so many names at most is compared by names at once; also the names requested at most. */
-    private static final int SMALL_TABLE = 64;
+    /**
+     * Largest table that is compared by name without comparing slices first; also the most names requested in one
+     * response.
+     */
+    private static final int SMALL_TABLE_MEMBERS = 64;
 
-    /** Members that a new one is told of at once; from these it learns of the others. */
+    /** Members named to a new member, which learns of the others from them. */
     private static final int JOIN_RESPONSE_MEMBERS = 4;
 
     /** Bytes below which a response is not worth a stream. */
@@ -43,7 +47,7 @@
         this.random = random;
     }
 
-    /** For a new member: what is held of its name, and some members drawn of those that are alive. */
+    /** Returns the answer to a new member: the items held under its name, and some random members that are alive. */
     JoinResponse joinResponse(Header header, String newcomer, boolean joined, int maxBytes) {
         List<String> alive = new ArrayList<>(table.rings().names());
         alive.remove(newcomer);
@@ -58,21 +62,21 @@
         return new JoinResponse(header, itemsWithin(names, maxBytes - emptyBytes));
     }
 
-    /** What an exchange is opened with. */
+    /** Returns the message that opens an exchange: digests by name of a small table, by slice of a large one. */
     Message opening(Header header) {
-        return table.size() <= SMALL_TABLE
+        return table.size() <= SMALL_TABLE_MEMBERS
                 ? new DigestRequest(header, Message.ALL_SLICES, table.digests(Message.ALL_SLICES))
                 : new SliceDigests(header, table.sliceDigests());
     }
 
-    /** By name, of some of the slices selected; what is in the others waits. */
+    /** Returns the digests by name of some of the selected slices; the others wait for a later exchange. */
     DigestRequest digestRequest(Header header, SliceSelection selection) {
-        List<String> first = List.of(header.name(), selection.header().name());
-        int slices = chooseSlices(selection.slices(), first);
+        List<String> firstNames = List.of(header.name(), selection.header().name());
+        int slices = chooseSlices(selection.slices(), firstNames);
         return new DigestRequest(header, slices, table.digests(slices));
     }
 
-    /** Which of the slices that differ are to be compared by name; null where none differs. */
+    /** Returns the differing slices to compare by name, or null if none differs. */
     SliceSelection differingSlices(Header header, SliceDigests digests) {
         List<Long> own = table.sliceDigests();
         int differing = 0;
@@ -83,19 +87,22 @@
         return slices == 0 ? null : new SliceSelection(header, slices);
     }
 
-    /** Of these slices as many as have names enough here: those of the names given first, then in an order drawn. */
-    private int chooseSlices(int slices, List<String> first) {
+    /**
+     * Chooses as many of these slices as hold enough names: first those of the given names, then the others in random
+     * order.
+     */
+    private int chooseSlices(int slices, List<String> firstNames) {
         List<Integer> order = new ArrayList<>();
         for (int slice = 0; slice < Message.SLICE_COUNT; slice++) {
             order.add(slice);
         }
         Collections.shuffle(order, random);
-        first.forEach(
-                name -> Collections.swap(order, order.indexOf(MembershipTable.sliceOf(name)), first.indexOf(name)));
+        firstNames.forEach(name ->
+                Collections.swap(order, order.indexOf(MembershipTable.sliceOf(name)), firstNames.indexOf(name)));
         int chosen = 0;
         int names = 0;
         for (int slice : order) {
-            if ((slices >>> slice & 1) == 1 && (chosen == 0 || names < MAX_NAMES)) {
+            if ((slices >>> slice & 1) == 1 && (chosen == 0 || names < TARGET_NAMES)) {
                 chosen |= 1 << slice;
                 names += table.namesInSlice(slice).size();
             }
@@ -104,16 +111,17 @@
     }
 
     /**
-     * What the sender of a request lacks or holds otherwise, and whose items are requested of it. What is held under its name,
-     * and under one's own, goes first: neither may speak for itself before it knows.
+     * Returns the items that the sender of a request lacks or holds in another version, and the names whose items are
+     * requested from it. Items under the sender's name and under this member's own go first: neither may speak for
+     * itself before it knows what is held under its name.
      */
     DigestResponse digestResponse(Header header, DigestRequest request, boolean joined, int maxBytes) {
-        List<String> first = List.of(request.header().name(), header.name());
+        List<String> firstNames = List.of(request.header().name(), header.name());
         int bytesLeft = maxBytes - new DigestResponse(header, List.of(), List.of()).maxEncodedBytes();
         List<String> requestedNames = new ArrayList<>();
-        for (String name : rotatedAtRandom(first, table.namesToRequest(request.digests()))) {
+        for (String name : rotatedAtRandom(firstNames, table.namesToRequest(request.digests()))) {
             int size = Message.maxTextBytes(name);
-            if (requestedNames.size() < SMALL_TABLE && size <= bytesLeft / 2) {
+            if (requestedNames.size() < SMALL_TABLE_MEMBERS && size <= bytesLeft / 2) {
                 requestedNames.add(name);
                 bytesLeft -= size;
             }
@@ -122,10 +130,10 @@
         if (!joined) {
             names.remove(header.name());
         }
-        return new DigestResponse(header, itemsWithin(rotatedAtRandom(first, names), bytesLeft), requestedNames);
+        return new DigestResponse(header, itemsWithin(rotatedAtRandom(firstNames, names), bytesLeft), requestedNames);
     }
 
-    /** What was requested, and this member's own. */
+    /** Returns the items that the response requested, and this member's own. */
     MissingItems missingItems(Header header, DigestResponse response, int maxBytes) {
         Set<String> names = new LinkedHashSet<>(List.of(header.name()));
         names.addAll(response.requestedNames());
@@ -133,9 +141,9 @@
         return new MissingItems(header, itemsWithin(names, maxBytes - emptyBytes));
     }
 
-    /** The names in their order from one drawn on, but the first ones first. */
-    private Collection<String> rotatedAtRandom(List<String> first, Collection<String> names) {
-        Set<String> all = new LinkedHashSet<>(first);
+    /** Returns the names with the given first ones in front, and the others in their order from a random one on. */
+    private Collection<String> rotatedAtRandom(List<String> firstNames, Collection<String> names) {
+        Set<String> all = new LinkedHashSet<>(firstNames);
         all.retainAll(names);
         List<String> rest = new ArrayList<>(names);
         Collections.rotate(rest, rest.isEmpty() ? 0 : random.nextInt(rest.size()));
--- a/src/main/java/pepperdock/membership/BandwidthBudget.java
+++ b/src/main/java/pepperdock/membership/BandwidthBudget.java
@@ -1,26 +1,27 @@
 package pepperdock.membership;
 
 /**
- * What a member may send: a token bucket of datagrams and one of bytes, filled at the settings' rates and as deep as half a
- * second of them, so that no second has more than one and a half times the rate. Priorities are kept by floors: a use takes only
- * what lies above its floor, so that a use of higher priority always finds the rest. Uses that could take all that gossip is to
- * have are limited to a share of the rate as well. Owned by the thread that calls {@link Membership}.
+ * Limits what a member sends, by a token bucket of datagrams and one of bytes. The buckets are filled at the settings'
+ * rates and are half a second of them deep, so that no second carries more than one and a half times the rate. Floors
+ * enforce priorities: a use takes only tokens above its floor, so that a use of higher priority always finds the rest.
+ * Uses that could take everything meant for gossip are limited to a share of the rate as well. Owned by the thread that
+ * calls {@link Membership}.
  */
 final class BandwidthBudget {
 
-    /** What is sent, each with its floor, a part of a full bucket, and its share of the rate at most. */
+    /** What is sent, each with its floor, as a fraction of a full bucket, and its largest share of the rate. */
     enum Use {
-        /** Acknowledgements, direct and indirect, and answers to pings for others. */
+        /** Acknowledgements, direct and indirect, and answers to pings meant for other members. */
         ACK(0, 1),
         /** Pings to this member's subjects. */
         PROBE(0.1, 1),
-        /** Asking others to ping, and pinging for others. */
+        /** Requests for indirect pings, and pings on behalf of others. */
         INDIRECT(0.2, 0.2),
-        /** Messages of exchanges, on streams. */
+        /** Messages of anti-entropy exchanges, on streams. */
         EXCHANGE(0.15, 0.35),
         /** Answers to new members. */
         JOIN_RESPONSE(0.3, 0.4),
-        /** Gossip that rides on pings and acknowledgements. */
+        /** Gossip that is piggybacked on pings and acknowledgements. */
         GOSSIP(0.6, 1);
 
         private final double floor;
@@ -35,7 +36,7 @@
     /** Seconds of the rate that a bucket holds. */
     private static final double BUCKET_DEPTH_S = 0.5;
 
-    /** Seconds of its share that a use can save up. */
+    /** Seconds of its share that a use can accumulate. */
     private static final double SHARE_DEPTH_S = 1;
 
     private final double datagramsPerS;
@@ -46,7 +47,7 @@
     private double refilledAt;
     private long sentDatagrams;
     private long sentBytes;
-    private long withheld;
+    private long withheldDatagrams;
 
     BandwidthBudget(MembershipSettings settings, double now) {
         datagramsPerS = settings.datagramsPerS();
@@ -59,28 +60,31 @@
         }
     }
 
-    /** Adds what the time since the last call gives. */
+    /** Adds the tokens for the time since the last call. */
     void refill(double now) {
-        double passed = Math.max(0, now - refilledAt);
+        double elapsed = Math.max(0, now - refilledAt);
         refilledAt = now;
-        datagramTokens = Math.min(BUCKET_DEPTH_S * datagramsPerS, datagramTokens + passed * datagramsPerS);
-        byteTokens = Math.min(BUCKET_DEPTH_S * bytesPerS, byteTokens + passed * bytesPerS);
+        datagramTokens = Math.min(BUCKET_DEPTH_S * datagramsPerS, datagramTokens + elapsed * datagramsPerS);
+        byteTokens = Math.min(BUCKET_DEPTH_S * bytesPerS, byteTokens + elapsed * bytesPerS);
         for (Use use : Use.values()) {
             double rate = use.share * bytesPerS;
-            shareTokens[use.ordinal()] = Math.min(SHARE_DEPTH_S * rate, shareTokens[use.ordinal()] + passed * rate);
+            shareTokens[use.ordinal()] = Math.min(SHARE_DEPTH_S * rate, shareTokens[use.ordinal()] + elapsed * rate);
         }
     }
 
-    /** Bytes that this use may take now. */
+    /** Returns how many bytes this use may take now. */
     int availableBytes(Use use) {
         double aboveFloor = byteTokens - use.floor * BUCKET_DEPTH_S * bytesPerS;
         return (int) Math.max(0, use.share < 1 ? Math.min(aboveFloor, shareTokens[use.ordinal()]) : aboveFloor);
     }
 
-    /** Takes one datagram of so many bytes, headers included; false, and counted, where the budget has no room for it. */
+    /**
+     * Takes the tokens for one datagram of this many bytes, headers included. Returns false, and counts the datagram as
+     * withheld, if the budget has no room for it.
+     */
     boolean tryAcquireDatagram(Use use, int size) {
         if (datagramTokens < 1 + use.floor * BUCKET_DEPTH_S * datagramsPerS || availableBytes(use) < size) {
-            withheld++;
+            withheldDatagrams++;
             return false;
         }
         datagramTokens--;
@@ -89,7 +93,7 @@
         return true;
     }
 
-    /** Takes bytes sent on a stream, which the caller has cut to {@link #availableBytes}. */
+    /** Takes the tokens for bytes sent on a stream, which the caller has limited to {@link #availableBytes}. */
     void chargeStream(int size) {
         charge(Use.EXCHANGE, size);
     }
@@ -100,18 +104,18 @@
         sentBytes += size;
     }
 
-    /** Datagrams sent, so far. */
+    /** Returns how many datagrams have been sent so far. */
     long sentDatagrams() {
         return sentDatagrams;
     }
 
-    /** Bytes sent with headers, so far, on streams too. */
+    /** Returns how many bytes have been sent so far, with headers, on streams too. */
     long sentBytes() {
         return sentBytes;
     }
 
-    /** Datagrams not sent for want of budget, so far. */
-    long withheld() {
-        return withheld;
+    /** Returns how many datagrams have been withheld so far because the budget had no room for them. */
+    long withheldDatagrams() {
+        return withheldDatagrams;
     }
 }
--- a/src/main/java/pepperdock/membership/CutDetector.java
+++ b/src/main/java/pepperdock/membership/CutDetector.java
@@ -10,37 +10,38 @@
 import java.util.Set;
 
 /**
- * Multi-process cut detection after Rapid, section 4.2: reads from the table which members are to be declared faulty. Members
- * with {@code lowWatermark} accusers or more are accused, and their own observations no longer count. Where the accusers reach
- * {@code highWatermark}, a share of the observers that count, the member is agreed on. Verdicts wait for accused members that
- * are not agreed on, so that many that fail together go in one change. Nobody is declared faulty by a member that does not
- * reach a majority of the fleet, those declared faulty recently included. Owned by the thread that calls {@link Membership}.
+ * Determines from the table which members are to be declared faulty: the multi-process cut detection of Rapid, section
+ * 4.2. A member that {@code lowWatermark} or more observers report unreachable is doubted, and its own observations no
+ * longer count. Once the reporting observers reach {@code highWatermark}, a share of the observers that count, the
+ * member is agreed on. Verdicts wait for doubted members that are not agreed on, so that many members that fail
+ * together are declared faulty in one change. A member that does not reach a majority of the fleet, members declared
+ * faulty recently included, declares nobody faulty. Owned by the thread that calls {@link Membership}.
  */
 final class CutDetector {
 
-    /** Times its confirmation that a verdict waits for others that are accused and not agreed on. */
+    /** Confirmation times for which a verdict waits for other members that are doubted and not agreed on. */
     private static final double UNSTABLE_WAIT_FACTOR = 3;
 
-    /** The confirmation doubles with each refutation of the member, so often at most. */
+    /** Most doublings of the confirmation time; each refutation by the member doubles it once. */
     private static final int MAX_DOUBLINGS = 3;
 
     /**
-     * What was detected.
+     * The result of a detection.
      *
      * @param hasMajority whether this member reaches a majority of the fleet
      * @param reachable members reached by way of observers that reach their subjects, this one included
      * @param fleetSize members that are alive, and those declared faulty recently
-     * @param faulty to be declared faulty, once enough of the others have been heard after this was so
+     * @param faulty members to declare faulty, once enough of the others have been heard after this result first held
      */
     record Detection(boolean hasMajority, int reachable, int fleetSize, List<String> faulty) {}
 
     private final MembershipSettings settings;
     private final MembershipTable table;
-    /** Members agreed on, and since when. */
+    /** Members agreed on, and since when they have been. */
     private final Map<String, Double> pending = new HashMap<>();
-    /** The table's version when accusations were last counted. */
+    /** The table's version when reports were last counted. */
     private long countedVersion = -1;
-    /** Whether a member is accused and not agreed on. */
+    /** Whether a member is doubted and not agreed on. */
     private boolean unstable;
 
     private int reachable;
@@ -50,7 +51,7 @@
         this.table = table;
     }
 
-    /** Detects from the table as it is; {@code unhealthy}: whether this member doubts itself. */
+    /** Evaluates the table as it is; {@code unhealthy} says whether this member distrusts its own observations. */
     Detection detect(String self, boolean unhealthy, double now) {
         if (table.version() != countedVersion) {
             countedVersion = table.version();
@@ -63,32 +64,32 @@
         int fleetSize = table.rings().names().size() + recentlyFaulty;
         boolean hasMajority = !unhealthy && 2 * reachable > fleetSize;
         if (!hasMajority) {
-            // What was said while this member was cut off is old when it no longer is: the time counts from then.
+            // Reports received during a cut-off are outdated when it ends, so the confirmation times start only then.
             pending.replaceAll((name, since) -> now);
         }
         return new Detection(hasMajority, reachable, fleetSize, hasMajority ? confirmed(now) : List.of());
     }
 
     private void recount(String self, double now) {
-        Map<String, Set<String>> accusers = new HashMap<>();
-        Set<String> accused = new HashSet<>();
+        Map<String, Set<String>> reporters = new HashMap<>();
+        Set<String> doubted = new HashSet<>();
         for (String subject : table.observedSubjects()) {
             if (table.get(subject).isAlive()) {
                 Set<String> observers = table.rings().observersOf(subject);
-                Set<String> accusing = accusersOf(subject, observers);
-                accusers.put(subject, accusing);
-                if (accusing.size() >= Math.min(settings.lowWatermark(), Math.max(1, observers.size()))) {
-                    accused.add(subject);
+                Set<String> reporting = reportersOf(subject, observers);
+                reporters.put(subject, reporting);
+                if (reporting.size() >= Math.min(settings.lowWatermark(), Math.max(1, observers.size()))) {
+                    doubted.add(subject);
                 }
             }
         }
         Set<String> agreed = new HashSet<>();
         unstable = false;
-        for (String subject : accused) {
+        for (String subject : doubted) {
             if (subject.equals(self)) {
                 continue;
             }
-            if (isAgreed(subject, accusers.get(subject), accused)) {
+            if (isAgreed(subject, reporters.get(subject), doubted)) {
                 agreed.add(subject);
             } else {
                 unstable = true;
@@ -96,39 +97,39 @@
         }
         pending.keySet().retainAll(agreed);
         agreed.forEach(subject -> pending.putIfAbsent(subject, now));
-        reachable = accused.isEmpty() ? table.rings().names().size() : countReachable(self);
+        reachable = doubted.isEmpty() ? table.rings().names().size() : countReachable(self);
     }
 
-    /** Of a member's observers, those that say that they do not reach it and do not doubt themselves. */
-    private Set<String> accusersOf(String subject, Set<String> observers) {
-        Set<String> accusers = new HashSet<>();
+    /** Returns the observers that report a member unreachable and do not distrust their own observations. */
+    private Set<String> reportersOf(String subject, Set<String> observers) {
+        Set<String> reporters = new HashSet<>();
         table.observationsOf(subject).forEach((observer, observation) -> {
             if (observation == Observation.UNREACHABLE
                     && observers.contains(observer)
                     && !table.get(observer).observations().unhealthy()) {
-                accusers.add(observer);
+                reporters.add(observer);
             }
         });
-        return accusers;
+        return reporters;
     }
 
-    private boolean isAgreed(String subject, Set<String> accusers, Set<String> accused) {
+    private boolean isAgreed(String subject, Set<String> reporters, Set<String> doubted) {
         int credible = 0;
-        int accusing = 0;
+        int reporting = 0;
         for (String observer : table.rings().observersOf(subject)) {
-            if (!accused.contains(observer)
+            if (!doubted.contains(observer)
                     && !table.get(observer).observations().unhealthy()) {
                 credible++;
-                accusing += accusers.contains(observer) ? 1 : 0;
+                reporting += reporters.contains(observer) ? 1 : 0;
             }
         }
-        return accusing > 0 && accusing >= settings.highWatermark() * credible;
+        return reporting > 0 && reporting >= settings.highWatermark() * credible;
     }
 
     /**
-     * How many are reached from this member by way of observers that reach their subjects. Counting all that are not accused
-     * would take in those on the other side of a partition whose observers are all over there: the last that was heard of
-     * these observers is that all is well.
+     * Counts the members reached from this one by way of observers that reach their subjects. Counting all members that
+     * are not doubted would include those on the other side of a partition whose observers are all on that side too:
+     * the last that was heard of these observers is that all is well.
      */
     private int countReachable(String self) {
         Set<String> found = new HashSet<>(Set.of(self));
@@ -146,29 +147,35 @@
         return found.size();
     }
 
-    /** Those whose confirmation is over, unless others are still on their way: these are waited for, but not for ever. */
+    /**
+     * Returns the members whose confirmation time is over, or none while others are still doubted or being confirmed;
+     * the wait for these is limited.
+     */
     private List<String> confirmed(double now) {
         List<String> faulty = new ArrayList<>();
-        boolean wait = unstable;
-        boolean longEnough = false;
+        boolean mustWait = unstable;
+        boolean waitedLongEnough = false;
         for (Map.Entry<String, Double> candidate : pending.entrySet()) {
             double waited = now - candidate.getValue();
             double needed = confirmationTime(candidate.getKey());
             if (waited >= needed) {
                 faulty.add(candidate.getKey());
-                longEnough |= waited >= UNSTABLE_WAIT_FACTOR * needed;
+                waitedLongEnough |= waited >= UNSTABLE_WAIT_FACTOR * needed;
             } else {
-                wait = true;
+                mustWait = true;
             }
         }
-        if (wait && !longEnough) {
+        if (mustWait && !waitedLongEnough) {
             return List.of();
         }
         faulty.sort(null);
         return faulty;
     }
 
-    /** Longer for a member that has refuted a verdict in this generation: it was wrongly declared faulty before. */
+    /**
+     * Returns the confirmation time of a member: longer if it refuted a verdict in this generation, as it was wrongly
+     * declared faulty before.
+     */
     private double confirmationTime(String name) {
         return settings.confirmationS()
                 * (1 << Math.min(MAX_DOUBLINGS, table.get(name).refutations()));
--- a/src/main/java/pepperdock/membership/Disseminator.java
+++ b/src/main/java/pepperdock/membership/Disseminator.java
@@ -3,8 +3,8 @@
 import java.util.List;
 
 /**
- * Merges items into the table and spreads what is new by gossip that rides on pings and acknowledgements, as in SWIM,
- * section 4.1 (infection-style dissemination). Owned by the thread that calls {@link Membership}.
+ * Merges items into the table and spreads new ones by gossip that is piggybacked on pings and acknowledgements, as in
+ * SWIM, section 4.1 (infection-style dissemination). Owned by the thread that calls {@link Membership}.
  */
 final class Disseminator {
 
@@ -26,7 +26,7 @@
         this.states = states;
     }
 
-    /** Merges an item, and gossips it where it was new. */
+    /** Merges an item, and gossips it if it was new. */
     void merge(GossipItem item, double now) {
         MembershipTable.Entry entry = table.get(item.name());
         Observations before = entry == null ? null : entry.observations();
@@ -49,7 +49,7 @@
                 : table.merge((Observations) item);
     }
 
-    /** Puts another process's record in place of this member's own, which nobody has been sent yet. */
+    /** Replaces this member's own record, which nobody has been sent yet, by that of another process. */
     void replaceUnpublished(MemberRecord successor, double now) {
         table.replaceUnpublished(successor, now);
         states.recordChanged(successor.name());
@@ -61,15 +61,17 @@
         queue.expire(now - MAX_AGE_PROBES * settings.probeIntervalS());
     }
 
-    /** Gossip that fits into this message, of what the budget leaves beside pings and acknowledgements. */
-    List<GossipItem> piggyback(Message bare) {
-        int room = Math.min(
+    /** Takes gossip that fits into this message, from the budget that pings and acknowledgements leave. */
+    List<GossipItem> piggyback(Message withoutGossip) {
+        int maxBytes = Math.min(
                 MembershipSettings.DATAGRAM_BYTES,
                 budget.availableBytes(BandwidthBudget.Use.GOSSIP) - Outbox.UDP_AND_IP_BYTES);
-        return queue.take(room - bare.maxEncodedBytes(), table.rings().names().size());
+        return queue.take(
+                maxBytes - withoutGossip.maxEncodedBytes(),
+                table.rings().names().size());
     }
 
-    /** When an item last changed the table. */
+    /** Returns when an item last changed the table. */
     double lastChange() {
         return lastChange;
     }
--- a/src/main/java/pepperdock/membership/FailureDetector.java
+++ b/src/main/java/pepperdock/membership/FailureDetector.java
@@ -15,10 +15,10 @@
 import pepperdock.membership.Message.WrongAddressee;
 
 /**
- * Probes this member's subjects and publishes what it observes of them. Pings, and indirect pings where one is not
- * acknowledged in time, are those of SWIM, section 3.1; the fixed subjects in place of a random round are those of Rapid,
- * section 4.1; a member that trusts its own timers less waits longer, as in Lifeguard (LHA-Probe). Owned by the thread that
- * calls {@link Membership}.
+ * Probes this member's subjects and publishes its observations of them. Pings, and indirect pings when a ping is not
+ * acknowledged in time, are those of SWIM, section 3.1; the fixed subjects in place of a random round are those of
+ * Rapid, section 4.1; a member that trusts its own timers less waits longer, as in Lifeguard (LHA-Probe). Owned by the
+ * thread that calls {@link Membership}.
  */
 final class FailureDetector {
 
@@ -30,8 +30,8 @@
     private final Disseminator disseminator;
     private final LocalHealth health;
     private final Map<String, SubjectMonitor> monitors = new TreeMap<>();
-    /** Of another process that holds this member's name. */
-    private SubjectMonitor rivalMonitor;
+    /** Monitor of another process that holds this member's name; null while there is none. */
+    private SubjectMonitor nameHolderMonitor;
     /** The table's version when subjects were last looked up. */
     private long subjectsVersion = -1;
 
@@ -53,18 +53,19 @@
 
     // ---- Time ------------------------------------------------------------
 
-    /** Notes by how much a tick came late: what was not heard meanwhile says nothing of the subjects. */
+    /** Records by how much a tick came late: silence during that time says nothing about the subjects. */
     void onTick(double lateBy, double now) {
         if (!health.onTick(lateBy, now)) {
             return;
         }
         monitors.values().forEach(monitor -> monitor.extendDeadlines(lateBy));
         if (health.isPause(lateBy)) {
-            outbox.emit(new MembershipOutput.Notice(MembershipOutput.Notice.PAUSED, "late by its own clock", lateBy));
+            outbox.emit(new MembershipOutput.Notice(
+                    MembershipOutput.Notice.PAUSED, "a tick came late by this member's own clock", lateBy));
         }
     }
 
-    /** Pings each subject that is due, {@code elapsed} after the last time. */
+    /** Pings each subject that is due; {@code elapsed} is the time since the last call. */
     void probeSubjects(double elapsed, double now) {
         if (table.version() != subjectsVersion) {
             subjectsVersion = table.version();
@@ -91,8 +92,8 @@
     }
 
     /**
-     * Pings a subject when it is due, and has others ping it when it did not acknowledge in time. A ping that the budget
-     * withholds was not sent: that nothing came back says nothing of the subject.
+     * Pings a subject when it is due, and has others ping it when it did not acknowledge in time. A ping that the
+     * budget withholds was not sent, so the missing answer says nothing about the subject.
      */
     private void probe(SubjectMonitor monitor, MemberRecord subject, double elapsed, double now) {
         if (monitor.isPingDue(now)) {
@@ -123,7 +124,7 @@
 
     // ---- Observations ------------------------------------------------------------
 
-    /** Publishes what this member observes of its subjects, where that has changed. */
+    /** Publishes this member's observations of its subjects if they have changed. */
     void publishObservations(double now) {
         Map<String, Observations.SubjectObservation> bySubject = Map.of();
         int unreachable = 0;
@@ -147,7 +148,7 @@
         }
     }
 
-    /** Whether most of the subjects, but for those excluded, have been heard after that time. */
+    /** Returns whether most of the subjects, not counting the excluded ones, have been heard after that time. */
     boolean majorityHeardAfter(double then, Collection<String> excluded) {
         int subjects = 0;
         int heard = 0;
@@ -162,7 +163,7 @@
 
     // ---- Messages ------------------------------------------------------------
 
-    /** Any datagram shows that its sender speaks. */
+    /** Records that the sender of a datagram is able to send, and its state digest. */
     void onHeader(Header header, double now) {
         SubjectMonitor monitor = monitors.get(header.name());
         if (monitor != null && monitor.generation() == header.generation()) {
@@ -192,36 +193,36 @@
         }
     }
 
-    /** The monitor of that member in that generation, null where it is not probed. */
+    /** Returns the monitor of that member in that generation, or null if it is not probed. */
     private SubjectMonitor monitorOf(String name, long generation) {
-        SubjectMonitor monitor = name.equals(local.name()) ? rivalMonitor : monitors.get(name);
+        SubjectMonitor monitor = name.equals(local.name()) ? nameHolderMonitor : monitors.get(name);
         return monitor != null && monitor.generation() == generation ? monitor : null;
     }
 
-    // ---- A rival for this member's name ------------------------------------------------------------
+    // ---- Another process with this member's name ------------------------------------------------------------
 
-    /** Forgets all subjects: a member whose name another process holds observes nobody. */
+    /** Stops observing all subjects: a member whose name another process holds observes nobody. */
     void stopObserving() {
         monitors.clear();
         subjectsVersion = -1;
     }
 
-    /** Begins to monitor the rival, unless it does already. */
-    void monitorRival(MemberRecord rival, double now) {
-        if (rivalMonitor == null || rivalMonitor.generation() != rival.generation()) {
-            rivalMonitor = new SubjectMonitor(settings, rival.generation(), now, now);
+    /** Starts to monitor the process that holds the name, unless it is monitored already. */
+    void monitorNameHolder(MemberRecord holder, double now) {
+        if (nameHolderMonitor == null || nameHolderMonitor.generation() != holder.generation()) {
+            nameHolderMonitor = new SubjectMonitor(settings, holder.generation(), now, now);
         }
     }
 
-    boolean isRivalUnreachable(double now) {
-        return rivalMonitor.observation(now, health.timeoutFactor()) == Observation.UNREACHABLE;
+    boolean isNameHolderUnreachable(double now) {
+        return nameHolderMonitor.observation(now, health.timeoutFactor()) == Observation.UNREACHABLE;
     }
 
-    void probeRival(MemberRecord rival, double elapsed, double now) {
-        probe(rivalMonitor, rival, elapsed, now);
+    void probeNameHolder(MemberRecord holder, double elapsed, double now) {
+        probe(nameHolderMonitor, holder, elapsed, now);
     }
 
-    void stopMonitoringRival() {
-        rivalMonitor = null;
+    void stopMonitoringNameHolder() {
+        nameHolderMonitor = null;
     }
 }
--- a/src/main/java/pepperdock/membership/GossipItem.java
+++ b/src/main/java/pepperdock/membership/GossipItem.java
@@ -1,11 +1,14 @@
 package pepperdock.membership;
 
-/** What is gossiped and exchanged: a member's record, or its observations. Both are written by the member that they name. */
+/**
+ * A unit of gossip and of anti-entropy exchange: a member's record, or its observations. Both are written by the member
+ * that they name, except for a faulty verdict.
+ */
 public sealed interface GossipItem permits MemberRecord, Observations {
 
-    /** The member that it is of. */
+    /** Returns the name of the member that this item belongs to. */
     String name();
 
-    /** Bytes that it takes on the wire, at most. */
+    /** Returns the most bytes that this item takes on the wire. */
     int maxEncodedBytes();
 }
--- a/src/main/java/pepperdock/membership/GossipQueue.java
+++ b/src/main/java/pepperdock/membership/GossipQueue.java
@@ -8,33 +8,38 @@
 import java.util.Map;
 
 /**
- * Items that wait to ride on datagrams, as the dissemination buffer of SWIM, section 4.1: each is sent a number of times that
- * grows with the logarithm of the fleet, those sent least often first; a newer item of the same kind and name takes the place
- * of an older. At most two items for each member. Owned by the thread that calls {@link Membership}.
+ * Queue of items to piggyback on datagrams: the dissemination buffer of SWIM, section 4.1. Each item is sent a number
+ * of times that grows with the logarithm of the fleet size, those sent least often first. A newer item of the same kind
+ * and name replaces an older one, so there are at most two items for each member. Owned by the thread that calls
+ * {@link Membership}.
  */
 final class GossipQueue {
 
     /** Transmissions of an item for each doubling of the fleet (lambda of SWIM, section 4.1). */
     private static final double RETRANSMIT_FACTOR = 3;
-    /** Items looked at in vain for one datagram: those left are too large for what room is left. */
-    private static final int MAX_MISFITS = 8;
+    /**
+     * Items skipped for one datagram because of their size, after which the other items are taken to be too large as
+     * well.
+     */
+    private static final int MAX_SKIPPED_ITEMS = 8;
 
     /** Bytes of the smallest item. */
     private static final int MIN_ITEM_BYTES = 28;
 
-    /** Where an item begins: that a member is faulty or has left goes before all else, once. */
+    /** Initial transmission count of a record of a faulty or left member, which is sent before all else, once. */
     private static final int VERDICT_PRIORITY = 0;
 
+    /** Initial transmission count of all other items. */
     private static final int UNSENT_PRIORITY = 1;
 
     private record ItemKey(String name, boolean isRecord) {}
 
-    /** By transmissions, each in the order in which the items came there. */
+    /** Items by number of transmissions, each list in the order in which the items came there. */
     private final List<LinkedHashMap<ItemKey, GossipItem>> byTransmissions = new ArrayList<>();
 
     private final Map<ItemKey, Integer> transmissions = new HashMap<>();
 
-    /** When each was added; the oldest first. */
+    /** When each item was added, the oldest first. */
     private final LinkedHashMap<ItemKey, Double> addedAt = new LinkedHashMap<>();
 
     /** Adds a new item. */
@@ -55,8 +60,8 @@
     }
 
     /**
-     * Drops items that were added before that time and sent at least once: they would take the room of new ones, and where they
-     * are still lacking, digests differ and an exchange brings them.
+     * Drops items that were added before that time and sent at least once: they would take the room of new ones. Where
+     * they are still missing, digests differ and an exchange brings them.
      */
     void expire(double before) {
         for (Iterator<Map.Entry<ItemKey, Double>> iterator = addedAt.entrySet().iterator(); iterator.hasNext(); ) {
@@ -84,7 +89,7 @@
         return transmissions.isEmpty();
     }
 
-    /** Takes items for one datagram, of so many bytes at most, for a fleet of that size. */
+    /** Takes items for one datagram, of at most this many bytes in total, for a fleet of this many members. */
     List<GossipItem> take(int maxBytes, int members) {
         if (transmissions.isEmpty()) {
             return List.of();
@@ -92,17 +97,17 @@
         List<GossipItem> taken = new ArrayList<>();
         List<Map.Entry<ItemKey, Integer>> moved = new ArrayList<>();
         int bytesLeft = maxBytes;
-        int misfits = 0;
+        int skipped = 0;
         for (int sent = 0;
-                sent < byTransmissions.size() && bytesLeft >= MIN_ITEM_BYTES && misfits < MAX_MISFITS;
+                sent < byTransmissions.size() && bytesLeft >= MIN_ITEM_BYTES && skipped < MAX_SKIPPED_ITEMS;
                 sent++) {
             for (Iterator<Map.Entry<ItemKey, GossipItem>> iterator =
                             byTransmissions.get(sent).entrySet().iterator();
-                    iterator.hasNext() && bytesLeft >= MIN_ITEM_BYTES && misfits < MAX_MISFITS; ) {
+                    iterator.hasNext() && bytesLeft >= MIN_ITEM_BYTES && skipped < MAX_SKIPPED_ITEMS; ) {
                 Map.Entry<ItemKey, GossipItem> entry = iterator.next();
                 int size = entry.getValue().maxEncodedBytes();
                 if (size > bytesLeft) {
-                    misfits++;
+                    skipped++;
                     continue;
                 }
                 bytesLeft -= size;
@@ -119,7 +124,7 @@
         return UNSENT_PRIORITY + (int) Math.ceil(RETRANSMIT_FACTOR * (Math.log(members + 1.0) / Math.log(2)));
     }
 
-    /** Puts items that were taken back under their new number of transmissions, and drops those sent often enough. */
+    /** Puts taken items back under their new number of transmissions, and drops those sent often enough. */
     private void requeue(List<Map.Entry<ItemKey, Integer>> moved, List<GossipItem> taken, int maxTransmissions) {
         for (int i = 0; i < moved.size(); i++) {
             ItemKey key = moved.get(i).getKey();
--- a/src/main/java/pepperdock/membership/IndirectPingRelay.java
+++ b/src/main/java/pepperdock/membership/IndirectPingRelay.java
@@ -10,17 +10,17 @@
 import pepperdock.membership.Message.Ping;
 
 /**
- * Pings subjects on behalf of other members, and passes on their acknowledgements: the {@code ping-req} of SWIM, section 3.1.
- * Requests are bounded in number and in time. Owned by the thread that calls {@link Membership}.
+ * Pings subjects on behalf of other members, and relays their acknowledgements: the {@code ping-req} of SWIM, section
+ * 3.1. Requests are bounded in number and in time. Owned by the thread that calls {@link Membership}.
  */
 final class IndirectPingRelay {
 
-    /** Sequence numbers above this are of pings sent for others; below it, of this member's own. */
+    /** Sequence numbers above this one are of pings sent on behalf of others; those below are of this member's own. */
     private static final long FIRST_SEQUENCE = 1L << 40;
 
     private static final int MAX_PENDING = 256;
 
-    private record Pending(String requester, String subject, long generation, long sequence, double until) {}
+    private record Pending(String requester, String subject, long generation, long sequence, double deadline) {}
 
     private final MembershipSettings settings;
     private final Outbox outbox;
@@ -32,7 +32,7 @@
         this.outbox = outbox;
     }
 
-    /** Pings the subject, unless too many such pings are under way. */
+    /** Pings the subject, unless too many such pings are in progress. */
     void onRequest(IndirectPing request, double now) {
         if (pending.size() >= MAX_PENDING) {
             expire(now);
@@ -53,27 +53,27 @@
         outbox.send(request.address(), ping, BandwidthBudget.Use.INDIRECT);
     }
 
-    /** Whether an acknowledgement is of a ping sent for another member. */
+    /** Returns whether an acknowledgement is of a ping sent on behalf of another member. */
     boolean isRelayed(Ack ack) {
         return ack.sequence() >= FIRST_SEQUENCE;
     }
 
-    /** Passes an acknowledgement on to the member that asked for the ping. */
+    /** Relays an acknowledgement to the member that requested the ping. */
     void onAck(Ack ack) {
         Pending request = pending.remove(ack.sequence());
         if (request != null
                 && request.subject().equals(ack.header().name())
                 && request.generation() == ack.header().generation()) {
-            IndirectAck passedOn =
+            IndirectAck indirectAck =
                     new IndirectAck(outbox.header(), request.subject(), request.generation(), request.sequence());
-            outbox.send(request.requester(), passedOn, BandwidthBudget.Use.ACK);
+            outbox.send(request.requester(), indirectAck, BandwidthBudget.Use.ACK);
         }
     }
 
-    /** Drops requests whose time is over. */
+    /** Drops requests that are past their deadline. */
     void expire(double now) {
         for (Iterator<Pending> iterator = pending.values().iterator(); iterator.hasNext(); ) {
-            if (iterator.next().until() < now) {
+            if (iterator.next().deadline() < now) {
                 iterator.remove();
             }
         }
--- a/src/main/java/pepperdock/membership/LocalMember.java
+++ b/src/main/java/pepperdock/membership/LocalMember.java
@@ -3,14 +3,15 @@
 import pepperdock.membership.Message.Header;
 
 /**
- * This process as a member: its own record, and where it stands between joining and leaving. Only {@link MemberLifecycle}
- * changes it; all else reads it. Owned by the thread that calls {@link Membership}.
+ * This process as a member: its own record, and its progress from joining to leaving. It is changed by
+ * {@link MemberLifecycle}, and by {@link ExchangeManager} once this member has joined; all other classes only read it.
+ * Owned by the thread that calls {@link Membership}.
  */
 final class LocalMember {
 
     private final String fleet;
     private MemberRecord memberRecord;
-    private MemberRecord rival;
+    private MemberRecord nameHolder;
     private boolean joined;
     private boolean leaving;
 
@@ -43,20 +44,24 @@
         memberRecord = newRecord;
     }
 
-    /** The record of another process that holds this member's name; null where there is none. */
-    MemberRecord rival() {
-        return rival;
+    /** Returns the record of another process that holds this member's name, or null if there is none. */
+    MemberRecord nameHolder() {
+        return nameHolder;
     }
 
-    void setRival(MemberRecord newRival) {
-        rival = newRival;
+    void setNameHolder(MemberRecord newHolder) {
+        nameHolder = newHolder;
     }
 
-    boolean hasRival() {
-        return rival != null;
+    /** Returns whether another process holds this member's name. */
+    boolean hasNameConflict() {
+        return nameHolder != null;
     }
 
-    /** Whether another member has told what it holds of this name: until then whoever holds the name was there first. */
+    /**
+     * Returns whether another member has sent what it holds under this name. Until then, any process that holds the
+     * name counts as the first.
+     */
     boolean joined() {
         return joined;
     }
@@ -73,7 +78,7 @@
         leaving = true;
     }
 
-    /** The header of a message that this member sends now. */
+    /** Returns the header of a message that this member sends now. */
     Header header(long stateDigest) {
         return new Header(fleet, name(), generation(), memberRecord.incarnation(), address(), stateDigest);
     }
--- a/src/main/java/pepperdock/membership/MemberLifecycle.java
+++ b/src/main/java/pepperdock/membership/MemberLifecycle.java
@@ -3,9 +3,10 @@
 import java.util.Collection;
 
 /**
- * This member's own record: joining, leaving, refuting a false verdict by the next incarnation (SWIM, section 4.2), and what
- * is done when another process has the same name. The process that held the name first keeps it; the other probes it, and
- * claims the name once it does not answer. Owned by the thread that calls {@link Membership}.
+ * Maintains this member's own record: joins, leaves, refutes a false verdict by the next incarnation (SWIM, section
+ * 4.2), and resolves the conflict when another process has the same name. The process that held the name first keeps
+ * it; the other one probes it, and claims the name once it does not answer. Owned by the thread that calls
+ * {@link Membership}.
  */
 final class MemberLifecycle {
 
@@ -34,10 +35,10 @@
         disseminator.merge(memberRecord, now);
     }
 
-    /** Tells all members that this one leaves; a member that does not hold its name has nothing to tell. */
+    /** Tells all members that this one leaves. A member that does not hold its name has nothing to tell. */
     void leave(double now) {
         local.setLeaving();
-        if (local.hasRival()) {
+        if (local.hasNameConflict()) {
             return;
         }
         publish(local.memberRecord().withStatus(RecordStatus.LEFT), now);
@@ -48,32 +49,34 @@
         }
     }
 
-    /** Takes in what another member sent. */
+    /** Processes the items that another member sent. */
     void receive(Collection<GossipItem> items, double now) {
         for (GossipItem item : items) {
             if (!item.name().equals(local.name())) {
                 disseminator.merge(item, now);
             } else if (item instanceof MemberRecord memberRecord) {
                 onOwnName(memberRecord, now);
-            } else if (local.hasRival()) {
+            } else if (local.hasNameConflict()) {
                 disseminator.merge(item, now);
             }
         }
     }
 
-    /** A record with this member's own name: a verdict on it, an earlier process of it, or a rival. */
+    /**
+     * Handles a record with this member's own name: a verdict on it, or the record of an earlier or another process.
+     */
     private void onOwnName(MemberRecord received, double now) {
         if (received.generation() == local.generation()) {
             if (isVerdictToRefute(received)) {
                 refute(received, now);
             }
-        } else if (local.hasRival()) {
+        } else if (local.hasNameConflict()) {
             disseminator.merge(received, now);
         } else if ((received.supersedes(local.memberRecord()) || !local.joined()) && !local.leaving()) {
             if (canTakeNameOf(received)) {
                 claimName(received.incarnation() + 1, now);
             } else {
-                yieldTo(received, now);
+                yieldNameTo(received, now);
             }
         }
     }
@@ -82,56 +85,59 @@
         return received.status() == RecordStatus.FAULTY
                 && received.incarnation() >= local.memberRecord().incarnation()
                 && !local.leaving()
-                && !local.hasRival();
+                && !local.hasNameConflict();
     }
 
     private void refute(MemberRecord verdict, double now) {
         long incarnation = verdict.incarnation() + 1;
-        outbox.emit(new MembershipOutput.Notice(MembershipOutput.Notice.REFUTED, "called gone", incarnation));
+        outbox.emit(new MembershipOutput.Notice(
+                MembershipOutput.Notice.REFUTED, "other members declared this one gone", incarnation));
         claimName(incarnation, now);
     }
 
-    /** Whether the holder of the name is no longer there, or was an earlier process at this very address. */
+    /** Returns whether the holder of the name is gone, or was an earlier process at this very address. */
     private boolean canTakeNameOf(MemberRecord holder) {
         return holder.status() != RecordStatus.ALIVE || holder.address().equals(local.address());
     }
 
-    private void yieldTo(MemberRecord rival, double now) {
-        local.setRival(rival);
+    private void yieldNameTo(MemberRecord holder, double now) {
+        local.setNameHolder(holder);
         detector.stopObserving();
-        outbox.emit(
-                new MembershipOutput.Notice(MembershipOutput.Notice.NAME_TAKEN, rival.address(), rival.incarnation()));
+        outbox.emit(new MembershipOutput.Notice(
+                MembershipOutput.Notice.NAME_TAKEN, holder.address(), holder.incarnation()));
         if (local.joined()) {
-            disseminator.merge(rival, now);
+            disseminator.merge(holder, now);
         } else {
-            disseminator.replaceUnpublished(rival, now);
+            disseminator.replaceUnpublished(holder, now);
         }
     }
 
-    /** While there is a rival: finds out whether it lives, and claims the name where it does not. */
+    /**
+     * Checks, while another process holds the name, whether that process is alive, and claims the name if it is not.
+     */
     void contestName(double elapsed, double now) {
-        MemberRecord holder = table.get(local.name()).memberRecord();
-        if (holder.generation() != local.generation()) {
-            local.setRival(holder);
+        MemberRecord known = table.get(local.name()).memberRecord();
+        if (known.generation() != local.generation()) {
+            local.setNameHolder(known);
         }
-        MemberRecord rival = local.rival();
-        detector.monitorRival(rival, now);
-        if (canTakeNameOf(rival) || detector.isRivalUnreachable(now)) {
-            claimName(rival.incarnation() + 1, now);
+        MemberRecord holder = local.nameHolder();
+        detector.monitorNameHolder(holder, now);
+        if (canTakeNameOf(holder) || detector.isNameHolderUnreachable(now)) {
+            claimName(holder.incarnation() + 1, now);
         } else {
-            detector.probeRival(rival, elapsed, now);
+            detector.probeNameHolder(holder, elapsed, now);
         }
     }
 
     private void claimName(long incarnation, double now) {
-        if (local.hasRival()) {
+        if (local.hasNameConflict()) {
             outbox.emit(new MembershipOutput.Notice(
                     MembershipOutput.Notice.NAME_CLAIMED,
                     "the other process of this name does not answer",
                     incarnation));
         }
-        local.setRival(null);
-        detector.stopMonitoringRival();
+        local.setNameHolder(null);
+        detector.stopMonitoringNameHolder();
         publish(local.memberRecord().aliveIn(incarnation), now);
     }
 }
--- a/src/main/java/pepperdock/membership/MemberRecord.java
+++ b/src/main/java/pepperdock/membership/MemberRecord.java
@@ -1,14 +1,14 @@
 package pepperdock.membership;
 
 /**
- * Who a member is and where it is reached. Written by the member itself, but for {@link RecordStatus#FAULTY}.
+ * Identity, status and address of a member. Written by the member itself, except for {@link RecordStatus#FAULTY}.
  *
- * <p>Two numbers tell versions apart. The <em>generation</em> is drawn when the process starts: two processes of one name differ
- * in it. The <em>incarnation</em> is SWIM's (section 4.2): only the member raises it, with every refutation, and the next
- * process of the name goes on where the last one left it. On the wire and for operators the generation is called
- * {@code life}.
+ * <p>Two numbers distinguish versions. The <em>generation</em> is a random number chosen when the process starts: two
+ * processes of one name differ in it. The <em>incarnation</em> is that of SWIM (section 4.2): only the member raises
+ * it, with every refutation, and the next process of the name continues where the last one left it. On the wire and for
+ * operators the generation is called {@code life}.
  *
- * @param address HOST:PORT, as announced, of datagrams and streams alike
+ * @param address HOST:PORT, as announced, for both datagrams and streams
  */
 public record MemberRecord(
         String name,
@@ -20,10 +20,12 @@
         String machine)
         implements GossipItem {
 
-    /** Names of members, fleets, zones and machines: what fits a datagram and needs no quoting anywhere. */
+    /**
+     * Pattern of the names of members, fleets, zones and machines: these fit a datagram and need no quoting anywhere.
+     */
     public static final String NAME_PATTERN = "[A-Za-z0-9._-]{1,64}";
 
-    /** Bytes on the wire beside the texts, at most: their lengths, the kind, two numbers and the status. */
+    /** Most bytes on the wire beside the texts: their lengths, the kind, two numbers and the status. */
     private static final int FIXED_BYTES = 30;
 
     @Override
@@ -35,12 +37,15 @@
         return new MemberRecord(name, generation, incarnation, newStatus, address, zone, machine);
     }
 
-    /** The same process, alive in another incarnation. */
+    /** Returns the record of the same process, alive in another incarnation. */
     MemberRecord aliveIn(long newIncarnation) {
         return new MemberRecord(name, generation, newIncarnation, RecordStatus.ALIVE, address, zone, machine);
     }
 
-    /** Whether this is newer than another record of the same name: the higher incarnation, then generation, then status. */
+    /**
+     * Returns whether this is newer than another record of the same name: the higher incarnation, then generation, then
+     * status.
+     */
     boolean supersedes(MemberRecord other) {
         if (incarnation != other.incarnation) {
             return incarnation > other.incarnation;
--- a/src/main/java/pepperdock/membership/MemberState.java
+++ b/src/main/java/pepperdock/membership/MemberState.java
@@ -1,15 +1,18 @@
 package pepperdock.membership;
 
-/** What a view says of a member; the operators' words for these are in {@code membership.transport.OperatorWords}. */
+/**
+ * The state of a member in a view. The operators' words for the states are in
+ * {@code membership.transport.OperatorWords}.
+ */
 public enum MemberState {
-    /** Reached by all who observe it. */
+    /** All of its observers reach it. */
     ALIVE,
     /** At least half of its observers say that it answers late. */
     SLOW,
     /** Some observers do not reach it directly, and not enough agree that it is faulty. */
     SUSPECT,
-    /** Enough observers agreed that it is not reached; it may come back in a new incarnation. */
+    /** Enough observers agreed that it is unreachable; it may come back in a new incarnation. */
     FAULTY,
-    /** It said itself that it leaves. */
+    /** The member itself announced that it leaves. */
     LEFT
 }
--- a/src/main/java/pepperdock/membership/MemberStateTracker.java
+++ b/src/main/java/pepperdock/membership/MemberStateTracker.java
@@ -10,21 +10,28 @@
 import java.util.stream.Collectors;
 
 /**
- * The state of each member as it was last published, read from the table by one rule, and the changes of it: each published
- * once, under numbers that count up. Owned by the thread that calls {@link Membership}.
+ * Tracks the state of each member as it was last published, derived from the table by one rule, and publishes each
+ * change of it once, under consecutive numbers. Owned by the thread that calls {@link Membership}.
  */
 final class MemberStateTracker {
 
     private final MembershipTable table;
     private final Consumer<MembershipView.Change> changes;
     private final Map<String, MemberState> states = new TreeMap<>();
-    /** Those slow or suspect: read anew with each change, as what was said of them may have been taken back. */
+    /**
+     * Members that are slow or suspect: evaluated again with each change, as observations of them may have been
+     * withdrawn.
+     */
     private final Set<String> impaired = new TreeSet<>();
 
     private final Map<String, Long> generations = new HashMap<>();
-    private final Set<String> touched = new TreeSet<>();
-    /** A member came, went or returned: what it says of others, and how many observe them, may count otherwise now. */
-    private boolean recordsTouched;
+    /** Members whose record, or observations of whom, changed since the last publication. */
+    private final Set<String> changedNames = new TreeSet<>();
+    /**
+     * Whether a member came, went or returned, so that its observations, and the number of observers of others, may
+     * count differently now.
+     */
+    private boolean recordsChanged;
 
     private long number;
 
@@ -33,46 +40,46 @@
         this.changes = changes;
     }
 
-    /** The number of the last change published. */
+    /** Returns the number of the last change published. */
     long number() {
         return number;
     }
 
-    /** The state last published; alive where none was. */
+    /** Returns the state last published of a member; alive if none was. */
     MemberState of(String name) {
         return states.getOrDefault(name, MemberState.ALIVE);
     }
 
-    /** Forgets whom the table has no more. */
+    /** Forgets the members that are no longer in the table. */
     void forgetUnknown() {
         states.keySet().removeIf(name -> table.get(name) == null);
         impaired.removeIf(name -> table.get(name) == null);
         generations.keySet().removeIf(name -> table.get(name) == null);
     }
 
-    /** A member's own record has changed. */
+    /** Notes that a member's own record has changed. */
     void recordChanged(String name) {
-        touched.add(name);
-        recordsTouched = true;
+        changedNames.add(name);
+        recordsChanged = true;
     }
 
-    /** What is said of these members has changed. */
+    /** Notes that the observations of these members have changed. */
     void observationsChanged(Collection<String> names) {
-        touched.addAll(names);
+        changedNames.addAll(names);
     }
 
     /** Publishes what has changed since the last call. */
     void publish() {
-        if (touched.isEmpty()) {
+        if (changedNames.isEmpty()) {
             return;
         }
-        Set<String> names = new TreeSet<>(touched);
-        if (recordsTouched) {
+        Set<String> names = new TreeSet<>(changedNames);
+        if (recordsChanged) {
             names.addAll(table.observedSubjects());
         }
         names.addAll(impaired);
-        recordsTouched = false;
-        touched.clear();
+        recordsChanged = false;
+        changedNames.clear();
         names.stream().map(table::get).filter(entry -> entry != null).forEach(this::publish);
     }
 
@@ -82,16 +89,17 @@
         Long generation = generations.put(member.name(), member.generation());
         boolean replaced = generation != null && generation != member.generation();
         if (replaced && before != MemberState.FAULTY && before != MemberState.LEFT) {
-            change(member, generation, before, MemberState.FAULTY, "another life of it has taken its place");
+            publishChange(
+                    member, generation, before, MemberState.FAULTY, "another life of this member has replaced it");
             before = MemberState.FAULTY;
         }
         MemberState current = stateOf(entry);
         if (current != before) {
-            change(member, member.generation(), before, current, reasonFor(entry, current));
+            publishChange(member, member.generation(), before, current, reasonFor(entry, current));
         }
     }
 
-    private void change(MemberRecord member, long generation, MemberState from, MemberState to, String reason) {
+    private void publishChange(MemberRecord member, long generation, MemberState from, MemberState to, String reason) {
         states.put(member.name(), to);
         if (to == MemberState.SLOW || to == MemberState.SUSPECT) {
             impaired.add(member.name());
@@ -127,7 +135,7 @@
         MemberRecord member = entry.memberRecord();
         return switch (state) {
             case ALIVE -> member.incarnation() > 0 ? "incarnation " + member.incarnation() : "";
-            case LEFT -> "it said so";
+            case LEFT -> "announced by the member itself";
             case SLOW, SUSPECT, FAULTY ->
                 table.observationsOf(member.name()).entrySet().stream()
                         .map(observation -> observation.getKey()
--- a/src/main/java/pepperdock/membership/Membership.java
+++ b/src/main/java/pepperdock/membership/Membership.java
@@ -14,21 +14,23 @@
 import pepperdock.membership.Message.WrongAddressee;
 
 /**
- * One member's part of the membership protocol. Messages and the time come in, {@link MembershipOutput} goes out; no clock, no
- * sockets, no threads, and random numbers only from the seed: the same inputs give the same outputs.
+ * One member's side of the membership protocol, as a deterministic state machine. It takes messages and the time, and
+ * returns {@link MembershipOutput}s. It has no clock, sockets or threads, and random numbers come only from the seed:
+ * the same inputs give the same outputs.
  *
- * <p>The caller hands every datagram to {@link #onDatagram}, what comes on streams to {@link #onStreamMessage}, the time to
- * {@link #tick} every {@link MembershipSettings#tickS} or as soon after as it can, and carries out what {@link #takeOutputs}
- * returns after each of these. Times are seconds of any clock that never goes back.
+ * <p>The caller passes every datagram to {@link #onDatagram}, every message from a stream to {@link #onStreamMessage},
+ * and the time to {@link #tick} every {@link MembershipSettings#tickS} or as soon after that as it can. After each of
+ * these calls it carries out what {@link #takeOutputs} returns. Times are seconds of any clock that never goes back.
  *
- * <p>All calls come from one thread, which owns the state of this class and of all its parts: {@link FailureDetector} probes
- * (SWIM, Das, Gupta, Motivala 2002, with the local health of Lifeguard, Dadgar, Phillips, Currey 2018),
- * {@link Disseminator} gossips, {@link ExchangeManager} and {@link PeerDiscovery} do anti-entropy, {@link VerdictLog} declares
- * members faulty (cut detection of Rapid, Suresh and others 2018), {@link MemberLifecycle} joins, leaves and refutes.
+ * <p>All calls come from one thread, which owns the state of this class and of all its parts: {@link FailureDetector}
+ * probes (SWIM, Das, Gupta, Motivala 2002, with the local health of Lifeguard, Dadgar, Phillips, Currey 2018),
+ * {@link Disseminator} gossips, {@link ExchangeManager} and {@link PeerDiscovery} do anti-entropy,
+ * {@link VerdictPublisher} declares members faulty (cut detection of Rapid, Suresh and others 2018),
+ * {@link MemberLifecycle} joins, leaves and refutes.
  *
- * <p>Guarantees: changes are notified once each and in the order of their numbers; a member's incarnation never goes back; a
- * member that hears that it was declared faulty refutes it; a member that does not reach a majority declares nobody faulty;
- * what is sent stays within the settings' budget.
+ * <p>Guarantees: each change is notified once, in the order of the numbers; a member's incarnation never goes back; a
+ * member that hears that it was declared faulty refutes it; a member that does not reach a majority declares nobody
+ * faulty; what is sent stays within the settings' budget.
  */
 public final class Membership {
 
@@ -45,14 +47,14 @@
     private final MemberLifecycle lifecycle;
     private final ExchangeManager exchanges;
     private final PeerDiscovery discovery;
-    private final VerdictLog verdicts;
+    private final VerdictPublisher verdicts;
     private double lastTick;
     private double nextCleanup;
     private long foreignMessages;
 
     /**
-     * @param seeds addresses of members that may be there already; one's own among them is passed over
-     * @param seed of the random numbers
+     * @param seeds addresses of members that may be running already; this member's own address among them is ignored
+     * @param seed seed of the random numbers
      */
     public Membership(
             MembershipSettings settings, String fleet, MemberRecord self, List<String> seeds, long seed, double now) {
@@ -69,7 +71,7 @@
         lifecycle = new MemberLifecycle(local, table, disseminator, detector, outbox);
         exchanges = new ExchangeManager(settings, local, table, random, budget, disseminator, lifecycle, outbox);
         discovery = new PeerDiscovery(settings, seeds, local, table, random, exchanges, outbox, now);
-        verdicts = new VerdictLog(local, table, new CutDetector(settings, table), detector, disseminator, outbox);
+        verdicts = new VerdictPublisher(local, table, new CutDetector(settings, table), detector, disseminator, outbox);
         lastTick = now;
         nextCleanup = now;
         lifecycle.publish(self, now);
@@ -77,14 +79,14 @@
 
     // ---- Results ------------------------------------------------------------
 
-    /** What is to be carried out and notified since the last call, in order. */
+    /** Returns what is to be carried out and notified since the last call, in order. */
     public List<MembershipOutput> takeOutputs() {
         List<MembershipOutput> taken = List.copyOf(outputs);
         outputs.clear();
         return taken;
     }
 
-    /** All members as this one sees them now. */
+    /** Returns all members as this one sees them now. */
     public MembershipView view() {
         List<MembershipView.Member> members = new ArrayList<>();
         for (MembershipTable.Entry entry : table.entries()) {
@@ -96,7 +98,7 @@
                 verdicts.hasMajority(),
                 verdicts.reachable(),
                 verdicts.fleetSize(),
-                local.hasRival() ? local.rival().address() : "",
+                local.hasNameConflict() ? local.nameHolder().address() : "",
                 members);
     }
 
@@ -114,24 +116,27 @@
                 Map.copyOf(table.observationsOf(member.name())));
     }
 
-    /** This member's own record. */
+    /** Returns this member's own record. */
     public MemberRecord self() {
         return local.memberRecord();
     }
 
-    /** Equal for two members that hold the same of all members that are alive. */
+    /** Returns a digest that is equal for two members that hold the same of all members that are alive. */
     public long stateDigest() {
         return table.stateDigest();
     }
 
-    /** Datagrams sent, their bytes with headers, datagrams withheld for the budget, messages of other fleets: all so far. */
+    /**
+     * Returns counts since the start: datagrams sent; bytes sent, with headers and streams; datagrams withheld by the
+     * budget; messages of other fleets.
+     */
     public long[] counts() {
-        return new long[] {budget.sentDatagrams(), budget.sentBytes(), budget.withheld(), foreignMessages};
+        return new long[] {budget.sentDatagrams(), budget.sentBytes(), budget.withheldDatagrams(), foreignMessages};
     }
 
     // ---- Time ------------------------------------------------------------
 
-    /** Does what is due; called at least every {@link MembershipSettings#tickS}. */
+    /** Does all work that is due. To be called at least every {@link MembershipSettings#tickS}. */
     public void tick(double now) {
         budget.refill(now);
         double elapsed = now - lastTick;
@@ -147,7 +152,7 @@
         }
         disseminator.expire(now);
         discovery.onTick(now);
-        if (local.hasRival()) {
+        if (local.hasNameConflict()) {
             lifecycle.contestName(elapsed, now);
         } else if (!local.leaving()) {
             detector.probeSubjects(elapsed, now);
@@ -157,17 +162,17 @@
         states.publish();
     }
 
-    /** Tells all members that this one leaves; it goes on answering until the caller ends it. */
+    /** Tells all members that this one leaves. It goes on answering until the caller stops it. */
     public void leave(double now) {
         lifecycle.leave(now);
-        if (!local.hasRival()) {
+        if (!local.hasNameConflict()) {
             states.publish();
         }
     }
 
     // ---- Messages ------------------------------------------------------------
 
-    /** Takes in a datagram; one that is late, repeated or out of order does no harm. */
+    /** Processes a datagram; one that is late, repeated or out of order does no harm. */
     public void onDatagram(Message message, double now) {
         if (!isAccepted(message.header())) {
             return;
@@ -230,14 +235,15 @@
         return header.generation() != local.generation();
     }
 
-    /** The first message of an exchange that this member opens. */
+    /** Returns the first message of an exchange that this member opens. */
     public Message openExchange() {
         return exchanges.firstMessage();
     }
 
     /**
-     * Takes in what came on a stream; returns what goes back on it, null where the stream is to be closed: after the last
-     * message, or where the budget has no room for an answer. The other side tries again, there or elsewhere.
+     * Processes a message from a stream. Returns the answer to send on it, or null if the stream is to be closed: after
+     * the last message, or if the budget has no room for an answer. The other side then tries again, with this member
+     * or another one.
      */
     public Message onStreamMessage(Message message, double now) {
         if (!isAccepted(message.header())) {
--- a/src/main/java/pepperdock/membership/MembershipOutput.java
+++ b/src/main/java/pepperdock/membership/MembershipOutput.java
@@ -1,32 +1,32 @@
 package pepperdock.membership;
 
-/** What {@link Membership} wants carried out or notified. */
+/** An action that the caller of {@link Membership} is to carry out, or an event that it is to notify. */
 public sealed interface MembershipOutput {
 
-    /** Send a datagram. */
+    /** A datagram to send. */
     record SendDatagram(String address, Message message) implements MembershipOutput {}
 
     /**
-     * Open a stream there, send {@link Membership#openExchange} on it, hand what comes back to
-     * {@link Membership#onStreamMessage}.
+     * A stream to open to this address. The caller sends {@link Membership#openExchange} on it, and passes what comes
+     * back to {@link Membership#onStreamMessage}.
      */
     record OpenExchange(String address) implements MembershipOutput {}
 
-    /** A member's state changed; notified once each, in the order of the changes' numbers. */
+    /** A change of a member's state; each is notified once, in the order of the changes' numbers. */
     record MemberChanged(MembershipView.Change change) implements MembershipOutput {}
 
-    /** Whether this member reaches a majority has changed. */
+    /** A change of whether this member reaches a majority of the fleet. */
     record MajorityChanged(boolean hasMajority, int reachable, int fleetSize) implements MembershipOutput {}
 
     /**
-     * Something rare, for the log and for the test rig's checkers.
+     * A rare event, for the log and for the test rig's checkers.
      *
-     * @param kind one of the constants here, which are the names of the rig's events too
+     * @param kind one of the constants here, which are also the names of the rig's events
      * @param amount seconds of a pause, otherwise an incarnation
      */
     record Notice(String kind, String reason, double amount) implements MembershipOutput {
 
-        /** This member was declared faulty, and takes its next incarnation. */
+        /** This member was declared faulty, and refutes that by its next incarnation. */
         public static final String REFUTED = "refuted";
         /** This member's own clock showed that it was paused. */
         public static final String PAUSED = "paused";
--- a/src/main/java/pepperdock/membership/MembershipSettings.java
+++ b/src/main/java/pepperdock/membership/MembershipSettings.java
@@ -1,24 +1,27 @@
 package pepperdock.membership;
 
 /**
- * Timings and bounds of membership: keys, defaults and units. All members of a fleet should have the same timings. The defaults
- * detect a death in some 6.5 s and tolerate pauses of 5 s. Immutable.
+ * Timings and limits of membership, with their keys, defaults and units. All members of a fleet should have the same
+ * timings. The defaults detect a failed member in about 6.5 s and tolerate pauses of 5 s. Immutable.
  *
  * @param probeIntervalS seconds between two pings to a subject
- * @param suspicionTimeoutS seconds without any sign of life after which an observer says that it does not reach its subject
- * @param confirmationS seconds that enough observers have to say so before a member is declared faulty
- * @param observers of each member, at most (K of Rapid, section 4.1)
+ * @param suspicionTimeoutS seconds without any sign of life from a subject after which its observer reports it
+ *     unreachable
+ * @param confirmationS seconds for which enough observers have to report a member before it is declared faulty
+ * @param observers most observers of each member (K of Rapid, section 4.1)
  * @param highWatermark share of a member's credible observers that has to agree (H of Rapid, section 4.2, as a share)
- * @param lowWatermark observers that put a member in doubt, so that what it says of others no longer counts (L of Rapid)
+ * @param lowWatermark reporting observers from which on a member is doubted, so that its own observations no longer
+ *     count (L of Rapid)
  * @param indirectProbes members asked to ping a subject that did not acknowledge in time (k of SWIM, section 3.1)
- * @param slowThresholdS seconds; a subject whose acknowledgements take longer than this on the mean is slow
- * @param syncIntervalS seconds between two full exchanges with a member drawn
- * @param retentionS seconds after which a member that is faulty or left is forgotten
- * @param datagramsPerS sent by this member, at most, half as many again in a single second
- * @param bytesPerS sent, on streams too, at most, half as much again in a single second; priorities: {@link BandwidthBudget}
- * @param maxMembers kept in the table; more are rejected
- * @param localHealthEnabled whether a member that is late or reaches few doubts itself before others, as in Lifeguard; off only
- *     to measure what it is worth
+ * @param slowThresholdS mean seconds to an acknowledgement above which a subject is slow
+ * @param syncIntervalS seconds between two full exchanges with a random member
+ * @param retentionS seconds after which a member that is faulty or has left is forgotten
+ * @param datagramsPerS most datagrams that this member sends per second; up to half as many again in any single second
+ * @param bytesPerS most bytes that this member sends per second, on streams too; up to half as many again in any single
+ *     second; for priorities see {@link BandwidthBudget}
+ * @param maxMembers most members kept in the table; more are rejected
+ * @param localHealthEnabled whether a member that runs late or reaches few others distrusts itself first, as in
+ *     Lifeguard; off only to measure what that is worth
  */
 public record MembershipSettings(
         double probeIntervalS,
@@ -36,7 +39,7 @@
         int maxMembers,
         boolean localHealthEnabled) {
 
-    /** The keys of these settings in {@code members} of a gatherer's file; those in seconds end in {@code _s}. */
+    /** Keys of these settings under {@code members} in a gatherer's file; those in seconds end in {@code _s}. */
     public static final class Key {
         public static final String PROBE_INTERVAL = "probe_s";
         public static final String SUSPICION_TIMEOUT = "doubt_s";
@@ -55,13 +58,13 @@
         private Key() {}
     }
 
-    /** Bytes of one datagram without the headers of UDP and IP: within IPv6's least MTU of 1280 on any path. */
+    /** Most bytes of one datagram without the headers of UDP and IP: within IPv6's minimum MTU of 1280 on any path. */
     public static final int DATAGRAM_BYTES = 1200;
 
-    /** Suspicion timeouts in probe intervals, where only the latter is given. */
+    /** Suspicion timeout in probe intervals, if only the probe interval is given. */
     public static final int SUSPICION_PROBES = 6;
 
-    /** Exchange intervals in probe intervals, where only the latter is given. */
+    /** Sync interval in probe intervals, if only the probe interval is given. */
     public static final int SYNC_PROBES = 60;
 
     /** Datagrams for each ping to a subject: the ping, the acknowledgement owed to an observer, and indirect pings. */
@@ -82,24 +85,30 @@
     private static final double DEFAULT_SYNC_INTERVAL_S = 30;
     private static final double DEFAULT_RETENTION_S = 3600;
     private static final int DEFAULT_DATAGRAMS_PER_S = 100;
-    /** Above what pings, acknowledgements and indirect pings need: 170 bytes for each of some 48 a second. */
+    /** More than pings, acknowledgements and indirect pings need: 170 bytes for each of about 48 a second. */
     private static final int DEFAULT_BYTES_PER_S = 9_000;
 
     private static final int DEFAULT_MAX_MEMBERS = 2000;
 
-    /** Ticks in a probe interval: how exactly pings are spaced. */
+    /** Ticks in a probe interval, which determine how exactly pings are spaced. */
     private static final int TICKS_PER_PROBE = 4;
-    /** Share of the probe interval after which a ping counts as not acknowledged, so that indirect pings fit the rest. */
+    /**
+     * Share of the probe interval after which a ping counts as not acknowledged, so that indirect pings fit into the
+     * rest.
+     */
     private static final double PING_TIMEOUT_SHARE = 0.6;
-    /** Times of a verdict for which those declared faulty count in the fleet. */
+    /**
+     * Times to a verdict (suspicion timeout and confirmation) for which members declared faulty count in the fleet
+     * size.
+     */
     private static final int FAULTY_MEMORY_FACTOR = 10;
 
-    /** The defaults. */
+    /** Returns the defaults. */
     public static MembershipSettings defaults() {
         return of(DEFAULT_PROBE_INTERVAL_S, DEFAULT_SUSPICION_TIMEOUT_S, DEFAULT_CONFIRMATION_S);
     }
 
-    /** The defaults, with other timings. */
+    /** Returns the defaults with other timings. */
     public static MembershipSettings of(double probeIntervalS, double suspicionTimeoutS, double confirmationS) {
         return new MembershipSettings(
                 probeIntervalS,
@@ -118,22 +127,24 @@
                 true);
     }
 
-    /** Seconds between two calls of {@link Membership#tick}. */
+    /** Returns the seconds between two calls of {@link Membership#tick}. */
     public double tickS() {
         return probeIntervalS / TICKS_PER_PROBE;
     }
 
-    /** Seconds after which a ping counts as not acknowledged, and indirect pings are asked for. */
+    /** Returns the seconds after which a ping counts as not acknowledged, and indirect pings are requested. */
     public double pingTimeoutS() {
         return probeIntervalS * PING_TIMEOUT_SHARE;
     }
 
-    /** Seconds of a pause that others tolerate without declaring a member faulty. */
+    /** Returns the seconds of a pause that others tolerate without declaring the paused member faulty. */
     public double toleratedPauseS() {
         return suspicionTimeoutS + confirmationS - 2 * probeIntervalS;
     }
 
-    /** Seconds for which those declared faulty still count in the fleet that a majority has to be reached of. */
+    /**
+     * Returns the seconds for which members declared faulty still count in the fleet size that a majority is taken of.
+     */
     public double faultyMemoryS() {
         return FAULTY_MEMORY_FACTOR * (suspicionTimeoutS + confirmationS);
     }
--- a/src/main/java/pepperdock/membership/MembershipTable.java
+++ b/src/main/java/pepperdock/membership/MembershipTable.java
@@ -15,27 +15,27 @@
 import java.util.TreeSet;
 
 /**
- * What is known of all members: for each name its newest record and its newest observations. Merging is idempotent and takes
- * items in any order, so members that have received the same items hold the same. Bounded: faulty and left members are
- * forgotten after a while, and an item of such a member that is not known is not taken in again. Owned by the thread that calls
- * {@link Membership}.
+ * The newest record and the newest observations of every known member. Merging is idempotent and accepts items in any
+ * order, so members that have received the same items hold the same table. The table is bounded: members that are
+ * faulty or have left are forgotten after a while, and an item of such a member is not accepted again once the member
+ * is unknown. Owned by the thread that calls {@link Membership}.
  */
 final class MembershipTable {
 
     private static final Hasher64 HASH = Hashing.xxh3_64();
 
-    /** What is known of one member. */
+    /** The record and the observations of one member. */
     static final class Entry {
         private MemberRecord memberRecord;
         private Observations observations;
-        /** When it came to its status here. */
+        /** When the member came to its status in this table. */
         private double since;
 
         private long digest;
-        /** Its part of the state digest: its digest while it is alive, else none. */
+        /** Its contribution to the state digest: its digest while it is alive, else 0. */
         private long countedDigest;
 
-        /** How often it refuted a faulty verdict, in this generation. */
+        /** How often the member refuted a faulty verdict in this generation. */
         private int refutations;
 
         MemberRecord memberRecord() {
@@ -59,13 +59,13 @@
         }
     }
 
-    /** What merging an item did. */
+    /** The effect of merging an item. */
     enum MergeResult {
-        /** Known already, or older than what is known. */
+        /** The item was known already, or older than the known one. */
         UNCHANGED,
-        /** Something of a known member changed. */
+        /** A known member changed. */
         CHANGED,
-        /** Unknown until now. */
+        /** The member was unknown until now. */
         ADDED,
         /** Another process of a known name has taken its place. */
         REPLACED
@@ -73,15 +73,15 @@
 
     private final int maxMembers;
     private final Map<String, Entry> entries = new TreeMap<>();
-    /** By subject and observer, of the subject's present generation alone. */
+    /** Observations by subject and observer, of the subject's present generation only. */
     private final Map<String, Map<String, Observation>> observationsBySubject = new HashMap<>();
 
     private final ObserverRings rings;
     private final Set<String> faulty = new TreeSet<>();
-    /** Observers that say anything of anybody. */
+    /** Observers whose observations name at least one subject. */
     private final Set<String> activeObservers = new TreeSet<>();
 
-    /** Of all members, alive or not, by slice of the names: the combined digests of those in it. */
+    /** Combined digests of all members, alive or not, by the slice of their names. */
     private final long[] sliceDigests = new long[Message.SLICE_COUNT];
 
     private long stateDigest;
@@ -93,47 +93,50 @@
         rings = new ObserverRings(observers);
     }
 
-    /** Null where the member is not known. */
+    /** Returns the entry of a member, or null if the member is not known. */
     Entry get(String name) {
         return entries.get(name);
     }
 
-    /** All members known, by name. */
+    /** Returns all known members, by name. */
     Collection<Entry> entries() {
         return Collections.unmodifiableCollection(entries.values());
     }
 
-    /** The members that are alive, and who observes whom among them. */
+    /** Returns the members that are alive, and who observes whom among them. */
     ObserverRings rings() {
         return rings;
     }
 
-    /** Members declared faulty and not forgotten yet. */
+    /** Returns the members declared faulty and not forgotten yet. */
     Collection<String> faulty() {
         return faulty;
     }
 
-    /** Equal for two members that hold the same of all members that are alive. */
+    /** Returns a digest that is equal for two members that hold the same of all members that are alive. */
     long stateDigest() {
         return stateDigest;
     }
 
-    /** Grows with each change of anything here. */
+    /** Returns a number that grows with each change of this table. */
     long version() {
         return version;
     }
 
-    /** Members not taken in for want of room. */
+    /** Returns how many members were rejected because the table was full. */
     long rejected() {
         return rejected;
     }
 
-    /** What is said of a subject's present generation, by observer, whoever that is. */
+    /**
+     * Returns the observations of a subject's present generation, by observer, whether it is assigned to the subject or
+     * not.
+     */
     Map<String, Observation> observationsOf(String subject) {
         return observationsBySubject.getOrDefault(subject, Map.of());
     }
 
-    /** Subjects of which anything is said. */
+    /** Returns the subjects of which there is any observation. */
     Collection<String> observedSubjects() {
         return observationsBySubject.keySet();
     }
@@ -165,12 +168,12 @@
         entry.memberRecord = received;
         entry.observations = Observations.none(received);
         entry.since = now;
-        // Observations may have come before the record of their subject.
+        // Observations may have arrived before the record of their subject.
         reindexObservationsOf(received.name());
         onEntryChanged(entry);
     }
 
-    /** Replaces a record that was sent to nobody yet, whichever of the two supersedes the other. */
+    /** Replaces a record that has not been sent to anybody yet, whichever of the two supersedes the other. */
     void replaceUnpublished(MemberRecord successor, double now) {
         replaceRecord(entries.get(successor.name()), successor, now);
     }
@@ -189,7 +192,7 @@
         }
         entry.memberRecord = newRecord;
         if (replaced) {
-            // What observers said of the generation before is no longer said of this one.
+            // Observations of the previous generation do not apply to this one.
             reindexObservationsOf(newRecord.name());
         }
         onEntryChanged(entry);
@@ -245,7 +248,7 @@
         }
     }
 
-    /** Replaces an entry's part of the digests, and puts its name where its status belongs. */
+    /** Updates an entry's contribution to the digests, and its name in the rings and among the faulty members. */
     private void onEntryChanged(Entry entry) {
         version++;
         String name = entry.memberRecord.name();
@@ -268,7 +271,7 @@
         }
     }
 
-    /** Compared between members, so its text is part of the wire format. */
+    /** Returns the digest of an entry. Members compare it, so its text is part of the wire format. */
     private static long digestOf(Entry entry) {
         MemberRecord memberRecord = entry.memberRecord;
         return HASH.hashCharsToLong(memberRecord.name()
@@ -282,7 +285,7 @@
                 + entry.observations.revision());
     }
 
-    /** Forgets members that have not been alive since before that time, one excepted. */
+    /** Forgets members that have not been alive since before that time, except for one. */
     void removeExpired(double before, String except) {
         for (Iterator<Entry> iterator = entries.values().iterator(); iterator.hasNext(); ) {
             Entry entry = iterator.next();
@@ -300,7 +303,7 @@
 
     // ---- Anti-entropy ------------------------------------------------------------
 
-    /** Which slice a name is in. */
+    /** Returns the slice of a name. */
     static int sliceOf(String name) {
         return (int) (HASH.hashCharsToLong(name) & Message.SLICE_COUNT - 1);
     }
@@ -309,22 +312,22 @@
         return slices == Message.ALL_SLICES || (slices >>> sliceOf(name) & 1) == 1;
     }
 
-    /** Members known. */
+    /** Returns the number of known members. */
     int size() {
         return entries.size();
     }
 
-    /** One digest for each slice. */
+    /** Returns one digest for each slice. */
     List<Long> sliceDigests() {
         return Arrays.stream(sliceDigests).boxed().toList();
     }
 
-    /** Names known, in one slice. */
+    /** Returns the known names in one slice. */
     List<String> namesInSlice(int slice) {
         return entries.keySet().stream().filter(name -> sliceOf(name) == slice).toList();
     }
 
-    /** Digests by name, of these slices. */
+    /** Returns the digests by name of these slices. */
     Map<String, Long> digests(int slices) {
         Map<String, Long> digests = new TreeMap<>();
         entries.forEach((name, entry) -> {
@@ -335,7 +338,7 @@
         return digests;
     }
 
-    /** Names that another member lacks or holds otherwise, by its digests of these slices. */
+    /** Returns the names that another member lacks or holds in another version, by its digests of these slices. */
     List<String> namesToSend(Map<String, Long> digests, int slices) {
         List<String> names = new ArrayList<>();
         entries.forEach((name, entry) -> {
@@ -347,7 +350,7 @@
         return names;
     }
 
-    /** Names that another member holds, and this table lacks or holds otherwise. */
+    /** Returns the names that another member holds, and this table lacks or holds in another version. */
     List<String> namesToRequest(Map<String, Long> digests) {
         return digests.entrySet().stream()
                 .filter(digest -> {
@@ -358,7 +361,7 @@
                 .toList();
     }
 
-    /** A member's record, and its observations where it has said anything. */
+    /** Returns a member's record, and its observations if it has published any. */
     List<GossipItem> itemsOf(String name) {
         Entry entry = entries.get(name);
         if (entry == null) {
--- a/src/main/java/pepperdock/membership/MembershipView.java
+++ b/src/main/java/pepperdock/membership/MembershipView.java
@@ -4,12 +4,14 @@
 import java.util.Map;
 
 /**
- * The fleet as one member sees it. Numbers count this member's own changes; two members' views are compared by what they say.
+ * The fleet as one member sees it. The numbers count this member's own changes, so the views of two members are
+ * compared by their content.
  *
- * @param hasMajority whether this member reaches a majority of the fleet; where not, it may be the one cut off, and declares
- *     nobody faulty
- * @param reachable of {@code fleetSize}, which counts those declared faulty recently
- * @param nameConflictAddress of another process of this member's name, which it gives way to; empty where there is none
+ * @param hasMajority whether this member reaches a majority of the fleet; if not, it may be the one cut off, and
+ *     declares nobody faulty
+ * @param reachable members reached, of {@code fleetSize}, which includes those declared faulty recently
+ * @param nameConflictAddress address of another process with this member's name, to which this member yields the name;
+ *     empty if there is none
  */
 public record MembershipView(
         long number,
@@ -23,8 +25,8 @@
     /**
      * One member.
      *
-     * @param since by the clock of the member that is asked
-     * @param observations of it, by the observers' names
+     * @param since when it came to its status, by the clock of the member whose view this is
+     * @param observations observations of it, by the observers' names
      */
     public record Member(
             String name,
@@ -38,7 +40,7 @@
             Map<String, Observation> observations) {}
 
     /**
-     * One change.
+     * One change of a member's state.
      *
      * @param from null for a member that was not known
      */
--- a/src/main/java/pepperdock/membership/Message.java
+++ b/src/main/java/pepperdock/membership/Message.java
@@ -4,51 +4,51 @@
 import java.util.Map;
 
 /**
- * Messages between members. Datagrams: {@link Ping}, {@link Ack}, {@link IndirectPing} and {@link IndirectAck} (SWIM, section
- * 3.1), {@link WrongAddressee}, {@link Join}, {@link JoinResponse}. On streams, one after the other: {@link SliceDigests} and
- * {@link SliceSelection} where the table is large, {@link DigestRequest}, {@link DigestResponse}, {@link MissingItems}. Any of
- * them may come late, twice, out of order, or never.
+ * A message between members. Datagrams are {@link Ping}, {@link Ack}, {@link IndirectPing} and {@link IndirectAck}
+ * (SWIM, section 3.1), {@link WrongAddressee}, {@link Join} and {@link JoinResponse}. Streams carry, one after the
+ * other, {@link SliceDigests} and {@link SliceSelection} if the table is large, then {@link DigestRequest},
+ * {@link DigestResponse} and {@link MissingItems}. Any of them may arrive late, twice, out of order, or never.
  */
 public sealed interface Message {
 
-    /** Bytes of a number, at most. */
+    /** Most bytes of a number. */
     int MAX_NUMBER_BYTES = 9;
 
     /** Bytes of the start of a list, or of its end. */
     int BRACKET_BYTES = 1;
 
-    /** Slices that names are divided into by a hash; each slice is compared as a whole. */
+    /** Number of slices that names are divided into by a hash; each slice is compared as a whole. */
     int SLICE_COUNT = 32;
 
-    /** Every slice, as bits. */
+    /** All slices, as bits. */
     int ALL_SLICES = -1;
 
     /**
-     * The first part of every message. One of another fleet is rejected by the fleet's name.
+     * The first part of every message. A message with the name of another fleet is rejected.
      *
-     * @param generation of the sender
-     * @param stateDigest a digest of all that the sender holds of members that are alive; equal digests, equal views
+     * @param generation generation of the sender
+     * @param stateDigest digest of all that the sender holds of members that are alive; equal digests mean equal views
      */
     record Header(String fleet, String name, long generation, long incarnation, String address, long stateDigest) {
 
-        /** Bytes on the wire with version and kind, at most. */
+        /** Returns the most bytes on the wire, with version and kind. */
         int maxEncodedBytes() {
             return 3 + 3 * MAX_NUMBER_BYTES + maxTextBytes(fleet) + maxTextBytes(name) + maxTextBytes(address);
         }
     }
 
-    /** Who sent it, and what of. */
+    /** Returns the header, which names the sender and its fleet. */
     Header header();
 
-    /** Bytes after the header, at most. */
+    /** Returns the most bytes after the header. */
     int maxBodyBytes();
 
-    /** Bytes on the wire, at most, without the headers of UDP or TCP. */
+    /** Returns the most bytes on the wire, without the headers of UDP or TCP. */
     default int maxEncodedBytes() {
         return header().maxEncodedBytes() + BRACKET_BYTES + maxBodyBytes();
     }
 
-    /** Bytes of a text of at most 255 characters, at most. */
+    /** Returns the most bytes of a text of up to 255 characters. */
     static int maxTextBytes(String text) {
         return 2 + text.length();
     }
@@ -66,7 +66,10 @@
         return size;
     }
 
-    /** Asks a member of this name and generation for an {@link Ack}. Sequence numbers are the sender's own, by subject. */
+    /**
+     * Asks a member of this name and generation for an {@link Ack}. Sequence numbers are the sender's own, counted by
+     * subject.
+     */
     record Ping(Header header, String target, long generation, long sequence, List<GossipItem> gossip)
             implements Message {
         @Override
@@ -108,7 +111,7 @@
         }
     }
 
-    /** A new member asks what is held of its name, and for other members. */
+    /** Sent by a new member to ask for the items held under its name, and for other members. */
     record Join(Header header) implements Message {
         @Override
         public int maxBodyBytes() {
@@ -116,7 +119,7 @@
         }
     }
 
-    /** Answers a {@link Join}: what the sender holds of the name, and a few of the members that are alive. */
+    /** Answers a {@link Join} with the items held under the name, and a few of the members that are alive. */
     record JoinResponse(Header header, List<GossipItem> items) implements Message {
         @Override
         public int maxBodyBytes() {
@@ -124,7 +127,7 @@
         }
     }
 
-    /** All that the sender holds, as one digest for each slice of the names. */
+    /** One digest for each slice of the names, of all that the sender holds. */
     record SliceDigests(Header header, List<Long> digests) implements Message {
         @Override
         public int maxBodyBytes() {
@@ -140,7 +143,7 @@
         }
     }
 
-    /** All that the sender holds in these slices, by name, as digests. */
+    /** Digests, by name, of all that the sender holds in these slices. */
     record DigestRequest(Header header, int slices, Map<String, Long> digests) implements Message {
         @Override
         public int maxBodyBytes() {
@@ -148,7 +151,10 @@
         }
     }
 
-    /** What the other side lacks or holds otherwise, and the names of which the sender wants the same. */
+    /**
+     * The items that the other side lacks or holds in another version, and the names whose items the sender requests in
+     * turn.
+     */
     record DigestResponse(Header header, List<GossipItem> items, List<String> requestedNames) implements Message {
         @Override
         public int maxBodyBytes() {
@@ -156,7 +162,7 @@
         }
     }
 
-    /** The items that a {@link DigestResponse} asked for. */
+    /** The items that a {@link DigestResponse} requested. */
     record MissingItems(Header header, List<GossipItem> items) implements Message {
         @Override
         public int maxBodyBytes() {
--- a/src/main/java/pepperdock/membership/Observation.java
+++ b/src/main/java/pepperdock/membership/Observation.java
@@ -1,17 +1,17 @@
 package pepperdock.membership;
 
 /**
- * What an observer says of a subject that it does not simply reach, from better to worse. The order is that of the numbers on
- * the wire.
+ * An observation of a subject that its observer does not reach normally, from better to worse. The order is that of the
+ * numbers on the wire.
  */
 public enum Observation {
-    /** It acknowledges pings, but late. */
+    /** The subject acknowledges pings, but late. */
     SLOW("slow"),
-    /** It acknowledges other members' pings, not ours. */
+    /** The subject acknowledges the pings of other members, but not those of the observer. */
     INDIRECT("indirect"),
-    /** Its datagrams come here, but it acknowledges nothing, not through other members either. */
+    /** Datagrams of the subject arrive, but it acknowledges nothing, not through other members either. */
     UNRESPONSIVE("deaf"),
-    /** Nothing comes of it, directly or indirectly. */
+    /** Nothing is heard of the subject, directly or indirectly. */
     UNREACHABLE("unreached");
 
     private final String operatorsWord;
@@ -20,7 +20,7 @@
         this.operatorsWord = operatorsWord;
     }
 
-    /** The word for it in reasons, on the operators' page and in events. */
+    /** Returns the word for it in reasons, on the operators' page and in events. */
     public String operatorsWord() {
         return operatorsWord;
     }
--- a/src/main/java/pepperdock/membership/Observations.java
+++ b/src/main/java/pepperdock/membership/Observations.java
@@ -3,28 +3,28 @@
 import java.util.Map;
 
 /**
- * What a member, as an observer, says of its subjects (the alerts of Rapid, section 4.1, but taken back when they no longer
- * hold). A subject that is not named here is reached, or is not observed by it.
+ * The observations that a member publishes, as an observer, of its subjects (the alerts of Rapid, section 4.1, but
+ * withdrawn when they no longer hold). A subject that is not named here is reached, or is not observed by this member.
  *
- * @param name the observer
- * @param generation the observer's
+ * @param name name of the observer
+ * @param generation generation of the observer
  * @param revision grows with each change
- * @param unhealthy whether the observer doubts itself: what it says then counts for nobody
- * @param bySubject by the subject's name
+ * @param unhealthy whether the observer distrusts itself: its observations are then ignored by all members
+ * @param bySubject observations by the subject's name
  */
 public record Observations(
         String name, long generation, long revision, boolean unhealthy, Map<String, SubjectObservation> bySubject)
         implements GossipItem {
 
-    /** Bytes on the wire beside names, at most. */
+    /** Most bytes on the wire beside names. */
     private static final int FIXED_BYTES = 24;
-    /** Bytes of each subject beside its name, at most. */
+    /** Most bytes of each subject beside its name. */
     private static final int SUBJECT_BYTES = 12;
 
     /**
-     * What is said of one subject.
+     * The observation of one subject.
      *
-     * @param generation the subject's: of another process of that name nothing is said
+     * @param generation generation of the subject: the observation does not apply to another process of that name
      */
     public record SubjectObservation(long generation, Observation observation) {}
 
@@ -33,12 +33,12 @@
         bySubject = Map.copyOf(bySubject);
     }
 
-    /** Before a member has said anything. */
+    /** Returns the observations of a member that has not published any yet. */
     static Observations none(MemberRecord member) {
         return new Observations(member.name(), member.generation(), 0, false, Map.of());
     }
 
-    /** Whether this is newer than what the same process said before. */
+    /** Returns whether these are newer than other observations of the same process. */
     boolean supersedes(Observations other) {
         return generation == other.generation && revision > other.revision;
     }
--- a/src/main/java/pepperdock/membership/ObserverRings.java
+++ b/src/main/java/pepperdock/membership/ObserverRings.java
@@ -13,10 +13,10 @@
 import java.util.TreeSet;
 
 /**
- * Who observes whom: the expander-based monitoring overlay of Rapid, section 4.1. In each of several rings, ordered by a hash of
- * ring and name, a member observes the next one; with few members all observe all. The same set of names gives the same
- * observers at every member, and one that joins or goes changes its neighbours only. Any part of the fleet has observers outside
- * of it. Owned by the thread that calls {@link Membership}.
+ * Determines who observes whom: the expander-based monitoring overlay of Rapid, section 4.1. In each of several rings,
+ * ordered by a hash of ring and name, a member observes the next one; in a fleet of few members, all observe all. The
+ * same set of names gives the same observers at every member, and a member that joins or leaves changes its neighbours
+ * only. Any part of the fleet has observers outside of it. Owned by the thread that calls {@link Membership}.
  */
 final class ObserverRings {
 
@@ -24,9 +24,10 @@
 
     private final List<TreeMap<Long, String>> rings = new ArrayList<>();
     private final Set<String> names = new TreeSet<>();
-    /** Cached until the next change. */
+    /** Observers by member, cached until the next change. */
     private final Map<String, Set<String>> observers = new HashMap<>();
 
+    /** Subjects by member, cached until the next change. */
     private final Map<String, Set<String>> subjects = new HashMap<>();
 
     ObserverRings(int count) {
@@ -62,17 +63,17 @@
         subjects.clear();
     }
 
-    /** All members in the rings, by name. */
+    /** Returns all members in the rings, by name. */
     Collection<String> names() {
         return names;
     }
 
-    /** In a fixed order; without the member itself. */
+    /** Returns the observers of a member in a fixed order, without the member itself. */
     Set<String> observersOf(String name) {
         return observers.computeIfAbsent(name, member -> neighbours(member, false));
     }
 
-    /** In a fixed order; without the member itself. */
+    /** Returns the subjects of a member in a fixed order, without the member itself. */
     Set<String> subjectsOf(String name) {
         return subjects.computeIfAbsent(name, member -> neighbours(member, true));
     }
--- a/src/main/java/pepperdock/membership/Outbox.java
+++ b/src/main/java/pepperdock/membership/Outbox.java
@@ -6,8 +6,8 @@
 import pepperdock.membership.Message.Ping;
 
 /**
- * Collects what the caller is to carry out, and sends datagrams within the bandwidth budget. Owned by the thread that calls
- * {@link Membership}.
+ * Collects the outputs that the caller is to carry out, and sends datagrams within the bandwidth budget. Owned by the
+ * thread that calls {@link Membership}.
  */
 final class Outbox {
 
@@ -33,7 +33,7 @@
         this.outputs = outputs;
     }
 
-    /** The header of a message sent now. */
+    /** Returns the header of a message sent now. */
     Header header() {
         return local.header(table.stateDigest());
     }
@@ -43,7 +43,7 @@
         outputs.add(output);
     }
 
-    /** Sends a datagram; false where the budget withholds it. */
+    /** Sends a datagram; returns false if the budget withholds it. */
     boolean send(String address, Message message, BandwidthBudget.Use use) {
         boolean sent = budget.tryAcquireDatagram(use, message.maxEncodedBytes() + UDP_AND_IP_BYTES);
         if (sent) {
@@ -52,29 +52,30 @@
         return sent;
     }
 
-    /** Pings a member only to carry gossip to it: nobody waits for the acknowledgement. */
+    /** Pings a member only to carry gossip to it; the acknowledgement is ignored. */
     void pingUntracked(MemberRecord target) {
         ping(target, 0, false);
     }
 
     /**
-     * Pings a member, with gossip on it; false where the budget withholds it.
+     * Pings a member and piggybacks gossip; returns false if the budget withholds the ping.
      *
-     * @param sameState whether the target holds the same of all members that are alive, so that gossip would tell it nothing
+     * @param sameState whether the target holds the same of all members that are alive, so that gossip would tell it
+     *     nothing new
      */
     boolean ping(MemberRecord target, long sequence, boolean sameState) {
-        Ping bare = new Ping(header(), target.name(), target.generation(), sequence, List.of());
-        List<GossipItem> gossip = sameState ? List.of() : disseminator.piggyback(bare);
-        Ping ping = new Ping(bare.header(), target.name(), target.generation(), sequence, gossip);
+        Ping withoutGossip = new Ping(header(), target.name(), target.generation(), sequence, List.of());
+        List<GossipItem> gossip = sameState ? List.of() : disseminator.piggyback(withoutGossip);
+        Ping ping = new Ping(withoutGossip.header(), target.name(), target.generation(), sequence, gossip);
         return send(target.address(), ping, BandwidthBudget.Use.PROBE);
     }
 
-    /** Acknowledges a ping, with gossip on it where the sender holds something else. */
+    /** Acknowledges a ping, and piggybacks gossip if the sender of the ping holds another state. */
     void acknowledge(Ping ping) {
-        Ack bare = new Ack(header(), ping.sequence(), List.of());
+        Ack withoutGossip = new Ack(header(), ping.sequence(), List.of());
         boolean sameState = ping.header().stateDigest() == table.stateDigest();
-        List<GossipItem> gossip = sameState ? List.of() : disseminator.piggyback(bare);
-        Ack ack = new Ack(bare.header(), ping.sequence(), gossip);
+        List<GossipItem> gossip = sameState ? List.of() : disseminator.piggyback(withoutGossip);
+        Ack ack = new Ack(withoutGossip.header(), ping.sequence(), gossip);
         send(ping.header().address(), ack, BandwidthBudget.Use.ACK);
     }
 }
--- a/src/main/java/pepperdock/membership/PeerDiscovery.java
+++ b/src/main/java/pepperdock/membership/PeerDiscovery.java
@@ -6,18 +6,18 @@
 import pepperdock.membership.Message.Join;
 
 /**
- * Looks for members: at the seeds while this member is alone and now and then after that, by a full exchange with a member
- * drawn at intervals, and by a ping to one that was declared faulty and may be back. Owned by the thread that calls
- * {@link Membership}.
+ * Looks for other members: asks the seeds while this member is alone, and occasionally after that; opens a full
+ * exchange with a random member at intervals; and pings members that were declared faulty and may be back. Owned by the
+ * thread that calls {@link Membership}.
  */
 final class PeerDiscovery {
 
-    /** Probe intervals between two requests to a seed while alone, times the backoff. */
-    private static final int ALONE_PROBES = 2;
-    /** The same once there are other members. */
-    private static final int TOGETHER_PROBES = 20;
+    /** Probe intervals between two requests to a seed while this member is alone, times the backoff. */
+    private static final int SEED_PROBES_WHILE_ALONE = 2;
+    /** Probe intervals between two requests to a seed once there are other members. */
+    private static final int SEED_PROBES = 20;
     /** Probe intervals between two pings to members declared faulty. */
-    private static final int FAULTY_PROBES = 4;
+    private static final int FAULTY_PING_PROBES = 4;
 
     private final MembershipSettings settings;
     private final List<String> seeds;
@@ -53,19 +53,19 @@
     }
 
     void onTick(double now) {
-        boolean alone = table.rings().names().size() < 2 || local.hasRival();
+        boolean alone = table.rings().names().size() < 2 || local.hasNameConflict();
         if (!seeds.isEmpty() && now >= nextSeed) {
-            int probes = alone ? ALONE_PROBES * exchanges.backoffFactor() : TOGETHER_PROBES;
+            int probes = alone ? SEED_PROBES_WHILE_ALONE * exchanges.backoffFactor() : SEED_PROBES;
             nextSeed = now + settings.probeIntervalS() * probes * jitter();
             contactSeed(alone, now);
         }
         if (now >= nextFullExchange) {
             nextFullExchange = now + settings.syncIntervalS() * jitter();
-            exchangeWithAnyMember(now);
+            exchangeWithRandomMember(now);
         }
         if (now >= nextFaultyPing) {
-            nextFaultyPing = now + settings.probeIntervalS() * FAULTY_PROBES;
-            pingAnyFaulty();
+            nextFaultyPing = now + settings.probeIntervalS() * FAULTY_PING_PROBES;
+            pingRandomFaultyMember();
         }
     }
 
@@ -86,18 +86,18 @@
     }
 
     /**
-     * Asks a seed for members: by an exchange, or, where that brought nothing to one that is new, by a datagram, of which a
-     * seed can answer many more when a whole fleet starts at once.
+     * Asks a seed for members by an exchange. If exchanges brought a new member nothing, it asks by a datagram, as a
+     * seed can answer many more of these when a whole fleet starts at once.
      */
     private void contactSeed(String seed, double now) {
-        if (!local.joined() && !local.hasRival() && exchanges.lastWasFruitless()) {
+        if (!local.joined() && !local.hasNameConflict() && exchanges.lastWasUnproductive()) {
             outbox.send(seed, new Join(outbox.header()), BandwidthBudget.Use.PROBE);
         } else {
             exchanges.open(seed, now);
         }
     }
 
-    private void exchangeWithAnyMember(double now) {
+    private void exchangeWithRandomMember(double now) {
         List<String> others = new ArrayList<>(table.rings().names());
         others.remove(local.name());
         if (!others.isEmpty()) {
@@ -106,9 +106,9 @@
         }
     }
 
-    private void pingAnyFaulty() {
+    private void pingRandomFaultyMember() {
         List<String> faulty = List.copyOf(table.faulty());
-        if (!faulty.isEmpty() && !local.hasRival()) {
+        if (!faulty.isEmpty() && !local.hasNameConflict()) {
             String name = faulty.get(random.nextInt(faulty.size()));
             outbox.pingUntracked(table.get(name).memberRecord());
         }
--- a/src/main/java/pepperdock/membership/SubjectMonitor.java
+++ b/src/main/java/pepperdock/membership/SubjectMonitor.java
@@ -1,20 +1,20 @@
 package pepperdock.membership;
 
 /**
- * One observer's monitor of one subject: when it is to be pinged, what its acknowledgements show, and the observation that
- * comes of it. A worse observation holds at once; a better one only after the subject has been reached without a break for a
- * while, longer each time it fell back, so that a flapping link is observed once. Owned by the thread that calls
- * {@link Membership}.
+ * Monitors one subject for one observer: when to ping it, what its acknowledgements show, and the observation that
+ * results. A worse observation takes effect at once; a better one only after the subject has been reached without
+ * interruption for a while, longer each time it degraded again, so that a flapping link is observed once. Owned by the
+ * thread that calls {@link Membership}.
  */
 final class SubjectMonitor {
 
-    /** Pings whose acknowledgement may still come: some seconds of them. */
+    /** Latest pings whose acknowledgement is still accepted: those of some seconds. */
     private static final int PINGS_TRACKED = 16;
 
-    /** The time to recover doubles with each fall, so often at most. */
-    private static final int MAX_FALLS = 4;
-    /** Suspicion timeouts after which falls are forgotten. */
-    private static final int FALLS_MEMORY_FACTOR = 10;
+    /** Most doublings of the recovery time; each degradation doubles it once. */
+    private static final int MAX_DEGRADATIONS = 4;
+    /** Suspicion timeouts after which degradations are forgotten. */
+    private static final int DEGRADATION_MEMORY_FACTOR = 10;
     /** Weight of the newest acknowledgement in the mean latency. */
     private static final double NEWEST_WEIGHT = 0.25;
 
@@ -28,31 +28,31 @@
     private double lastDirectAck;
     private double lastIndirectAck = Double.NEGATIVE_INFINITY;
     private double lastHeard;
-    /** The same, not extended by pauses of our own. */
+    /** Like {@code lastHeard}, but not extended after pauses of this member or withheld pings. */
     private double lastHeardUnadjusted = Double.NEGATIVE_INFINITY;
-    /** Since when it has been reached directly without a break. */
-    private double steadySince;
+    /** Since when the subject has been reached directly without interruption. */
+    private double reachedSince;
 
     private double meanLatency;
-    /** Another process answers at its address. */
+    /** Whether another process answers at the subject's address. */
     private boolean replacedAtAddress;
-    /** What the subject held when it last spoke. */
+    /** The subject's state digest when it was last heard. */
     private long stateDigest;
 
-    /** The last observation; null for reached. */
-    private Observation last;
+    /** The last observation; null if the subject was reached. */
+    private Observation lastObservation;
 
-    private int falls;
-    private double fellAt = Double.NEGATIVE_INFINITY;
+    private int degradations;
+    private double degradedAt = Double.NEGATIVE_INFINITY;
 
-    /** A new monitor takes the subject for reached. */
+    /** Creates a monitor that assumes that the subject is reached. */
     SubjectMonitor(MembershipSettings settings, long generation, double now, double firstPingAt) {
         this.settings = settings;
         this.generation = generation;
         nextPingAt = firstPingAt;
         lastDirectAck = now;
         lastHeard = now;
-        steadySince = now;
+        reachedSince = now;
     }
 
     long generation() {
@@ -65,7 +65,7 @@
         return now >= nextPingAt;
     }
 
-    /** A ping has gone out, under the number after the last. */
+    /** Records that a ping was sent, numbered one above the last. */
     void onPingSent(double now) {
         nextPingAt = Math.max(nextPingAt + settings.probeIntervalS(), now + settings.probeIntervalS() / 2);
         sequence++;
@@ -74,7 +74,7 @@
         acknowledged = false;
     }
 
-    /** Whether it is time to ask for indirect pings; true once for a ping. */
+    /** Returns whether it is time to request indirect pings; true once for each ping. */
     boolean startIndirectProbe(double now) {
         if (indirectProbeStarted
                 || acknowledged
@@ -82,7 +82,7 @@
             return false;
         }
         indirectProbeStarted = true;
-        steadySince = Double.POSITIVE_INFINITY;
+        reachedSince = Double.POSITIVE_INFINITY;
         return true;
     }
 
@@ -90,7 +90,7 @@
         return sequence;
     }
 
-    // ---- What comes of the subject ------------------------------------------------------------
+    // ---- Messages from the subject ------------------------------------------------------------
 
     void onAck(long acknowledgedSequence, double now) {
         if (acknowledgedSequence > sequence
@@ -104,8 +104,8 @@
         lastDirectAck = now;
         onMessage(now);
         replacedAtAddress = false;
-        if (Double.isInfinite(steadySince)) {
-            steadySince = now;
+        if (Double.isInfinite(reachedSince)) {
+            reachedSince = now;
         }
     }
 
@@ -114,7 +114,7 @@
         replacedAtAddress = false;
     }
 
-    /** A datagram of its own came. */
+    /** Records a datagram from the subject itself. */
     void onMessage(double now) {
         lastHeard = now;
         lastHeardUnadjusted = now;
@@ -132,44 +132,49 @@
         return lastHeardUnadjusted > then;
     }
 
-    /** Another process answers at its address. */
+    /** Records that another process answers at the subject's address. */
     void onWrongAddressee() {
         replacedAtAddress = true;
     }
 
-    /** After a pause of our own, or a ping that the budget withheld: silence meanwhile says nothing of the subject. */
-    void extendDeadlines(double by) {
-        lastDirectAck += by;
-        lastHeard += by;
-        lastIndirectAck += by;
+    /**
+     * Extends the deadlines after a pause of this member, or a ping that the budget withheld: silence during that time
+     * says nothing about the subject.
+     */
+    void extendDeadlines(double seconds) {
+        lastDirectAck += seconds;
+        lastHeard += seconds;
+        lastIndirectAck += seconds;
     }
 
     // ---- The observation ------------------------------------------------------------
 
-    /** What is to be said now, null where the subject is simply reached. {@code timeoutFactor} is at least 1. */
+    /**
+     * Returns the observation to publish now, or null if the subject is reached. {@code timeoutFactor} is at least 1.
+     */
     Observation observation(double now, double timeoutFactor) {
-        Observation current = current(now, settings.suspicionTimeoutS() * timeoutFactor);
-        if (current == last) {
-            return last;
+        Observation current = currentObservation(now, settings.suspicionTimeoutS() * timeoutFactor);
+        if (current == lastObservation) {
+            return lastObservation;
         }
-        boolean better = last != null && (current == null || current.compareTo(last) < 0);
+        boolean improved = lastObservation != null && (current == null || current.compareTo(lastObservation) < 0);
         boolean acknowledges = current == null || current == Observation.SLOW;
-        if (better && acknowledges && last != Observation.SLOW && now - steadySince < recoveryTime()) {
-            // Alive beyond doubt, but not yet to be called reached again.
-            last = last == Observation.UNREACHABLE ? Observation.INDIRECT : last;
-            return last;
+        if (improved && acknowledges && lastObservation != Observation.SLOW && now - reachedSince < recoveryTime()) {
+            // The subject is certainly alive, but has not been reached for long enough to count as reached again.
+            lastObservation = lastObservation == Observation.UNREACHABLE ? Observation.INDIRECT : lastObservation;
+            return lastObservation;
         }
-        if (last == null && current != Observation.SLOW) {
-            boolean fallsForgotten = now - fellAt > FALLS_MEMORY_FACTOR * settings.suspicionTimeoutS();
-            falls = fallsForgotten ? 0 : Math.min(MAX_FALLS, falls + 1);
-            fellAt = now;
+        if (lastObservation == null && current != Observation.SLOW) {
+            boolean degradationsForgotten = now - degradedAt > DEGRADATION_MEMORY_FACTOR * settings.suspicionTimeoutS();
+            degradations = degradationsForgotten ? 0 : Math.min(MAX_DEGRADATIONS, degradations + 1);
+            degradedAt = now;
         }
-        last = current;
-        return last;
+        lastObservation = current;
+        return lastObservation;
     }
 
-    /** What the times alone show. */
-    private Observation current(double now, double timeout) {
+    /** Returns the observation that the times alone show. */
+    private Observation currentObservation(double now, double timeout) {
         if (replacedAtAddress) {
             return Observation.UNREACHABLE;
         }
@@ -182,13 +187,14 @@
         return now - lastHeard <= timeout ? Observation.UNRESPONSIVE : Observation.UNREACHABLE;
     }
 
-    /** A slow subject is slow until its latency is below half of the threshold. */
+    /** Returns whether the subject is slow; it stays slow until its latency is below half of the threshold. */
     private boolean isSlow() {
-        double threshold = last == Observation.SLOW ? settings.slowThresholdS() / 2 : settings.slowThresholdS();
+        double threshold =
+                lastObservation == Observation.SLOW ? settings.slowThresholdS() / 2 : settings.slowThresholdS();
         return meanLatency > threshold;
     }
 
     private double recoveryTime() {
-        return settings.suspicionTimeoutS() * (1 << falls) / 2;
+        return settings.suspicionTimeoutS() * (1 << degradations) / 2;
     }
 }
--- a/src/main/java/pepperdock/membership/VerdictLog.java
+++ b/src/main/java/pepperdock/membership/VerdictPublisher.java
@@ -3,11 +3,11 @@
 import java.util.List;
 
 /**
- * Carries out what the {@link CutDetector} reads from the table: verdicts are held back until most of the other subjects
- * have been heard since they were due, and whether this member reaches a majority is told when it changes. Owned by the thread
- * that calls {@link Membership}.
+ * Publishes the verdicts that the {@link CutDetector} derives from the table. Verdicts are held back until most of the
+ * other subjects have been heard since they were due. Also notifies when this member starts or stops reaching a
+ * majority. Owned by the thread that calls {@link Membership}.
  */
-final class VerdictLog {
+final class VerdictPublisher {
 
     private final LocalMember local;
     private final MembershipTable table;
@@ -15,15 +15,17 @@
     private final FailureDetector failureDetector;
     private final Disseminator disseminator;
     private final Outbox outbox;
-    /** Members to be declared faulty, and since when just these. */
+    /** Members to be declared faulty. */
     private List<String> due = List.of();
 
+    /** Since when {@code due} has held exactly these members. */
     private double dueSince;
+
     private boolean hasMajority = true;
     private int reachable = 1;
     private int fleetSize = 1;
 
-    VerdictLog(
+    VerdictPublisher(
             LocalMember local,
             MembershipTable table,
             CutDetector cutDetector,
@@ -38,7 +40,7 @@
         this.outbox = outbox;
     }
 
-    /** Detects anew, and declares those faulty whose time has come. */
+    /** Runs the detection, and declares the members faulty whose verdicts need no longer be held back. */
     void update(double now) {
         CutDetector.Detection detection = cutDetector.detect(
                 local.name(), table.get(local.name()).observations().unhealthy(), now);
@@ -66,17 +68,17 @@
         due = List.of();
     }
 
-    /** Whether this member reached a majority of the fleet at the last update. */
+    /** Returns whether this member reached a majority of the fleet at the last update. */
     boolean hasMajority() {
         return hasMajority;
     }
 
-    /** Members that this one reached at the last update, itself included. */
+    /** Returns how many members this one reached at the last update, itself included. */
     int reachable() {
         return reachable;
     }
 
-    /** Members that a majority was counted of at the last update. */
+    /** Returns the fleet size that the majority was taken of at the last update. */
     int fleetSize() {
         return fleetSize;
     }
