--- a/src/test/java/pepperdock/membership/AntiEntropyTest.java
+++ b/src/test/java/pepperdock/membership/AntiEntropyTest.java
@@ -14,14 +14,14 @@
 import pepperdock.membership.Message.SliceDigests;
 import pepperdock.membership.Message.SliceSelection;
 
-/** Exchanges of large tables within little room: none is large, and several get through all. */
+/** Exchanges of large tables with little room: no message is large, and several exchanges transfer everything. */
 class AntiEntropyTest {
 
     private static final int MEMBERS = 500;
-    private static final int ROOM = 1500;
+    private static final int MAX_MESSAGE_BYTES = 1500;
 
     private final Random random = new Random(5);
-    private int largest;
+    private int largestMessage;
     private int exchanges;
 
     private static String address(int i) {
@@ -36,7 +36,7 @@
         return new Header("fleet", "gatherer-" + i, 1000 + i, 0, address(i), table.stateDigest());
     }
 
-    private static MembershipTable holding(int from, int to) {
+    private static MembershipTable tableOfMembers(int from, int to) {
         MembershipTable table = new MembershipTable(2000, 8);
         for (int i = from; i < to; i++) {
             table.merge(memberRecord(i), 0);
@@ -54,88 +54,102 @@
         }
     }
 
-    private <M extends Message> M seen(M message) {
-        largest = Math.max(largest, message.maxEncodedBytes());
+    private <M extends Message> M recordSize(M message) {
+        largestMessage = Math.max(largestMessage, message.maxEncodedBytes());
         return message;
     }
 
-    /** One exchange, opened by member 0 with member 1; false where they found nothing to exchange. */
+    /** Runs one exchange, opened by member 0 with member 1; returns false if they found nothing to exchange. */
     private boolean exchange(MembershipTable opener, MembershipTable other) {
-        AntiEntropy a = new AntiEntropy(opener, random);
-        AntiEntropy b = new AntiEntropy(other, random);
-        Message first = seen(a.opening(header(0, opener)));
-        DigestRequest digest;
-        if (first instanceof SliceDigests summary) {
-            SliceSelection slices = b.differingSlices(header(1, other), summary);
+        AntiEntropy openerExchange = new AntiEntropy(opener, random);
+        AntiEntropy otherExchange = new AntiEntropy(other, random);
+        Message first = recordSize(openerExchange.opening(header(0, opener)));
+        DigestRequest request;
+        if (first instanceof SliceDigests digests) {
+            SliceSelection slices = otherExchange.differingSlices(header(1, other), digests);
             if (slices == null) {
                 return false;
             }
-            digest = seen(a.digestRequest(header(0, opener), seen(slices)));
+            request = recordSize(openerExchange.digestRequest(header(0, opener), recordSize(slices)));
         } else {
-            digest = (DigestRequest) first;
+            request = (DigestRequest) first;
         }
-        DigestResponse reply = seen(b.digestResponse(header(1, other), digest, true, ROOM));
-        merge(opener, reply.items());
-        MissingItems rest = seen(a.missingItems(header(0, opener), reply, ROOM));
-        merge(other, rest.items());
+        DigestResponse response =
+                recordSize(otherExchange.digestResponse(header(1, other), request, true, MAX_MESSAGE_BYTES));
+        merge(opener, response.items());
+        MissingItems missing = recordSize(openerExchange.missingItems(header(0, opener), response, MAX_MESSAGE_BYTES));
+        merge(other, missing.items());
         exchanges++;
         return true;
     }
 
     /**
-     * A partition has kept two halves of a large fleet apart from the start. When it heals, exchanges within a small budget
-     * bring both to the same table.
+     * A partition has kept two halves of a large fleet apart from the start. When it heals, exchanges within a small
+     * budget bring both to the same table.
      */
     @Test
-    void twoHalvesBecomeOneInMessagesOfLittleSize() {
-        MembershipTable left = holding(0, MEMBERS / 2);
-        MembershipTable right = holding(MEMBERS / 2, MEMBERS);
+    void separatedHalvesConvergeBySmallMessages() {
+        MembershipTable left = tableOfMembers(0, MEMBERS / 2);
+        MembershipTable right = tableOfMembers(MEMBERS / 2, MEMBERS);
         right.merge(memberRecord(1), 0);
         while (left.stateDigest() != right.stateDigest() && exchanges < 100) {
             exchange(left, right);
         }
         assertEquals(MEMBERS, left.size());
         assertEquals(left.stateDigest(), right.stateDigest());
-        assertTrue(largest <= ROOM, largest + " bytes in one message");
+        assertTrue(largestMessage <= MAX_MESSAGE_BYTES, largestMessage + " bytes in one message");
         assertFalse(exchange(left, right), "nothing is left to exchange");
     }
 
-    /** Gossip of one verdict was lost. The exchange that brings it must not send the whole table. */
+    /** The gossip of one verdict was lost. The exchange that delivers the verdict must not send the whole table. */
     @Test
-    void oneChangeAmongFiveHundredCostsLittle() {
-        MembershipTable left = holding(0, MEMBERS);
-        MembershipTable right = holding(0, MEMBERS);
+    void singleDifferenceIsExchangedInSmallMessages() {
+        MembershipTable left = tableOfMembers(0, MEMBERS);
+        MembershipTable right = tableOfMembers(0, MEMBERS);
         right.merge(memberRecord(77).withStatus(RecordStatus.FAULTY), 1);
         assertTrue(exchange(left, right));
         assertEquals(left.stateDigest(), right.stateDigest());
-        assertTrue(largest < 1000, largest + " bytes in one message");
+        assertTrue(largestMessage < 1000, largestMessage + " bytes in one message");
     }
 
     /**
-     * A process starts with a name that another one holds. Even an answer with hardly any room has to tell it so, or it
-     * would speak for that name.
+     * A process starts with a name that another one holds. Even an answer with hardly any room has to say so, or the
+     * new process would speak for that name.
      */
     @Test
-    void whoIsNewHearsOfItsNameFirstWhateverTheRoom() {
-        MembershipTable seed = holding(0, MEMBERS);
-        MembershipTable fresh = new MembershipTable(2000, 8);
-        fresh.merge(new MemberRecord("gatherer-333", 7, 0, RecordStatus.ALIVE, "10.9.9.9:1", "zone", "machine"), 0);
-        Header asker = new Header("fleet", "gatherer-333", 7, 0, "10.9.9.9:1", fresh.stateDigest());
-        AntiEntropy b = new AntiEntropy(seed, random);
-        DigestRequest opening = (DigestRequest) new AntiEntropy(fresh, random).opening(asker);
-        int room = AntiEntropy.MIN_RESPONSE_BYTES;
+    void newMemberIsSentTheRecordOfItsNameFirst() {
+        MembershipTable seed = tableOfMembers(0, MEMBERS);
+        MembershipTable newTable = new MembershipTable(2000, 8);
+        newTable.merge(new MemberRecord("gatherer-333", 7, 0, RecordStatus.ALIVE, "10.9.9.9:1", "zone", "machine"), 0);
+        Header newHeader = new Header("fleet", "gatherer-333", 7, 0, "10.9.9.9:1", newTable.stateDigest());
+        AntiEntropy seedExchange = new AntiEntropy(seed, random);
+        DigestRequest opening = (DigestRequest) new AntiEntropy(newTable, random).opening(newHeader);
+        int maxBytes = AntiEntropy.MIN_RESPONSE_BYTES;
         assertEquals(
                 memberRecord(333),
-                b.digestResponse(header(1, seed), opening, true, room).items().get(0));
+                seedExchange
+                        .digestResponse(header(1, seed), opening, true, maxBytes)
+                        .items()
+                        .get(0));
         assertEquals(
                 memberRecord(333),
-                b.joinResponse(header(1, seed), "gatherer-333", true, room)
+                seedExchange
+                        .joinResponse(header(1, seed), "gatherer-333", true, maxBytes)
                         .items()
                         .get(0));
-        assertTrue(b.digestResponse(header(1, seed), opening, true, room).maxEncodedBytes() <= room);
-        assertTrue(b.joinResponse(header(1, seed), "gatherer-333", true, room).maxEncodedBytes() <= room);
+        assertTrue(seedExchange
+                        .digestResponse(header(1, seed), opening, true, maxBytes)
+                        .maxEncodedBytes()
+                <= maxBytes);
+        assertTrue(seedExchange
+                        .joinResponse(header(1, seed), "gatherer-333", true, maxBytes)
+                        .maxEncodedBytes()
+                <= maxBytes);
         assertFalse(
-                b.joinResponse(header(1, seed), "new", false, 4000).items().contains(memberRecord(1)),
-                "it speaks for itself");
+                seedExchange
+                        .joinResponse(header(1, seed), "new", false, 4000)
+                        .items()
+                        .contains(memberRecord(1)),
+                "a member that has not joined must not send its own record");
     }
 }
--- a/src/test/java/pepperdock/membership/BandwidthBudgetTest.java
+++ b/src/test/java/pepperdock/membership/BandwidthBudgetTest.java
@@ -8,13 +8,13 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** What goes before what when a member may send little. */
+/** Priorities and limits of what a member may send. */
 class BandwidthBudgetTest {
 
     private static final MembershipSettings SETTINGS =
             new MembershipSettings(0.5, 3, 3, 8, 0.75, 2, 3, 0.5, 30, 3600, 100, 10_000, 2000, true);
 
-    private static int drained(BandwidthBudget budget, BandwidthBudget.Use use) {
+    private static int sendAllPossible(BandwidthBudget budget, BandwidthBudget.Use use) {
         int sent = 0;
         while (budget.tryAcquireDatagram(use, 100)) {
             sent++;
@@ -23,11 +23,11 @@
     }
 
     /**
-     * A burst of gossip uses up its part of the budget. Acknowledgements and pings still go out: their delay would look like
-     * a failure.
+     * A burst of gossip uses up its part of the budget. Acknowledgements and pings still go out, as their delay would
+     * look like a failure.
      */
     @Test
-    void whatGoesBeforeFindsRoomWhateverWasTakenAfterIt() {
+    void higherPriorityCanSendAfterLowerPrioritiesUsedTheirBudget() {
         BandwidthBudget budget = new BandwidthBudget(SETTINGS, 0);
         for (BandwidthBudget.Use use : List.of(
                 BandwidthBudget.Use.GOSSIP,
@@ -35,34 +35,34 @@
                 BandwidthBudget.Use.INDIRECT,
                 BandwidthBudget.Use.PROBE,
                 BandwidthBudget.Use.ACK)) {
-            assertTrue(drained(budget, use) > 0, use + " finds none");
-            assertEquals(0, budget.availableBytes(use) / 100, use + " leaves some");
+            assertTrue(sendAllPossible(budget, use) > 0, use + " could send nothing");
+            assertEquals(0, budget.availableBytes(use) / 100, use + " left bytes that it could have sent");
         }
         assertFalse(budget.tryAcquireDatagram(BandwidthBudget.Use.ACK, 100));
     }
 
     /** Many members open exchanges at once. Exchanges stop at their share, and pings still find room. */
     @Test
-    void whatIsHeldToAShareLeavesTheRest() {
+    void exchangesAreLimitedToTheirShare() {
         BandwidthBudget budget = new BandwidthBudget(SETTINGS, 0);
-        int room = budget.availableBytes(BandwidthBudget.Use.EXCHANGE);
-        assertEquals(3500, room);
-        budget.chargeStream(room);
+        int availableBytes = budget.availableBytes(BandwidthBudget.Use.EXCHANGE);
+        assertEquals(3500, availableBytes);
+        budget.chargeStream(availableBytes);
         assertEquals(0, budget.availableBytes(BandwidthBudget.Use.EXCHANGE));
         assertTrue(budget.availableBytes(BandwidthBudget.Use.PROBE) >= 1000);
         budget.refill(0.1);
         assertEquals(350, budget.availableBytes(BandwidthBudget.Use.EXCHANGE));
     }
 
-    /** Whatever is tried, in no second more than half as much again goes out as the rate says. */
+    /** A member that tries to send all it can stays within one and a half times the rate in every second. */
     @Test
-    void noSecondHasMoreThanHalfAsMuchAgain() {
+    void anySecondCarriesAtMostOneAndAHalfTimesTheRate() {
         BandwidthBudget budget = new BandwidthBudget(SETTINGS, 0);
         List<Long> sent = new ArrayList<>();
         for (int tick = 0; tick < 80; tick++) {
             budget.refill(tick / 8.0);
             for (BandwidthBudget.Use use : BandwidthBudget.Use.values()) {
-                drained(budget, use);
+                sendAllPossible(budget, use);
             }
             budget.chargeStream(budget.availableBytes(BandwidthBudget.Use.EXCHANGE));
             sent.add(budget.sentBytes());
--- a/src/test/java/pepperdock/membership/GossipQueueTest.java
+++ b/src/test/java/pepperdock/membership/GossipQueueTest.java
@@ -7,7 +7,7 @@
 import java.util.Map;
 import org.junit.jupiter.api.Test;
 
-/** What is told first, and what is given up. */
+/** The order in which items are gossiped, and which ones are dropped. */
 class GossipQueueTest {
 
     private static final int FLEET = 500;
@@ -17,36 +17,37 @@
     }
 
     /**
-     * Changes come faster than the budget lets gossip out. Old items that were sent already make room; those that nobody was
-     * sent yet stay.
+     * Changes come faster than the budget lets gossip out. Old items that were sent already are dropped; those that
+     * have not been sent to anybody are kept.
      */
     @Test
-    void whatWasToldAndIsOldIsGivenUpWhatWasNotToldIsNot() {
-        GossipQueue gossip = new GossipQueue();
-        MemberRecord told = memberRecord("told", RecordStatus.ALIVE);
-        MemberRecord untold = memberRecord("untold", RecordStatus.ALIVE);
-        gossip.add(told, 0);
-        assertEquals(List.of(told), gossip.take(1000, FLEET));
-        gossip.add(untold, 0);
-        gossip.expire(0);
-        assertEquals(List.of(untold, told), gossip.take(1000, FLEET));
-        gossip.add(memberRecord("other", RecordStatus.ALIVE), 2);
-        gossip.expire(1);
-        assertEquals(List.of(memberRecord("other", RecordStatus.ALIVE)), gossip.take(1000, FLEET));
-        gossip.expire(3);
-        assertTrue(gossip.isEmpty());
+    void oldItemsExpireOnlyOnceTheyWereSent() {
+        GossipQueue queue = new GossipQueue();
+        MemberRecord sent = memberRecord("sent", RecordStatus.ALIVE);
+        MemberRecord unsent = memberRecord("unsent", RecordStatus.ALIVE);
+        queue.add(sent, 0);
+        assertEquals(List.of(sent), queue.take(1000, FLEET));
+        queue.add(unsent, 0);
+        queue.expire(0);
+        assertEquals(List.of(unsent, sent), queue.take(1000, FLEET));
+        queue.add(memberRecord("other", RecordStatus.ALIVE), 2);
+        queue.expire(1);
+        assertEquals(List.of(memberRecord("other", RecordStatus.ALIVE)), queue.take(1000, FLEET));
+        queue.expire(3);
+        assertTrue(queue.isEmpty());
     }
 
     /**
-     * Many members fail at once and all their observers speak. The verdicts go first: they end the need for the rest.
+     * Many members fail at once, and all their observers publish. The verdicts go first, as they make the observations
+     * unnecessary.
      */
     @Test
-    void thatAMemberIsGoneGoesBeforeWhatObserversSay() {
-        GossipQueue gossip = new GossipQueue();
-        Observations said = new Observations("observer", 1, 1, false, Map.of());
-        MemberRecord gone = memberRecord("gone", RecordStatus.FAULTY);
-        gossip.add(said, 0);
-        gossip.add(gone, 0);
-        assertEquals(List.of(gone, said), gossip.take(1000, FLEET));
+    void verdictsAreSentBeforeObservations() {
+        GossipQueue queue = new GossipQueue();
+        Observations observations = new Observations("observer", 1, 1, false, Map.of());
+        MemberRecord verdict = memberRecord("gone", RecordStatus.FAULTY);
+        queue.add(observations, 0);
+        queue.add(verdict, 0);
+        assertEquals(List.of(verdict, observations), queue.take(1000, FLEET));
     }
 }
--- a/src/test/java/pepperdock/membership/MembershipTest.java
+++ b/src/test/java/pepperdock/membership/MembershipTest.java
@@ -11,121 +11,124 @@
 import java.util.function.Consumer;
 import org.junit.jupiter.api.Test;
 
-/** The machine by hand: a few of them, messages at once, time in ticks; what a script of the rig can't do. */
+/**
+ * Runs a few members by hand, with immediate delivery of messages and time in ticks, for cases that a script of the
+ * test rig can't express.
+ */
 class MembershipTest {
 
     private static final MembershipSettings SETTINGS = MembershipSettings.of(0.5, 3, 3);
 
-    private final Map<String, Membership> at = new LinkedHashMap<>();
-    private final Map<Membership, List<MembershipOutput>> told = new LinkedHashMap<>();
-    private final List<String> down = new ArrayList<>();
+    private final Map<String, Membership> membersByAddress = new LinkedHashMap<>();
+    private final Map<Membership, List<MembershipOutput>> outputs = new LinkedHashMap<>();
+    private final List<String> downAddresses = new ArrayList<>();
     private double now;
 
-    private Membership add(String name, String address, long life) {
+    private Membership add(String name, String address, long generation) {
         Membership member = new Membership(
                 SETTINGS,
                 "fleet",
-                new MemberRecord(name, life, 0, RecordStatus.ALIVE, address, "z", address),
+                new MemberRecord(name, generation, 0, RecordStatus.ALIVE, address, "z", address),
                 List.of("h1:1"),
-                life,
+                generation,
                 now);
-        at.put(address, member);
-        told.put(member, new ArrayList<>());
+        membersByAddress.put(address, member);
+        outputs.put(member, new ArrayList<>());
         return member;
     }
 
-    private void settle(Membership member) {
+    private void carryOutOutputs(Membership member) {
         for (MembershipOutput output : member.takeOutputs()) {
-            told.get(member).add(output);
+            outputs.get(member).add(output);
             if (output instanceof MembershipOutput.SendDatagram datagram) {
-                with(datagram.address(), to -> to.onDatagram(datagram.message(), now));
+                deliver(datagram.address(), receiver -> receiver.onDatagram(datagram.message(), now));
             } else if (output instanceof MembershipOutput.OpenExchange exchange
-                    && at.containsKey(exchange.address())
-                    && !down.contains(exchange.address())) {
-                Membership to = at.get(exchange.address());
-                Message back = to.onStreamMessage(member.openExchange(), now);
-                Message rest = back == null ? null : member.onStreamMessage(back, now);
-                if (rest != null) {
-                    to.onStreamMessage(rest, now);
+                    && membersByAddress.containsKey(exchange.address())
+                    && !downAddresses.contains(exchange.address())) {
+                Membership receiver = membersByAddress.get(exchange.address());
+                Message response = receiver.onStreamMessage(member.openExchange(), now);
+                Message missingItems = response == null ? null : member.onStreamMessage(response, now);
+                if (missingItems != null) {
+                    receiver.onStreamMessage(missingItems, now);
                 }
-                settle(to);
+                carryOutOutputs(receiver);
             }
         }
     }
 
-    private void with(String address, Consumer<Membership> does) {
-        if (at.containsKey(address) && !down.contains(address)) {
-            does.accept(at.get(address));
-            settle(at.get(address));
+    private void deliver(String address, Consumer<Membership> delivery) {
+        if (membersByAddress.containsKey(address) && !downAddresses.contains(address)) {
+            delivery.accept(membersByAddress.get(address));
+            carryOutOutputs(membersByAddress.get(address));
         }
     }
 
-    private void pass(double seconds) {
+    private void advance(double seconds) {
         for (double until = now + seconds; now < until; now += SETTINGS.tickS()) {
-            for (Map.Entry<String, Membership> member : at.entrySet()) {
-                if (!down.contains(member.getKey())) {
+            for (Map.Entry<String, Membership> member : membersByAddress.entrySet()) {
+                if (!downAddresses.contains(member.getKey())) {
                     member.getValue().tick(now);
-                    settle(member.getValue());
+                    carryOutOutputs(member.getValue());
                 }
             }
         }
     }
 
-    private static MembershipView.Member seen(Membership by, String name) {
-        return by.view().members().stream()
+    private static MembershipView.Member memberSeenBy(Membership viewer, String name) {
+        return viewer.view().members().stream()
                 .filter(member -> member.name().equals(name))
                 .findFirst()
                 .orElseThrow();
     }
 
-    private boolean noted(Membership member, String what) {
-        return told.get(member).stream()
+    private boolean hasNotice(Membership member, String kind) {
+        return outputs.get(member).stream()
                 .anyMatch(output -> output instanceof MembershipOutput.Notice notice
-                        && notice.kind().equals(what));
+                        && notice.kind().equals(kind));
     }
 
     /**
-     * An operator starts a second process with a name that is in use. It stays out for as long as the first one answers,
-     * takes the name once the first one is gone, and the first one gives way when it comes back.
+     * An operator starts a second process with a name that is in use. It stays out while the first one answers, takes
+     * the name once the first one is gone, and the first one yields the name when it comes back.
      */
     @Test
-    void aNameUsedTwiceIsToldAsSuchAndNeverMerged() {
+    void nameHeldByAnotherProcessIsClaimedOnlyOnceThatIsGone() {
         Membership a = add("a", "h1:1", 1);
         Membership b = add("b", "h2:1", 2);
-        pass(3);
-        Membership twin = add("b", "h3:1", 3);
-        pass(20);
-        assertTrue(noted(twin, "taken"));
-        assertEquals("h2:1", twin.view().nameConflictAddress());
-        assertEquals("h2:1", seen(a, "b").address());
-        assertEquals(2, seen(a, "b").generation());
+        advance(3);
+        Membership second = add("b", "h3:1", 3);
+        advance(20);
+        assertTrue(hasNotice(second, "taken"));
+        assertEquals("h2:1", second.view().nameConflictAddress());
+        assertEquals("h2:1", memberSeenBy(a, "b").address());
+        assertEquals(2, memberSeenBy(a, "b").generation());
         assertEquals("", b.view().nameConflictAddress());
-        assertEquals(0, seen(b, "b").incarnation(), "the first one was never in question");
-        // Once the first one is gone for good, the second may have the name.
-        down.add("h2:1");
-        pass(20);
-        assertTrue(noted(twin, "claimed"));
-        assertEquals("h3:1", seen(a, "b").address());
-        assertEquals(MemberState.ALIVE, seen(a, "b").state());
-        // And the first one, should it only have been away, gives way in turn.
-        down.remove("h2:1");
-        pass(20);
+        assertEquals(0, memberSeenBy(b, "b").incarnation(), "the first process must not have been declared faulty");
+        // Once the first process is down, the second one claims the name.
+        downAddresses.add("h2:1");
+        advance(20);
+        assertTrue(hasNotice(second, "claimed"));
+        assertEquals("h3:1", memberSeenBy(a, "b").address());
+        assertEquals(MemberState.ALIVE, memberSeenBy(a, "b").state());
+        // When the first process comes back, it yields the name in turn.
+        downAddresses.remove("h2:1");
+        advance(20);
         assertEquals("h3:1", b.view().nameConflictAddress());
-        assertEquals("h3:1", seen(a, "b").address());
+        assertEquals("h3:1", memberSeenBy(a, "b").address());
     }
 
     /**
-     * A member of another fleet has the address by mistake, and the network repeats datagrams and delivers old ones late.
-     * Nothing of the table changes.
+     * A member of another fleet has the address by mistake, and the network repeats datagrams and delivers old ones
+     * late. The table does not change.
      */
     @Test
-    void anotherFleetAndLateOrRepeatedMessagesDoNoHarm() {
+    void messagesOfOtherFleetsAndLateOrRepeatedOnesChangeNothing() {
         Membership a = add("a", "h1:1", 1);
         Membership b = add("b", "h2:1", 2);
-        pass(3);
+        advance(3);
         long state = a.stateDigest();
-        List<MembershipOutput> before = List.copyOf(told.get(b));
-        Membership stranger = new Membership(
+        List<MembershipOutput> before = List.copyOf(outputs.get(b));
+        Membership foreigner = new Membership(
                 SETTINGS,
                 "other",
                 new MemberRecord("x", 9, 0, RecordStatus.ALIVE, "h9:1", "z", "m"),
@@ -140,7 +143,7 @@
                         1,
                         List.of(new MemberRecord("x", 9, 0, RecordStatus.ALIVE, "h9:1", "z", "m"))),
                 now);
-        assertEquals(null, a.onStreamMessage(stranger.openExchange(), now));
+        assertEquals(null, a.onStreamMessage(foreigner.openExchange(), now));
         assertEquals(2, a.counts()[3]);
         for (MembershipOutput output : before) {
             if (output instanceof MembershipOutput.SendDatagram datagram
@@ -155,46 +158,49 @@
     }
 
     /**
-     * A member is shut down with notice and started again later. The others see it as left, not as faulty, and the new
-     * process goes on with the next incarnation.
+     * A member is shut down gracefully and started again later. The others see it as left, not as faulty, and the new
+     * process continues with the next incarnation.
      */
     @Test
-    void whoLeavesIsNeitherMissedNorCalledGoneAndComesBackInItsNextIncarnation() {
+    void memberThatLeftReturnsInItsNextIncarnation() {
         Membership a = add("a", "h1:1", 1);
         Membership b = add("b", "h2:1", 2);
-        pass(3);
+        advance(3);
         b.leave(now);
-        settle(b);
-        down.add("h2:1");
-        pass(30);
-        assertEquals(MemberState.LEFT, seen(a, "b").state());
+        carryOutOutputs(b);
+        downAddresses.add("h2:1");
+        advance(30);
+        assertEquals(MemberState.LEFT, memberSeenBy(a, "b").state());
         assertTrue(a.view().hasMajority());
-        down.remove("h2:1");
-        Membership again = add("b", "h2:1", 7);
-        pass(5);
-        assertEquals(MemberState.ALIVE, seen(a, "b").state());
-        assertEquals(1, seen(again, "b").incarnation());
+        downAddresses.remove("h2:1");
+        Membership restarted = add("b", "h2:1", 7);
+        advance(5);
+        assertEquals(MemberState.ALIVE, memberSeenBy(a, "b").state());
+        assertEquals(1, memberSeenBy(restarted, "b").incarnation());
     }
 
     /**
-     * More members are announced than the table may hold: the rest is rejected. One that is faulty is forgotten, and a late
-     * verdict on it does not bring it back.
+     * More members are announced than the table may hold, so the excess is rejected. A faulty member is forgotten, and
+     * a late verdict on it does not bring it back.
      */
     @Test
-    void whatIsKeptIsBoundedAndThoseGoneAreForgotten() {
-        MembershipSettings few = new MembershipSettings(0.5, 3, 3, 8, 0.75, 2, 3, 0.5, 30, 60, 100, 64 << 10, 5, true);
-        MembershipTable table = new MembershipTable(few.maxMembers(), few.observers());
+    void tableIsBoundedAndForgetsFaultyMembers() {
+        MembershipSettings limited =
+                new MembershipSettings(0.5, 3, 3, 8, 0.75, 2, 3, 0.5, 30, 60, 100, 64 << 10, 5, true);
+        MembershipTable table = new MembershipTable(limited.maxMembers(), limited.observers());
         for (int i = 0; i < 50; i++) {
             table.merge(new MemberRecord("m" + i, i, 0, RecordStatus.ALIVE, "h" + i + ":1", "z", "m"), 0);
         }
         assertEquals(5, table.entries().size());
         assertEquals(45, table.rejected());
-        MemberRecord gone = new MemberRecord("m1", 1, 0, RecordStatus.FAULTY, "h1:1", "z", "m");
-        table.merge(gone, 1);
+        MemberRecord faulty = new MemberRecord("m1", 1, 0, RecordStatus.FAULTY, "h1:1", "z", "m");
+        table.merge(faulty, 1);
         table.removeExpired(2, "m0");
         assertEquals(4, table.entries().size());
         assertEquals(
-                MembershipTable.MergeResult.UNCHANGED, table.merge(gone, 3), "what is gone and unknown stays unknown");
+                MembershipTable.MergeResult.UNCHANGED,
+                table.merge(faulty, 3),
+                "a faulty record of an unknown member must not be added");
         assertFalse(table.rings().names().contains("m1"));
     }
 }
