--- a/src/main/java/pepperdock/ClassArchiveTraining.java
+++ b/src/main/java/pepperdock/ClassArchiveTraining.java
@@ -24,42 +24,47 @@
 import pepperdock.transport.EventLoop;
 
 /**
- * The training run of class data sharing: one short life of the program against stand-ins of its own, on loopback sockets. The
- * build runs it so that the JVM notes which classes a start and the first queries need ({@code -XX:ArchiveClassesAtExit}; JEP 350). Bounded in count, and in
- * time by the build; a failure ends it with status 1 and leaves no archive, which only makes starts slower.
+ * Training run for class data sharing: starts a gatherer that serves a few queries, with simulated workers, discovery
+ * and clients on loopback sockets. The build runs it so that the JVM records the classes that a start and the first
+ * queries need ({@code -XX:ArchiveClassesAtExit}; JEP 350). The number of queries is fixed, and the build limits the
+ * time. A failure ends the run with status 1 and leaves no archive, which only makes starts slower.
  */
 final class ClassArchiveTraining {
 
-    private static final String FILE = "class-archive-training.json";
-    private static final int WORKERS = 4;
-    /** Enough that each class is sent, answered, sent again on a kept connection, and its code linked. */
-    private static final int QUERIES = 12;
+    private static final String CONFIG_RESOURCE = "class-archive-training.json";
+    private static final int WORKER_COUNT = 4;
+    /**
+     * Enough for each query class to be sent, answered and sent again on a kept connection, and for its code to be
+     * linked.
+     */
+    private static final int QUERIES_PER_CLASS = 12;
 
     private static final int TIMEOUT_MS = 10_000;
-    private static final String[] CLASSES = {"search", "report", "adjust"};
+    private static final String[] QUERY_CLASSES = {"search", "report", "adjust"};
     private static final String SIMULATOR_INPUT = """
             {"cmd":"Tick","ClockS":1.0,"n":1}
             {"cmd":"Attach","Mixer":0,"Salt":9,"Env":%s}
             {"cmd":"Commit"}
             """;
 
-    private interface Task {
+    private interface IoTask {
         void run() throws IOException;
     }
 
     private ClassArchiveTraining() {}
 
-    /** Returns once all queries were answered; the caller ends the JVM. */
+    /** Runs the training and returns after all queries were answered; the caller ends the JVM. */
     static void run() throws IOException {
         byte[] file;
-        try (InputStream in = ClassArchiveTraining.class.getResourceAsStream(FILE)) {
+        try (InputStream in = ClassArchiveTraining.class.getResourceAsStream(CONFIG_RESOURCE)) {
             file = in.readAllBytes();
         }
-        ConfigReader whole = ConfigReader.of("", Config.parse(new String(file, StandardCharsets.UTF_8), FILE));
-        attachInstance(whole);
+        ConfigReader config =
+                ConfigReader.of("", Config.parse(new String(file, StandardCharsets.UTF_8), CONFIG_RESOURCE));
+        attachInstance(config);
         StringBuilder hosts = new StringBuilder();
-        for (int i = 0; i < WORKERS; i++) {
-            int port = listen(ClassArchiveTraining::work);
+        for (int i = 0; i < WORKER_COUNT; i++) {
+            int port = startServer(ClassArchiveTraining::serveWorker);
             hosts.append(i == 0 ? "" : ",")
                     .append("{\"host\":\"s-")
                     .append(i)
@@ -70,71 +75,80 @@
                     .append(",\"health\":\"in_service\",\"share\":1.0,\"born_ms\":0}");
         }
         String list = "{\"seq\":1,\"whole\":true,\"hosts\":[" + hosts + "]}";
-        int discovery = listen(s -> tell(s, list));
-        ConfigReader served = whole.with("discovery", Config.parse("\"127.0.0.1:" + discovery + '"', "discovery"))
+        int discovery = startServer(socket -> serveDiscovery(socket, list));
+        ConfigReader servedConfig = config.with(
+                        "discovery", Config.parse("\"127.0.0.1:" + discovery + '"', "discovery"))
                 .with("known", Config.parse(list, "known"));
         EventLoop loop = new EventLoop(200, 1 << 18);
-        InetSocketAddress at = GathererService.start(
-                        served,
+        InetSocketAddress address = GathererService.start(
+                        servedConfig,
                         false,
                         new Startup.ProcessContext(Map.of(), loop, new Store(null, loop), Events.of(false), null))
                 .get(0)
                 .address();
-        ask(at);
+        sendQueries(address);
     }
 
-    /** The simulator's wire: one instance attached, nothing asked. */
-    private static void attachInstance(ConfigReader whole) {
-        PrintStream nowhere = new PrintStream(new ByteArrayOutputStream(), false, StandardCharsets.UTF_8);
+    /** Runs the simulator adapter: attaches one instance and asks it for nothing. */
+    private static void attachInstance(ConfigReader config) {
+        PrintStream discarded = new PrintStream(new ByteArrayOutputStream(), false, StandardCharsets.UTF_8);
         new SimulatorAdapter(
                         new ByteArrayInputStream(SIMULATOR_INPUT
-                                .formatted(whole.json("settings"))
+                                .formatted(config.json("settings"))
                                 .getBytes(StandardCharsets.UTF_8)),
-                        nowhere,
-                        nowhere)
+                        discarded,
+                        discarded)
                 .run();
     }
 
-    /** A client that asks for readiness, once wrongly, and then one query after the other on a kept connection. */
-    private static void ask(InetSocketAddress at) throws IOException {
-        while (!exchange(at, "GET /-/ready HTTP/1.1\r\nHost: r\r\n\r\n", 1).startsWith("HTTP/1.1 200")) {
+    /**
+     * Acts as the client: polls for readiness, sends one invalid request, and then sends the queries of each class one
+     * after the other on a kept connection.
+     */
+    private static void sendQueries(InetSocketAddress address) throws IOException {
+        while (!exchange(address, "GET /-/ready HTTP/1.1\r\nHost: r\r\n\r\n", 1).startsWith("HTTP/1.1 200")) {
             Thread.onSpinWait();
         }
-        exchange(at, "POST /api HTTP/1.1\r\nHost: r\r\nContent-Length: 2\r\n\r\n{}", 1);
-        for (String queryClass : CLASSES) {
+        exchange(address, "POST /api HTTP/1.1\r\nHost: r\r\nContent-Length: 2\r\n\r\n{}", 1);
+        for (String queryClass : QUERY_CLASSES) {
             String body =
                     "{\"ranges\":[{\"range\":0,\"portion\":0.5},{\"range\":1,\"portion\":0.5}],\"predicate\":\"r\"}";
             String request = "POST /api HTTP/1.1\r\nHost: r\r\nRequest-Id: %s%d\r\nRequest-Class: " + queryClass
                     + "\r\nRequest-Timeout-Ms: 3000\r\nIdempotency-Key: r%d\r\nContent-Length: " + body.length()
                     + "\r\n\r\n" + body;
-            if (!exchange(at, request.replace("%s", queryClass), QUERIES).startsWith("HTTP/1.1 200")) {
-                throw new IOException("a query was not answered");
+            if (!exchange(address, request.replace("%s", queryClass), QUERIES_PER_CLASS)
+                    .startsWith("HTTP/1.1 200")) {
+                throw new IOException("a query of class " + queryClass + " was not answered with status 200");
             }
         }
     }
 
-    /** Sends so many requests in turn, {@code %d} in them their number; returns the last answer. */
-    private static String exchange(InetSocketAddress at, String request, int times) throws IOException {
-        String answer = "";
-        try (Socket s = new Socket(at.getAddress(), at.getPort())) {
-            s.setSoTimeout(TIMEOUT_MS);
+    /**
+     * Sends a request {@code times} times, with its number in place of {@code %d}, each after the answer to the one
+     * before, and returns the head of the last answer.
+     */
+    private static String exchange(InetSocketAddress address, String request, int times) throws IOException {
+        String lastHead = "";
+        try (Socket socket = new Socket(address.getAddress(), address.getPort())) {
+            socket.setSoTimeout(TIMEOUT_MS);
             for (int i = 0; i < times; i++) {
-                s.getOutputStream()
+                socket.getOutputStream()
                         .write(request.replace("%d", Integer.toString(i)).getBytes(StandardCharsets.UTF_8));
-                String head = head(s.getInputStream());
-                int length = head.toLowerCase(java.util.Locale.ROOT).indexOf("content-length: ");
-                s.getInputStream()
+                String head = readHead(socket.getInputStream());
+                int lengthHeader = head.toLowerCase(java.util.Locale.ROOT).indexOf("content-length: ");
+                socket.getInputStream()
                         .readNBytes(
-                                length < 0
+                                lengthHeader < 0
                                         ? 0
-                                        : Integer.parseInt(head.substring(length + 16, head.indexOf('\r', length))));
-                answer = head;
+                                        : Integer.parseInt(
+                                                head.substring(lengthHeader + 16, head.indexOf('\r', lengthHeader))));
+                lastHead = head;
             }
         }
-        return answer;
+        return lastHead;
     }
 
-    private static String head(InputStream in) throws IOException {
+    private static String readHead(InputStream in) throws IOException {
         StringBuilder head = new StringBuilder();
         for (int b = in.read(); b >= 0; b = in.read()) {
             head.append((char) b);
@@ -142,65 +156,65 @@
                 return head.toString();
             }
         }
-        throw new IOException("cut off after " + head.length() + " bytes");
+        throw new IOException("connection closed after " + head.length() + " bytes of an HTTP head, before its end");
     }
 
-    /** Discovery: the whole list at once, and silence to a watch, since nothing changes. */
-    private static void tell(Socket s, String list) throws IOException {
+    /** Acts as discovery: answers a list request with the complete list, and a watch not at all, as nothing changes. */
+    private static void serveDiscovery(Socket socket, String list) throws IOException {
         while (true) {
-            if (!head(s.getInputStream()).contains("since=")) {
-                s.getOutputStream()
+            if (!readHead(socket.getInputStream()).contains("since=")) {
+                socket.getOutputStream()
                         .write(("HTTP/1.1 200 OK\r\nContent-Length: " + list.length() + "\r\n\r\n" + list)
                                 .getBytes(StandardCharsets.US_ASCII));
             }
         }
     }
 
-    /** A worker: each part of each call is answered at once. */
-    private static void work(Socket s) throws IOException {
-        DataInputStream in = new DataInputStream(s.getInputStream());
+    /** Acts as a worker: answers each part of each call at once. */
+    private static void serveWorker(Socket socket) throws IOException {
+        DataInputStream in = new DataInputStream(socket.getInputStream());
         while (true) {
             byte[] frame = in.readNBytes(in.readInt());
-            for (int at = 1; frame[0] == WorkerProtocol.CALL && at < frame.length; ) {
-                int end = at;
+            for (int offset = 1; frame[0] == WorkerProtocol.CALL && offset < frame.length; ) {
+                int end = offset;
                 while (frame[end] != '\n') {
                     end++;
                 }
-                String[] words = new String(frame, at, end - at, StandardCharsets.UTF_8).split(" ");
-                at = end + 1 + Integer.parseInt(words[3]);
-                s.getOutputStream()
+                String[] fields = new String(frame, offset, end - offset, StandardCharsets.UTF_8).split(" ");
+                offset = end + 1 + Integer.parseInt(fields[3]);
+                socket.getOutputStream()
                         .write(FrameEncoder.encode(
                                 WorkerProtocol.RESULT,
-                                (words[0] + " good 1 qps=1\nvalue").getBytes(StandardCharsets.UTF_8)));
+                                (fields[0] + " good 1 qps=1\nvalue").getBytes(StandardCharsets.UTF_8)));
             }
         }
     }
 
-    private interface Serving {
-        void serve(Socket s) throws IOException;
+    private interface ConnectionHandler {
+        void handle(Socket socket) throws IOException;
     }
 
-    /** A stand-in on a port of its own; returns the port. */
-    private static int listen(Serving does) throws IOException {
+    /** Starts a server on a free port, which passes each connection to {@code handler}, and returns the port. */
+    private static int startServer(ConnectionHandler handler) throws IOException {
         ServerSocket server = new ServerSocket(0, 50, InetAddress.getLoopbackAddress());
-        start(() -> {
+        startDaemonThread(() -> {
             while (true) {
-                Socket s = server.accept();
-                start(() -> does.serve(s));
+                Socket socket = server.accept();
+                startDaemonThread(() -> handler.handle(socket));
             }
         });
         return server.getLocalPort();
     }
 
-    private static void start(Task task) {
-        Thread t = new Thread(() -> {
+    private static void startDaemonThread(IoTask task) {
+        Thread thread = new Thread(() -> {
             try {
                 task.run();
             } catch (IOException e) {
-                // The other side has closed; whether all was answered, the client says.
+                // The peer has closed the connection; the client checks whether all requests were answered.
             }
         });
-        t.setDaemon(true);
-        t.start();
+        thread.setDaemon(true);
+        thread.start();
     }
 }
--- a/src/main/java/pepperdock/LogLine.java
+++ b/src/main/java/pepperdock/LogLine.java
@@ -12,9 +12,9 @@
 import java.util.logging.LogRecord;
 
 /**
- * One line of the log: time in UTC to the millisecond, level, logger, text, and the trace of what was thrown. In place of
- * the JDK's formatter, which reads time zones, locales and a pattern at its first line, 0.06 s of processor time
- * at a start.
+ * Formats a log record as one line: time in UTC to the millisecond, level, logger and message, followed by the stack
+ * trace of the exception if there is one. Replaces the JDK's formatter, which reads time zones, locales and a pattern
+ * for its first line and so costs 0.06 s of processor time at each start.
  */
 public final class LogLine extends Formatter {
 
@@ -24,10 +24,13 @@
             java.util.logging.ConsoleHandler.formatter=pepperdock.LogLine
             """;
 
-    /** What XNIO logs through; unnamed, it looks for four other libraries first. */
+    /** Property that names the log library for XNIO, which otherwise searches for four other libraries first. */
     private static final String JBOSS_PROVIDER = "org.jboss.logging.provider";
 
-    /** Sets the JDK's log up before its first use; the property that names a file of its own goes before it. */
+    /**
+     * Configures the JDK's log before its first use, unless the property for a configuration file is set, which takes
+     * precedence.
+     */
     static void install() {
         if (System.getProperty("java.util.logging.config.file") == null) {
             System.setProperty("java.util.logging.config.class", Setup.class.getName());
@@ -37,7 +40,7 @@
         }
     }
 
-    /** Made by the JDK's log itself, by the name in its property. */
+    /** Configuration class that the JDK's log instantiates by the name in its property. */
     public static final class Setup {
         /** Configures the log; called by the JDK. */
         public Setup() throws IOException {
@@ -46,19 +49,19 @@
         }
     }
 
-    /** One line: time in UTC, level, logger and text; a stack trace follows where there is one. */
+    /** Returns the line for a record, with a stack trace after it if the record has an exception. */
     @Override
     public String format(LogRecord record) {
         StringBuilder line = new StringBuilder(128);
         long millis = record.getMillis();
-        LocalDateTime at = LocalDateTime.ofEpochSecond(Math.floorDiv(millis, 1000L), 0, ZoneOffset.UTC);
-        line.append(at.toLocalDate()).append('T');
-        two(line, at.getHour()).append(':');
-        two(line, at.getMinute()).append(':');
-        two(line, at.getSecond()).append('.');
-        int rest = (int) Math.floorMod(millis, 1000L);
-        line.append((char) ('0' + rest / 100));
-        two(line, rest % 100)
+        LocalDateTime time = LocalDateTime.ofEpochSecond(Math.floorDiv(millis, 1000L), 0, ZoneOffset.UTC);
+        line.append(time.toLocalDate()).append('T');
+        appendTwoDigits(line, time.getHour()).append(':');
+        appendTwoDigits(line, time.getMinute()).append(':');
+        appendTwoDigits(line, time.getSecond()).append('.');
+        int millisOfSecond = (int) Math.floorMod(millis, 1000L);
+        line.append((char) ('0' + millisOfSecond / 100));
+        appendTwoDigits(line, millisOfSecond % 100)
                 .append("Z ")
                 .append(record.getLevel().getName())
                 .append(' ')
@@ -74,7 +77,7 @@
         return line.toString();
     }
 
-    private static StringBuilder two(StringBuilder line, int value) {
+    private static StringBuilder appendTwoDigits(StringBuilder line, int value) {
         return line.append((char) ('0' + value / 10)).append((char) ('0' + value % 10));
     }
 }
--- a/src/main/java/pepperdock/Main.java
+++ b/src/main/java/pepperdock/Main.java
@@ -10,21 +10,28 @@
 import pepperdock.service.StartupFailure;
 import pepperdock.simulator.SimulatorAdapter;
 
-/** The command line: {@code serve} is one gatherer, {@code drill} the simulator's wire. */
+/**
+ * Entry point of the program. {@code serve} runs a gatherer, {@code drill} runs the scheduler on the simulator's
+ * protocol, {@code rehearse} runs {@link ClassArchiveTraining}, and all other commands go to {@link Cli}.
+ */
 public final class Main {
 
     static {
         LogLine.install();
     }
 
-    /** After the log is set up: the first logger asked for decides how the JDK reads its set-up. */
+    /**
+     * Created after the log is configured, because the first logger requested determines how the JDK reads its
+     * configuration.
+     */
     private static final System.Logger LOG = System.getLogger("pepperdock");
 
     private Main() {}
-    /** Runs the command that the arguments name; the exit status is 0 on success. */
+
+    /** Runs the command given by the arguments; the exit status is 0 on success. */
     public static void main(String[] args) {
-        String what = args.length == 1 ? args[0] : "";
-        switch (what) {
+        String command = args.length == 1 ? args[0] : "";
+        switch (command) {
             case "drill" -> System.exit(new SimulatorAdapter(System.in, System.out, System.err).run());
             case "serve" -> {
                 try {
@@ -34,7 +41,7 @@
                 } catch (IOException e) {
                     StartupFailure.exit("can't start: " + e.getMessage(), 1);
                 } catch (RuntimeException e) {
-                    // The loop's thread would otherwise keep a program going that serves nobody.
+                    // Without an exit, the event loop's thread would keep a process alive that serves no clients.
                     LOG.log(System.Logger.Level.ERROR, "can't start", e);
                     System.exit(1);
                 }
@@ -43,8 +50,8 @@
                 try {
                     ClassArchiveTraining.run();
                 } catch (IOException | RuntimeException e) {
-                    // Without the archive of this run the program starts more slowly, and that is all.
-                    StartupFailure.exit("class archive training: " + e, 1);
+                    // Not fatal: without the archive from this run the program only starts more slowly.
+                    StartupFailure.exit("class archive training failed: " + e, 1);
                 }
                 System.exit(0);
             }
--- a/src/main/java/pepperdock/core/Attempt.java
+++ b/src/main/java/pepperdock/core/Attempt.java
@@ -2,21 +2,21 @@
 
 import pepperdock.scheduler.AttemptOutcome;
 
-/** One attempt at a part. Its outcome is set once and stays. Owned by the gatherer's thread. */
+/** One attempt at a part. Its outcome is set once and never changes. Owned by the gatherer's thread. */
 public final class Attempt {
 
-    /** Number among the attempts of its part, from 0 in the order of the decisions. */
+    /** Index among the attempts of its part, from 0, in the order of the decisions. */
     final int number;
 
     final String worker;
-    /** When the scheduler decided on it, in seconds on the {@link Clock}; never after it was sent. */
+    /** Time of the scheduler's decision, in seconds on the {@link Clock}; never later than the sending. */
     final double decidedAt;
 
-    /** Runs at the deadline; null for an attempt that was refused at once. */
+    /** Timer that expires at the deadline; null for an attempt that was refused at once. */
     Clock.Timer timeout;
-    /** Whether the backend has it, and is to be told when it is cancelled. */
+    /** Whether the attempt was handed to the backend, which then has to be told of a cancellation. */
     boolean handedToBackend;
-    /** Whether the last byte of its call was given to the operating system. */
+    /** Whether the last byte of the attempt's call was handed to the operating system. */
     boolean written;
 
     AttemptOutcome outcome;
@@ -33,36 +33,36 @@
         this.latestStartAt = latestStartAt;
     }
 
-    /** The part that it is an attempt at. */
+    /** Returns the part that this is an attempt at. */
     public Part part() {
         return part;
     }
 
-    /** Id of the worker that it is sent to. */
+    /** Returns the id of the worker that the attempt is sent to. */
     public String worker() {
         return worker;
     }
 
-    /** When it is abandoned, in seconds on the {@link Clock}. */
+    /** Returns the time at which the attempt is abandoned, in seconds on the {@link Clock}. */
     public double deadline() {
         return deadline;
     }
 
     /**
-     * Whether it may still be sent at {@code now}: it has not ended and, where an earlier attempt at its part may have been
-     * executed, the worker still recognises a repeat. Checked again right before its first byte is written, as it may have
-     * waited for a connection, or for capacity on one, since the decision.
+     * Returns whether the attempt may still be sent at {@code now}: it has not ended and, if an earlier attempt at its
+     * part may have been executed, the worker still recognises a repeat. Checked again right before the first byte is
+     * written, because the attempt may have waited for a connection, or for capacity on one, since the decision.
      */
     public boolean mayStart(double now) {
         return outcome == null && now <= latestStartAt;
     }
 
-    /** Whether it has ended in a way that proves that it was not executed and will not be. */
+    /** Returns whether the attempt has ended with an outcome which proves that it was not and will not be executed. */
     boolean neverExecuted() {
         return outcome != null && outcome.neverExecuted();
     }
 
-    /** Whether it has its outcome. */
+    /** Returns whether the attempt has an outcome. */
     public boolean hasEnded() {
         return outcome != null;
     }
--- a/src/main/java/pepperdock/core/AttemptLifecycle.java
+++ b/src/main/java/pepperdock/core/AttemptLifecycle.java
@@ -29,8 +29,8 @@
     }
 
     /**
-     * Records the outcome of an attempt; a later one is ignored. The value of a successful attempt becomes its part's only
-     * when the batch closes, and only if neither the part nor the query has an answer by then.
+     * Records the outcome of an attempt; later outcomes are ignored. The value of a successful attempt is stored in its
+     * part only when the batch closes, and only if the part has no value and the query has not ended by then.
      */
     void onAttemptEnded(Attempt attempt, AttemptOutcome outcome, LoadReport report, byte[] value) {
         if (attempt.hasEnded()) {
@@ -67,7 +67,7 @@
         }
     }
 
-    /** Ends an attempt from this side, unless it has ended, and has the backend cancel it if that has it. */
+    /** Ends an attempt that has no outcome yet, and cancels it in the backend if it was handed over. */
     void abandonAttempt(Attempt attempt, AttemptOutcome outcome) {
         if (!attempt.hasEnded()) {
             onAttemptEnded(attempt, outcome, LoadReport.NONE, null);
--- a/src/main/java/pepperdock/core/Backend.java
+++ b/src/main/java/pepperdock/core/Backend.java
@@ -4,26 +4,26 @@
 import java.util.Map;
 
 /**
- * Sends attempts to workers. Each attempt handed over ends in one {@link Gatherer#onAttemptEnded}, unless it is cancelled first.
- * Called on the gatherer's thread, which it must not block.
+ * Sends attempts to workers. The backend calls {@link Gatherer#onAttemptEnded} once for each attempt handed to it,
+ * unless the attempt is cancelled first. Called on the gatherer's thread, which it must not block.
  */
 public interface Backend {
 
-    /** Sends attempts at one worker as one call; there are no more of them than the batch size of the settings. */
+    /** Sends attempts to one worker as one call; their number does not exceed the batch size of the settings. */
     void sendCall(String worker, List<Attempt> call);
 
-    /** Stops waiting for an attempt, whose outcome is no longer to be reported. */
+    /** Stops waiting for an attempt; its outcome must no longer be reported. */
     void cancel(Attempt attempt);
 
-    /** A value will not be part of any answer: whatever it holds at the worker may be released. */
+    /** Releases the resources that a value holds at the worker, because it will not be part of any answer. */
     default void releaseUnusedAnswer(Attempt attempt, byte[] value) {}
 
-    /** Checks the health of a worker; {@link Gatherer#onHealthCheckEnded} has the result. */
+    /** Checks the health of a worker; {@link Gatherer#onHealthCheckEnded} receives the result. */
     void checkHealth(String worker);
 
     /** Closes the idle connections to a worker, so that the next call opens a new one. */
     void closeIdleConnections(String worker);
 
-    /** The endpoint list or the bans have changed: these are all endpoints now known, by id. */
+    /** Replaces the known endpoints, by id, after a change of the endpoint list or of the bans. */
     void updateEndpoints(Map<String, WorkerEndpoint> endpoints);
 }
--- a/src/main/java/pepperdock/core/CallDispatcher.java
+++ b/src/main/java/pepperdock/core/CallDispatcher.java
@@ -9,9 +9,9 @@
 import pepperdock.scheduler.RetrySafety;
 
 /**
- * Turns the scheduler's decisions to send into calls of the backend. Attempts at one worker that are decided on in one batch
- * share calls, up to the batch size of the settings, as a call has costs of its own. Whether an attempt may be sent is checked
- * when it is decided on and again when its call is dispatched. Owned by the gatherer's thread.
+ * Groups the attempts that the scheduler decides to send into calls of the backend. Attempts of one batch at the same
+ * worker share calls, up to the batch size of the settings, because each call has a fixed cost. Whether an attempt may
+ * be sent is checked when it is decided on and again when its call is dispatched. Owned by the gatherer's thread.
  */
 final class CallDispatcher {
 
@@ -20,7 +20,7 @@
     private final SettingsHolder settings;
     private final KnownEndpoints endpoints;
     private final AttemptLifecycle attempts;
-    /** Decided on in this batch, by worker, in the order of the decisions. */
+    /** Attempts decided on in this batch, by worker, in the order of the decisions. */
     private final Map<String, List<Attempt>> pendingAttempts = new LinkedHashMap<>();
 
     CallDispatcher(
@@ -37,9 +37,10 @@
     }
 
     /**
-     * Starts an attempt at a part; one that must not be sent ends at once as not sent.
+     * Starts an attempt at a part; an attempt that must not be sent ends at once as not sent.
      *
-     * @param until when to abandon it, in seconds on the clock; 0 for the query's deadline, which it never exceeds
+     * @param until time at which the attempt is abandoned, in seconds on the clock; 0 for the query's deadline, which
+     *     is also the latest possible time
      */
     void sendAttempt(Part part, String worker, double until) {
         Query query = part.query();
@@ -60,8 +61,9 @@
     }
 
     /**
-     * Until when another attempt at a part may start: where an earlier one may have been executed, as long as the worker
-     * recognises a repeat, counted from the decision on the first such attempt, which is never after it was sent.
+     * Returns the latest time at which another attempt at a part may start. If an earlier attempt may have been
+     * executed, this is the end of the window in which the worker recognises a repeat. The window is counted from the
+     * decision on the first such attempt, which is never later than its sending.
      */
     private static double latestStartAt(Part part) {
         RetrySafety retrySafety = part.query().queryClass.retrySafety();
@@ -77,7 +79,7 @@
                         .orElse(Double.POSITIVE_INFINITY);
     }
 
-    /** Hands the attempts of the batch to the backend, in calls of at most the batch size. */
+    /** Hands the attempts of the batch to the backend, in calls of at most the configured batch size. */
     void dispatchCalls() {
         Map<String, List<Attempt>> batch = new LinkedHashMap<>(pendingAttempts);
         pendingAttempts.clear();
@@ -93,8 +95,8 @@
     }
 
     /**
-     * Those attempts that may start now; the others end as not sent. Polls their clients first: a disconnect that stands
-     * unread in the kernel, because this thread was busy, has happened before the attempt all the same.
+     * Returns those attempts that may start now; the others end as not sent. Polls their clients first: a disconnect
+     * that the kernel has received, but that this thread was too busy to read, still precedes the attempt.
      */
     List<Attempt> retainStartable(List<Attempt> waiting) {
         waiting.stream()
--- a/src/main/java/pepperdock/core/Clock.java
+++ b/src/main/java/pepperdock/core/Clock.java
@@ -1,17 +1,17 @@
 package pepperdock.core;
 
-/** Time and timers of the one thread that owns a gatherer's state. All methods are called on that thread. */
+/** Time and timers of the thread that owns a gatherer's state. All methods must be called on that thread. */
 public interface Clock {
 
-    /** The time, in seconds since the Unix epoch; it never goes back. */
+    /** Returns the time, in seconds since the Unix epoch; it never goes backwards. */
     double now();
 
-    /** Runs {@code task} on the owning thread after so many seconds. */
+    /** Schedules {@code task} to run on the owning thread after {@code seconds}. */
     Timer after(double seconds, Runnable task);
 
-    /** A timer that was set. */
+    /** A scheduled task that can be cancelled. */
     interface Timer {
-        /** Cancels the timer; harmless once it has expired. */
+        /** Cancels the timer; has no effect if it has expired. */
         void cancel();
     }
 }
--- a/src/main/java/pepperdock/core/DecisionExecutor.java
+++ b/src/main/java/pepperdock/core/DecisionExecutor.java
@@ -4,8 +4,9 @@
 import pepperdock.scheduler.SchedulerActions;
 
 /**
- * Carries out the scheduler's decisions, in the order in which it takes them. Decisions on queries and parts that have ended
- * meanwhile are ignored. Called by the scheduler only while a batch is reported, on the gatherer's thread.
+ * Carries out the scheduler's decisions in the order in which they are made. Ignores decisions on queries and parts
+ * that have ended in the meantime. Called by the scheduler only while a batch is being reported, on the gatherer's
+ * thread.
  */
 final class DecisionExecutor implements SchedulerActions {
 
--- a/src/main/java/pepperdock/core/EndpointDiscovery.java
+++ b/src/main/java/pepperdock/core/EndpointDiscovery.java
@@ -1,8 +1,8 @@
 package pepperdock.core;
 
-/** Source of endpoint lists; each call to {@link #watch} is answered by {@link Gatherer#onEndpointList}. */
+/** Source of endpoint lists; each call to {@link #watch} results in a call to {@link Gatherer#onEndpointList}. */
 public interface EndpointDiscovery {
 
-    /** Watches the list for changes from now on. */
+    /** Starts to watch the list for changes. */
     void watch();
 }
--- a/src/main/java/pepperdock/core/EventBatcher.java
+++ b/src/main/java/pepperdock/core/EventBatcher.java
@@ -6,8 +6,9 @@
 import pepperdock.scheduler.Scheduler;
 
 /**
- * Reports events to the scheduler in batches, in the order in which they happened. A batch closes at the earliest one tick
- * after the last one, so that under load many events share the work of a batch. Owned by the gatherer's thread.
+ * Reports events to the scheduler in batches, in the order in which they happened. A batch closes at the earliest one
+ * tick after the previous one, so that under load many events share the fixed cost of a batch. Owned by the gatherer's
+ * thread.
  */
 final class EventBatcher {
 
@@ -28,23 +29,29 @@
         this.settings = settings;
     }
 
-    /** Sets where batches go, before the first event; {@code afterBatch} runs after each, when its decisions are known. */
+    /**
+     * Sets the scheduler that receives the batches; called before the first event. {@code afterBatch} runs after each
+     * batch, when its decisions are known.
+     */
     void start(Scheduler scheduler, Runnable afterBatch) {
         this.scheduler = scheduler;
         this.afterBatch = afterBatch;
     }
 
-    /** Whether a batch is being reported, so that the scheduler may be in the middle of a decision. */
+    /** Returns whether a batch is being reported, in which case the scheduler may be in the middle of a decision. */
     boolean isClosing() {
         return closing;
     }
 
-    /** Time of the current or last batch, in seconds on the clock. */
+    /** Returns the time of the current or the last batch, in seconds on the clock. */
     double batchTime() {
         return batchTime;
     }
 
-    /** Keeps an event for the next batch; one that is enqueued while a batch is reported belongs to the one after. */
+    /**
+     * Adds an event to the next batch; an event that is enqueued while a batch is being reported goes into the
+     * following batch.
+     */
     void enqueueEvent(Consumer<Scheduler> event) {
         pendingEvents.add(event);
         if (!closeScheduled) {
@@ -68,12 +75,15 @@
         afterBatch.run();
     }
 
-    /** A decision that fails must not end the thread; the deadline guards answer the queries that it leaves undecided. */
+    /**
+     * Passes an event to the scheduler and logs a runtime exception that it throws. It must not end the thread; the
+     * deadline guards answer the queries that are left undecided.
+     */
     private void deliver(Consumer<Scheduler> event) {
         try {
             event.accept(scheduler);
         } catch (RuntimeException e) {
-            LOG.log(System.Logger.Level.ERROR, "decision failed", e);
+            LOG.log(System.Logger.Level.ERROR, "scheduler failed to process an event of a batch", e);
         }
     }
 }
--- a/src/main/java/pepperdock/core/Gatherer.java
+++ b/src/main/java/pepperdock/core/Gatherer.java
@@ -14,11 +14,12 @@
 import pepperdock.scheduler.SchedulerSettings;
 
 /**
- * Entry point of the core for fronts, backends, endpoint discovery and operators: passes each call to the class whose job it is.
- * Events go to the scheduler in batches, and its decisions come back to the backend and to the clients' listeners.
+ * Entry point of the core for fronts, backends, endpoint discovery and operators. Delegates each call to the
+ * responsible class. Events go to the scheduler in batches, and its decisions go to the backend and to the clients'
+ * listeners.
  *
- * <p>Not thread-safe: all methods are called on the one thread of the {@link Clock}, which owns all state of the gatherer.
- * Listeners and the backend are called on it too, and may call back.
+ * <p>Not thread-safe: all methods must be called on the thread of the {@link Clock}, which owns all state of the
+ * gatherer. Listeners and the backend are called on the same thread and may call back.
  */
 public final class Gatherer {
 
@@ -33,9 +34,9 @@
     private final QueryLifecycle queries;
 
     /**
-     * Creates a gatherer without endpoints; {@link #onEndpointList} gives it some.
+     * Creates a gatherer without endpoints; {@link #onEndpointList} adds them.
      *
-     * @param seed the only source of randomness of its decisions
+     * @param seed the only source of randomness in the scheduler's decisions
      */
     public Gatherer(SchedulerSettings settings, long seed, Clock clock, Backend backend, EndpointDiscovery discovery) {
         this.settings = new SettingsHolder(settings, metrics);
@@ -52,14 +53,14 @@
         this.settings.setClassNames(List.of());
     }
 
-    /** Names the classes of the settings in force, in their order, for the metrics. */
+    /** Sets the names of the classes of the current settings, in the order of the classes, for the metrics. */
     public void setClassNames(List<String> names) {
         settings.setClassNames(names);
     }
 
     /**
-     * Replaces the settings, for queries that arrive from now on; those in flight keep the class and the number of attempts
-     * that they arrived with.
+     * Replaces the settings for queries that arrive from now on. Queries in flight keep the class and the maximum
+     * number of attempts that applied when they arrived.
      */
     public void updateSettings(SchedulerSettings replacement, List<String> names) {
         settings.replace(replacement, names);
@@ -67,65 +68,76 @@
     }
 
     /**
-     * Whether another process of this gatherer serves queries beside this one, during an upgrade. Both together must send no
-     * more than one, so each counts twice as many instances, and takes half its share of what a cold worker is allowed.
+     * Sets whether another process of this gatherer serves queries beside this one, during an upgrade. Both together
+     * must send no more than one process, so each counts twice as many instances and takes half its share of a cold
+     * worker's allowance.
      */
     public void setUpgradePeerActive(boolean active) {
         settings.setUpgradePeerActive(active);
         reportSettings();
     }
 
-    /** The other process of this gatherer takes all queries from now on, and this one's share of any allowance. */
+    /** Leaves all new queries, and this process's share of any allowance, to the other process of this gatherer. */
     public void yieldToUpgradePeer() {
         settings.yieldToUpgradePeer();
         reportSettings();
     }
 
-    /** Keeps the order of events: a query's class number means to the scheduler what it meant when the query arrived. */
+    /**
+     * Enqueues the settings as an event, so that the scheduler reads a query's class number by the settings of its
+     * arrival.
+     */
     private void reportSettings() {
         SchedulerSettings current = settings.forScheduler();
         batcher.enqueueEvent(target -> target.updateSettings(current));
     }
 
-    /** The settings in force. */
+    /** Returns the current settings. */
     public SchedulerSettings settings() {
         return settings.current();
     }
 
-    /** The counters, which change as events happen. */
+    /** Returns the counters, which are updated as events happen. */
     public Metrics metrics() {
         return metrics;
     }
 
-    /** Whether a query with that id is in flight; another must not be submitted, as workers could not tell them apart. */
+    /**
+     * Returns whether a query with this id is in flight. A second one must not be submitted, because workers could not
+     * tell the two apart.
+     */
     public boolean isQueryIdInUse(String id) {
         return registry.isRequestIdInUse(id);
     }
 
-    /** Submits a query; {@code listener} receives its one final answer, at the earliest after this returns. */
+    /** Submits a query; {@code listener} receives its one final answer, never before this method returns. */
     public Query submit(QueryRequest request, QueryListener listener) {
         return queries.submit(request, listener);
     }
 
-    /** The client of a query has disconnected; harmless when the query has ended. */
+    /** Cancels a query whose client has disconnected; has no effect if the query has ended. */
     public void onClientGone(Query query) {
         queries.onClientGone(query);
     }
 
     /**
-     * Ends all queries in flight because the process is about to end: as rejected where no part can have been executed or a
-     * repeat is harmless, else as failed. Queries that arrive afterwards are rejected at once.
+     * Ends all queries in flight because the process is about to exit. A query ends as rejected if no part can have
+     * been executed or if repeating it is harmless, otherwise as failed. Queries that arrive afterwards are rejected at
+     * once.
      */
     public void endAllQueries() {
         queries.shutDown();
     }
 
-    /** Number of queries in flight. */
+    /** Returns the number of queries in flight. */
     public int inFlightQueries() {
         return registry.size();
     }
 
-    /** The last byte of an attempt's call was given to the operating system; a second call for an attempt is ignored. */
+    /**
+     * Records that the last byte of an attempt's call was handed to the operating system. Further calls for the same
+     * attempt are ignored.
+     */
     public void onAttemptWritten(Attempt attempt) {
         if (!attempt.written) {
             attempt.written = true;
@@ -134,73 +146,80 @@
     }
 
     /**
-     * The outcome of an attempt; only the first counts.
+     * Records the outcome of an attempt; only the first one counts.
      *
-     * @param report load report of the worker, {@link LoadReport#NONE} without one
-     * @param value the worker's answer, null without one
+     * @param report load report of the worker, {@link LoadReport#NONE} if it sent none
+     * @param value the worker's answer, null if it sent none
      */
     public void onAttemptEnded(Attempt attempt, AttemptOutcome outcome, LoadReport report, byte[] value) {
         attempts.onAttemptEnded(attempt, outcome, report, value);
     }
 
-    /** A health check has ended, {@code elapsedS} seconds after it was asked for. */
+    /** Reports the result of a health check, {@code elapsedS} seconds after it was requested. */
     public void onHealthCheckEnded(String worker, AttemptOutcome outcome, double elapsedS, LoadReport report) {
         batcher.enqueueEvent(
                 target -> target.onHealthCheckResult(new HealthCheckResult(worker, outcome, elapsedS, report)));
     }
 
     /**
-     * Those attempts that may start now, checked at the last moment before their first byte; the others end as not sent.
-     * Disconnects of their clients are polled first.
+     * Returns those attempts that may start now; the others end as not sent. Called right before the first byte is
+     * sent. Polls the attempts' clients for disconnects first.
      */
     public List<Attempt> retainStartable(List<Attempt> waiting) {
         return dispatcher.retainStartable(waiting);
     }
 
-    /** An endpoint list, changes of it, or the failure of a call for one; then {@code entries} is empty. */
+    /** Applies an endpoint list, changes to it, or a failed request for one, for which {@code entries} is empty. */
     public void onEndpointList(EndpointListKind kind, List<WorkerEndpoint> entries) {
         endpoints.onEndpointList(kind, entries);
     }
 
-    /** Whether an endpoint is listed, banned, or has left the list within the last hour. */
+    /** Returns whether an endpoint is listed, is banned, or has left the list within the last hour. */
     public boolean isKnownEndpoint(String worker) {
         return endpoints.isKnown(worker);
     }
 
-    /** A view of the banned endpoints. */
+    /** Returns a read-only view of the banned endpoints. */
     public Set<String> bannedEndpoints() {
         return endpoints.bannedEndpoints();
     }
 
     /**
-     * Bans exactly these endpoints, whatever the list says of them: what waits for a connection to them ends as not sent, what
-     * is in flight may be answered. Those that were banned and no longer are may be used again, as the list says.
+     * Replaces the set of banned endpoints; a ban takes precedence over the endpoint list. Attempts that wait for a
+     * connection to a banned endpoint end as not sent, attempts in flight may still be answered. The state of an
+     * endpoint that is no longer banned follows the list again.
      */
     public void setBannedEndpoints(Set<String> workers) {
         endpoints.setBannedEndpoints(workers);
     }
 
-    /** Number of listed endpoints, whatever their state. */
+    /** Returns the number of listed endpoints in any state. */
     public int listedEndpointCount() {
         return endpoints.listedCount();
     }
 
-    /** Number of listed endpoints that receive nothing now: banned, or avoided by the scheduler. */
+    /**
+     * Returns the number of listed endpoints that receive no queries now, because they are banned or the scheduler
+     * avoids them.
+     */
     public int avoidedEndpointCount() {
         return endpoints.avoidedCount(scheduler::isAvoided);
     }
 
-    /** Adds a listener for the endpoints known after each list from discovery; all are called, in the order added. */
+    /**
+     * Adds a listener that receives the known endpoints after each list from discovery. Listeners are called in the
+     * order added.
+     */
     public void addEndpointListListener(Consumer<Collection<WorkerEndpoint>> listener) {
         endpoints.addListener(listener);
     }
 
-    /** Sets the one listener for attempts that succeed, with the seconds that each took. */
+    /** Sets the only listener for successful attempts, which also receives the seconds that each attempt took. */
     public void setServedAttemptListener(ObjDoubleConsumer<Attempt> listener) {
         attempts.setServedListener(listener);
     }
 
-    /** Replaces the planned shares of work, for the scheduler's choices from now on. */
+    /** Replaces the planned shares of work that the scheduler uses from now on. */
     public void updatePlannedShares(PlannedShares shares) {
         batcher.enqueueEvent(target -> target.updatePlannedShares(shares));
     }
--- a/src/main/java/pepperdock/core/InertBackend.java
+++ b/src/main/java/pepperdock/core/InertBackend.java
@@ -3,7 +3,7 @@
 import java.util.List;
 import java.util.Map;
 
-/** A backend that opens and sends nothing; simulations override what they need. */
+/** A backend whose methods do nothing; benchmarks, simulations and tests override the methods that they need. */
 public class InertBackend implements Backend {
 
     @Override
--- a/src/main/java/pepperdock/core/KnownEndpoints.java
+++ b/src/main/java/pepperdock/core/KnownEndpoints.java
@@ -16,23 +16,27 @@
 import pepperdock.scheduler.EndpointState;
 
 /**
- * The endpoint list in force and the operators' bans. Reports each change to the backend, which keeps connections, and to the
- * scheduler. A banned endpoint is draining to the backend, so that what is in flight may still be answered, and removed to
- * the scheduler, whose record of it must not outlive the ban. Owned by the gatherer's thread.
+ * Holds the current endpoint list and the operators' bans. Reports each change to the backend, which keeps connections,
+ * and to the scheduler. A banned endpoint is reported to the backend as draining, so that attempts in flight may still
+ * be answered, and to the scheduler as removed, because the scheduler's record of the endpoint must not outlive the
+ * ban. Owned by the gatherer's thread.
  */
 final class KnownEndpoints {
 
-    /** Ids that left the list are remembered for an hour, so that operators' calls that name them are recognised. */
+    /**
+     * Time for which ids that left the list are remembered, so that requests of operators that name them are
+     * recognised: one hour.
+     */
     private static final double DEPARTED_RETENTION_S = 3600;
-    /** Bounds the departed ids, as workers may get a new id at each start. */
+    /** Maximum number of departed ids kept; needed because workers may get a new id at each start. */
     private static final int MAX_DEPARTED = 4096;
 
     private final Clock clock;
     private final Backend backend;
     private final EventBatcher batcher;
-    private final Map<String, WorkerEndpoint> hosts = new LinkedHashMap<>();
+    private final Map<String, WorkerEndpoint> listedEndpoints = new LinkedHashMap<>();
     private final Set<String> bannedEndpoints = new LinkedHashSet<>();
-    /** When ids left the list, the earliest first, in seconds on the clock. */
+    /** Times at which ids left the list, in seconds on the clock, earliest first. */
     private final Map<String, Double> departedEndpoints = new LinkedHashMap<>();
 
     private Consumer<Collection<WorkerEndpoint>> listener = endpoints -> {};
@@ -43,22 +47,22 @@
         this.batcher = batcher;
     }
 
-    void addListener(Consumer<Collection<WorkerEndpoint>> another) {
-        listener = listener.andThen(another);
+    void addListener(Consumer<Collection<WorkerEndpoint>> added) {
+        listener = listener.andThen(added);
     }
 
-    /** Applies a list, changes of it, or the failure of a call for one. */
+    /** Applies an endpoint list, changes to it, or a failed request for one. */
     void onEndpointList(EndpointListKind kind, List<WorkerEndpoint> entries) {
         if (kind == EndpointListKind.CACHED || kind == EndpointListKind.COMPLETE) {
-            hosts.keySet().forEach(this::rememberDeparted);
-            hosts.clear();
+            listedEndpoints.keySet().forEach(this::rememberDeparted);
+            listedEndpoints.clear();
         }
         entries.forEach(this::apply);
         forgetDeparted();
         if (kind != EndpointListKind.FAILED) {
             updateBackend();
             if (kind != EndpointListKind.CACHED) {
-                listener.accept(List.copyOf(hosts.values()));
+                listener.accept(List.copyOf(listedEndpoints.values()));
             }
         }
         List<Endpoint> endpoints = entries.stream().map(this::forScheduler).toList();
@@ -67,14 +71,14 @@
 
     private void apply(WorkerEndpoint entry) {
         if (entry.state() != EndpointState.REMOVED) {
-            hosts.put(entry.id(), entry);
+            listedEndpoints.put(entry.id(), entry);
             departedEndpoints.remove(entry.id());
-        } else if (hosts.remove(entry.id()) != null) {
+        } else if (listedEndpoints.remove(entry.id()) != null) {
             rememberDeparted(entry.id());
         }
     }
 
-    /** Puts the id last, in the order of departure. */
+    /** Records the departure of an id and moves it to the end, which keeps the map in the order of departure. */
     private void rememberDeparted(String id) {
         departedEndpoints.remove(id);
         departedEndpoints.put(id, clock.now());
@@ -102,7 +106,8 @@
 
     private void updateBackend() {
         Map<String, WorkerEndpoint> endpoints = new HashMap<>();
-        hosts.forEach((id, entry) -> endpoints.put(id, bannedEndpoints.contains(id) ? draining(entry) : entry));
+        listedEndpoints.forEach(
+                (id, entry) -> endpoints.put(id, bannedEndpoints.contains(id) ? draining(entry) : entry));
         backend.updateEndpoints(Map.copyOf(endpoints));
     }
 
@@ -118,42 +123,45 @@
                 entry.startedAtS());
     }
 
-    /** Whether an attempt may be sent to an endpoint: it is listed, healthy and not banned. */
+    /** Returns whether attempts may be sent to an endpoint, which has to be listed, healthy and not banned. */
     boolean acceptsAttempts(String id) {
-        WorkerEndpoint entry = hosts.get(id);
+        WorkerEndpoint entry = listedEndpoints.get(id);
         return entry != null && entry.state() == EndpointState.HEALTHY && !bannedEndpoints.contains(id);
     }
 
-    /** Whether an id is listed, banned, or has left the list within the last hour. */
+    /** Returns whether an id is listed, is banned, or has left the list within the last hour. */
     boolean isKnown(String id) {
-        return hosts.containsKey(id) || departedEndpoints.containsKey(id) || bannedEndpoints.contains(id);
+        return listedEndpoints.containsKey(id) || departedEndpoints.containsKey(id) || bannedEndpoints.contains(id);
     }
 
-    /** A view of the banned ids. */
+    /** Returns a read-only view of the banned ids. */
     Set<String> bannedEndpoints() {
         return Collections.unmodifiableSet(bannedEndpoints);
     }
 
-    /** Bans exactly these ids. */
+    /** Replaces the set of banned ids. */
     void setBannedEndpoints(Set<String> ids) {
         if (!bannedEndpoints.equals(ids)) {
             bannedEndpoints.clear();
             bannedEndpoints.addAll(ids);
             updateBackend();
-            // Reported as cached: no list has come from discovery, so whether its watch works is as before.
+            // Reported as cached, because no list has arrived from discovery and the state of its watch is unchanged.
             List<Endpoint> endpoints =
-                    hosts.values().stream().map(this::forScheduler).toList();
+                    listedEndpoints.values().stream().map(this::forScheduler).toList();
             batcher.enqueueEvent(scheduler -> scheduler.onEndpointList(EndpointListKind.CACHED, endpoints));
         }
     }
 
     int listedCount() {
-        return hosts.size();
+        return listedEndpoints.size();
     }
 
-    /** Listed endpoints that receive nothing now: banned, or avoided by the scheduler. */
+    /**
+     * Returns the number of listed endpoints that receive no queries now, because they are banned or the scheduler
+     * avoids them.
+     */
     int avoidedCount(Predicate<String> avoidedByScheduler) {
-        return (int) hosts.keySet().stream()
+        return (int) listedEndpoints.keySet().stream()
                 .filter(id -> bannedEndpoints.contains(id) || avoidedByScheduler.test(id))
                 .count();
     }
--- a/src/main/java/pepperdock/core/LogRateLimiter.java
+++ b/src/main/java/pepperdock/core/LogRateLimiter.java
@@ -3,13 +3,14 @@
 import java.util.function.Supplier;
 
 /**
- * Limits the log lines of one kind per second. Lines beyond the limit are only counted, and one line states their number a
- * second later. Keeps a hundred workers that fail within a second, or a client that sends requests at full speed, from filling
- * the log and from costing the I/O thread more than the fault itself. Used on the clock's thread only.
+ * Limits the number of log lines of one kind per second. Lines beyond the limit are only counted, and one line states
+ * their number a second later. Prevents a hundred workers that fail within a second, or a client that sends requests at
+ * full speed, from filling the log and from costing the I/O thread more than the fault itself. Used on the clock's
+ * thread only.
  */
 public final class LogRateLimiter {
 
-    /** Lines written per second: enough to see which workers or clients are concerned. */
+    /** Maximum number of lines written per second: enough to see which workers or clients are affected. */
     public static final int MAX_LINES_PER_SECOND = 20;
 
     private static final double WINDOW_S = 1;
@@ -22,9 +23,10 @@
     private int suppressed;
 
     /**
-     * Creates a limiter for one kind of lines.
+     * Creates a limiter for one kind of log line.
      *
-     * @param kind the lines in plural, for the line that states how many were suppressed: "and 80 more KIND"
+     * @param kind description of the kind in the plural, for the line that states how many lines were suppressed: "log
+     *     lines suppressed: 80 more KIND"
      */
     public LogRateLimiter(System.Logger logger, Clock clock, String kind) {
         this.logger = logger;
@@ -32,7 +34,7 @@
         this.kind = kind;
     }
 
-    /** Writes the line or counts it; {@code text} is asked only for a line that is written. */
+    /** Writes the line or counts it as suppressed; {@code text} is evaluated only for a line that is written. */
     public void log(System.Logger.Level level, Supplier<String> text) {
         double now = clock.now();
         if (now - windowStart > WINDOW_S) {
@@ -47,7 +49,7 @@
     }
 
     private void logSuppressed() {
-        logger.log(System.Logger.Level.INFO, "and {0} more {1}", suppressed, kind);
+        logger.log(System.Logger.Level.INFO, "log lines suppressed: {0} more {1}", suppressed, kind);
         suppressed = 0;
     }
 }
--- a/src/main/java/pepperdock/core/ManualClock.java
+++ b/src/main/java/pepperdock/core/ManualClock.java
@@ -4,8 +4,8 @@
 import java.util.PriorityQueue;
 
 /**
- * A clock that is advanced by its user: for the warm-up, simulations and tests, where time must not depend on the machine.
- * Timers run within {@link #advance}, on its caller's thread.
+ * A clock that is advanced explicitly, for the warm-up, simulations and tests, where time must not depend on the
+ * machine. Timers run within {@link #advance}, on its caller's thread.
  */
 public final class ManualClock implements Clock {
 
@@ -16,7 +16,7 @@
     private double now;
     private long nextSequenceNumber;
 
-    /** Creates a clock that stands at {@code now}, in seconds. */
+    /** Creates a clock whose time is {@code now}, in seconds, until it is advanced. */
     public ManualClock(double now) {
         this.now = now;
     }
@@ -34,7 +34,7 @@
         return () -> scheduled.cancelled()[0] = true;
     }
 
-    /** Advances by so many seconds and runs, in order, all timers that expire meanwhile. */
+    /** Advances the clock by {@code seconds} and runs, in order, all timers that expire in that time. */
     public void advance(double seconds) {
         double end = now + seconds;
         while (!timers.isEmpty() && timers.peek().dueAt() <= end) {
--- a/src/main/java/pepperdock/core/Metrics.java
+++ b/src/main/java/pepperdock/core/Metrics.java
@@ -6,8 +6,9 @@
 import java.util.Map;
 
 /**
- * Counters of a gatherer since its start. Each event is counted once, where it happens. At any moment the queries submitted are
- * those that have ended, in one of the four ways, and those in flight. Owned by the gatherer's thread.
+ * Counters of a gatherer since its start. Each event is counted once, where it happens. At any moment the number of
+ * queries submitted equals the number that have ended, with one of the four outcomes, plus the number in flight. Owned
+ * by the gatherer's thread.
  */
 public final class Metrics {
 
@@ -15,21 +16,24 @@
     public enum QueryOutcome {
         /** Answered, from all parts or from enough of them. */
         SERVED,
-        /** Rejected; a repeat is harmless. */
+        /** Rejected; the client may safely repeat it. */
         REJECTED,
-        /** Failed, with no promise about effects. */
+        /** Failed; it may or may not have had an effect. */
         FAILED,
         /** Its client disconnected before the answer. */
         CLIENT_GONE
     }
 
     /**
-     * Class names counted, those no longer in the settings included: bounds the memory of a process whose settings are changed
-     * again and again.
+     * Maximum number of class names with counters, including those no longer in the settings. Bounds the memory of a
+     * process whose settings change often.
      */
     private static final int MAX_CLASS_NAMES = 256;
 
-    /** By the name of the class, as its number may mean another class after a change of the settings. */
+    /**
+     * Ended queries by the name of the class, because its number may denote another class after a change of the
+     * settings.
+     */
     private final Map<String, EnumMap<QueryOutcome, Long>> endedByClass = new LinkedHashMap<>() {
         private static final long serialVersionUID = 1;
 
@@ -42,7 +46,7 @@
     private long submitted;
     private long attempts;
 
-    /** A class is in force from now on, and is counted from 0 if it is new. Those added last are kept longest. */
+    /** Adds a class of the current settings; a new class is counted from 0. The classes added last are kept longest. */
     void addClass(String className) {
         EnumMap<QueryOutcome, Long> known = endedByClass.remove(className);
         endedByClass.put(className, known == null ? new EnumMap<>(QueryOutcome.class) : known);
@@ -62,22 +66,22 @@
         attempts++;
     }
 
-    /** Names of the classes counted, those in force last. */
+    /** Returns the names of the classes that have counters; the classes of the current settings come last. */
     public Iterable<String> classes() {
         return Collections.unmodifiableSet(endedByClass.keySet());
     }
 
-    /** Queries of a class counted that ended with this outcome. */
+    /** Returns the number of queries of a class that ended with this outcome; the class must have counters. */
     public long ended(String className, QueryOutcome outcome) {
         return endedByClass.get(className).getOrDefault(outcome, 0L);
     }
 
-    /** Queries submitted, those rejected on arrival included. */
+    /** Returns the number of queries submitted, including those rejected on arrival. */
     public long submittedTotal() {
         return submitted;
     }
 
-    /** Queries that have ended, whatever their outcome. */
+    /** Returns the number of queries that have ended with any outcome. */
     public long endedTotal() {
         return endedByClass.values().stream()
                 .flatMap(outcomes -> outcomes.values().stream())
@@ -85,7 +89,7 @@
                 .sum();
     }
 
-    /** Attempts whose last byte was given to the operating system. */
+    /** Returns the number of attempts whose last byte was handed to the operating system. */
     public long attempts() {
         return attempts;
     }
--- a/src/main/java/pepperdock/core/Part.java
+++ b/src/main/java/pepperdock/core/Part.java
@@ -4,11 +4,11 @@
 import java.util.List;
 import pepperdock.scheduler.AttemptOutcome;
 
-/** A part of a query, with its attempts and, once a worker has answered, its value. Owned by the gatherer's thread. */
+/** A part of a query, with its attempts and, after a worker has answered, its value. Owned by the gatherer's thread. */
 public final class Part {
 
     final long id;
-    /** In the order of the decisions. */
+    /** Attempts at this part, in the order of the decisions. */
     final List<Attempt> attempts = new ArrayList<>();
 
     byte[] value;
@@ -24,37 +24,37 @@
         this.weight = weight;
     }
 
-    /** The query that it belongs to. */
+    /** Returns the query that this part belongs to. */
     public Query query() {
         return query;
     }
 
-    /** The shard that it reads. */
+    /** Returns the shard that this part reads. */
     public int shard() {
         return shard;
     }
 
-    /** Its share of the complete answer, between 0 and 1. */
+    /** Returns this part's share of the complete answer, between 0 and 1. */
     public double weight() {
         return weight;
     }
 
-    /** The worker's answer, unchanged; null until a worker has answered. */
+    /** Returns the worker's answer, unchanged; null until a worker has answered. */
     public byte[] value() {
         return value;
     }
 
-    /** Id of the worker that answered; null until one has. */
+    /** Returns the id of the worker that answered; null until a worker has answered. */
     public String servedBy() {
         return servedBy;
     }
 
-    /** Whether the scheduler has decided on an attempt at it. */
+    /** Returns whether the scheduler has decided on an attempt at this part. */
     public boolean isSent() {
         return !attempts.isEmpty();
     }
 
-    /** Outcome of its last attempt; null when there was none, or it is in flight. */
+    /** Returns the outcome of the last attempt; null if there was no attempt or the last one is in flight. */
     public AttemptOutcome lastOutcome() {
         return attempts.isEmpty() ? null : attempts.get(attempts.size() - 1).outcome;
     }
--- a/src/main/java/pepperdock/core/PooledBackend.java
+++ b/src/main/java/pepperdock/core/PooledBackend.java
@@ -8,16 +8,16 @@
 import pepperdock.scheduler.LoadReport;
 
 /**
- * A backend that keeps one object with its connections for each listed worker, whatever protocol it speaks. Owned by the
- * gatherer's thread.
+ * Base class of backends that keep one object with the connections of each listed worker, independent of the protocol.
+ * Owned by the gatherer's thread.
  *
- * @param <W> a worker of the protocol
+ * @param <W> type that represents a worker of the protocol
  */
 public abstract class PooledBackend<W extends PooledBackend.PooledWorker> implements Backend {
 
     /** One worker and the connections to it. */
     public interface PooledWorker {
-        /** The address that it was created for. */
+        /** Returns the address that this worker was created for. */
         String address();
 
         /** Sends attempts as one call. */
@@ -29,31 +29,34 @@
         /** Starts a health check. */
         void checkHealth();
 
-        /** Closes the connections without an attempt in flight. */
+        /** Closes the connections that have no attempt in flight. */
         void closeIdleConnections();
 
-        /** Whether new calls may be sent; once not, attempts that wait for a connection end as not sent. */
+        /** Sets whether new calls may be sent; if not, attempts that wait for a connection end as not sent. */
         void setAcceptingCalls(boolean accepting);
 
-        /** The worker is no longer at its address; its id now has another. */
+        /** Called when the id of this worker has got another address and this object is replaced. */
         void retire();
 
-        /** Whether it has neither connections nor attempts that wait for one, so that it may be forgotten. */
+        /**
+         * Returns whether there are neither connections nor attempts that wait for one, so that the worker may be
+         * removed.
+         */
         boolean isUnused();
     }
 
     private final Map<String, W> workers = new HashMap<>();
     private Gatherer gatherer;
 
-    /** Creates the object for a worker that is new, or has a new address. */
+    /** Creates the object for a worker that is new or has a new address. */
     protected abstract W createWorker(WorkerEndpoint endpoint, Gatherer gatherer);
 
-    /** The worker of that id; null when none is known. */
+    /** Returns the worker with this id; null if it is unknown. */
     protected final W worker(String id) {
         return workers.get(id);
     }
 
-    /** Sets the gatherer that outcomes are reported to, before the first use. */
+    /** Sets the gatherer that outcomes are reported to; must be called before the first use. */
     public final void start(Gatherer gatherer) {
         this.gatherer = gatherer;
     }
@@ -94,7 +97,10 @@
         }
     }
 
-    /** Workers that are no longer listed accept no calls, and are forgotten once they are unused. */
+    /**
+     * Creates, replaces and updates workers. A worker that is no longer listed accepts no calls and is removed when
+     * unused.
+     */
     @Override
     public final void updateEndpoints(Map<String, WorkerEndpoint> endpoints) {
         endpoints.forEach(this::updateWorker);
--- a/src/main/java/pepperdock/core/Query.java
+++ b/src/main/java/pepperdock/core/Query.java
@@ -4,23 +4,26 @@
 import java.util.List;
 import pepperdock.scheduler.QueryClass;
 
-/** A query, from its arrival to its one final answer. Owned by the gatherer's thread. */
+/** A query, from its arrival to its only final answer. Owned by the gatherer's thread. */
 public final class Query {
 
     final long id;
     final QueryListener listener;
-    /** When the client stops waiting, in seconds on the {@link Clock}. */
+    /** Time at which the client stops waiting, in seconds on the {@link Clock}. */
     final double deadline;
-    /** The rules in force when it arrived, whatever the settings have become since. */
+    /** Class with the rules in force when the query arrived; later changes of the settings do not affect it. */
     final QueryClass queryClass;
 
     final String className;
-    /** Most attempts at one of its parts. */
+    /** Maximum number of attempts at each part. */
     final int maxAttempts;
 
     final List<Part> parts = new ArrayList<>();
     boolean ended;
-    /** Answers shortly after the deadline if the scheduler has not; null for a query that was rejected on arrival. */
+    /**
+     * Timer that answers the query shortly after its deadline if the scheduler has not; null for a query that was
+     * rejected on arrival.
+     */
     Clock.Timer deadlineGuard;
 
     private final QueryRequest request;
@@ -42,27 +45,29 @@
         this.deadline = deadline;
     }
 
-    /** Number that this gatherer uses for no other query; the client's own id may be used again. */
+    /**
+     * Returns a number that is unique among the queries of this gatherer, unlike the client's id, which may be reused.
+     */
     public long sequenceNumber() {
         return id;
     }
 
-    /** The class whose rules apply, as the settings were on arrival. */
+    /** Returns the class whose rules apply, from the settings in force on arrival. */
     public QueryClass queryClass() {
         return queryClass;
     }
 
-    /** Name of the class, as the settings were on arrival. */
+    /** Returns the name of the class, from the settings in force on arrival. */
     public String className() {
         return className;
     }
 
-    /** What the client asked for. */
+    /** Returns the client's request. */
     public QueryRequest request() {
         return request;
     }
 
-    /** Its parts, in the order of the request; none for a query that was rejected on arrival. */
+    /** Returns the parts, in the order of the request; empty for a query that was rejected on arrival. */
     public List<Part> parts() {
         return List.copyOf(parts);
     }
--- a/src/main/java/pepperdock/core/QueryLifecycle.java
+++ b/src/main/java/pepperdock/core/QueryLifecycle.java
@@ -7,18 +7,20 @@
 import pepperdock.scheduler.RetrySafety;
 
 /**
- * Accepts or rejects queries on arrival and gives each its one final answer: by the scheduler's decision, by the deadline
- * guard, or at shutdown. Owned by the gatherer's thread.
+ * Accepts or rejects queries on arrival and gives each one its only final answer: on the scheduler's decision, when the
+ * deadline guard expires, or at shutdown. Owned by the gatherer's thread.
  */
 final class QueryLifecycle {
 
-    /** No front names tenants, so all queries count for the first one's quota. */
+    /**
+     * Tenant of all queries: no front distinguishes tenants, so all queries count towards the quota of the first one.
+     */
     private static final int SOLE_TENANT = 0;
 
     private static final System.Logger LOG = System.getLogger("pepperdock.core");
     /**
-     * The guard answers so long after a query's deadline: after the scheduler's own sweep, and within the slack that the rules
-     * allow an answer.
+     * Time between a query's deadline and the deadline guard's answer: long enough for the scheduler's own sweep, and
+     * within the slack that the rules allow for an answer.
      */
     private static final double DEADLINE_GUARD_DELAY_S = 0.005;
 
@@ -49,7 +51,7 @@
         rejectionLog = new LogRateLimiter(LOG, clock, "queries rejected on arrival");
     }
 
-    /** Accepts or rejects a query; its listener is called back at the earliest after this returns. */
+    /** Accepts or rejects a query; its listener is never called before this method returns. */
     Query submit(QueryRequest request, QueryListener listener) {
         Query query = new Query(
                 registry.nextId(),
@@ -69,8 +71,9 @@
     }
 
     /**
-     * Whether the limit is reached, by what is in flight alone. A query that would exceed it with its own parts is accepted:
-     * rejecting it would leave capacity unused, and reject queries of all shards more often than others.
+     * Returns whether the queries and parts in flight reach the limit. The parts of the arriving query do not count:
+     * rejecting a query because its own parts would exceed the limit leaves capacity unused, and rejects queries of all
+     * shards more often than others.
      */
     private boolean isAtInFlightLimit() {
         return registry.capacityInUse() >= settings.current().limits().maxQueriesAndParts();
@@ -86,7 +89,8 @@
                         + (shuttingDown
                                 ? "shutting down"
                                 : "in-flight limit reached, " + registry.capacityInUse() + " of "
-                                        + settings.current().limits().maxQueriesAndParts() + " in use"));
+                                        + settings.current().limits().maxQueriesAndParts()
+                                        + " queries and parts in flight"));
         clock.after(0, () -> query.listener.onRejected(query, maxRetryAfterS()));
     }
 
@@ -112,7 +116,7 @@
         });
     }
 
-    /** Ends a query whose client has disconnected; harmless when it has ended. */
+    /** Ends a query whose client has disconnected; has no effect if the query has ended. */
     void onClientGone(Query query) {
         if (!query.ended) {
             end(query, Metrics.QueryOutcome.CLIENT_GONE);
@@ -121,12 +125,15 @@
         }
     }
 
-    /** Answers a query that the scheduler has left undecided, which it never should: its client must not wait for ever. */
+    /**
+     * Fails a query for which the scheduler has made no decision by the deadline. This should never happen, but the
+     * client must not wait forever if it does.
+     */
     private void failUndecided(Query query) {
         if (!query.ended) {
             LOG.log(
                     System.Logger.Level.WARNING,
-                    "query {0} reached its deadline undecided",
+                    "query {0} failed by the deadline guard: the scheduler made no decision by its deadline",
                     query.request().id());
             end(query, Metrics.QueryOutcome.FAILED);
             cancelInScheduler(query);
@@ -134,7 +141,10 @@
         }
     }
 
-    /** Ends all queries in flight, and rejects from now on each that arrives; both would be lost with the process. */
+    /**
+     * Ends all queries in flight and rejects those that arrive from now on, because they would be lost when the process
+     * exits.
+     */
     void shutDown() {
         shuttingDown = true;
         for (Query query : registry.queries()) {
@@ -150,13 +160,16 @@
         }
     }
 
-    /** Whether the client may repeat a query without harm: it is idempotent, or no part of it can have been executed. */
+    /**
+     * Returns whether the client may safely repeat a query, because it is idempotent or because no part of it can have
+     * been executed.
+     */
     private static boolean isRepeatable(Query query) {
         return query.queryClass.retrySafety() == RetrySafety.IDEMPOTENT
                 || query.parts.stream().flatMap(part -> part.attempts.stream()).allMatch(Attempt::neverExecuted);
     }
 
-    /** Ends a query in flight with an answer from the values that are in. */
+    /** Ends a query in flight with an answer from the values received so far. */
     void answer(Query query, boolean complete) {
         end(query, Metrics.QueryOutcome.SERVED);
         query.listener.onAnswer(query, complete);
@@ -179,8 +192,9 @@
     }
 
     /**
-     * Removes a query from those in flight. While a batch is being reported its attempts are left to the scheduler, which
-     * cancels them itself; its parts stay known until the next batch, as the scheduler may still name them.
+     * Removes a query from those in flight. While a batch is being reported, the scheduler cancels the query's attempts
+     * itself; otherwise this method abandons them. The parts stay registered until the next batch, because the
+     * scheduler may still refer to them.
      */
     private void end(Query query, Metrics.QueryOutcome outcome) {
         query.ended = true;
@@ -203,7 +217,7 @@
         return settings.current().limits().retryAfterS();
     }
 
-    /** One line for each query that ends without an answer: what on-call staff look for first. */
+    /** Logs a query that ends without an answer, in one line: the first thing that on-call staff look for. */
     private void logEnding(String how, Query query) {
         endingLog.log(
                 System.Logger.Level.INFO,
--- a/src/main/java/pepperdock/core/QueryRegistry.java
+++ b/src/main/java/pepperdock/core/QueryRegistry.java
@@ -8,8 +8,8 @@
 import java.util.Set;
 
 /**
- * The queries in flight, in the order of their arrival, their parts, and the capacity that they use. Owned by the gatherer's
- * thread.
+ * Holds the queries in flight in the order of their arrival, their parts, and the capacity that they use. Owned by the
+ * gatherer's thread.
  */
 final class QueryRegistry {
 
@@ -20,22 +20,22 @@
     private long nextArrivalNumber = 1;
     private int capacityInUse;
 
-    /** An id for a query or a part, never used again. */
+    /** Returns a new id for a query or a part; ids are never reused. */
     long nextId() {
         return nextId++;
     }
 
-    /** A number for an accepted query, by which the arrivals of its parts name it. */
+    /** Returns a new number for an accepted query, by which the arrivals of its parts refer to it. */
     long nextArrivalNumber() {
         return nextArrivalNumber++;
     }
 
-    /** The capacity that a query of so many parts uses: one for itself and one for each part. */
+    /** Returns the capacity that a query uses: one unit for itself and one for each of its parts. */
     private static int capacityOf(int parts) {
         return 1 + parts;
     }
 
-    /** Adds a query, and makes its parts from its request. */
+    /** Adds a query and creates its parts from its request. */
     void add(Query query) {
         capacityInUse += capacityOf(query.request().parts().size());
         queriesById.put(query.id, query);
@@ -47,7 +47,7 @@
         }
     }
 
-    /** Removes a query; its parts stay until {@link #removeParts}, as the scheduler may still name them. */
+    /** Removes a query; its parts stay until {@link #removeParts}, because the scheduler may still refer to them. */
     void remove(Query query) {
         queriesById.remove(query.id);
         requestIds.remove(query.request().id());
@@ -58,17 +58,17 @@
         query.parts.forEach(part -> partsById.remove(part.id));
     }
 
-    /** The query of that id; null when it is not in flight. */
+    /** Returns the query with this id; null if it is not in flight. */
     Query query(long id) {
         return queriesById.get(id);
     }
 
-    /** The part of that id; null when it is unknown. */
+    /** Returns the part with this id; null if it is unknown. */
     Part part(long id) {
         return partsById.get(id);
     }
 
-    /** A copy of the queries in flight. */
+    /** Returns a copy of the list of queries in flight. */
     List<Query> queries() {
         return List.copyOf(queriesById.values());
     }
@@ -77,12 +77,12 @@
         return queriesById.size();
     }
 
-    /** Queries and parts in flight, which {@code maxInFlight} of the settings bounds. */
+    /** Returns the number of queries and parts in flight, which {@code maxQueriesAndParts} of the settings limits. */
     int capacityInUse() {
         return capacityInUse;
     }
 
-    /** Whether a query in flight has that id of its client's. */
+    /** Returns whether a query in flight has this id, assigned by its client. */
     boolean isRequestIdInUse(String requestId) {
         return requestIds.contains(requestId);
     }
--- a/src/main/java/pepperdock/core/SettingsHolder.java
+++ b/src/main/java/pepperdock/core/SettingsHolder.java
@@ -4,19 +4,23 @@
 import pepperdock.scheduler.SchedulerSettings;
 
 /**
- * The settings in force, the names of their query classes, and how many instances share the fleet with this process.
- * Immutable settings are replaced as a whole. Owned by the gatherer's thread.
+ * Holds the current settings, the names of their query classes, and the number of processes of this gatherer among
+ * which its share of the fleet is divided. The settings are immutable and replaced as a whole. Owned by the gatherer's
+ * thread.
  */
 final class SettingsHolder {
 
-    /** Counts this process as one of so many once the other has all queries: its share of any allowance is next to nothing. */
+    /**
+     * Number of processes that this one assumes after the upgrade peer has taken over all queries, which reduces its
+     * share of any allowance to almost nothing.
+     */
     private static final int PROCESSES_AFTER_HANDOVER = 1000;
 
     private final Metrics metrics;
     private SchedulerSettings settings;
-    /** Processes of this gatherer that share what one gatherer may do. */
+    /** Number of processes of this gatherer that share the allowances of one gatherer. */
     private int processes = 1;
-    /** In the order of the classes of the settings; a class beyond them is named by its number. */
+    /** Names in the order of the classes of the settings; a class without a name here is named by its number. */
     private List<String> classNames = List.of();
 
     SettingsHolder(SchedulerSettings settings, Metrics metrics) {
@@ -28,7 +32,7 @@
         return settings;
     }
 
-    /** The settings as the scheduler has to apply them: each process of a gatherer counts as an instance. */
+    /** Returns the settings for the scheduler, in which each process of a gatherer counts as an instance. */
     SchedulerSettings forScheduler() {
         return settings.withInstances(settings.instances() * processes);
     }
@@ -38,7 +42,9 @@
         setClassNames(names);
     }
 
-    /** Names the classes of the settings in force, in their order, and has the metrics count them. */
+    /**
+     * Sets the names of the classes of the current settings, in the order of the classes, and adds them to the metrics.
+     */
     void setClassNames(List<String> names) {
         classNames = List.copyOf(names);
         for (int i = 0; i < settings.classes().size(); i++) {
--- a/src/main/java/pepperdock/core/StaticEndpointList.java
+++ b/src/main/java/pepperdock/core/StaticEndpointList.java
@@ -3,14 +3,17 @@
 import java.util.List;
 import pepperdock.scheduler.EndpointListKind;
 
-/** The endpoint list of the configuration, for deployments without discovery; it changes only when that is reloaded. */
+/**
+ * Endpoint list from the configuration, for deployments without discovery; it changes only when the configuration is
+ * reloaded.
+ */
 public final class StaticEndpointList implements EndpointDiscovery {
 
     private final Clock clock;
     private List<WorkerEndpoint> endpoints;
     private Gatherer gatherer;
 
-    /** Creates a list of these endpoints; {@link #start} comes before its first use. */
+    /** Creates a list of these endpoints; {@link #start} must be called before the first use. */
     public StaticEndpointList(Clock clock, List<WorkerEndpoint> endpoints) {
         this.clock = clock;
         this.endpoints = List.copyOf(endpoints);
@@ -21,7 +24,7 @@
         this.gatherer = gatherer;
     }
 
-    /** Replaces the list after a reload, and reports it without being asked. */
+    /** Replaces the list after a reload and reports it without waiting for a call to {@link #watch}. */
     public void replace(List<WorkerEndpoint> replacement) {
         endpoints = List.copyOf(replacement);
         watch();
--- a/src/main/java/pepperdock/core/WorkerEndpoint.java
+++ b/src/main/java/pepperdock/core/WorkerEndpoint.java
@@ -5,14 +5,14 @@
 /**
  * One entry of the endpoint list.
  *
- * @param id id of the worker, which a worker may change at each start
+ * @param id id of the worker; a worker may have a new id after each start
  * @param address host and port to connect to
- * @param zone zone that it runs in
- * @param kind kind of host that it runs on
- * @param cell cell of replicas that it belongs to
- * @param state whether it may be used
- * @param weight weight that the list gives it, 1 by default
- * @param startedAtS when it started, in seconds on the {@link Clock}; 0 for long ago
+ * @param zone zone in which the worker runs
+ * @param kind kind of host on which the worker runs
+ * @param cell cell of replicas to which the worker belongs
+ * @param state whether the worker may be used
+ * @param weight weight of the worker in the list, 1 by default
+ * @param startedAtS start time of the worker, in seconds on the {@link Clock}; 0 if it started long ago
  */
 public record WorkerEndpoint(
         String id,
--- a/src/main/java/pepperdock/events/package-info.java
+++ b/src/main/java/pepperdock/events/package-info.java
@@ -1,5 +1,5 @@
 /**
- * Machine-readable events of a gatherer, for checkers that judge several gatherers together. They are no log: names and keys are
- * stable, and each event is written where it happens, in order.
+ * Machine-readable events of a gatherer, for checkers that evaluate several gatherers together. Unlike log lines,
+ * events have stable names and keys, and each is written where it happens, in order.
  */
 package pepperdock.events;
--- a/src/test/java/pepperdock/PackagesTest.java
+++ b/src/test/java/pepperdock/PackagesTest.java
@@ -16,65 +16,69 @@
 import java.util.stream.Stream;
 import org.junit.jupiter.api.Test;
 
-/** No package imports another that, directly or by way of others, imports it. */
+/** Checks the dependencies between packages, and which classes read the wall clock. */
 class PackagesTest {
 
-    private static final Pattern USE = Pattern.compile("\\bpepperdock\\.([a-z.]+)\\.[A-Z]");
+    private static final Pattern TYPE_REFERENCE = Pattern.compile("\\bpepperdock\\.([a-z.]+)\\.[A-Z]");
 
-    private static Map<String, Set<String>> uses() throws Exception {
-        Map<String, Set<String>> uses = new TreeMap<>();
+    private static Map<String, Set<String>> dependencies() throws Exception {
+        Map<String, Set<String>> dependencies = new TreeMap<>();
         try (Stream<Path> files = Files.walk(Path.of("src/main/java/pepperdock"))) {
-            for (Path f : files.filter(p -> p.toString().endsWith(".java")).toList()) {
+            for (Path file : files.filter(p -> p.toString().endsWith(".java")).toList()) {
                 String own = Path.of("src/main/java/pepperdock")
-                        .relativize(f.getParent())
+                        .relativize(file.getParent())
                         .toString()
                         .replace('/', '.');
-                Matcher m = USE.matcher(Files.readString(f));
-                Set<String> found = uses.computeIfAbsent(own, k -> new TreeSet<>());
-                while (m.find()) {
-                    found.add(m.group(1));
+                Matcher matcher = TYPE_REFERENCE.matcher(Files.readString(file));
+                Set<String> found = dependencies.computeIfAbsent(own, k -> new TreeSet<>());
+                while (matcher.find()) {
+                    found.add(matcher.group(1));
                 }
                 found.remove(own);
             }
         }
-        return uses;
+        return dependencies;
     }
 
     @Test
-    void packagesDoNotImportInACircle() throws Exception {
-        Map<String, Set<String>> left = uses();
-        assertTrue(left.size() >= 11, left.toString());
+    void packageDependenciesHaveNoCycle() throws Exception {
+        Map<String, Set<String>> remaining = dependencies();
+        assertTrue(remaining.size() >= 11, remaining.toString());
         boolean shrinks = true;
         while (shrinks) {
-            List<String> free = new ArrayList<>();
-            left.forEach((name, used) -> {
-                if (used.stream().noneMatch(left::containsKey)) {
-                    free.add(name);
+            List<String> independent = new ArrayList<>();
+            remaining.forEach((name, used) -> {
+                if (used.stream().noneMatch(remaining::containsKey)) {
+                    independent.add(name);
                 }
             });
-            shrinks = left.keySet().removeAll(free);
+            shrinks = remaining.keySet().removeAll(independent);
         }
-        assertEquals(Map.of(), left);
+        assertEquals(Map.of(), remaining);
     }
 
     @Test
-    void theCoreKnowsNoWire() throws Exception {
-        assertEquals(Set.of("scheduler"), uses().get("core"));
-        assertEquals(Set.of("estimate"), uses().get("scheduler"));
-        assertEquals(Set.of(), uses().get("estimate"));
+    void coreDependsOnlyOnSchedulerAndSchedulerOnlyOnEstimate() throws Exception {
+        assertEquals(Set.of("scheduler"), dependencies().get("core"));
+        assertEquals(Set.of("estimate"), dependencies().get("scheduler"));
+        assertEquals(Set.of(), dependencies().get("estimate"));
     }
 
-    /** A wall clock that jumps can do nothing to a program that reads it once, at its start, and then counts from there. */
+    /**
+     * A jump of the wall clock has no effect on a program that reads it only once, at its start, and then counts from
+     * there.
+     */
     @Test
-    void theWallClockIsReadOnceByTheLoopAndByNobodyElseInService() throws Exception {
-        Pattern java = Pattern.compile(
+    void inServiceOnlyTheEventLoopReadsTheWallClockAndOnlyOnce() throws Exception {
+        Pattern clockRead = Pattern.compile(
                 "currentTimeMillis\\(|(Instant|LocalDateTime|ZonedDateTime)\\.now\\(|Clock\\.system|new Date\\(");
         Map<String, Integer> reads = new TreeMap<>();
         try (Stream<Path> files = Files.walk(Path.of("src/main/java/pepperdock"))) {
-            for (Path f : files.filter(p -> p.toString().endsWith(".java")).toList()) {
-                int n = (int) java.matcher(Files.readString(f)).results().count();
-                if (n > 0) {
-                    reads.put(f.getFileName().toString(), n);
+            for (Path file : files.filter(p -> p.toString().endsWith(".java")).toList()) {
+                int count = (int)
+                        clockRead.matcher(Files.readString(file)).results().count();
+                if (count > 0) {
+                    reads.put(file.getFileName().toString(), count);
                 }
             }
         }
--- a/src/test/java/pepperdock/core/ConcurrentEventsTest.java
+++ b/src/test/java/pepperdock/core/ConcurrentEventsTest.java
@@ -16,8 +16,9 @@
 import pepperdock.scheduler.EndpointState;
 
 /**
- * Any two events that can happen to a query with a hedged request in flight, in each order, in one batch and in two: one final
- * answer, one outcome for each attempt, nothing sent after the answer, no more attempts than the class allows.
+ * Applies any two events that can happen to a query with a hedged request in flight, in each order, in one batch and in
+ * two. Checks that there is one final answer and one outcome for each attempt, that nothing is sent after the answer,
+ * and that there are no more attempts than the class allows.
  */
 class ConcurrentEventsTest {
 
@@ -39,7 +40,10 @@
     private Attempt first;
     private Attempt hedge;
 
-    /** Submits a query of six parts, and advances until the last one unanswered has a hedged request in flight. */
+    /**
+     * Submits a query of six parts, answers all but the last one, and advances until that one has a hedged request in
+     * flight.
+     */
     private void hedgeLastPart() {
         query = fixture.submit(0, 3, 6);
         fixture.clock.advance(0.01);
@@ -81,52 +85,53 @@
     static Stream<Arguments> pairs() {
         return Stream.of(Event.values())
                 .flatMap(one -> Stream.of(Event.values())
-                        .flatMap(other -> Stream.of(false, true).map(apart -> Arguments.of(one, other, apart))));
+                        .flatMap(other -> Stream.of(false, true)
+                                .map(separateBatches -> Arguments.of(one, other, separateBatches))));
     }
 
     /**
-     * The last part of a query is slow, and a hedged request is in flight beside its first attempt. Then two things happen
-     * nearly together, in one batch or in two.
+     * The last part of a query is slow, and a hedged request is in flight beside its first attempt. Then two events
+     * happen almost at the same time, in one batch or in two.
      */
     @ParameterizedTest
     @MethodSource("pairs")
-    void concurrentEventsLeaveOneAnswerAndOneOutcomePerAttempt(Event one, Event other, boolean apart) {
+    void concurrentEventsLeaveOneAnswerAndOneOutcomePerAttempt(Event one, Event other, boolean separateBatches) {
         hedgeLastPart();
         apply(one);
-        step(apart ? 0.006 : 0);
+        step(separateBatches ? 0.006 : 0);
         apply(other);
         for (int i = 0; i < 800; i++) {
             step(0.005);
         }
-        boolean left = fixture.answers.isEmpty();
-        assertTrue(!left || one == Event.CLIENT_DISCONNECTS || other == Event.CLIENT_DISCONNECTS, "no answer");
+        boolean unanswered = fixture.answers.isEmpty();
+        assertTrue(!unanswered || one == Event.CLIENT_DISCONNECTS || other == Event.CLIENT_DISCONNECTS, "no answer");
         assertTrue(fixture.answers.size() <= 1, fixture.answers::toString);
         fixture.calls.stream()
                 .flatMap(List::stream)
-                .forEach(attempt -> assertTrue(attempt.hasEnded(), "an attempt without its outcome"));
+                .forEach(attempt -> assertTrue(attempt.hasEnded(), "an attempt has no outcome"));
         assertEquals(0, fixture.gatherer.inFlightQueries());
         Metrics metrics = fixture.gatherer.metrics();
-        assertEquals(left ? 1 : 0, metrics.ended("class-0", Metrics.QueryOutcome.CLIENT_GONE));
-        assertEquals(metrics.submittedTotal(), metrics.endedTotal(), "each counted once");
+        assertEquals(unanswered ? 1 : 0, metrics.ended("class-0", Metrics.QueryOutcome.CLIENT_GONE));
+        assertEquals(metrics.submittedTotal(), metrics.endedTotal(), "each query is counted once");
         assertEquals(Map.of(), sentAfterEnd, "sent after the query had ended");
         assertTrue(first.part().attempts.size() <= 4);
         assertEquals(first.number + 1, hedge.number);
     }
 
-    /** Advances, and records what was sent though the query had ended before. */
+    /** Advances the clock, and records an attempt that was sent although the query had ended before. */
     private void step(double seconds) {
-        boolean over = query.ended;
+        boolean ended = query.ended;
         int before = fixture.calls.size();
         fixture.clock.advance(seconds);
         assertEquals(
                 fixture.gatherer.metrics().submittedTotal(),
                 fixture.gatherer.metrics().endedTotal() + fixture.gatherer.inFlightQueries());
-        if (over && fixture.calls.size() > before) {
+        if (ended && fixture.calls.size() > before) {
             fixture.calls.get(before).forEach(attempt -> sentAfterEnd.merge(attempt, 1, Integer::sum));
         }
     }
 
-    /** A gatherer starts with its cached list, which says that two of four workers are draining: they receive nothing. */
+    /** A gatherer starts with a cached list in which two of four workers are draining: these two receive nothing. */
     @Test
     void drainingStateInCachedListIsRespected() {
         fixture.gatherer.onEndpointList(
@@ -143,7 +148,10 @@
                         .allMatch(attempt -> attempt.worker().matches("w[02]")));
     }
 
-    /** One worker is reported as draining and one as removed, and both as healthy before anything was decided: both are used. */
+    /**
+     * One worker is reported as draining and one as removed, then both as healthy before the scheduler has decided
+     * anything: both are used.
+     */
     @Test
     void returningWorkerIsUsedAgain() {
         fixture.gatherer.onEndpointList(
--- a/src/test/java/pepperdock/core/GathererFixture.java
+++ b/src/test/java/pepperdock/core/GathererFixture.java
@@ -10,7 +10,10 @@
 import pepperdock.scheduler.EndpointState;
 import pepperdock.scheduler.LoadReport;
 
-/** A gatherer whose backend, discovery and clients record what they are called with, on a clock that the test advances. */
+/**
+ * A gatherer whose backend, discovery and clients record the calls that they receive, on a clock that the test
+ * advances.
+ */
 final class GathererFixture implements Backend, QueryListener {
 
     final ManualClock clock = new ManualClock(1000);
@@ -81,17 +84,17 @@
     public void closeIdleConnections(String worker) {}
 
     @Override
-    public void updateEndpoints(Map<String, WorkerEndpoint> hosts) {}
+    public void updateEndpoints(Map<String, WorkerEndpoint> endpoints) {}
 
     @Override
-    public void onAnswer(Query query, boolean whole) {
-        answers.add("answered " + whole + ' '
+    public void onAnswer(Query query, boolean complete) {
+        answers.add("answered " + complete + ' '
                 + query.parts().stream().filter(part -> part.value() != null).count());
     }
 
     @Override
-    public void onRejected(Query query, double pauseS) {
-        answers.add("rejected " + pauseS);
+    public void onRejected(Query query, double retryAfterS) {
+        answers.add("rejected " + retryAfterS);
     }
 
     @Override
--- a/src/test/java/pepperdock/core/GathererTest.java
+++ b/src/test/java/pepperdock/core/GathererTest.java
@@ -15,16 +15,16 @@
 import pepperdock.scheduler.EndpointListKind;
 import pepperdock.scheduler.EndpointState;
 
-/** A gatherer between stand-ins for clients, workers and discovery, on a clock that the test advances. */
+/** Tests a gatherer with simulated clients, workers and discovery, on a clock that the test advances. */
 class GathererTest {
 
     private static final double STEP_S = 0.01;
-    /** The scheduler sweeps every 25 ms, in batches of 5 ms; and two steps of the clock. */
+    /** Interval of the scheduler's sweep (25 ms), plus one batch (5 ms) and two steps of the clock. */
     private static final double SWEEP_S = 0.025 + 0.005 + 2 * STEP_S;
 
     private final GathererFixture fixture = new GathererFixture();
 
-    /** A call has costs of its own: attempts at one worker share calls, of at most the batch size. */
+    /** Each call has a fixed cost, so attempts at one worker share calls of at most the batch size. */
     @Test
     void attemptsAtOneWorkerInOneBatchShareCalls() {
         fixture.submit(0, 3, 12);
@@ -40,8 +40,8 @@
     }
 
     /**
-     * All parts are answered, and a reset is reported for each before the batch closes. Only the first outcome counts: the
-     * answer is complete, and the only one.
+     * All parts are answered, and a reset is reported for each before the batch closes. Only the first outcome counts:
+     * the answer is complete, and the only one.
      */
     @Test
     void completeAnswerIsGivenOnceAndLateOutcomesAreIgnored() {
@@ -55,8 +55,8 @@
     }
 
     /**
-     * A worker accepts a call and never answers. The client waits a second: it is answered by then, and the attempt that is
-     * still in flight is cancelled.
+     * A worker accepts a call and never answers. The client waits a second: it is answered by then, and the attempt
+     * that is still in flight is cancelled.
      */
     @Test
     void queryWithoutAnswerEndsByItsDeadline() {
@@ -67,9 +67,9 @@
     }
 
     /**
-     * Three large queries are in flight, and a fourth would exceed the limit with its own parts. Were those counted before it
-     * is accepted, a gatherer would reject queries of all shards on a calm day, with a third of its capacity unused. It is
-     * accepted; the next one finds the limit reached and is rejected, small as it is.
+     * Three large queries are in flight, and the parts of a fourth would exceed the limit. It is accepted: if its own
+     * parts were counted before, a gatherer would reject queries of all shards under low load, with a third of its
+     * capacity unused. The next query finds the limit reached and is rejected, although it is small.
      */
     @Test
     void queryIsRejectedOnlyOnceInFlightLimitIsReached() {
@@ -85,8 +85,9 @@
     }
 
     /**
-     * Clients submit large queries and disconnect right after, one after another. Were their capacity not freed, the fifth
-     * would be rejected; were their attempts not cancelled, workers would go on for nobody. A disconnect may be reported twice.
+     * Clients submit large queries and disconnect right after, one after another. If their capacity were not freed, the
+     * fifth would be rejected; if their attempts were not cancelled, workers would continue to compute unused answers.
+     * A disconnect may be reported twice.
      */
     @Test
     void clientDisconnectCancelsAttemptsAndFreesCapacity() {
@@ -105,12 +106,12 @@
     }
 
     /**
-     * An operator bans a worker while a batch is open. Discovery, which knows nothing of it, then lists the worker as healthy,
-     * as a change and in a complete list, and others fail so that retries look for a worker. The banned one receives nothing
-     * until the ban is lifted; then it is used again.
+     * An operator bans a worker while a batch is open. Discovery, which does not know of the ban, then lists the worker
+     * as healthy, as a change and in a complete list, and attempts at other workers fail, so that retries need a
+     * worker. The banned worker receives nothing until the ban is lifted; then it is used again.
      */
     @Test
-    void bannedWorkerReceivesNothingWhateverTheListSays() {
+    void bannedWorkerReceivesNothingEvenIfListedAsHealthy() {
         fixture.submit(0, 3, 12);
         fixture.gatherer.setBannedEndpoints(Set.of("w1"));
         fixture.clock.advance(0.01);
@@ -147,58 +148,66 @@
     }
 
     /**
-     * While a query is in flight the settings are replaced: its class number now means a class that may not be retried. Its
-     * attempt fails. It is retried by the rules of its arrival; a query that arrived under the new ones fails.
+     * While a query is in flight, the settings are replaced, and its class number now denotes a class that must not be
+     * retried. When its attempt fails, it is retried by the rules in force on its arrival; a query that arrived under
+     * the new rules fails.
      */
     @Test
     void queryInFlightKeepsTheRulesOfItsArrival() {
-        Query old = fixture.submit(0, 3, 1);
+        Query earlier = fixture.submit(0, 3, 1);
         fixture.clock.advance(0.01);
-        DeploymentSettings other = TestDeploymentSettings.with(TestDeploymentSettings.SETTINGS
+        DeploymentSettings replacement = TestDeploymentSettings.with(TestDeploymentSettings.SETTINGS
                 .replace("\"Name\":\"history-search\"", "\"Name\":\"new\"")
                 .replace("\"DeadlineS\":3,\"Effect\":\"read_like\"", "\"DeadlineS\":3,\"Effect\":\"non_idempotent\"")
                 .replace("\"MaxAttempts\":4", "\"MaxAttempts\":1"));
-        fixture.gatherer.updateSettings(other.scheduler(), other.classes());
-        Query now = fixture.submit(0, 3, 1);
+        fixture.gatherer.updateSettings(replacement.scheduler(), replacement.classes());
+        Query later = fixture.submit(0, 3, 1);
         fixture.clock.advance(0.01);
         assertEquals(2, fixture.attemptsInFlight().size());
         List.copyOf(fixture.attemptsInFlight()).forEach(attempt -> fixture.endAttempt(attempt, AttemptOutcome.ERROR));
         fixture.clock.advance(0.1);
-        assertEquals(List.of("failed false"), fixture.answers, "not to be retried");
+        assertEquals(List.of("failed false"), fixture.answers, "the query under the new rules is not retried");
         assertEquals(
-                List.of(old),
+                List.of(earlier),
                 fixture.attemptsInFlight().stream()
                         .map(attempt -> attempt.part().query())
                         .toList(),
-                "retried by its own rules");
+                "the earlier query is retried by the rules of its arrival");
         fixture.endAttempt(fixture.attemptsInFlight().get(0), AttemptOutcome.OK);
         fixture.clock.advance(0.1);
         assertEquals(List.of("failed false", "answered true 1"), fixture.answers);
-        assertEquals(1, now.parts().get(0).attempts.size());
+        assertEquals(1, later.parts().get(0).attempts.size());
         assertEquals(1, fixture.gatherer.metrics().ended("class-0", Metrics.QueryOutcome.SERVED));
         assertEquals(1, fixture.gatherer.metrics().ended("new", Metrics.QueryOutcome.FAILED));
     }
 
     /**
-     * During an upgrade two processes of a gatherer send to a worker that has just started. Each may send half of what one
-     * alone may, or the cold worker would receive twice its allowance.
+     * During an upgrade two processes of a gatherer send to a worker that has just started. Each may send half as much
+     * as a single process, or the cold worker would receive twice its allowance.
      */
     @Test
     void coldWorkerReceivesLessWhileUpgradePeerIsActive() {
         double[] sent = new double[2];
         for (int i = 0; i < 2; i++) {
-            GathererFixture each = new GathererFixture();
-            each.gatherer.setUpgradePeerActive(i == 1);
-            each.gatherer.onEndpointList(
+            GathererFixture process = new GathererFixture();
+            process.gatherer.setUpgradePeerActive(i == 1);
+            process.gatherer.onEndpointList(
                     EndpointListKind.COMPLETE,
                     java.util.stream.IntStream.range(0, 4)
                             .mapToObj(cell -> new WorkerEndpoint(
-                                    "w" + cell, "127.0.0.1:1", 0, 0, cell, EndpointState.HEALTHY, 1, each.clock.now()))
+                                    "w" + cell,
+                                    "127.0.0.1:1",
+                                    0,
+                                    0,
+                                    cell,
+                                    EndpointState.HEALTHY,
+                                    1,
+                                    process.clock.now()))
                             .toList());
-            each.clock.advance(0.1);
-            each.submit(0, 3, 12);
-            each.clock.advance(0.01);
-            sent[i] = each.attemptsInFlight().size();
+            process.clock.advance(0.1);
+            process.submit(0, 3, 12);
+            process.clock.advance(0.01);
+            sent[i] = process.attemptsInFlight().size();
         }
         assertTrue(sent[1] <= sent[0] / 2 && sent[0] > 0, sent[0] + " alone, " + sent[1] + " beside the upgrade peer");
     }
@@ -221,8 +230,8 @@
     }
 
     /**
-     * A query arrives, and before its batch closes a complete list comes that leaves two workers out. What the scheduler
-     * decides with this batch must not go to them.
+     * A query arrives, and before its batch closes a complete list arrives that does not contain two of the workers.
+     * Attempts that the scheduler decides on in this batch must not be sent to them.
      */
     @Test
     void workerMissingFromCompleteListReceivesNothingDecidedBefore() {
@@ -239,8 +248,8 @@
     }
 
     /**
-     * A change of a balance is slow, and then its connection breaks: it may have been executed. It was not sent a second time
-     * while the first attempt might run, and its client gets one answer.
+     * A change of a balance is slow, and then its connection breaks, so that it may have been executed. It must not be
+     * sent a second time while the first attempt may be running, and its client gets exactly one answer.
      */
     @Test
     void partWithIdempotencyKeyIsNotHedgedWhileItsFirstAttemptMayRun() {
@@ -253,26 +262,27 @@
     }
 
     /**
-     * A retry waits for a connection after it was decided on. Past the window in which workers recognise its key it would be
-     * executed a second time, so it may no longer start then; nor may it once it has ended.
+     * A retry waits for a connection after it was decided on. After the window in which workers recognise its key, it
+     * would be executed a second time, so it must not start any more; nor may it start after it has ended.
      */
     @Test
     void retryWithIdempotencyKeyMayStartOnlyWithinItsWindow() {
         fixture.submit(2, 3, 1);
         fixture.clock.advance(0.1);
-        double sent = fixture.clock.now();
+        double sentAt = fixture.clock.now();
         fixture.endAttempt(fixture.calls.get(0).get(0), AttemptOutcome.ERROR);
         fixture.clock.advance(0.1);
         Attempt repeat = fixture.calls.get(1).get(0);
-        assertTrue(repeat.mayStart(sent + 1.3));
-        assertFalse(repeat.mayStart(sent + 1.51), "window of 1.5 s from the first attempt");
+        assertTrue(repeat.mayStart(sentAt + 1.3));
+        assertFalse(repeat.mayStart(sentAt + 1.51), "window of 1.5 s from the first attempt");
         fixture.endAttempt(repeat, AttemptOutcome.OK);
-        assertFalse(repeat.mayStart(sent + 0.3), "ended");
+        assertFalse(repeat.mayStart(sentAt + 0.3), "ended");
     }
 
     /**
-     * The process ends with two queries in flight: a search, which is harmless to repeat, and a change of a balance, which has
-     * been sent. A third arrives on a connection that had sent half a request. Forwarded, it would be lost with the process.
+     * The process ends with two queries in flight: a search, which may safely be repeated, and a change of a balance,
+     * which has been sent to a worker. A third query arrives on a connection that had sent half of it; if it were
+     * forwarded, it would be lost when the process exits.
      */
     @Test
     void shutdownEndsQueriesInFlightAndRejectsLaterOnes() {
@@ -290,24 +300,25 @@
     }
 
     /**
-     * Discovery fails again and again, at once or after seconds. It may be back right after a failed poll, and its changes
-     * count as known 6 s later: by then the next poll's connection (1 s) and an answer that waits its turn (2 s) have to fit in.
+     * Discovery fails repeatedly, at once or after several seconds. It may recover right after a failed poll, and its
+     * changes are expected to be known 6 s later. Within this time there must be room for the connection of the next
+     * poll (1 s) and for a queued answer (2 s).
      */
     @ParameterizedTest
     @ValueSource(doubles = {0, 1, 2, 2.5})
-    void endpointListIsPolledAgainInTimeHoweverOftenPollsFail(double failsAfterS) {
-        double apartS = Math.max(3, failsAfterS + 0.75) + SWEEP_S;
+    void endpointListIsPolledAgainInTimeAfterRepeatedFailures(double failsAfterS) {
+        double maxIntervalS = Math.max(3, failsAfterS + 0.75) + SWEEP_S;
         fixture.gatherer.onEndpointList(EndpointListKind.FAILED, List.of());
-        awaitPoll(apartS);
+        awaitPoll(maxIntervalS);
         for (int i = 0; i < 40; i++) {
             double calledAt = fixture.clock.now();
             fixture.clock.advance(failsAfterS);
             fixture.gatherer.onEndpointList(EndpointListKind.FAILED, List.of());
-            awaitPoll(calledAt + apartS - fixture.clock.now());
+            awaitPoll(calledAt + maxIntervalS - fixture.clock.now());
         }
     }
 
-    /** Advances to the next poll of the list, which has to come within so many seconds. */
+    /** Advances to the next poll of the list, which must happen within {@code withinS} seconds. */
     private void awaitPoll(double withinS) {
         int before = fixture.watchCalls;
         double end = fixture.clock.now() + withinS;
--- a/src/test/java/pepperdock/core/LogRateLimiterTest.java
+++ b/src/test/java/pepperdock/core/LogRateLimiterTest.java
@@ -12,12 +12,12 @@
 
     private final List<String> lines = new ArrayList<>();
     private final ManualClock clock = new ManualClock(5);
-    private final java.util.logging.Logger jul = java.util.logging.Logger.getLogger("test.budget");
-    private final LogRateLimiter limiter = new LogRateLimiter(System.getLogger("test.budget"), clock, "failures");
+    private final java.util.logging.Logger julLogger = java.util.logging.Logger.getLogger("test.ratelimit");
+    private final LogRateLimiter limiter = new LogRateLimiter(System.getLogger("test.ratelimit"), clock, "failures");
 
     LogRateLimiterTest() {
-        jul.setUseParentHandlers(false);
-        jul.setFilter(record -> lines.add(new SimpleFormatter().formatMessage(record)));
+        julLogger.setUseParentHandlers(false);
+        julLogger.setFilter(record -> lines.add(new SimpleFormatter().formatMessage(record)));
     }
 
     private void fail(int times) {
@@ -25,8 +25,8 @@
     }
 
     /**
-     * A hundred workers fail in one second: twenty lines are written, and one that counts the rest. Three more fail later:
-     * each has its line.
+     * A hundred workers fail in one second: twenty lines are written, and one that states the number of the others.
+     * Three more fail later, and each gets a line of its own.
      */
     @Test
     void linesBeyondTheLimitAreCountedInOneLine() {
@@ -34,27 +34,27 @@
         assertEquals(LogRateLimiter.MAX_LINES_PER_SECOND, lines.size());
         clock.advance(3);
         assertEquals(LogRateLimiter.MAX_LINES_PER_SECOND + 1, lines.size());
-        assertEquals("and 80 more failures", lines.get(LogRateLimiter.MAX_LINES_PER_SECOND));
+        assertEquals("log lines suppressed: 80 more failures", lines.get(LogRateLimiter.MAX_LINES_PER_SECOND));
         fail(3);
         clock.advance(3);
         assertEquals(LogRateLimiter.MAX_LINES_PER_SECOND + 4, lines.size());
     }
 
     /**
-     * A fault goes on for seconds. A window that begins before the suppressed lines of the last one were counted in the log
-     * must not lose their number, nor begin without lines.
+     * A fault lasts for several seconds. A new window may begin before the number of lines suppressed in the previous
+     * one was logged; that number must not be lost, and the new window must still write lines of its own.
      */
     @Test
     void noLineIsLostAcrossWindows() {
-        int told = 0;
+        int reported = 0;
         for (int i = 0; i < 50; i++) {
             fail(10);
             clock.advance(0.1);
         }
         clock.advance(2);
         for (String line : lines) {
-            told += line.startsWith("and ") ? Integer.parseInt(line.split(" ")[1]) : 1;
+            reported += line.startsWith("log lines suppressed: ") ? Integer.parseInt(line.split(" ")[3]) : 1;
         }
-        assertEquals(500, told);
+        assertEquals(500, reported);
     }
 }
--- a/src/test/java/pepperdock/core/MemoryBoundTest.java
+++ b/src/test/java/pepperdock/core/MemoryBoundTest.java
@@ -24,22 +24,26 @@
 import pepperdock.scheduler.SchedulerSettings;
 
 /**
- * Memory over a long day: the core and the scheduler forget queries, parts, attempts and workers that have ended. Checked by
- * reflection over all their maps and collections, so that those added later are covered; each that may hold something at rest
- * is named with its size.
+ * Checks that memory stays bounded over a long day: the core and the scheduler retain nothing of queries, parts and
+ * attempts that have ended and of workers that have left. All their maps and collections are searched by reflection, so
+ * that those added later are covered; those that may hold entries without a query in flight are listed with their
+ * sizes.
  */
 class MemoryBoundTest {
 
     private static final int WORKERS = 4;
-    /** Sizes without a query in flight: the list, the classes, and the scheduler's records of workers, cells and zones. */
+    /**
+     * Sizes without a query in flight: the endpoint list, the classes, and the scheduler's records of workers, cells
+     * and zones.
+     */
     private static final Map<String, Integer> AT_REST = Map.of(
-            "core.KnownEndpoints.hosts", WORKERS,
+            "core.KnownEndpoints.listedEndpoints", WORKERS,
             "core.Metrics.endedByClass", 3,
             "scheduler.EndpointRegistry.endpoints", WORKERS,
             "scheduler.EndpointRegistry.usableByCell", WORKERS,
             "scheduler.OutlierDetector.zones", 1);
 
-    /** Maps and collections that there are at least: fewer would mean that the search has missed some. */
+    /** Minimum numbers of maps and collections to be found; fewer would mean that the search has missed some. */
     private static final int CORE_COLLECTIONS = 10;
 
     private static final int SCHEDULER_COLLECTIONS = 8;
@@ -66,14 +70,14 @@
                 fixture);
     }
 
-    /** Replaces a worker by one with a new id, as at a release. */
-    private void replace() {
+    /** Replaces a worker by one with a new id, as a release does. */
+    private void replaceWorker() {
         int cell = replaced % WORKERS;
-        String old = replaced < WORKERS ? "w" + cell : "n" + (replaced - WORKERS);
+        String oldId = replaced < WORKERS ? "w" + cell : "n" + (replaced - WORKERS);
         fixture.gatherer.onEndpointList(
                 EndpointListKind.CHANGES,
                 List.of(
-                        new WorkerEndpoint(old, "127.0.0.1:1", 0, 0, cell, EndpointState.REMOVED, 1, 0),
+                        new WorkerEndpoint(oldId, "127.0.0.1:1", 0, 0, cell, EndpointState.REMOVED, 1, 0),
                         new WorkerEndpoint(
                                 "n" + replaced++,
                                 "127.0.0.1:1",
@@ -85,8 +89,8 @@
                                 fixture.clock.now())));
     }
 
-    private void day(int queries) {
-        AttemptOutcome[] ends = {
+    private void runDay(int queries) {
+        AttemptOutcome[] outcomes = {
             AttemptOutcome.OK,
             AttemptOutcome.OK,
             AttemptOutcome.OK,
@@ -100,37 +104,37 @@
             fixture.clock.advance(0.05 + 0.3 * random.nextDouble());
             for (Attempt attempt : fixture.attemptsInFlight()) {
                 if (random.nextInt(10) > 0) {
-                    fixture.endAttempt(attempt, ends[random.nextInt(ends.length)]);
+                    fixture.endAttempt(attempt, outcomes[random.nextInt(outcomes.length)]);
                 }
             }
             if (random.nextInt(10) == 0) {
                 fixture.gatherer.onClientGone(query);
             }
             if (i % 20 == 0) {
-                replace();
+                replaceWorker();
             }
             fixture.calls.clear();
         }
         fixture.clock.advance(3600);
-        // A worker that left with attempts in flight is forgotten with the next list.
+        // A worker that left with attempts in flight is removed with the next list.
         fixture.gatherer.onEndpointList(EndpointListKind.CHANGES, List.of());
         fixture.clock.advance(60);
     }
 
-    private static Object value(Field field, Object of) {
+    private static Object value(Field field, Object owner) {
         return assertDoesNotThrow(() -> {
             field.setAccessible(true);
-            return field.get(of);
+            return field.get(owner);
         });
     }
 
-    private static Map<String, Integer> sizes(Object of) {
+    private static Map<String, Integer> sizes(Object owner) {
         Map<String, Integer> sizes = new TreeMap<>();
-        for (Field field : of.getClass().getDeclaredFields()) {
-            Object held = Modifier.isStatic(field.getModifiers()) ? null : value(field, of);
-            if (held instanceof Map<?, ?> map) {
+        for (Field field : owner.getClass().getDeclaredFields()) {
+            Object fieldValue = Modifier.isStatic(field.getModifiers()) ? null : value(field, owner);
+            if (fieldValue instanceof Map<?, ?> map) {
                 sizes.put(field.getName(), map.size());
-            } else if (held instanceof Collection<?> collection) {
+            } else if (fieldValue instanceof Collection<?> collection) {
                 sizes.put(field.getName(), collection.size());
             }
         }
@@ -138,8 +142,8 @@
     }
 
     /**
-     * The objects of the core and of the scheduler that the gatherer is made of. Its clock and its backend are the fixture's,
-     * and the settings are immutable.
+     * Returns the objects of the core and of the scheduler that make up the gatherer. Leaves out the clock and the
+     * backend, which belong to the fixture, and the settings, which are immutable.
      */
     private Set<Object> components() {
         Set<Object> found = Collections.newSetFromMap(new IdentityHashMap<>());
@@ -165,19 +169,20 @@
                         || type.getPackage() == Scheduler.class.getPackage());
     }
 
-    /** Package and class, as in {@code core.Gatherer}. */
+    /** Returns the package and class of an object, as in {@code core.Gatherer}. */
     private static String name(Object owner) {
         return owner.getClass().getName().replaceFirst("^pepperdock\\.", "");
     }
 
     /**
-     * A long day: queries are answered, fail, are retried and lose their clients, and workers are replaced by new ones with ids
-     * of their own. An hour after the last nothing of them is left, or the process would run out of memory in time.
+     * Over a long day queries are answered, fail, are retried and lose their clients, and workers are replaced by ones
+     * with new ids. An hour after the last query nothing of them may be left, or the process would eventually run out
+     * of memory.
      */
     @Test
     void nothingIsRetainedOfEndedQueriesAndDepartedWorkers() throws Exception {
-        day(1500);
-        List<String> kept = new ArrayList<>();
+        runDay(1500);
+        List<String> retained = new ArrayList<>();
         Set<Object> components = components();
         Map<String, Integer> found = new TreeMap<>();
         for (Object owner : components) {
@@ -185,13 +190,13 @@
                 found.merge(owner.getClass().getPackageName(), 1, Integer::sum);
                 String collection = name(owner) + '.' + name;
                 if (size > AT_REST.getOrDefault(collection, 0)) {
-                    kept.add(collection + ": " + size);
+                    retained.add(collection + ": " + size);
                 }
             });
         }
         assertTrue(found.get("pepperdock.core") >= CORE_COLLECTIONS, found::toString);
         assertTrue(found.get("pepperdock.scheduler") >= SCHEDULER_COLLECTIONS, found::toString);
-        assertEquals(List.of(), kept);
+        assertEquals(List.of(), retained);
         assertTrue(
                 replaced > 70 && fixture.answers.size() > 1000,
                 replaced + " replaced, " + fixture.answers.size() + " answers");
