--- a/src/test/java/pepperdock/BuiltJar.java
+++ b/src/test/java/pepperdock/BuiltJar.java
@@ -12,10 +12,10 @@
 import java.util.concurrent.TimeUnit;
 import pepperdock.config.TestDeploymentSettings;
 
-/** A gatherer started from what was built, as a process of its own; ended when closed. */
+/** A gatherer started from the built jar as a separate process; closing it terminates the process. */
 final class BuiltJar implements AutoCloseable {
 
-    static final List<String> PLAIN = List.of(
+    static final List<String> SERVE_COMMAND = List.of(
             Path.of(System.getProperty("java.home"), "bin", "java").toString(),
             "-jar",
             "target/pepperdock.jar",
@@ -24,9 +24,14 @@
     final Process process;
     private final Path log;
 
-    /** {@code also} is what the configuration has besides name, address and settings: keys with their commas. */
-    BuiltJar(Path root, Path folder, List<String> command, String also, String path) throws IOException {
-        configure(folder, also);
+    /**
+     * Writes a configuration and starts the process.
+     *
+     * @param extraKeys keys of the configuration besides name, address and settings, each followed by a comma
+     * @param path search path of the process, null for that of this process
+     */
+    BuiltJar(Path root, Path folder, List<String> command, String extraKeys, String path) throws IOException {
+        configure(folder, extraKeys);
         ProcessBuilder builder = new ProcessBuilder(command).directory(root.toFile());
         builder.environment().put("EDGE_CONFIG", folder.resolve("config.json").toString());
         if (path != null) {
@@ -36,11 +41,11 @@
         process = builder.redirectErrorStream(true).redirectOutput(log.toFile()).start();
     }
 
-    static void configure(Path folder, String also) throws IOException {
+    static void configure(Path folder, String extraKeys) throws IOException {
         Files.writeString(
                 folder.resolve("config.json"),
-                "{\"name\":\"n\",\"listen\":\"127.0.0.1:0\"," + also + "\"settings\":" + TestDeploymentSettings.SETTINGS
-                        + "}");
+                "{\"name\":\"n\",\"listen\":\"127.0.0.1:0\"," + extraKeys + "\"settings\":"
+                        + TestDeploymentSettings.SETTINGS + "}");
     }
 
     String log() {
@@ -51,7 +56,7 @@
         }
     }
 
-    /** The log's line that holds such text, once it is there. */
+    /** Waits for a line of the log that contains {@code text} and returns it. */
     String awaited(String text) throws InterruptedException {
         while (true) {
             for (String line : log().lines().toList()) {
@@ -71,25 +76,25 @@
                 Integer.parseInt(line.substring(line.lastIndexOf(':') + 1).strip()));
     }
 
-    /** Asks on that connection whether the gatherer is ready, and has it say so. */
-    static void ready(Socket client) throws IOException {
+    /** Requests the readiness of the gatherer on this connection and checks that it is ready. */
+    static void assertReady(Socket client) throws IOException {
         client.getOutputStream().write("GET /-/ready HTTP/1.1\r\n\r\n".getBytes(StandardCharsets.US_ASCII));
-        StringBuilder said = new StringBuilder();
-        while (!said.toString().endsWith("{}")) {
+        StringBuilder response = new StringBuilder();
+        while (!response.toString().endsWith("{}")) {
             int next = client.getInputStream().read();
-            assertTrue(next >= 0, said.toString());
-            said.append((char) next);
+            assertTrue(next >= 0, response.toString());
+            response.append((char) next);
         }
-        assertTrue(said.toString().startsWith("HTTP/1.1 200"), said.toString());
+        assertTrue(response.toString().startsWith("HTTP/1.1 200"), response.toString());
     }
 
     @Override
     public void close() {
-        end();
+        terminate();
     }
 
-    /** SIGTERM, and its end. */
-    void end() {
+    /** Sends SIGTERM and waits until the process has ended. */
+    void terminate() {
         process.destroy();
         try {
             assertTrue(process.waitFor(30, TimeUnit.SECONDS), this::log);
--- a/src/test/java/pepperdock/DescriptorsIT.java
+++ b/src/test/java/pepperdock/DescriptorsIT.java
@@ -24,8 +24,9 @@
 import pepperdock.platform.FakeWorkerBehaviour;
 
 /**
- * The built jar where the system allows fewer descriptors than the configuration says: accept is refused. Guards against an
- * end of the program, and against a log full of it.
+ * Runs the built jar with few file descriptors: fewer than its configuration assumes, so that accepting connections
+ * fails, and with idle clients that use up the configured limit. Guards against a process that ends because accept
+ * fails, and against a log flooded with these failures.
  */
 @Timeout(120)
 class DescriptorsIT {
@@ -34,13 +35,13 @@
     private Path folder;
 
     @Test
-    void aRefusedAcceptNeitherEndsTheProgramNorFillsTheLog() throws Exception {
-        List<String> few =
-                List.of("/bin/sh", "-c", "ulimit -n 70 && exec '" + String.join("' '", BuiltJar.PLAIN) + "'");
+    void failedAcceptNeitherEndsTheProcessNorFloodsTheLog() throws Exception {
+        List<String> command =
+                List.of("/bin/sh", "-c", "ulimit -n 70 && exec '" + String.join("' '", BuiltJar.SERVE_COMMAND) + "'");
         try (BuiltJar jar = new BuiltJar(
                 Path.of("."),
                 folder,
-                few,
+                command,
                 "\"limits\":{\"sockets\":4096},\"known\":{\"seq\":1,\"whole\":true,\"hosts\":[]},",
                 null)) {
             List<Socket> clients = new ArrayList<>();
@@ -50,27 +51,27 @@
                 }
                 jar.awaited("accept failed");
             } finally {
-                for (Socket s : clients) {
-                    s.close();
+                for (Socket client : clients) {
+                    client.close();
                 }
             }
             try (Socket client = jar.connect()) {
-                BuiltJar.ready(client);
+                BuiltJar.assertReady(client);
             }
-            // XNIO pauses accepting for some seconds: told at each turn of the selector, it would fill the log.
+            // XNIO pauses accepting for some seconds. A line for each iteration of the selector would flood the log.
             assertTrue(
                     jar.log().lines().filter(l -> l.contains("accept failed")).count() < 50, jar::log);
         }
     }
 
-    /** What the process may hold, by its configuration; the least that is taken. */
-    private static final int SOCKETS = 160;
-    /** More than the queue of its listening socket would hold beside all that it may. */
+    /** Socket limit in the configuration of the process: the smallest value that is accepted. */
+    private static final int MAX_SOCKETS = 160;
+    /** More connections than the socket limit and the backlog of the listening socket allow together. */
     private static final int IDLE_CLIENTS = 400;
 
-    private long descriptors(BuiltJar jar) throws IOException {
-        try (Stream<Path> held = Files.list(Path.of("/proc", Long.toString(jar.process.pid()), "fd"))) {
-            return held.count();
+    private long descriptorCount(BuiltJar jar) throws IOException {
+        try (Stream<Path> descriptors = Files.list(Path.of("/proc", Long.toString(jar.process.pid()), "fd"))) {
+            return descriptors.count();
         }
     }
 
@@ -82,30 +83,32 @@
                         .waitFor());
     }
 
-    /** Idle clients who all come at once, to a process that can't look at them before the last has come. */
-    private void fill(BuiltJar jar, List<Socket> clients) throws Exception {
+    /** Connects the idle clients while the process is stopped, so that it sees all connections at the same time. */
+    private void connectIdleClients(BuiltJar jar, List<Socket> clients) throws Exception {
         signal(jar, "STOP");
         for (int i = 0; i < IDLE_CLIENTS; i++) {
             clients.add(jar.connect());
         }
         signal(jar, "CONT");
         try (Socket last = jar.connect()) {
-            BuiltJar.ready(last);
+            BuiltJar.assertReady(last);
         }
     }
 
-    /** Answers the one call that a watch makes, and lets the next one wait. */
-    private static void discovery(ServerSocket at, String list) {
-        Thread t = new Thread(() -> {
+    /**
+     * Starts a thread that answers the first request of a watch with {@code list} and leaves the next one unanswered.
+     */
+    private static void startDiscovery(ServerSocket server, String list) {
+        Thread thread = new Thread(() -> {
             try {
-                Socket s = at.accept();
+                Socket socket = server.accept();
                 BufferedReader in =
-                        new BufferedReader(new InputStreamReader(s.getInputStream(), StandardCharsets.US_ASCII));
+                        new BufferedReader(new InputStreamReader(socket.getInputStream(), StandardCharsets.US_ASCII));
                 String line = in.readLine();
                 while (!line.isEmpty()) {
                     line = in.readLine();
                 }
-                s.getOutputStream()
+                socket.getOutputStream()
                         .write(("HTTP/1.1 200 OK\r\nContent-Length: " + list.length() + "\r\n\r\n" + list)
                                 .getBytes(StandardCharsets.US_ASCII));
                 in.readLine();
@@ -113,19 +116,20 @@
                 // The test has ended.
             }
         });
-        t.setDaemon(true);
-        t.start();
+        thread.setDaemon(true);
+        thread.start();
     }
 
     /**
-     * Idle clients take all that clients may, while discovery is down and again while it comes back; the watch and the way to
-     * the worker get their descriptors, and the process never holds more than it may.
+     * Idle clients use all descriptors that clients may use, while discovery is down and again while it comes back. The
+     * watch and the connection to the worker still get their descriptors, and the process never holds more than its
+     * limit.
      */
     @Test
-    void aQueryIsServedThoughIdleClientsFillTheDescriptorsWhileDiscoveryIsDown() throws Exception {
-        InetAddress here = InetAddress.getLoopbackAddress();
+    void queryIsServedAlthoughIdleClientsUseUpTheDescriptorsWhileDiscoveryIsDown() throws Exception {
+        InetAddress loopback = InetAddress.getLoopbackAddress();
         int port;
-        try (ServerSocket free = new ServerSocket(0, 1, here)) {
+        try (ServerSocket free = new ServerSocket(0, 1, loopback)) {
             port = free.getLocalPort();
         }
         List<Socket> clients = new ArrayList<>();
@@ -133,51 +137,51 @@
                 BuiltJar jar = new BuiltJar(
                         Path.of("."),
                         folder,
-                        BuiltJar.PLAIN,
-                        "\"discovery\":\"127.0.0.1:" + port + "\",\"limits\":{\"sockets\":" + SOCKETS
+                        BuiltJar.SERVE_COMMAND,
+                        "\"discovery\":\"127.0.0.1:" + port + "\",\"limits\":{\"sockets\":" + MAX_SOCKETS
                                 + "},\"known\":{\"seq\":1,\"whole\":true,\"hosts\":[]},",
                         null)) {
             jar.awaited("endpoint list watch failed");
-            AtomicLong most = new AtomicLong();
-            Thread counts = new Thread(() -> {
+            AtomicLong maxHeld = new AtomicLong();
+            Thread counter = new Thread(() -> {
                 try {
                     while (jar.process.isAlive()) {
-                        most.accumulateAndGet(descriptors(jar), Math::max);
+                        maxHeld.accumulateAndGet(descriptorCount(jar), Math::max);
                     }
                 } catch (IOException | UncheckedIOException e) {
                     // The process has ended.
                 }
             });
-            counts.setDaemon(true);
-            counts.start();
-            fill(jar, clients);
-            try (ServerSocket back = new ServerSocket(port, 50, here)) {
-                discovery(
-                        back,
+            counter.setDaemon(true);
+            counter.start();
+            connectIdleClients(jar, clients);
+            try (ServerSocket discovery = new ServerSocket(port, 50, loopback)) {
+                startDiscovery(
+                        discovery,
                         "{\"seq\":2,\"whole\":true,\"hosts\":[{\"host\":\"w\",\"dial\":\"" + worker.address()
                                 + "\",\"block\":0,\"health\":\"in_service\"}]}");
-                fill(jar, clients);
-                String answer = "";
-                for (int i = 0; !answer.startsWith("HTTP/1.1 200"); i++) {
+                connectIdleClients(jar, clients);
+                String response = "";
+                for (int i = 0; !response.startsWith("HTTP/1.1 200"); i++) {
                     assertTrue(jar.process.isAlive(), jar::log);
-                    answer = ask(jar, i);
+                    response = query(jar, i);
                 }
-                assertTrue(answer.contains("\"total\":true"), answer);
+                assertTrue(response.contains("\"total\":true"), response);
             }
-            assertTrue(most.get() <= SOCKETS, () -> most + " descriptors held, of " + SOCKETS);
+            assertTrue(maxHeld.get() <= MAX_SOCKETS, () -> maxHeld + " descriptors held, limit " + MAX_SOCKETS);
         } finally {
-            for (Socket s : clients) {
-                s.close();
+            for (Socket client : clients) {
+                client.close();
             }
         }
     }
 
-    /** One query on a connection of its own; refused until the list has come. */
-    private static String ask(BuiltJar jar, int no) throws Exception {
+    /** Sends one query on a new connection and returns the response, which is an error until the list has arrived. */
+    private static String query(BuiltJar jar, int number) throws Exception {
         String body = "{\"ranges\":[{\"range\":0,\"portion\":1}],\"predicate\":\"x\"}";
         try (Socket client = jar.connect()) {
             client.getOutputStream()
-                    .write(("POST /api HTTP/1.1\r\nConnection: close\r\nRequest-Id: q" + no
+                    .write(("POST /api HTTP/1.1\r\nConnection: close\r\nRequest-Id: q" + number
                                     + "\r\nRequest-Class: payout-report\r\nRequest-Timeout-Ms: 6000\r\n"
                                     + "Content-Length: " + body.length() + "\r\n\r\n" + body)
                             .getBytes(StandardCharsets.US_ASCII));
--- a/src/test/java/pepperdock/SignalsIT.java
+++ b/src/test/java/pepperdock/SignalsIT.java
@@ -15,31 +15,33 @@
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.api.io.TempDir;
 
-/** The built jar and the signals themselves: without a handler the JVM ends at SIGHUP, with status 129. */
+/** Sends real signals to the built jar. Without a handler, the JVM would end on SIGHUP with status 129. */
 @Timeout(120)
 class SignalsIT {
 
     @TempDir
     private Path folder;
 
-    private static ServerSocket discovery() throws IOException {
-        ServerSocket s = new ServerSocket(0, 50, InetAddress.getLoopbackAddress());
-        s.setSoTimeout(60_000);
-        return s;
+    private static ServerSocket openServer() throws IOException {
+        ServerSocket server = new ServerSocket(0, 50, InetAddress.getLoopbackAddress());
+        server.setSoTimeout(60_000);
+        return server;
     }
 
-    private static String asked(ServerSocket at) throws IOException {
-        try (Socket s = at.accept()) {
-            return new BufferedReader(new InputStreamReader(s.getInputStream(), StandardCharsets.US_ASCII)).readLine();
+    /** Accepts a connection and returns the first line that it sends. */
+    private static String acceptRequestLine(ServerSocket server) throws IOException {
+        try (Socket socket = server.accept()) {
+            return new BufferedReader(new InputStreamReader(socket.getInputStream(), StandardCharsets.US_ASCII))
+                    .readLine();
         }
     }
 
-    private static String at(ServerSocket discovery) {
+    private static String discoveryKey(ServerSocket discovery) {
         return "\"discovery\":\"127.0.0.1:" + discovery.getLocalPort() + "\",";
     }
 
     private BuiltJar start(ServerSocket discovery) throws IOException {
-        return new BuiltJar(Path.of("."), folder, BuiltJar.PLAIN, at(discovery), null);
+        return new BuiltJar(Path.of("."), folder, BuiltJar.SERVE_COMMAND, discoveryKey(discovery), null);
     }
 
     private static void signal(String name, Process process) throws Exception {
@@ -48,20 +50,23 @@
     }
 
     @Test
-    void sighupMovesTheWatchAndTheProgramGoesOn() throws Exception {
-        try (ServerSocket first = discovery();
-                ServerSocket second = discovery();
+    void sighupMovesTheWatchToTheNewAddressAndTheProcessContinues() throws Exception {
+        try (ServerSocket first = openServer();
+                ServerSocket second = openServer();
                 BuiltJar jar = start(first)) {
-            assertTrue(asked(first).startsWith("GET /api/targets?since=0&"));
-            BuiltJar.configure(folder, at(second));
+            assertTrue(acceptRequestLine(first).startsWith("GET /api/targets?since=0&"));
+            BuiltJar.configure(folder, discoveryKey(second));
             signal("HUP", jar.process);
-            assertEquals("GET /api/targets HTTP/1.1", asked(second));
+            assertEquals("GET /api/targets HTTP/1.1", acceptRequestLine(second));
             assertTrue(jar.process.isAlive(), jar::log);
         }
     }
 
-    /** A worker that takes calls and answers none, listed in the file itself. */
-    private static String hangs(ServerSocket worker) {
+    /**
+     * Returns the configuration key for a static list whose four workers all are {@code worker}, which answers no
+     * calls.
+     */
+    private static String knownWorkers(ServerSocket worker) {
         StringBuilder hosts = new StringBuilder();
         for (int cell = 0; cell < 4; cell++) {
             hosts.append(cell == 0 ? "" : ",")
@@ -71,30 +76,30 @@
         return "\"known\":{\"seq\":1,\"whole\":true,\"hosts\":[" + hosts + "]},";
     }
 
-    /** In flight at a worker that hangs; a second signal and a reload come on top of the first. */
+    /** A query is in flight at a worker that hangs when SIGTERM arrives; a reload and a second SIGTERM follow. */
     @Test
-    void whatIsInHandAtSigtermIsAnsweredWhateverElseComes() throws Exception {
-        try (ServerSocket worker = discovery();
-                BuiltJar jar = new BuiltJar(Path.of("."), folder, BuiltJar.PLAIN, hangs(worker), null)) {
+    void queryInFlightAtSigtermIsAnsweredDespiteReloadAndSecondSigterm() throws Exception {
+        try (ServerSocket worker = openServer();
+                BuiltJar jar = new BuiltJar(Path.of("."), folder, BuiltJar.SERVE_COMMAND, knownWorkers(worker), null)) {
             try (Socket client = jar.connect();
-                    Socket resting = jar.connect()) {
+                    Socket idle = jar.connect()) {
                 String body = "{\"ranges\":[{\"range\":0,\"portion\":1}],\"predicate\":\"x\"}";
                 client.getOutputStream()
                         .write(("POST /api HTTP/1.1\r\nRequest-Id: a\r\nRequest-Class: payout-report\r\n"
                                         + "Request-Timeout-Ms: 900\r\nContent-Length: " + body.length() + "\r\n\r\n"
                                         + body)
                                 .getBytes(StandardCharsets.US_ASCII));
-                try (Socket taken = worker.accept()) {
-                    taken.getInputStream().readNBytes(5);
+                try (Socket workerConnection = worker.accept()) {
+                    workerConnection.getInputStream().readNBytes(5);
                     signal("TERM", jar.process);
                     jar.awaited("draining, 1 in hand");
                     signal("HUP", jar.process);
                     signal("TERM", jar.process);
                     jar.awaited("configuration reloaded");
-                    String said = new String(client.getInputStream().readNBytes(12), StandardCharsets.US_ASCII);
-                    assertTrue(said.matches("HTTP/1.1 50[34]"), said);
-                    // A connection that rested all the while is served on.
-                    BuiltJar.ready(resting);
+                    String status = new String(client.getInputStream().readNBytes(12), StandardCharsets.US_ASCII);
+                    assertTrue(status.matches("HTTP/1.1 50[34]"), status);
+                    // A connection that was idle all the time is still served.
+                    BuiltJar.assertReady(idle);
                 }
             }
             assertTrue(jar.process.waitFor(30, java.util.concurrent.TimeUnit.SECONDS));
@@ -105,42 +110,48 @@
         }
     }
 
-    private static String request(String id) {
+    private static String queryRequest(String id) {
         String body = "{\"ranges\":[{\"range\":0,\"portion\":1}],\"predicate\":\"x\"}";
         return "POST /api HTTP/1.1\r\nRequest-Id: " + id
                 + "\r\nRequest-Class: payout-report\r\nRequest-Timeout-Ms: 400\r\n" + "Content-Length: " + body.length()
                 + "\r\n\r\n" + body;
     }
 
-    /** Half a request at the signal, its rest after; and a reply that is read only once the program has ended. */
+    /**
+     * One client has sent half of a request at SIGTERM and sends the rest afterwards; another reads its reply after the
+     * process ended.
+     */
     @Test
-    void halfARequestAtSigtermIsServedAndAReplyOutlivesTheProgram() throws Exception {
-        try (ServerSocket worker = discovery();
-                BuiltJar jar = new BuiltJar(Path.of("."), folder, BuiltJar.PLAIN, hangs(worker), null);
+    void halfSentRequestAtSigtermIsServedAndUnreadReplyOutlivesTheProcess() throws Exception {
+        try (ServerSocket worker = openServer();
+                BuiltJar jar = new BuiltJar(Path.of("."), folder, BuiltJar.SERVE_COMMAND, knownWorkers(worker), null);
                 Socket half = jar.connect();
                 Socket unread = jar.connect()) {
-            byte[] whole = request("half").getBytes(StandardCharsets.US_ASCII);
-            half.getOutputStream().write(whole, 0, 30);
-            unread.getOutputStream().write(request("unread").getBytes(StandardCharsets.US_ASCII));
-            try (Socket taken = worker.accept()) {
-                taken.getInputStream().readNBytes(5);
+            byte[] request = queryRequest("half").getBytes(StandardCharsets.US_ASCII);
+            half.getOutputStream().write(request, 0, 30);
+            unread.getOutputStream().write(queryRequest("unread").getBytes(StandardCharsets.US_ASCII));
+            try (Socket workerConnection = worker.accept()) {
+                workerConnection.getInputStream().readNBytes(5);
                 signal("TERM", jar.process);
                 jar.awaited("draining, 1 in hand");
-                half.getOutputStream().write(whole, 30, whole.length - 30);
-                String said = new String(half.getInputStream().readNBytes(12), StandardCharsets.US_ASCII);
-                assertTrue(said.matches("HTTP/1.1 50[34]"), said);
+                half.getOutputStream().write(request, 30, request.length - 30);
+                String status = new String(half.getInputStream().readNBytes(12), StandardCharsets.US_ASCII);
+                assertTrue(status.matches("HTTP/1.1 50[34]"), status);
                 assertTrue(jar.process.waitFor(30, java.util.concurrent.TimeUnit.SECONDS));
             }
             assertEquals(0, jar.process.exitValue());
-            String kept = new String(unread.getInputStream().readAllBytes(), StandardCharsets.US_ASCII);
-            assertTrue(kept.matches("(?s)HTTP/1.1 50[34].*\"}"), kept);
+            String reply = new String(unread.getInputStream().readAllBytes(), StandardCharsets.US_ASCII);
+            assertTrue(reply.matches("(?s)HTTP/1.1 50[34].*\"}"), reply);
         }
     }
 
-    /** At any moment of the start it ends: by the JVM's own handling at first, by ours from before it says that it is ready. */
+    /**
+     * SIGTERM ends the process at any moment of its start: early on by the default handling of the JVM, and by the
+     * program's own handler from a moment before the process reports that it is ready.
+     */
     @Test
-    void aStartThatIsInterruptedEnds() throws Exception {
-        try (ServerSocket discovery = discovery();
+    void sigtermDuringStartEndsTheProcess() throws Exception {
+        try (ServerSocket discovery = openServer();
                 BuiltJar jar = start(discovery)) {
             signal("TERM", jar.process);
             assertTrue(jar.process.waitFor(30, java.util.concurrent.TimeUnit.SECONDS), jar::log);
@@ -148,7 +159,7 @@
                     jar.process.exitValue() == 143 || jar.process.exitValue() == 0,
                     () -> "status " + jar.process.exitValue());
         }
-        try (ServerSocket discovery = discovery();
+        try (ServerSocket discovery = openServer();
                 BuiltJar jar = start(discovery)) {
             jar.awaited(" serves on ");
             signal("TERM", jar.process);
@@ -158,18 +169,21 @@
         }
     }
 
-    /** Found on a day of restarts: closed at once, a client has nowhere to go while the next gatherer is starting. */
+    /**
+     * Guards against a failure found during a day of restarts: if kept connections are closed at once on SIGTERM, their
+     * clients have nowhere to connect to while the next gatherer is starting.
+     */
     @Test
-    void afterSigtermAKeptConnectionIsServedOnAndTheEndIsLogged() throws Exception {
-        try (ServerSocket discovery = discovery();
+    void keptConnectionIsServedAfterSigtermAndTheEndIsLogged() throws Exception {
+        try (ServerSocket discovery = openServer();
                 BuiltJar jar = start(discovery)) {
             try (Socket client = jar.connect()) {
-                BuiltJar.ready(client);
+                BuiltJar.assertReady(client);
                 signal("TERM", jar.process);
                 jar.awaited("draining, 0 in hand");
-                BuiltJar.ready(client);
+                BuiltJar.assertReady(client);
             }
-            jar.end();
+            jar.terminate();
             assertEquals(0, jar.process.exitValue());
             assertTrue(jar.log().contains("drained, with nothing in hand"), jar::log);
         }
--- a/src/test/java/pepperdock/StartIT.java
+++ b/src/test/java/pepperdock/StartIT.java
@@ -17,8 +17,9 @@
 import org.junit.jupiter.api.io.TempDir;
 
 /**
- * The built jar by way of deploy/start, in a folder of its own: with the class archive whole, cut off, spoilt and gone.
- * Guards against what was seen: handed an archive that is cut off, the JVM ends with SIGBUS before the first line.
+ * Starts the built jar through deploy/start, in a separate folder, with a class archive that is intact, truncated,
+ * corrupted or missing. Guards against an observed failure: given a truncated archive, the JVM ends with SIGBUS before
+ * its first log line.
  */
 @Timeout(120)
 class StartIT {
@@ -29,13 +30,13 @@
     private Path root;
 
     private Path archive;
-    /** The search path of the program that is started; null for this one's. */
+    /** Search path of the started process; null for that of this process. */
     private String path;
 
     private List<String> command = List.of("/bin/sh", "deploy/start", "serve");
 
     @BeforeEach
-    void copyOfWhatWasBuilt() throws IOException {
+    void copyBuildOutput() throws IOException {
         Files.createDirectories(root.resolve("target"));
         Files.createDirectories(root.resolve("deploy"));
         for (String file : new String[] {
@@ -45,23 +46,25 @@
             "deploy/start",
             "deploy/serve.args"
         }) {
-            // The archive names the jar's time of change.
+            // The archive records the modification time of the jar.
             Files.copy(Path.of(file), root.resolve(file), StandardCopyOption.COPY_ATTRIBUTES);
         }
         archive = root.resolve("target/pepperdock.jsa");
         assertTrue(archive.toFile().setWritable(true));
     }
 
-    private record Served(String log, boolean fromArchive) {}
+    private record StartResult(String log, boolean archiveMapped) {}
 
-    /** Starts, asks whether it is ready, looks (by /proc) whether the archive is mapped, ends it. */
-    private Served serves() throws Exception {
+    /**
+     * Starts the process, checks that it is ready, looks in /proc whether the archive is mapped, and ends the process.
+     */
+    private StartResult startAndServe() throws Exception {
         try (BuiltJar jar =
                 new BuiltJar(root, root, command, "\"known\":{\"seq\":1,\"whole\":true,\"hosts\":[]},", path)) {
             try (Socket client = jar.connect()) {
-                BuiltJar.ready(client);
+                BuiltJar.assertReady(client);
             }
-            return new Served(
+            return new StartResult(
                     jar.log(),
                     Files.readString(Path.of("/proc", Long.toString(jar.process.pid()), "maps"))
                             .contains("pepperdock.jsa"));
@@ -69,46 +72,49 @@
     }
 
     @Test
-    void theArchiveOfTheBuildIsInUse() throws Exception {
-        Served served = serves();
-        assertTrue(served.fromArchive() && !served.log().contains(NO_ARCHIVE), served.log());
+    void archiveOfTheBuildIsUsed() throws Exception {
+        StartResult result = startAndServe();
+        assertTrue(result.archiveMapped() && !result.log().contains(NO_ARCHIVE), result.log());
     }
 
     @Test
-    void anArchiveCutOffIsLeftAsideAndTheProgramServes() throws Exception {
+    void truncatedArchiveIsIgnoredAndTheProcessServes() throws Exception {
         try (RandomAccessFile file = new RandomAccessFile(archive.toFile(), "rw")) {
             file.setLength(file.length() / 2);
         }
-        leftAside();
+        assertServesWithoutArchive();
     }
 
     @Test
-    void anArchiveSpoiltInTheMiddleIsLeftAsideAndTheProgramServes() throws Exception {
+    void archiveCorruptedInTheMiddleIsIgnoredAndTheProcessServes() throws Exception {
         try (RandomAccessFile file = new RandomAccessFile(archive.toFile(), "rw")) {
             file.seek(file.length() / 2);
             file.write("spoilt".getBytes(StandardCharsets.US_ASCII));
         }
-        leftAside();
+        assertServesWithoutArchive();
     }
 
     @Test
-    void withoutAnArchiveTheProgramServes() throws Exception {
+    void processServesWithoutAnArchive() throws Exception {
         Files.delete(archive);
-        leftAside();
+        assertServesWithoutArchive();
     }
 
-    /** Where fork is refused, a start that wants a child's word on the archive goes without: here there is none to start. */
+    /**
+     * On a platform that refuses fork, a start script that checks the archive in a child process would go without the
+     * archive. Here no program but Java is on the search path.
+     */
     @Test
-    void theArchiveIsInUseWithNoOtherProgramThanJava() throws Exception {
+    void archiveIsUsedWhenJavaIsTheOnlyProgramOnThePath() throws Exception {
         Path bin = Files.createDirectories(root.resolve("bin"));
         Files.createSymbolicLink(bin.resolve("java"), Path.of(System.getProperty("java.home"), "bin", "java"));
         path = bin.toString();
-        theArchiveOfTheBuildIsInUse();
+        archiveOfTheBuildIsUsed();
     }
 
-    /** The platform's own line: one exec, as each further one is a step in which a start can fail. */
+    /** The run line of the platform is a single exec, because a start can fail at each further step. */
     @Test
-    void theRunLineOfThePlatformServesWithTheArchiveAndWithout() throws Exception {
+    void runLineOfThePlatformServesWithAndWithoutTheArchive() throws Exception {
         String run = Files.readAllLines(Path.of("deploy/balancer.toml")).stream()
                 .filter(l -> l.startsWith("run = "))
                 .findFirst()
@@ -116,38 +122,43 @@
                 .replaceFirst("run = \"(.*)\"", "$1");
         assertTrue(run.startsWith("exec java "), run);
         command = List.of("/bin/sh", "-c", run);
-        Served served = serves();
-        assertTrue(served.fromArchive(), served.log());
+        StartResult result = startAndServe();
+        assertTrue(result.archiveMapped(), result.log());
         Files.delete(archive);
-        served = serves();
-        assertFalse(served.fromArchive(), served.log());
+        result = startAndServe();
+        assertFalse(result.archiveMapped(), result.log());
     }
 
-    /** The jar was built anew and the archive was not: the JVM itself sees that by the jar's time, and goes on. */
+    /**
+     * The jar was rebuilt and the archive was not. The JVM detects this by the modification time of the jar and
+     * continues without the archive.
+     */
     @Test
-    void anArchiveOfAnotherJarIsLeftAsideAndTheProgramServes() throws Exception {
+    void archiveOfAnotherJarIsIgnoredAndTheProcessServes() throws Exception {
         Path jar = root.resolve("target/pepperdock.jar");
         Files.setLastModifiedTime(
                 jar,
                 java.nio.file.attribute.FileTime.fromMillis(
                         Files.getLastModifiedTime(jar).toMillis() - 100_000));
-        Served served = serves();
-        assertFalse(served.fromArchive(), served.log());
+        StartResult result = startAndServe();
+        assertFalse(result.archiveMapped(), result.log());
     }
 
-    private void leftAside() throws Exception {
-        Served served = serves();
-        assertTrue(!served.fromArchive() && served.log().contains(NO_ARCHIVE), served.log());
+    private void assertServesWithoutArchive() throws Exception {
+        StartResult result = startAndServe();
+        assertTrue(!result.archiveMapped() && result.log().contains(NO_ARCHIVE), result.log());
     }
 
     @Test
-    void nothingOfMembershipOrTheLaboratoryIsLoadedWhereTheFileHasNone() throws Exception {
+    void classesOfUnusedFeaturesAreNotLoaded() throws Exception {
         Path classes = root.resolve("classes");
         command = List.of("java", "-Xlog:class+load:file=" + classes, "-jar", "target/pepperdock.jar", "serve");
-        serves();
+        startAndServe();
         String loaded = Files.readString(classes);
-        assertTrue(loaded.contains("pepperdock.transport.EventLoop"), "the list is what it should be");
-        for (String absent : List.of(
+        assertTrue(
+                loaded.contains("pepperdock.transport.EventLoop"),
+                "the list of loaded classes contains the event loop");
+        for (String unused : List.of(
                 "pepperdock.membership.",
                 "pepperdock.simulation.",
                 "pepperdock.faultinjection.",
@@ -158,7 +169,7 @@
                 "com.fasterxml.",
                 "com.dynatrace.",
                 "org.HdrHistogram")) {
-            assertFalse(loaded.contains(absent), absent);
+            assertFalse(loaded.contains(unused), unused);
         }
     }
 }
--- a/src/test/java/pepperdock/UpgradeIT.java
+++ b/src/test/java/pepperdock/UpgradeIT.java
@@ -23,7 +23,7 @@
 import pepperdock.platform.FakeWorker;
 import pepperdock.platform.FakeWorkerBehaviour;
 
-/** Real processes of the built jar on one clients' address and one folder for their state: upgrades and bans. */
+/** Tests upgrades and bans with real processes of the built jar that share one client address and one state folder. */
 @Timeout(180)
 class UpgradeIT {
 
@@ -32,22 +32,25 @@
 
     private final FakeWorkerBehaviour behaviour = new FakeWorkerBehaviour();
     private final List<FakeWorker> workers = new ArrayList<>();
-    private final List<Gatherer> begun = new ArrayList<>();
+    private final List<GathererProcess> startedProcesses = new ArrayList<>();
     private int port;
 
-    /** One process: its log, and where operators reach it. */
-    private final class Gatherer {
+    /** One gatherer process, with its log and its operators' address. */
+    private final class GathererProcess {
         final Process process;
         final Path log;
 
-        Gatherer(String name) throws IOException {
+        GathererProcess(String name) throws IOException {
             log = folder.resolve(name + ".log");
-            ProcessBuilder b = new ProcessBuilder(BuiltJar.PLAIN);
-            b.environment().put("EDGE_CONFIG", folder.resolve("config.json").toString());
-            b.environment().put("EDGE_OPERATOR", "127.0.0.1:0");
-            b.environment().put("TMPDIR", folder.resolve("state").toString());
-            process = b.redirectErrorStream(true).redirectOutput(log.toFile()).start();
-            begun.add(this);
+            ProcessBuilder builder = new ProcessBuilder(BuiltJar.SERVE_COMMAND);
+            builder.environment()
+                    .put("EDGE_CONFIG", folder.resolve("config.json").toString());
+            builder.environment().put("EDGE_OPERATOR", "127.0.0.1:0");
+            builder.environment().put("TMPDIR", folder.resolve("state").toString());
+            process = builder.redirectErrorStream(true)
+                    .redirectOutput(log.toFile())
+                    .start();
+            startedProcesses.add(this);
         }
 
         String log() throws IOException {
@@ -68,29 +71,29 @@
 
         String call(String request) throws Exception {
             String line = awaited("operators are served on ");
-            try (Socket s = new Socket(
+            try (Socket socket = new Socket(
                     InetAddress.getLoopbackAddress(),
                     Integer.parseInt(line.substring(line.lastIndexOf(':') + 1).strip()))) {
-                s.setSoTimeout(30_000);
-                s.getOutputStream().write((request + " HTTP/1.1\r\n\r\n").getBytes(StandardCharsets.US_ASCII));
-                return new String(s.getInputStream().readAllBytes(), StandardCharsets.US_ASCII);
+                socket.setSoTimeout(30_000);
+                socket.getOutputStream().write((request + " HTTP/1.1\r\n\r\n").getBytes(StandardCharsets.US_ASCII));
+                return new String(socket.getInputStream().readAllBytes(), StandardCharsets.US_ASCII);
             }
         }
 
-        void yes(String request) throws Exception {
-            String said = call(request);
-            assertTrue(said.startsWith("HTTP/1.1 200"), said);
+        void assertSucceeds(String request) throws Exception {
+            String response = call(request);
+            assertTrue(response.startsWith("HTTP/1.1 200"), response);
         }
 
-        /** Until it says that it is ready. */
-        Gatherer ready() throws Exception {
+        /** Waits until the process reports that it is ready. */
+        GathererProcess awaitReady() throws Exception {
             while (!call("GET /-/ready").startsWith("HTTP/1.1 200")) {
                 Thread.sleep(10);
             }
             return this;
         }
 
-        long figure(String name) throws Exception {
+        long metric(String name) throws Exception {
             return call("GET /-/metrics")
                     .lines()
                     .filter(l -> l.startsWith(name + '='))
@@ -107,14 +110,14 @@
                             .waitFor());
         }
 
-        void ended() throws Exception {
+        void awaitEnd() throws Exception {
             assertTrue(process.waitFor(30, TimeUnit.SECONDS), log());
             assertEquals(0, process.exitValue(), log());
         }
     }
 
     @BeforeEach
-    void begin() throws Exception {
+    void startWorkers() throws Exception {
         Files.createDirectory(folder.resolve("state"));
         try (ServerSocket free = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
             port = free.getLocalPort();
@@ -138,260 +141,260 @@
     }
 
     @AfterEach
-    void end() throws Exception {
-        for (Gatherer g : begun) {
-            g.process.destroyForcibly();
+    void stopProcessesAndWorkers() throws Exception {
+        for (GathererProcess started : startedProcesses) {
+            started.process.destroyForcibly();
         }
-        for (FakeWorker w : workers) {
-            w.close();
+        for (FakeWorker worker : workers) {
+            worker.close();
         }
     }
 
-    private Socket client() throws IOException {
-        Socket s = new Socket(InetAddress.getLoopbackAddress(), port);
-        s.setSoTimeout(30_000);
-        return s;
+    private Socket connect() throws IOException {
+        Socket socket = new Socket(InetAddress.getLoopbackAddress(), port);
+        socket.setSoTimeout(30_000);
+        return socket;
     }
 
-    /** Asks for range 0, which w0 and w1 hold, and reads the answer. */
-    private static String ask(Socket s, String id, String text) throws IOException {
-        send(s, id, text);
-        return answer(s);
+    /** Sends a query for range 0, which w0 and w1 hold, and returns the response. */
+    private static String query(Socket client, String id, String predicate) throws IOException {
+        sendQuery(client, id, predicate);
+        return readResponse(client);
     }
 
-    private static void send(Socket s, String id, String text) throws IOException {
-        send(s, id, "payout-report", text);
+    private static void sendQuery(Socket client, String id, String predicate) throws IOException {
+        sendQuery(client, id, "payout-report", predicate);
     }
 
-    private static void send(Socket s, String id, String queryClass, String text) throws IOException {
-        String body = "{\"ranges\":[{\"range\":0,\"portion\":1}],\"predicate\":\"" + text + "\"}";
-        s.getOutputStream()
+    private static void sendQuery(Socket client, String id, String queryClass, String predicate) throws IOException {
+        String body = "{\"ranges\":[{\"range\":0,\"portion\":1}],\"predicate\":\"" + predicate + "\"}";
+        client.getOutputStream()
                 .write(("POST /api HTTP/1.1\r\nRequest-Id: " + id + "\r\nRequest-Class: " + queryClass + "\r\n"
                                 + "Request-Timeout-Ms: 2500\r\nIdempotency-Key: k" + id + "\r\nContent-Length: "
                                 + body.length() + "\r\n\r\n" + body)
                         .getBytes(StandardCharsets.US_ASCII));
     }
 
-    private static String answer(Socket s) throws IOException {
-        StringBuilder said = new StringBuilder();
-        while (!said.toString().endsWith("\r\n\r\n")) {
-            int next = s.getInputStream().read();
-            assertTrue(next >= 0, said.toString());
-            said.append((char) next);
+    private static String readResponse(Socket client) throws IOException {
+        StringBuilder response = new StringBuilder();
+        while (!response.toString().endsWith("\r\n\r\n")) {
+            int next = client.getInputStream().read();
+            assertTrue(next >= 0, response.toString());
+            response.append((char) next);
         }
-        int length = said.toString()
+        int length = response.toString()
                 .lines()
                 .filter(l -> l.startsWith("Content-Length: "))
                 .mapToInt(l -> Integer.parseInt(l.substring(16)))
                 .findFirst()
                 .orElseThrow();
-        said.append(new String(s.getInputStream().readNBytes(length), StandardCharsets.US_ASCII));
-        return said.toString();
+        response.append(new String(client.getInputStream().readNBytes(length), StandardCharsets.US_ASCII));
+        return response.toString();
     }
 
-    /** Two in a row, each with a request in flight at the old process and a connection that rests there. */
+    /** Performs two upgrades in a row, each with a query in flight at the old process and an idle connection to it. */
     @Test
-    void anUpgradeLosesNothingAndTheBansGoWithIt() throws Exception {
-        Gatherer old = new Gatherer("n0").ready();
-        old.yes("POST /-/workers/w1/disable");
-        old.yes("POST /-/workers/w1/disable");
+    void upgradeLosesNoQueryAndKeepsTheBans() throws Exception {
+        GathererProcess old = new GathererProcess("n0").awaitReady();
+        old.assertSucceeds("POST /-/workers/w1/disable");
+        old.assertSucceeds("POST /-/workers/w1/disable");
         for (int i = 1; i <= 2; i++) {
-            try (Socket resting = client();
-                    Socket flying = client()) {
-                assertTrue(ask(resting, "r" + i, "good").startsWith("HTTP/1.1 200"));
-                Gatherer now = new Gatherer("n" + i).ready();
+            try (Socket idle = connect();
+                    Socket inFlight = connect()) {
+                assertTrue(query(idle, "r" + i, "good").startsWith("HTTP/1.1 200"));
+                GathererProcess now = new GathererProcess("n" + i).awaitReady();
                 assertTrue(
                         now.log().contains("another process of this gatherer serves, 1 workers disabled"), now.log());
                 old.awaited("another process of this gatherer has begun");
-                send(flying, "f" + i, "balance-adjust", "flying" + i);
+                sendQuery(inFlight, "f" + i, "balance-adjust", "flying" + i);
                 old.signal("TERM");
                 old.awaited("no new connections here");
-                assertTrue(answer(flying).startsWith("HTTP/1.1 200"));
-                // Whoever rests is served once more, and sent to the other.
-                send(resting, "l" + i, "balance-adjust", "last" + i);
-                String last = answer(resting);
+                assertTrue(readResponse(inFlight).startsWith("HTTP/1.1 200"));
+                // An idle connection gets one more response and is closed, so that its client uses the new process.
+                sendQuery(idle, "l" + i, "balance-adjust", "last" + i);
+                String last = readResponse(idle);
                 assertTrue(last.startsWith("HTTP/1.1 200"), last);
                 for (int n = 0; n < 20; n++) {
-                    try (Socket next = client()) {
-                        assertTrue(ask(next, "n" + i + '-' + n, "good").startsWith("HTTP/1.1 200"));
+                    try (Socket next = connect()) {
+                        assertTrue(query(next, "n" + i + '-' + n, "good").startsWith("HTTP/1.1 200"));
                     }
                 }
-                old.ended();
+                old.awaitEnd();
                 now.awaited("the other process of this gatherer has ended");
                 old = now;
-                // What must not run twice went out once, by one of the two processes.
+                // A query that must not be executed twice was sent exactly once, by one of the two processes.
                 assertEquals(1, behaviour.calls("flying" + i, 0));
                 assertEquals(1, behaviour.calls("last" + i, 0));
             }
         }
-        assertEquals(1, old.figure("svc.skipped_workers"));
-        assertEquals(4, old.figure("svc.known_workers"));
-        assertEquals(0, old.figure("svc.in_progress"));
-        assertEquals(old.figure("svc.passed.payout-report"), old.figure("svc.upstream_tries"));
+        assertEquals(1, old.metric("svc.skipped_workers"));
+        assertEquals(4, old.metric("svc.known_workers"));
+        assertEquals(0, old.metric("svc.in_progress"));
+        assertEquals(old.metric("svc.passed.payout-report"), old.metric("svc.upstream_tries"));
         assertTrue(old.call("POST /-/workers/w9/disable").startsWith("HTTP/1.1 404"));
     }
 
-    /** A ban at either process of an upgrade holds at the other; and none is used until the call back. */
+    /** During an upgrade a ban at one process also applies at the other, until an operator enables the worker. */
     @Test
-    void aBanDuringAnUpgradeHoldsAtBoth() throws Exception {
-        Gatherer old = new Gatherer("n0").ready();
-        Gatherer now = new Gatherer("n1").ready();
+    void banDuringAnUpgradeAppliesToBothProcesses() throws Exception {
+        GathererProcess old = new GathererProcess("n0").awaitReady();
+        GathererProcess now = new GathererProcess("n1").awaitReady();
         old.awaited("another process of this gatherer has begun");
-        now.yes("POST /-/workers/w0/disable");
-        old.yes("POST /-/workers/w1/disable");
-        while (old.figure("svc.skipped_workers") + now.figure("svc.skipped_workers") < 4) {
+        now.assertSucceeds("POST /-/workers/w0/disable");
+        old.assertSucceeds("POST /-/workers/w1/disable");
+        while (old.metric("svc.skipped_workers") + now.metric("svc.skipped_workers") < 4) {
             Thread.sleep(10);
         }
-        try (Socket c = client()) {
-            String said = ask(c, "a", "good");
-            assertTrue(said.startsWith("HTTP/1.1 503"), said);
+        try (Socket client = connect()) {
+            String response = query(client, "a", "good");
+            assertTrue(response.startsWith("HTTP/1.1 503"), response);
         }
-        assertEquals(0, behaviour.calls("good", 0), "both holders are out");
-        now.yes("POST /-/workers/w1/enable");
-        while (old.figure("svc.skipped_workers") + now.figure("svc.skipped_workers") > 2) {
+        assertEquals(0, behaviour.calls("good", 0), "both workers that hold the range are banned");
+        now.assertSucceeds("POST /-/workers/w1/enable");
+        while (old.metric("svc.skipped_workers") + now.metric("svc.skipped_workers") > 2) {
             Thread.sleep(10);
         }
-        try (Socket c = client()) {
-            assertTrue(ask(c, "b", "good").startsWith("HTTP/1.1 200"));
+        try (Socket client = connect()) {
+            assertTrue(query(client, "b", "good").startsWith("HTTP/1.1 200"));
         }
         assertEquals(1, behaviour.calls("good", 0));
     }
 
-    /** The worker comes back under its id, at another address and cold, in a file that SIGHUP reads; then the call back comes. */
+    /** The banned worker returns with its id, cold and at another address, by a reload; later it is enabled again. */
     @Test
-    void aBanHoldsOverARestartOfTheWorkerAListAndSighupAndEndsWithTheCallBack() throws Exception {
-        Gatherer only = new Gatherer("n0").ready();
-        only.yes("POST /-/workers/w0/disable");
-        FakeWorkerBehaviour again = new FakeWorkerBehaviour();
-        FakeWorker restarted = new FakeWorker(again);
-        String old = workers.get(0).address();
+    void banOutlastsRestartOfTheWorkerAndReloadUntilTheWorkerIsEnabled() throws Exception {
+        GathererProcess gatherer = new GathererProcess("n0").awaitReady();
+        gatherer.assertSucceeds("POST /-/workers/w0/disable");
+        FakeWorkerBehaviour restartedBehaviour = new FakeWorkerBehaviour();
+        FakeWorker restarted = new FakeWorker(restartedBehaviour);
+        String oldAddress = workers.get(0).address();
         workers.add(restarted);
-        String whole = Files.readString(folder.resolve("config.json"));
+        String config = Files.readString(folder.resolve("config.json"));
         Files.writeString(
                 folder.resolve("config.json"),
-                whole.replace(
-                        old + "\",\"block\":0,\"health\":\"in_service\",\"born_ms\":0",
+                config.replace(
+                        oldAddress + "\",\"block\":0,\"health\":\"in_service\",\"born_ms\":0",
                         restarted.address() + "\",\"block\":0,\"health\":\"in_service\",\"born_ms\":"
                                 + System.currentTimeMillis()));
-        assertFalse(Files.readString(folder.resolve("config.json")).contains(old));
-        only.signal("HUP");
-        while (only.figure("svc.loads") < 1) {
+        assertFalse(Files.readString(folder.resolve("config.json")).contains(oldAddress));
+        gatherer.signal("HUP");
+        while (gatherer.metric("svc.loads") < 1) {
             Thread.sleep(10);
         }
         for (int i = 0; i < 20; i++) {
-            try (Socket c = client()) {
-                assertTrue(ask(c, "b" + i, "good").startsWith("HTTP/1.1 200"));
+            try (Socket client = connect()) {
+                assertTrue(query(client, "b" + i, "good").startsWith("HTTP/1.1 200"));
             }
         }
-        assertEquals(0, again.calls("good", 0), "nothing to it, whatever the list says");
-        only.yes("POST /-/workers/w0/enable");
-        for (int i = 0; again.calls("good", 0) == 0; i++) {
-            try (Socket c = client()) {
-                assertTrue(ask(c, "a" + i, "good").startsWith("HTTP/1.1 200"));
+        assertEquals(0, restartedBehaviour.calls("good", 0), "banned, although listed as in service");
+        gatherer.assertSucceeds("POST /-/workers/w0/enable");
+        for (int i = 0; restartedBehaviour.calls("good", 0) == 0; i++) {
+            try (Socket client = connect()) {
+                assertTrue(query(client, "a" + i, "good").startsWith("HTTP/1.1 200"));
             }
         }
     }
 
-    /** Read by both while both serve, and by the one that is left: whoever is asked knows the new class, and not the old one. */
+    /** Both processes reload settings that replace a class: each then accepts the new class and rejects the old one. */
     @Test
-    void settingsThatChangeDuringAnUpgradeAreTakenByBoth() throws Exception {
-        Gatherer old = new Gatherer("n0").ready();
-        Gatherer now = new Gatherer("n1").ready();
-        String whole = Files.readString(folder.resolve("config.json"));
+    void settingsChangedDuringAnUpgradeAreLoadedByBothProcesses() throws Exception {
+        GathererProcess old = new GathererProcess("n0").awaitReady();
+        GathererProcess now = new GathererProcess("n1").awaitReady();
+        String config = Files.readString(folder.resolve("config.json"));
         Files.writeString(
                 folder.resolve("config.json"),
-                whole.replace("\"payout-report\"", "\"wallet-move\"")
+                config.replace("\"payout-report\"", "\"wallet-move\"")
                         .replace("\"MaxAttempts\":4", "\"MaxAttempts\":1"));
-        for (Gatherer g : List.of(old, now)) {
-            g.signal("HUP");
-            g.awaited("configuration reloaded");
-            while (g.figure("svc.loads") < 1) {
+        for (GathererProcess each : List.of(old, now)) {
+            each.signal("HUP");
+            each.awaited("configuration reloaded");
+            while (each.metric("svc.loads") < 1) {
                 Thread.sleep(10);
             }
         }
         for (int i = 0; i < 20; i++) {
-            try (Socket c = client()) {
-                send(c, "n" + i, "wallet-move", "good");
-                assertTrue(answer(c).startsWith("HTTP/1.1 200"));
-                send(c, "o" + i, "payout-report", "good");
-                assertTrue(answer(c).startsWith("HTTP/1.1 400"));
+            try (Socket client = connect()) {
+                sendQuery(client, "n" + i, "wallet-move", "good");
+                assertTrue(readResponse(client).startsWith("HTTP/1.1 200"));
+                sendQuery(client, "o" + i, "payout-report", "good");
+                assertTrue(readResponse(client).startsWith("HTTP/1.1 400"));
             }
         }
-        assertEquals(20, old.figure("svc.passed.wallet-move") + now.figure("svc.passed.wallet-move"));
-        try (Socket c = client()) {
-            send(c, "once", "wallet-move", "bad:*");
-            assertTrue(answer(c).startsWith("HTTP/1.1 503"));
+        assertEquals(20, old.metric("svc.passed.wallet-move") + now.metric("svc.passed.wallet-move"));
+        try (Socket client = connect()) {
+            sendQuery(client, "once", "wallet-move", "bad:*");
+            assertTrue(readResponse(client).startsWith("HTTP/1.1 503"));
         }
         assertEquals(1, behaviour.calls("bad:*", 0), "one attempt");
         old.signal("TERM");
-        old.ended();
-        assertEquals(0, now.figure("svc.load_errors"));
+        old.awaitEnd();
+        assertEquals(0, now.metric("svc.load_errors"));
     }
 
-    /** Killed, or never begun for a fault in its file: the old process serves on as though nothing had been. */
+    /** The new process is killed, or exits on an error in its configuration; the old one keeps serving as before. */
     @Test
-    void aNewProcessThatDiesOrNeverBeginsHarmsNothing() throws Exception {
-        Gatherer old = new Gatherer("n0").ready();
-        Gatherer killed = new Gatherer("n1").ready();
+    void newProcessThatIsKilledOrFailsToStartDoesNotAffectTheOldOne() throws Exception {
+        GathererProcess old = new GathererProcess("n0").awaitReady();
+        GathererProcess killed = new GathererProcess("n1").awaitReady();
         old.awaited("another process of this gatherer has begun");
         killed.process.destroyForcibly().waitFor();
         old.awaited("the other process of this gatherer has ended");
-        String whole = Files.readString(folder.resolve("config.json"));
-        Files.writeString(folder.resolve("config.json"), whole.replace("\"MaxAttempts\":4", "\"MaxAttempts\":0"));
-        Gatherer faulty = new Gatherer("n2");
+        String config = Files.readString(folder.resolve("config.json"));
+        Files.writeString(folder.resolve("config.json"), config.replace("\"MaxAttempts\":4", "\"MaxAttempts\":0"));
+        GathererProcess faulty = new GathererProcess("n2");
         assertEquals(2, faulty.process.waitFor());
         assertTrue(faulty.log().contains("settings.Limits.MaxAttempts"), faulty.log());
         old.signal("HUP");
         old.awaited("configuration not reloaded");
-        try (Socket c = client()) {
-            assertTrue(ask(c, "a", "good").startsWith("HTTP/1.1 200"));
-            assertFalse(ask(c, "b", "good").contains("Connection: close"));
+        try (Socket client = connect()) {
+            assertTrue(query(client, "a", "good").startsWith("HTTP/1.1 200"));
+            assertFalse(query(client, "b", "good").contains("Connection: close"));
         }
-        assertEquals(0, old.figure("svc.loads"));
-        assertEquals(1, old.figure("svc.load_errors"));
+        assertEquals(0, old.metric("svc.loads"));
+        assertEquals(1, old.metric("svc.load_errors"));
     }
 
-    /** The new process has not begun to serve: it waits for a list that does not come. Nobody may be left without either. */
+    /** While the new process waits for an endpoint list, the old one must accept connections although told to end. */
     @Test
-    void toldToEndBeforeTheNewOneServesTheOldOneTakesWhoComes() throws Exception {
-        Gatherer old = new Gatherer("n0").ready();
+    void oldProcessToldToEndAcceptsConnectionsUntilTheNewOneServes() throws Exception {
+        GathererProcess old = new GathererProcess("n0").awaitReady();
         try (ServerSocket discovery = new ServerSocket(0, 50, InetAddress.getLoopbackAddress())) {
-            String whole = Files.readString(folder.resolve("config.json"));
+            String config = Files.readString(folder.resolve("config.json"));
             Files.writeString(
                     folder.resolve("config.json"),
-                    whole.replace(
+                    config.replace(
                             "\"name\":", "\"discovery\":\"127.0.0.1:" + discovery.getLocalPort() + "\",\"name\":"));
-            Gatherer now = new Gatherer("n1");
-            try (Socket asks = discovery.accept()) {
-                assertEquals('G', asks.getInputStream().read());
+            GathererProcess now = new GathererProcess("n1");
+            try (Socket listRequest = discovery.accept()) {
+                assertEquals('G', listRequest.getInputStream().read());
                 old.awaited("another process of this gatherer has begun");
                 old.signal("TERM");
                 old.awaited("draining, 0 in hand");
-                try (Socket c = client()) {
-                    assertTrue(ask(c, "a", "good").startsWith("HTTP/1.1 200"));
+                try (Socket client = connect()) {
+                    assertTrue(query(client, "a", "good").startsWith("HTTP/1.1 200"));
                 }
-                now.ready();
+                now.awaitReady();
             }
             assertFalse(old.log().contains("no new connections here"), old.log());
-            old.ended();
+            old.awaitEnd();
         }
     }
 
-    /** The ban waits for nothing: not for a dial, not for a repeat that is about to go. */
+    /** A ban takes effect at once, also for attempts that wait for a connection and retries about to be sent. */
     @Test
-    void aDamagedStateIsSurvivedAndADisabledWorkerIsNotEvenRetriedAt() throws Exception {
+    void damagedBanFileDoesNotPreventTheStartAndDisabledWorkerReceivesNoRetries() throws Exception {
         Files.writeString(folder.resolve("state").resolve("bans.json"), "{\"version\":1,\"disab");
-        Gatherer only = new Gatherer("n0").ready();
-        only.awaited("bans not readable");
-        only.yes("POST /-/workers/w0/disable");
-        try (Socket c = client()) {
-            String said = ask(c, "a", "bad:*");
-            assertTrue(said.startsWith("HTTP/1.1 503"), said);
+        GathererProcess gatherer = new GathererProcess("n0").awaitReady();
+        gatherer.awaited("bans not readable");
+        gatherer.assertSucceeds("POST /-/workers/w0/disable");
+        try (Socket client = connect()) {
+            String response = query(client, "a", "bad:*");
+            assertTrue(response.startsWith("HTTP/1.1 503"), response);
         }
-        assertEquals(only.figure("svc.upstream_tries"), behaviour.calls("bad:*", 0));
-        only.signal("TERM");
-        only.ended();
-        Gatherer next = new Gatherer("n1").ready();
+        assertEquals(gatherer.metric("svc.upstream_tries"), behaviour.calls("bad:*", 0));
+        gatherer.signal("TERM");
+        gatherer.awaitEnd();
+        GathererProcess next = new GathererProcess("n1").awaitReady();
         assertTrue(next.log().contains("no other process of this gatherer, 1 workers disabled"), next.log());
     }
 }
