--- a/src/test/java/pepperdock/BuiltJar.java
+++ b/src/test/java/pepperdock/BuiltJar.java
@@ -57,7 +57,7 @@
     }
 
     /** Waits for a line of the log that contains {@code text} and returns it. */
-    String awaited(String text) throws InterruptedException {
+    String awaitLogLine(String text) throws InterruptedException {
         while (true) {
             for (String line : log().lines().toList()) {
                 if (line.contains(text)) {
@@ -70,7 +70,7 @@
     }
 
     Socket connect() throws IOException, InterruptedException {
-        String line = awaited(" serves on ");
+        String line = awaitLogLine(" serves on ");
         return new Socket(
                 InetAddress.getLoopbackAddress(),
                 Integer.parseInt(line.substring(line.lastIndexOf(':') + 1).strip()));
--- a/src/test/java/pepperdock/DescriptorsIT.java
+++ b/src/test/java/pepperdock/DescriptorsIT.java
@@ -49,7 +49,7 @@
                 for (int i = 0; i < 120; i++) {
                     clients.add(jar.connect());
                 }
-                jar.awaited("accept failed");
+                jar.awaitLogLine("accept failed");
             } finally {
                 for (Socket client : clients) {
                     client.close();
@@ -141,7 +141,7 @@
                         "\"discovery\":\"127.0.0.1:" + port + "\",\"limits\":{\"sockets\":" + MAX_SOCKETS
                                 + "},\"known\":{\"seq\":1,\"whole\":true,\"hosts\":[]},",
                         null)) {
-            jar.awaited("endpoint list watch failed");
+            jar.awaitLogLine("endpoint list watch failed");
             AtomicLong maxHeld = new AtomicLong();
             Thread counter = new Thread(() -> {
                 try {
--- a/src/test/java/pepperdock/SignalsIT.java
+++ b/src/test/java/pepperdock/SignalsIT.java
@@ -92,10 +92,10 @@
                 try (Socket workerConnection = worker.accept()) {
                     workerConnection.getInputStream().readNBytes(5);
                     signal("TERM", jar.process);
-                    jar.awaited("draining, 1 in hand");
+                    jar.awaitLogLine("draining, 1 in hand");
                     signal("HUP", jar.process);
                     signal("TERM", jar.process);
-                    jar.awaited("configuration reloaded");
+                    jar.awaitLogLine("configuration reloaded");
                     String status = new String(client.getInputStream().readNBytes(12), StandardCharsets.US_ASCII);
                     assertTrue(status.matches("HTTP/1.1 50[34]"), status);
                     // A connection that was idle all the time is still served.
@@ -133,7 +133,7 @@
             try (Socket workerConnection = worker.accept()) {
                 workerConnection.getInputStream().readNBytes(5);
                 signal("TERM", jar.process);
-                jar.awaited("draining, 1 in hand");
+                jar.awaitLogLine("draining, 1 in hand");
                 half.getOutputStream().write(request, 30, request.length - 30);
                 String status = new String(half.getInputStream().readNBytes(12), StandardCharsets.US_ASCII);
                 assertTrue(status.matches("HTTP/1.1 50[34]"), status);
@@ -161,7 +161,7 @@
         }
         try (ServerSocket discovery = openServer();
                 BuiltJar jar = start(discovery)) {
-            jar.awaited(" serves on ");
+            jar.awaitLogLine(" serves on ");
             signal("TERM", jar.process);
             assertTrue(jar.process.waitFor(30, java.util.concurrent.TimeUnit.SECONDS), jar::log);
             assertEquals(0, jar.process.exitValue());
@@ -180,7 +180,7 @@
             try (Socket client = jar.connect()) {
                 BuiltJar.assertReady(client);
                 signal("TERM", jar.process);
-                jar.awaited("draining, 0 in hand");
+                jar.awaitLogLine("draining, 0 in hand");
                 BuiltJar.assertReady(client);
             }
             jar.terminate();
--- a/src/test/java/pepperdock/UpgradeIT.java
+++ b/src/test/java/pepperdock/UpgradeIT.java
@@ -57,7 +57,7 @@
             return Files.exists(log) ? Files.readString(log) : "";
         }
 
-        String awaited(String text) throws Exception {
+        String awaitLogLine(String text) throws Exception {
             while (true) {
                 for (String line : log().lines().toList()) {
                     if (line.contains(text)) {
@@ -70,7 +70,7 @@
         }
 
         String call(String request) throws Exception {
-            String line = awaited("operators are served on ");
+            String line = awaitLogLine("operators are served on ");
             try (Socket socket = new Socket(
                     InetAddress.getLoopbackAddress(),
                     Integer.parseInt(line.substring(line.lastIndexOf(':') + 1).strip()))) {
@@ -85,7 +85,6 @@
             assertTrue(response.startsWith("HTTP/1.1 200"), response);
         }
 
-        /** Waits until the process reports that it is ready. */
         GathererProcess awaitReady() throws Exception {
             while (!call("GET /-/ready").startsWith("HTTP/1.1 200")) {
                 Thread.sleep(10);
@@ -195,20 +194,21 @@
     /** Performs two upgrades in a row, each with a query in flight at the old process and an idle connection to it. */
     @Test
     void upgradeLosesNoQueryAndKeepsTheBans() throws Exception {
-        GathererProcess old = new GathererProcess("n0").awaitReady();
-        old.assertSucceeds("POST /-/workers/w1/disable");
-        old.assertSucceeds("POST /-/workers/w1/disable");
+        GathererProcess oldProcess = new GathererProcess("n0").awaitReady();
+        oldProcess.assertSucceeds("POST /-/workers/w1/disable");
+        oldProcess.assertSucceeds("POST /-/workers/w1/disable");
         for (int i = 1; i <= 2; i++) {
             try (Socket idle = connect();
                     Socket inFlight = connect()) {
                 assertTrue(query(idle, "r" + i, "good").startsWith("HTTP/1.1 200"));
-                GathererProcess now = new GathererProcess("n" + i).awaitReady();
+                GathererProcess newProcess = new GathererProcess("n" + i).awaitReady();
                 assertTrue(
-                        now.log().contains("another process of this gatherer serves, 1 workers disabled"), now.log());
-                old.awaited("another process of this gatherer has begun");
+                        newProcess.log().contains("another process of this gatherer serves, 1 workers disabled"),
+                        newProcess.log());
+                oldProcess.awaitLogLine("another process of this gatherer has begun");
                 sendQuery(inFlight, "f" + i, "balance-adjust", "flying" + i);
-                old.signal("TERM");
-                old.awaited("no new connections here");
+                oldProcess.signal("TERM");
+                oldProcess.awaitLogLine("no new connections here");
                 assertTrue(readResponse(inFlight).startsWith("HTTP/1.1 200"));
                 // An idle connection gets one more response and is closed, so that its client uses the new process.
                 sendQuery(idle, "l" + i, "balance-adjust", "last" + i);
@@ -219,30 +219,30 @@
                         assertTrue(query(next, "n" + i + '-' + n, "good").startsWith("HTTP/1.1 200"));
                     }
                 }
-                old.awaitEnd();
-                now.awaited("the other process of this gatherer has ended");
-                old = now;
+                oldProcess.awaitEnd();
+                newProcess.awaitLogLine("the other process of this gatherer has ended");
+                oldProcess = newProcess;
                 // A query that must not be executed twice was sent exactly once, by one of the two processes.
                 assertEquals(1, behaviour.calls("flying" + i, 0));
                 assertEquals(1, behaviour.calls("last" + i, 0));
             }
         }
-        assertEquals(1, old.metric("svc.skipped_workers"));
-        assertEquals(4, old.metric("svc.known_workers"));
-        assertEquals(0, old.metric("svc.in_progress"));
-        assertEquals(old.metric("svc.passed.payout-report"), old.metric("svc.upstream_tries"));
-        assertTrue(old.call("POST /-/workers/w9/disable").startsWith("HTTP/1.1 404"));
+        assertEquals(1, oldProcess.metric("svc.skipped_workers"));
+        assertEquals(4, oldProcess.metric("svc.known_workers"));
+        assertEquals(0, oldProcess.metric("svc.in_progress"));
+        assertEquals(oldProcess.metric("svc.passed.payout-report"), oldProcess.metric("svc.upstream_tries"));
+        assertTrue(oldProcess.call("POST /-/workers/w9/disable").startsWith("HTTP/1.1 404"));
     }
 
     /** During an upgrade a ban at one process also applies at the other, until an operator enables the worker. */
     @Test
     void banDuringAnUpgradeAppliesToBothProcesses() throws Exception {
-        GathererProcess old = new GathererProcess("n0").awaitReady();
-        GathererProcess now = new GathererProcess("n1").awaitReady();
-        old.awaited("another process of this gatherer has begun");
-        now.assertSucceeds("POST /-/workers/w0/disable");
-        old.assertSucceeds("POST /-/workers/w1/disable");
-        while (old.metric("svc.skipped_workers") + now.metric("svc.skipped_workers") < 4) {
+        GathererProcess oldProcess = new GathererProcess("n0").awaitReady();
+        GathererProcess newProcess = new GathererProcess("n1").awaitReady();
+        oldProcess.awaitLogLine("another process of this gatherer has begun");
+        newProcess.assertSucceeds("POST /-/workers/w0/disable");
+        oldProcess.assertSucceeds("POST /-/workers/w1/disable");
+        while (oldProcess.metric("svc.skipped_workers") + newProcess.metric("svc.skipped_workers") < 4) {
             Thread.sleep(10);
         }
         try (Socket client = connect()) {
@@ -250,8 +250,8 @@
             assertTrue(response.startsWith("HTTP/1.1 503"), response);
         }
         assertEquals(0, behaviour.calls("good", 0), "both workers that hold the range are banned");
-        now.assertSucceeds("POST /-/workers/w1/enable");
-        while (old.metric("svc.skipped_workers") + now.metric("svc.skipped_workers") > 2) {
+        newProcess.assertSucceeds("POST /-/workers/w1/enable");
+        while (oldProcess.metric("svc.skipped_workers") + newProcess.metric("svc.skipped_workers") > 2) {
             Thread.sleep(10);
         }
         try (Socket client = connect()) {
@@ -298,16 +298,16 @@
     /** Both processes reload settings that replace a class: each then accepts the new class and rejects the old one. */
     @Test
     void settingsChangedDuringAnUpgradeAreLoadedByBothProcesses() throws Exception {
-        GathererProcess old = new GathererProcess("n0").awaitReady();
-        GathererProcess now = new GathererProcess("n1").awaitReady();
+        GathererProcess oldProcess = new GathererProcess("n0").awaitReady();
+        GathererProcess newProcess = new GathererProcess("n1").awaitReady();
         String config = Files.readString(folder.resolve("config.json"));
         Files.writeString(
                 folder.resolve("config.json"),
                 config.replace("\"payout-report\"", "\"wallet-move\"")
                         .replace("\"MaxAttempts\":4", "\"MaxAttempts\":1"));
-        for (GathererProcess each : List.of(old, now)) {
+        for (GathererProcess each : List.of(oldProcess, newProcess)) {
             each.signal("HUP");
-            each.awaited("configuration reloaded");
+            each.awaitLogLine("configuration reloaded");
             while (each.metric("svc.loads") < 1) {
                 Thread.sleep(10);
             }
@@ -320,63 +320,63 @@
                 assertTrue(readResponse(client).startsWith("HTTP/1.1 400"));
             }
         }
-        assertEquals(20, old.metric("svc.passed.wallet-move") + now.metric("svc.passed.wallet-move"));
+        assertEquals(20, oldProcess.metric("svc.passed.wallet-move") + newProcess.metric("svc.passed.wallet-move"));
         try (Socket client = connect()) {
             sendQuery(client, "once", "wallet-move", "bad:*");
             assertTrue(readResponse(client).startsWith("HTTP/1.1 503"));
         }
         assertEquals(1, behaviour.calls("bad:*", 0), "one attempt");
-        old.signal("TERM");
-        old.awaitEnd();
-        assertEquals(0, now.metric("svc.load_errors"));
+        oldProcess.signal("TERM");
+        oldProcess.awaitEnd();
+        assertEquals(0, newProcess.metric("svc.load_errors"));
     }
 
     /** The new process is killed, or exits on an error in its configuration; the old one keeps serving as before. */
     @Test
     void newProcessThatIsKilledOrFailsToStartDoesNotAffectTheOldOne() throws Exception {
-        GathererProcess old = new GathererProcess("n0").awaitReady();
+        GathererProcess oldProcess = new GathererProcess("n0").awaitReady();
         GathererProcess killed = new GathererProcess("n1").awaitReady();
-        old.awaited("another process of this gatherer has begun");
+        oldProcess.awaitLogLine("another process of this gatherer has begun");
         killed.process.destroyForcibly().waitFor();
-        old.awaited("the other process of this gatherer has ended");
+        oldProcess.awaitLogLine("the other process of this gatherer has ended");
         String config = Files.readString(folder.resolve("config.json"));
         Files.writeString(folder.resolve("config.json"), config.replace("\"MaxAttempts\":4", "\"MaxAttempts\":0"));
         GathererProcess faulty = new GathererProcess("n2");
         assertEquals(2, faulty.process.waitFor());
         assertTrue(faulty.log().contains("settings.Limits.MaxAttempts"), faulty.log());
-        old.signal("HUP");
-        old.awaited("configuration not reloaded");
+        oldProcess.signal("HUP");
+        oldProcess.awaitLogLine("configuration not reloaded");
         try (Socket client = connect()) {
             assertTrue(query(client, "a", "good").startsWith("HTTP/1.1 200"));
             assertFalse(query(client, "b", "good").contains("Connection: close"));
         }
-        assertEquals(0, old.metric("svc.loads"));
-        assertEquals(1, old.metric("svc.load_errors"));
+        assertEquals(0, oldProcess.metric("svc.loads"));
+        assertEquals(1, oldProcess.metric("svc.load_errors"));
     }
 
     /** While the new process waits for an endpoint list, the old one must accept connections although told to end. */
     @Test
     void oldProcessToldToEndAcceptsConnectionsUntilTheNewOneServes() throws Exception {
-        GathererProcess old = new GathererProcess("n0").awaitReady();
+        GathererProcess oldProcess = new GathererProcess("n0").awaitReady();
         try (ServerSocket discovery = new ServerSocket(0, 50, InetAddress.getLoopbackAddress())) {
             String config = Files.readString(folder.resolve("config.json"));
             Files.writeString(
                     folder.resolve("config.json"),
                     config.replace(
                             "\"name\":", "\"discovery\":\"127.0.0.1:" + discovery.getLocalPort() + "\",\"name\":"));
-            GathererProcess now = new GathererProcess("n1");
+            GathererProcess newProcess = new GathererProcess("n1");
             try (Socket listRequest = discovery.accept()) {
                 assertEquals('G', listRequest.getInputStream().read());
-                old.awaited("another process of this gatherer has begun");
-                old.signal("TERM");
-                old.awaited("draining, 0 in hand");
+                oldProcess.awaitLogLine("another process of this gatherer has begun");
+                oldProcess.signal("TERM");
+                oldProcess.awaitLogLine("draining, 0 in hand");
                 try (Socket client = connect()) {
                     assertTrue(query(client, "a", "good").startsWith("HTTP/1.1 200"));
                 }
-                now.awaitReady();
+                newProcess.awaitReady();
             }
-            assertFalse(old.log().contains("no new connections here"), old.log());
-            old.awaitEnd();
+            assertFalse(oldProcess.log().contains("no new connections here"), oldProcess.log());
+            oldProcess.awaitEnd();
         }
     }
 
@@ -385,7 +385,7 @@
     void damagedBanFileDoesNotPreventTheStartAndDisabledWorkerReceivesNoRetries() throws Exception {
         Files.writeString(folder.resolve("state").resolve("bans.json"), "{\"version\":1,\"disab");
         GathererProcess gatherer = new GathererProcess("n0").awaitReady();
-        gatherer.awaited("bans not readable");
+        gatherer.awaitLogLine("bans not readable");
         gatherer.assertSucceeds("POST /-/workers/w0/disable");
         try (Socket client = connect()) {
             String response = query(client, "a", "bad:*");
