--- a/src/main/java/pepperdock/benchmark/DecisionCost.java
+++ b/src/main/java/pepperdock/benchmark/DecisionCost.java
@@ -6,8 +6,8 @@
 import java.util.SplittableRandom;
 import pepperdock.core.Attempt;
 import pepperdock.core.Gatherer;
-import pepperdock.core.InertBackend;
 import pepperdock.core.ManualClock;
+import pepperdock.core.NoOpBackend;
 import pepperdock.core.Query;
 import pepperdock.core.QueryListener;
 import pepperdock.core.QueryRequest;
@@ -137,7 +137,7 @@
     }
 
     /** Answers each part after its drawn time, by a timer. */
-    private final class Workers extends InertBackend {
+    private final class Workers extends NoOpBackend {
         private final Behaviour behaviour;
 
         private Workers(Behaviour behaviour) {
--- a/src/main/java/pepperdock/benchmark/NodeListCost.java
+++ b/src/main/java/pepperdock/benchmark/NodeListCost.java
@@ -9,8 +9,8 @@
 import pepperdock.config.DeploymentSettings;
 import pepperdock.config.EndpointListJson;
 import pepperdock.core.Gatherer;
-import pepperdock.core.InertBackend;
 import pepperdock.core.ManualClock;
+import pepperdock.core.NoOpBackend;
 import pepperdock.core.WorkerEndpoint;
 import pepperdock.scheduler.EndpointListKind;
 
@@ -60,7 +60,7 @@
         change = EndpointListJson.write(hosts.subList(0, ONE_CHANGE), site)
                 .replace("\"whole\":true", "\"whole\":false")
                 .getBytes(StandardCharsets.UTF_8);
-        core = new Gatherer(site.scheduler(), 1, clock, new InertBackend(), () -> {});
+        core = new Gatherer(site.scheduler(), 1, clock, new NoOpBackend(), () -> {});
         core.addEndpointListListener(listed -> known = listed.size());
     }
 
--- a/src/main/java/pepperdock/core/NoOpBackend.java
+++ b/src/main/java/pepperdock/core/NoOpBackend.java
@@ -4,7 +4,7 @@
 import java.util.Map;
 
 /** A backend whose methods do nothing; benchmarks, simulations and tests override the methods that they need. */
-public class InertBackend implements Backend {
+public class NoOpBackend implements Backend {
 
     @Override
     public void sendCall(String worker, List<Attempt> call) {}
--- a/src/main/java/pepperdock/platform/JvmWarmup.java
+++ b/src/main/java/pepperdock/platform/JvmWarmup.java
@@ -13,8 +13,8 @@
 import pepperdock.core.Attempt;
 import pepperdock.core.Clock;
 import pepperdock.core.Gatherer;
-import pepperdock.core.InertBackend;
 import pepperdock.core.ManualClock;
+import pepperdock.core.NoOpBackend;
 import pepperdock.core.WorkerEndpoint;
 import pepperdock.scheduler.AttemptOutcome;
 import pepperdock.scheduler.EndpointListKind;
@@ -130,7 +130,7 @@
     }
 
     /** Answers every call after a while, by way of the frame codec. */
-    private static final class EchoBackend extends InertBackend {
+    private static final class EchoBackend extends NoOpBackend {
 
         private final ManualClock clock;
         /** Set once the gatherer has been made with this backend. */
--- a/src/main/java/pepperdock/simulation/SimulatedFleet.java
+++ b/src/main/java/pepperdock/simulation/SimulatedFleet.java
@@ -9,8 +9,8 @@
 import pepperdock.config.PlanConfig;
 import pepperdock.core.Attempt;
 import pepperdock.core.Gatherer;
-import pepperdock.core.InertBackend;
 import pepperdock.core.ManualClock;
+import pepperdock.core.NoOpBackend;
 import pepperdock.core.Query;
 import pepperdock.core.QueryListener;
 import pepperdock.core.QueryRequest;
@@ -235,7 +235,7 @@
     }
 
     /** One gatherer's connections to the nodes. */
-    private final class Wire extends InertBackend {
+    private final class Wire extends NoOpBackend {
         private final int gatherer;
         private Gatherer core;
 
--- a/src/test/java/pepperdock/dnssd/DnsSdTest.java
+++ b/src/test/java/pepperdock/dnssd/DnsSdTest.java
@@ -16,8 +16,8 @@
 import pepperdock.config.DnsSdConfig;
 import pepperdock.config.TestDeploymentSettings;
 import pepperdock.core.Gatherer;
-import pepperdock.core.InertBackend;
 import pepperdock.core.ManualClock;
+import pepperdock.core.NoOpBackend;
 import pepperdock.core.WorkerEndpoint;
 import pepperdock.scheduler.EndpointState;
 
@@ -41,7 +41,7 @@
                 TestDeploymentSettings.small(),
                 clock,
                 thread::add);
-        Gatherer core = new Gatherer(TestDeploymentSettings.small().scheduler(), 1, clock, new InertBackend(), sd);
+        Gatherer core = new Gatherer(TestDeploymentSettings.small().scheduler(), 1, clock, new NoOpBackend(), sd);
         sd.start(core);
         core.addEndpointListListener(hosts -> {
             listed = hosts;
--- a/src/test/java/pepperdock/platform/ClientGoneOnBusyLoopTest.java
+++ b/src/test/java/pepperdock/platform/ClientGoneOnBusyLoopTest.java
@@ -24,8 +24,8 @@
 import pepperdock.core.Attempt;
 import pepperdock.core.Backend;
 import pepperdock.core.Gatherer;
-import pepperdock.core.InertBackend;
 import pepperdock.core.Metrics;
+import pepperdock.core.NoOpBackend;
 import pepperdock.scheduler.AttemptOutcome;
 import pepperdock.scheduler.EndpointListKind;
 import pepperdock.scheduler.LoadReport;
@@ -88,7 +88,7 @@
     }
 
     /** A backend that records the attempts sent and does nothing else. */
-    private static final class RecordingBackend extends InertBackend {
+    private static final class RecordingBackend extends NoOpBackend {
         final BlockingQueue<Attempt> sent = new LinkedBlockingQueue<>();
 
         @Override
