--- a/src/main/java/pepperdock/core/InertBackend.java
+++ b/src/main/java/pepperdock/core/NoOpBackend.java
@@ -3,8 +3,8 @@
 import java.util.List;
 import java.util.Map;
 
-/** A backend that opens and sends nothing; simulations override what they need. */
-public class InertBackend implements Backend {
+/** A backend whose methods do nothing; benchmarks, simulations and tests override the methods that they need. */
+public class NoOpBackend implements Backend {
 
     @Override
     public void sendCall(String worker, List<Attempt> call) {}
--- a/src/test/java/pepperdock/dnssd/DnsSdTest.java
+++ b/src/test/java/pepperdock/dnssd/DnsSdTest.java
@@ -16,8 +16,8 @@
 import pepperdock.config.DnsSdConfig;
 import pepperdock.config.TestDeploymentSettings;
 import pepperdock.core.Gatherer;
-import pepperdock.core.InertBackend;
 import pepperdock.core.ManualClock;
+import pepperdock.core.NoOpBackend;
 import pepperdock.core.WorkerEndpoint;
 import pepperdock.scheduler.EndpointState;
 
@@ -42,7 +42,7 @@
                 clock,
                 callbacks::add);
         Gatherer gatherer =
-                new Gatherer(TestDeploymentSettings.small().scheduler(), 1, clock, new InertBackend(), discovery);
+                new Gatherer(TestDeploymentSettings.small().scheduler(), 1, clock, new NoOpBackend(), discovery);
         discovery.start(gatherer);
         gatherer.addEndpointListListener(reported -> {
             endpoints = reported;
