--- a/src/main/java/pepperdock/codec/frame/Frame.java
+++ b/src/main/java/pepperdock/codec/frame/Frame.java
@@ -1,7 +1,7 @@
 package pepperdock.codec.frame;
 
 /**
- * One frame, without its length.
+ * A frame without its length field.
  *
  * @param type one byte on the wire
  * @param payload the bytes after the type
--- a/src/main/java/pepperdock/codec/frame/FrameEncoder.java
+++ b/src/main/java/pepperdock/codec/frame/FrameEncoder.java
@@ -1,16 +1,16 @@
 package pepperdock.codec.frame;
 
-/** Encodes frames. Stateless; may be used on any thread. */
+/** Encodes frames. Stateless and thread-safe. */
 public final class FrameEncoder {
 
-    /** Bytes of the length field; the length counts the type and the payload. */
+    /** The size of the length field; the length counts the type and the payload. */
     static final int LENGTH_BYTES = 4;
-    /** Bytes before the payload: the length and the type. */
+    /** The size of the header before the payload: the length and the type. */
     public static final int HEADER_BYTES = LENGTH_BYTES + 1;
 
     private FrameEncoder() {}
 
-    /** Encodes one frame. */
+    /** Returns the bytes of a frame. */
     public static byte[] encode(char type, byte[] payload) {
         int length = payload.length + 1;
         byte[] bytes = new byte[LENGTH_BYTES + length];
--- a/src/main/java/pepperdock/codec/frame/FrameParser.java
+++ b/src/main/java/pepperdock/codec/frame/FrameParser.java
@@ -3,8 +3,9 @@
 import java.util.Arrays;
 
 /**
- * Splits a stream of bytes, which comes in any pieces, into frames. Feed it the bytes that were received, discard as many as it
- * used, and take the frame; repeat until it uses none. Not thread-safe: one parser for one connection.
+ * Splits a stream of bytes, which arrives in chunks of any size, into frames. Feed it the received bytes, discard as
+ * many as it consumed, and take the frame; repeat until it consumes none. Not thread-safe: each connection has its own
+ * parser.
  */
 public final class FrameParser {
 
@@ -13,15 +14,15 @@
     private Frame frame;
 
     /**
-     * Accepts frames of these types whose length is at most {@code maxLength} bytes. Any other is rejected as soon as its
-     * header has come: the payload of an invalid frame might never end.
+     * Creates a parser that accepts frames of these types whose length is at most {@code maxLength} bytes. Any other
+     * frame is rejected as soon as its header has arrived: the payload of an invalid frame might never end.
      */
     public FrameParser(int maxLength, String types) {
         this.maxLength = maxLength;
         this.types = types;
     }
 
-    /** Returns how many bytes were used: those of one complete frame, which {@link #take} then returns, or none. */
+    /** Consumes the bytes of one complete frame, which {@link #take} then returns, or none; returns how many. */
     public int feed(byte[] bytes, int from, int to) throws FrameException {
         int available = to - from;
         if (available < FrameEncoder.LENGTH_BYTES) {
@@ -29,14 +30,14 @@
         }
         int length = readInt(bytes, from);
         if (length < 1 || length > maxLength) {
-            throw new FrameException("frame of length " + length);
+            throw new FrameException("invalid frame length " + length);
         }
         if (available < FrameEncoder.HEADER_BYTES) {
             return 0;
         }
         int type = bytes[from + FrameEncoder.LENGTH_BYTES] & 0xff;
         if (types.indexOf(type) < 0) {
-            throw new FrameException("frame of type " + type);
+            throw new FrameException("unexpected frame type " + type);
         }
         if (available - FrameEncoder.LENGTH_BYTES < length) {
             return 0;
@@ -53,7 +54,7 @@
                 | bytes[from + 3] & 0xff;
     }
 
-    /** Returns the frame that the last feed completed, once; null where there is none. */
+    /** Returns the frame that the last call of {@link #feed} completed, once; null if there is none. */
     public Frame take() {
         Frame taken = frame;
         frame = null;
--- a/src/main/java/pepperdock/codec/http/HttpException.java
+++ b/src/main/java/pepperdock/codec/http/HttpException.java
@@ -1,16 +1,16 @@
 package pepperdock.codec.http;
 
-/** A message that can't be taken, with the status that fits it. */
+/** Thrown for an HTTP message that cannot be accepted; carries the HTTP status to answer with. */
 public final class HttpException extends Exception {
 
     private static final long serialVersionUID = 1;
     private final int status;
-    /** A message that can not be accepted; {@code status} is the HTTP status to answer with. */
+    /** Creates an exception; {@code status} is the HTTP status to answer with. */
     public HttpException(int status, String message) {
         super(message);
         this.status = status;
     }
-    /** The HTTP status to answer with. */
+    /** Returns the HTTP status to answer with. */
     public int status() {
         return status;
     }
--- a/src/main/java/pepperdock/codec/http/HttpParser.java
+++ b/src/main/java/pepperdock/codec/http/HttpParser.java
@@ -8,26 +8,29 @@
 import java.util.regex.Pattern;
 
 /**
- * Reads HTTP/1.1 messages, one after another, from bytes that come in any cuts. Feed it what has come; it says how much
- * it used, and stops after a message until {@link #take} hands that over.
+ * Parses HTTP/1.1 messages, one after another, from bytes that arrive in chunks of any size. {@link #feed} returns how
+ * many bytes it consumed, and stops after a message until {@link #take} has returned it.
  */
 public final class HttpParser {
 
     private static final int MAX_LINE_BYTES = 8192;
     private static final int MAX_HEAD_BYTES = 16384;
-    /** Empty lines that may stand before a message; more are no client's habit but a head that never begins. */
+    /**
+     * Empty lines accepted before a message. No client habitually sends more; endless ones are a head that never
+     * begins.
+     */
     private static final int MAX_EMPTY_LINES = 4;
 
     private static final Pattern VERSION = Pattern.compile("HTTP/1\\.[01]");
     private static final Pattern METHOD = Pattern.compile("[A-Za-z]+");
-    private static final Pattern NAME = Pattern.compile("[!#$%&'*+.^_`|~0-9a-z-]+");
+    private static final Pattern HEADER_NAME = Pattern.compile("[!#$%&'*+.^_`|~0-9a-z-]+");
     private static final Pattern DIGITS = Pattern.compile("[0-9A-Fa-f]{1,16}");
 
-    private enum At {
+    private enum State {
         START,
         HEADERS,
         BODY,
-        TO_END,
+        BODY_UNTIL_CLOSE,
         CHUNK_SIZE,
         CHUNK,
         CHUNK_END,
@@ -35,9 +38,9 @@
         DONE
     }
 
-    private final boolean responses;
+    private final boolean parsingResponses;
     private final int maxBodyBytes;
-    private At at = At.START;
+    private State state = State.START;
     private String method;
     private String target;
     private int status;
@@ -45,11 +48,11 @@
     private Map<String, String> headers = new HashMap<>();
     private ByteArrayOutputStream body = new ByteArrayOutputStream(0);
     private int bodyBytesLeft;
-    private int head;
+    private int headBytes;
     private int emptyLines;
 
-    private HttpParser(boolean responses, int maxBodyBytes) {
-        this.responses = responses;
+    private HttpParser(boolean parsingResponses, int maxBodyBytes) {
+        this.parsingResponses = parsingResponses;
         this.maxBodyBytes = maxBodyBytes;
     }
     /** Parses requests with bodies of at most {@code maxBodyBytes} bytes. */
@@ -62,17 +65,17 @@
     }
 
     /**
-     * Consumes bytes in {@code [from, to)} up to the end of a message; returns how many.
+     * Consumes bytes in {@code [from, to)} up to the end of a message and returns how many.
      *
-     * @throws HttpException if the bytes are no HTTP/1.1 message within the limits
+     * @throws HttpException if the bytes are not an HTTP/1.1 message within the limits
      */
     public int feed(byte[] bytes, int from, int to) throws HttpException {
         int position = from;
-        while (at != At.DONE) {
-            boolean inBody = at == At.BODY || at == At.CHUNK || at == At.TO_END;
+        while (state != State.DONE) {
+            boolean inBody = state == State.BODY || state == State.CHUNK || state == State.BODY_UNTIL_CLOSE;
             int consumed = inBody ? feedBody(bytes, position, to) : feedLine(bytes, position, to);
             position += consumed;
-            if (inBody ? at == At.TO_END || bodyBytesLeft > 0 : consumed == 0) {
+            if (inBody ? state == State.BODY_UNTIL_CLOSE || bodyBytesLeft > 0 : consumed == 0) {
                 break;
             }
         }
@@ -80,192 +83,195 @@
     }
 
     private int feedBody(byte[] bytes, int from, int to) throws HttpException {
-        int count = at == At.TO_END ? to - from : Math.min(bodyBytesLeft, to - from);
-        grow(count);
+        int count = state == State.BODY_UNTIL_CLOSE ? to - from : Math.min(bodyBytesLeft, to - from);
+        checkBodySize(count);
         body.write(bytes, from, count);
         bodyBytesLeft -= count;
-        if (at != At.TO_END && bodyBytesLeft <= 0) {
-            at = at == At.BODY ? At.DONE : At.CHUNK_END;
+        if (state != State.BODY_UNTIL_CLOSE && bodyBytesLeft <= 0) {
+            state = state == State.BODY ? State.DONE : State.CHUNK_END;
         }
         return count;
     }
 
-    /** Consumes one line with its end; 0 where it is not complete yet. */
+    /** Consumes one line with its line end and returns its size; returns 0 if the line is not complete yet. */
     private int feedLine(byte[] bytes, int from, int to) throws HttpException {
         int end = from;
         while (end < to && bytes[end] != '\n') {
             end++;
         }
         if (end - from > MAX_LINE_BYTES) {
-            throw new HttpException(at == At.START ? 414 : 431, "line too long");
+            throw new HttpException(state == State.START ? 414 : 431, "line too long");
         }
         if (end == to) {
             return 0;
         }
-        int last = end - 1;
-        if (last < from || bytes[last] != '\r') {
+        int lineEnd = end - 1;
+        if (lineEnd < from || bytes[lineEnd] != '\r') {
             throw new HttpException(400, "line end without CR");
         }
-        line(text(bytes, from, last));
+        parseLine(decodeLine(bytes, from, lineEnd));
         return end + 1 - from;
     }
-    /** Whether a complete message can be taken. */
+    /** Returns whether a complete message can be taken. */
     public boolean isComplete() {
-        return at == At.DONE;
+        return state == State.DONE;
     }
 
-    /** Whether nothing of a next message has been seen. */
+    /** Returns whether no part of the next message has been parsed. */
     public boolean isBeforeMessage() {
-        return at == At.START && head == 0;
+        return state == State.START && headBytes == 0;
     }
 
-    /** The other side has closed; completes a response whose length that marks. */
+    /** Handles the close by the other side, which completes a response whose length is marked by the close. */
     public void onEndOfInput() {
-        if (at == At.TO_END) {
-            at = At.DONE;
+        if (state == State.BODY_UNTIL_CLOSE) {
+            state = State.DONE;
         }
     }
 
-    /** Hands over the message and makes ready for the next. */
+    /** Returns the message and prepares the parser for the next one. */
     public HttpMessage take() {
         String connection = headers.getOrDefault("connection", "").toLowerCase(Locale.ROOT);
-        boolean keep = isHttp10 ? connection.contains("keep-alive") : !connection.contains("close");
-        HttpMessage m = new HttpMessage(method, target, status, headers, body.toByteArray(), keep);
-        at = At.START;
+        boolean keepAlive = isHttp10 ? connection.contains("keep-alive") : !connection.contains("close");
+        HttpMessage message = new HttpMessage(method, target, status, headers, body.toByteArray(), keepAlive);
+        state = State.START;
         headers = new HashMap<>();
         body = new ByteArrayOutputStream(0);
-        head = 0;
-        return m;
+        headBytes = 0;
+        return message;
     }
 
-    /** Control characters, a bare CR among them, end a line for one reader and not for the next: none is let in. */
-    private static String text(byte[] bytes, int from, int to) throws HttpException {
+    /**
+     * Decodes a line. Rejects control characters, including a bare CR: some parsers take them for the end of a line,
+     * others do not.
+     */
+    private static String decodeLine(byte[] bytes, int from, int to) throws HttpException {
         for (int i = from; i < to; i++) {
             if (bytes[i] >= 0 && bytes[i] < ' ' && bytes[i] != '\t' || bytes[i] == 0x7f) {
-                throw new HttpException(400, "control character");
+                throw new HttpException(400, "control character in a line");
             }
         }
         return new String(bytes, from, to - from, StandardCharsets.ISO_8859_1);
     }
 
-    private void line(String text) throws HttpException {
-        head += text.length() + 2;
-        if (head > MAX_HEAD_BYTES && (at == At.HEADERS || at == At.TRAILERS)) {
+    private void parseLine(String text) throws HttpException {
+        headBytes += text.length() + 2;
+        if (headBytes > MAX_HEAD_BYTES && (state == State.HEADERS || state == State.TRAILERS)) {
             throw new HttpException(431, "head too large");
         }
-        switch (at) {
-            case START -> start(text);
+        switch (state) {
+            case START -> parseStartLine(text);
             case HEADERS -> {
                 if (text.isEmpty()) {
-                    headEnds();
+                    onHeadComplete();
                 } else {
-                    header(text);
+                    parseHeader(text);
                 }
             }
             case CHUNK_SIZE -> {
-                bodyBytesLeft = chunkSize(text);
-                at = bodyBytesLeft > 0 ? At.CHUNK : At.TRAILERS;
+                bodyBytesLeft = parseChunkSize(text);
+                state = bodyBytesLeft > 0 ? State.CHUNK : State.TRAILERS;
             }
             case CHUNK_END -> {
                 if (!text.isEmpty()) {
-                    throw new HttpException(400, "no line end after a chunk");
+                    throw new HttpException(400, "no line end after chunk data");
                 }
-                at = At.CHUNK_SIZE;
+                state = State.CHUNK_SIZE;
             }
             default -> {
                 if (text.isEmpty()) {
-                    at = At.DONE;
+                    state = State.DONE;
                 }
             }
         }
     }
 
-    private void start(String text) throws HttpException {
+    private void parseStartLine(String text) throws HttpException {
         if (text.isEmpty()) {
-            head = 0;
+            headBytes = 0;
             if (++emptyLines > MAX_EMPTY_LINES) {
-                throw new HttpException(400, "no request line");
+                throw new HttpException(400, "too many empty lines before a message");
             }
             return;
         }
-        String[] words = text.split(" ", 3);
-        String version = words.length < 2 ? "" : responses ? words[0] : words[words.length - 1];
-        if (!VERSION.matcher(version).matches() || !responses && words.length != 3) {
-            throw new HttpException(400, "not HTTP/1.1");
+        String[] fields = text.split(" ", 3);
+        String version = fields.length < 2 ? "" : parsingResponses ? fields[0] : fields[fields.length - 1];
+        if (!VERSION.matcher(version).matches() || !parsingResponses && fields.length != 3) {
+            throw new HttpException(400, "expected an HTTP/1.0 or HTTP/1.1 message");
         }
         isHttp10 = version.endsWith("0");
-        if (responses) {
-            status = number(words[1], 10, 999);
+        if (parsingResponses) {
+            status = parseNumber(fields[1], 10, 999);
         } else {
-            method = words[0];
-            target = words[1];
+            method = fields[0];
+            target = fields[1];
             if (!METHOD.matcher(method).matches() || !target.startsWith("/")) {
-                throw new HttpException(400, "bad request line");
+                throw new HttpException(400, "malformed request line");
             }
         }
-        at = At.HEADERS;
+        state = State.HEADERS;
         emptyLines = 0;
     }
 
-    private void header(String text) throws HttpException {
+    private void parseHeader(String text) throws HttpException {
         int colon = text.indexOf(':');
         String name = colon < 0 ? "" : text.substring(0, colon).toLowerCase(Locale.ROOT);
-        if (!NAME.matcher(name).matches()) {
-            throw new HttpException(400, "bad header");
+        if (!HEADER_NAME.matcher(name).matches()) {
+            throw new HttpException(400, "malformed header line");
         }
         String value = text.substring(colon + 1).strip();
-        // Joined as the standard has it: a second coding, length or id then fits nothing, instead of being passed over.
+        // Joined as the standard requires: a second coding, length or id is then invalid instead of being ignored.
         if (headers.merge(name, value, (first, second) -> first + ", " + second).length() > value.length()
                 && name.equals("content-length")) {
-            throw new HttpException(400, "two lengths");
+            throw new HttpException(400, "duplicate Content-Length");
         }
     }
 
-    private void headEnds() throws HttpException {
+    private void onHeadComplete() throws HttpException {
         String coding = headers.get("transfer-encoding");
         String length = headers.get("content-length");
         if (coding != null) {
-            // Both a length and a coding, or a coding of an old version: another request may hide in the body.
+            // With both a length and a coding, or a coding in HTTP/1.0, another request may be hidden in the body.
             if (!coding.equalsIgnoreCase("chunked") || length != null || isHttp10) {
-                throw new HttpException(400, "bad framing");
+                throw new HttpException(400, "invalid Transfer-Encoding, or Transfer-Encoding with Content-Length");
             }
-            at = At.CHUNK_SIZE;
+            state = State.CHUNK_SIZE;
         } else if (length != null) {
-            bodyBytesLeft = number(length, 10, Integer.MAX_VALUE);
+            bodyBytesLeft = parseNumber(length, 10, Integer.MAX_VALUE);
             if (bodyBytesLeft > maxBodyBytes) {
                 throw new HttpException(413, "body too large");
             }
-            at = bodyBytesLeft > 0 ? At.BODY : At.DONE;
-        } else if (responses && status >= 200 && status != 204 && status != 304) {
-            at = At.TO_END;
+            state = bodyBytesLeft > 0 ? State.BODY : State.DONE;
+        } else if (parsingResponses && status >= 200 && status != 204 && status != 304) {
+            state = State.BODY_UNTIL_CLOSE;
         } else {
-            at = At.DONE;
+            state = State.DONE;
         }
     }
 
-    private int chunkSize(String text) throws HttpException {
+    private int parseChunkSize(String text) throws HttpException {
         int semicolon = text.indexOf(';');
-        return number(semicolon < 0 ? text : text.substring(0, semicolon), 16, Integer.MAX_VALUE);
+        return parseNumber(semicolon < 0 ? text : text.substring(0, semicolon), 16, Integer.MAX_VALUE);
     }
 
-    private void grow(int count) throws HttpException {
-        if (body.size() + (long) Math.max(count, at == At.CHUNK ? bodyBytesLeft : 0) > maxBodyBytes) {
+    private void checkBodySize(int count) throws HttpException {
+        if (body.size() + (long) Math.max(count, state == State.CHUNK ? bodyBytesLeft : 0) > maxBodyBytes) {
             throw new HttpException(413, "body too large");
         }
     }
 
-    private static int number(String text, int radix, int most) throws HttpException {
+    private static int parseNumber(String text, int radix, int max) throws HttpException {
         try {
             if (!DIGITS.matcher(text).matches()) {
                 throw new NumberFormatException(text);
             }
             long value = Long.parseLong(text, radix);
-            if (value > most) {
-                throw new HttpException(413, "too large");
+            if (value > max) {
+                throw new HttpException(413, "number too large");
             }
             return (int) value;
         } catch (NumberFormatException e) {
-            throw new HttpException(400, "bad number");
+            throw new HttpException(400, "malformed number");
         }
     }
 }
--- a/src/main/java/pepperdock/codec/http/HttpWriter.java
+++ b/src/main/java/pepperdock/codec/http/HttpWriter.java
@@ -3,7 +3,7 @@
 import java.nio.charset.StandardCharsets;
 import java.util.Map;
 
-/** Writes whole HTTP/1.1 messages. */
+/** Encodes complete HTTP/1.1 messages. */
 public final class HttpWriter {
 
     private static final Map<Integer, String> REASONS = Map.ofEntries(
@@ -23,24 +23,24 @@
 
     private HttpWriter() {}
 
-    /** A response; {@code extra} is whole header lines with their line ends, or empty. */
-    public static byte[] response(int status, String type, String extra, byte[] body, boolean keepAlive) {
+    /** Encodes a response; {@code extraHeaders} is further header lines, each with its line end, or empty. */
+    public static byte[] response(int status, String contentType, String extraHeaders, byte[] body, boolean keepAlive) {
         return join(
-                "HTTP/1.1 " + status + ' ' + REASONS.getOrDefault(status, "Status") + "\r\nContent-Type: " + type
-                        + "\r\n" + extra + (keepAlive ? "" : "Connection: close\r\n"),
+                "HTTP/1.1 " + status + ' ' + REASONS.getOrDefault(status, "Status") + "\r\nContent-Type: " + contentType
+                        + "\r\n" + extraHeaders + (keepAlive ? "" : "Connection: close\r\n"),
                 body);
     }
 
-    /** Encodes a request; {@code extra} is further header lines, each with its line end, or empty. */
-    public static byte[] request(String method, String target, String host, String extra, byte[] body) {
-        return join(method + ' ' + target + " HTTP/1.1\r\nHost: " + host + "\r\n" + extra, body);
+    /** Encodes a request; {@code extraHeaders} is further header lines, each with its line end, or empty. */
+    public static byte[] request(String method, String target, String host, String extraHeaders, byte[] body) {
+        return join(method + ' ' + target + " HTTP/1.1\r\nHost: " + host + "\r\n" + extraHeaders, body);
     }
 
     private static byte[] join(String head, byte[] body) {
-        byte[] first = (head + "Content-Length: " + body.length + "\r\n\r\n").getBytes(StandardCharsets.ISO_8859_1);
-        byte[] all = new byte[first.length + body.length];
-        System.arraycopy(first, 0, all, 0, first.length);
-        System.arraycopy(body, 0, all, first.length, body.length);
-        return all;
+        byte[] headBytes = (head + "Content-Length: " + body.length + "\r\n\r\n").getBytes(StandardCharsets.ISO_8859_1);
+        byte[] message = new byte[headBytes.length + body.length];
+        System.arraycopy(headBytes, 0, message, 0, headBytes.length);
+        System.arraycopy(body, 0, message, headBytes.length, body.length);
+        return message;
     }
 }
--- a/src/main/java/pepperdock/codec/http/package-info.java
+++ b/src/main/java/pepperdock/codec/http/package-info.java
@@ -1,6 +1,6 @@
 /**
- * HTTP/1.1 as a codec: an incremental parser of requests and responses, and writers of both. Free of sockets, clocks and
- * threads: bytes go in as they arrive, messages come out, and malformed input ends in an
+ * The HTTP/1.1 codec: an incremental parser of requests and responses, and an encoder of both. It uses no sockets,
+ * clocks or threads: it accepts bytes as they arrive and returns messages. Malformed input is reported as an
  * {@link pepperdock.codec.http.HttpException} that carries the status to answer with.
  */
 package pepperdock.codec.http;
--- a/src/test/java/pepperdock/codec/frame/FrameParserTest.java
+++ b/src/test/java/pepperdock/codec/frame/FrameParserTest.java
@@ -7,18 +7,19 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** See also {@code WorkerProtocolTest}, which feeds frames in random cuts, and garbage. */
+/** See also {@code WorkerProtocolTest}, which feeds the parser frames in random chunks and random bytes. */
 class FrameParserTest {
 
-    /** A huge length or an unknown type must be rejected at once: the rest may never come. */
+    /** A frame with a huge length or an unknown type must be rejected at once: the rest may never arrive. */
     @Test
     void anInvalidFrameIsRejectedByItsFirstBytes() {
         List<byte[]> invalid =
                 List.of(new byte[] {0, 0, 0, 0}, new byte[] {-1, -1, -1, -4}, new byte[] {0, 0, 4, 0}, new byte[] {
                     0, 0, 0, 9, 'z'
                 });
-        for (byte[] begun : invalid) {
-            assertThrows(FrameException.class, () -> new FrameParser(1000, "oq").feed(begun, 0, begun.length));
+        for (byte[] frameStart : invalid) {
+            assertThrows(
+                    FrameException.class, () -> new FrameParser(1000, "oq").feed(frameStart, 0, frameStart.length));
         }
     }
 
--- a/src/test/java/pepperdock/codec/http/HttpParserTest.java
+++ b/src/test/java/pepperdock/codec/http/HttpParserTest.java
@@ -17,47 +17,49 @@
 class HttpParserTest {
 
     private static List<HttpMessage> parse(HttpParser parser, byte[] bytes, long seed) throws Exception {
-        return RandomCuts.feed(bytes, seed, (b, from, to, into) -> {
-            int used = parser.feed(b, from, to);
+        return RandomCuts.feed(bytes, seed, (chunk, from, to, messages) -> {
+            int used = parser.feed(chunk, from, to);
             if (parser.isComplete()) {
-                into.add(parser.take());
+                messages.add(parser.take());
             }
             return used;
         });
     }
 
     @Property(seed = "41", tries = 200)
-    void requestsComeOutWholeWhateverTheCuts(@ForAll long seed, @ForAll byte[] body) throws Exception {
-        ByteArrayOutputStream all = new ByteArrayOutputStream();
-        all.writeBytes(HttpWriter.request("POST", "/api?a=1%202", "h", "Request-Id: 7\r\n", body));
-        all.writeBytes("GET /-/ready HTTP/1.1\r\nConnection: close\r\n\r\n".getBytes(StandardCharsets.US_ASCII));
-        List<HttpMessage> found = parse(HttpParser.ofRequests(1 << 16), all.toByteArray(), seed);
-        assertEquals(2, found.size());
-        assertArrayEquals(body, found.get(0).body());
+    void requestsAreParsedFromChunksOfAnySize(@ForAll long seed, @ForAll byte[] body) throws Exception {
+        ByteArrayOutputStream requests = new ByteArrayOutputStream();
+        requests.writeBytes(HttpWriter.request("POST", "/api?a=1%202", "h", "Request-Id: 7\r\n", body));
+        requests.writeBytes("GET /-/ready HTTP/1.1\r\nConnection: close\r\n\r\n".getBytes(StandardCharsets.US_ASCII));
+        List<HttpMessage> messages = parse(HttpParser.ofRequests(1 << 16), requests.toByteArray(), seed);
+        assertEquals(2, messages.size());
+        assertArrayEquals(body, messages.get(0).body());
         assertEquals(
                 "POST /api 1 2 7",
-                found.get(0).method()
+                messages.get(0).method()
                         + ' '
-                        + found.get(0).path()
+                        + messages.get(0).path()
                         + ' '
-                        + found.get(0).parameter("a")
+                        + messages.get(0).parameter("a")
                         + ' '
-                        + found.get(0).header("Request-Id"));
-        assertEquals("true false", found.get(0).keepAlive() + " " + found.get(1).keepAlive());
+                        + messages.get(0).header("Request-Id"));
+        assertEquals(
+                "true false",
+                messages.get(0).keepAlive() + " " + messages.get(1).keepAlive());
     }
 
     @Property(seed = "42", tries = 200)
-    void chunkedResponsesComeOutWholeWhateverTheCuts(@ForAll long seed) throws Exception {
+    void chunkedResponsesAreParsedFromChunksOfAnySize(@ForAll long seed) throws Exception {
         String text =
                 "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n4;x=y\r\nwiki\r\nb\r\npedia+12345\r\n0\r\nT: t\r\n\r\n";
-        byte[] twice = (text + text).getBytes(StandardCharsets.US_ASCII);
-        List<HttpMessage> found = parse(HttpParser.ofResponses(100), twice, seed);
-        assertEquals(2, found.size());
-        assertEquals("wikipedia+12345", new String(found.get(1).body(), StandardCharsets.US_ASCII));
+        byte[] twoResponses = (text + text).getBytes(StandardCharsets.US_ASCII);
+        List<HttpMessage> messages = parse(HttpParser.ofResponses(100), twoResponses, seed);
+        assertEquals(2, messages.size());
+        assertEquals("wikipedia+12345", new String(messages.get(1).body(), StandardCharsets.US_ASCII));
     }
 
     @Property(seed = "43", tries = 300)
-    void garbageEndsInMessagesOrAnHttpException(@ForAll long seed) {
+    void randomBytesYieldMessagesOrAnHttpException(@ForAll long seed) {
         try {
             assertTrue(parse(HttpParser.ofRequests(100), RandomCuts.garbage(seed), seed)
                             .size()
@@ -91,7 +93,7 @@
         "'GET / HTTP/1.1\n\n', 400",
         "'~~~~~~', 400"
     })
-    void whatIsMalformedHasTheStatusThatFits(String text, int status) {
+    void aMalformedRequestIsRejectedWithTheMatchingStatus(String text, int status) {
         byte[] bytes = text.replace("~", "\r\n").getBytes(StandardCharsets.US_ASCII);
         HttpException e = assertThrows(
                 HttpException.class, () -> HttpParser.ofRequests(100).feed(bytes, 0, bytes.length));
@@ -100,8 +102,8 @@
 
     @ParameterizedTest
     @CsvSource({"'GET /', 9000, 414", "'GET / HTTP/1.1~A: ', 9000, 431"})
-    void whatIsTooLongIsCutOffBeforeItEnds(String text, int more, int status) {
-        byte[] bytes = (text.replace("~", "\r\n") + "x".repeat(more)).getBytes(StandardCharsets.US_ASCII);
+    void anOverlongLineIsRejectedBeforeItEnds(String text, int extraBytes, int status) {
+        byte[] bytes = (text.replace("~", "\r\n") + "x".repeat(extraBytes)).getBytes(StandardCharsets.US_ASCII);
         HttpException e = assertThrows(
                 HttpException.class, () -> HttpParser.ofRequests(100).feed(bytes, 0, bytes.length));
         assertEquals(status, e.status());
