--- a/src/main/java/pepperdock/platform/ClientProtocol.java
+++ b/src/main/java/pepperdock/platform/ClientProtocol.java
@@ -25,10 +25,10 @@
 import pepperdock.scheduler.RetrySafety;
 
 /**
- * The messages of the clients' protocol (protocol, section "Clients to gatherers"): parses queries, writes answers, and maps
- * the protocol's words to the core's terms. Stateless; may be used on any thread.
+ * Parses queries and encodes answers of the client protocol (protocol, section "Clients to gatherers"), and maps its
+ * field names to the terms of the core. Stateless and thread-safe.
  *
- * <p>Queries are parsed strictly: one that were repaired here would be served as though its client had asked for it.
+ * <p>Parsing is strict: a malformed query that was repaired here would be served as if its client had asked for it.
  */
 final class ClientProtocol {
 
@@ -43,64 +43,69 @@
     private static final String REQUEST_TIMEOUT_MS = "Request-Timeout-Ms";
     private static final String IDEMPOTENCY_KEY = "Idempotency-Key";
 
-    /** Whole milliseconds from 1 to an hour; the longest of the platform's deadlines is far below. */
-    private static final Pattern TIMEOUT_MS =
+    /** Whole milliseconds from 1 to 3,600,000 (one hour), far above the longest deadline of the platform. */
+    private static final Pattern TIMEOUT_MS_PATTERN =
             Pattern.compile("0*[1-9][0-9]{0,5}|0*[12][0-9]{6}|0*3[0-5][0-9]{5}|0*3600000");
 
-    /** Printable and without spaces, as ids stand between spaces in a call to a worker. */
-    private static final Pattern ID = Pattern.compile("[!-~]{1,128}");
-    /** The same without commas, which separate the options of a call to a worker. */
-    private static final Pattern KEY = Pattern.compile("[!-+\\--~]{0,256}");
+    /**
+     * Printable characters without spaces, because spaces separate the id from the other fields of a call to a worker.
+     */
+    private static final Pattern REQUEST_ID_PATTERN = Pattern.compile("[!-~]{1,128}");
+    /** Like {@link #REQUEST_ID_PATTERN}, but without commas, which separate the options of a call to a worker. */
+    private static final Pattern IDEMPOTENCY_KEY_PATTERN = Pattern.compile("[!-+\\--~]{0,256}");
 
     private ClientProtocol() {}
 
     /**
-     * The headers of a query.
+     * The parsed headers of a query.
      *
-     * @param queryClass the index of the query's class in the site's settings
-     * @param idempotencyKey empty where the query's class has none
+     * @param queryClass the index of the query's class in the deployment's settings
+     * @param idempotencyKey empty if the query's class has none
      * @param timeoutS how long the client waits, in seconds
      */
     record QueryHeaders(String id, int queryClass, String idempotencyKey, double timeoutS) {}
 
-    /** The body of a query: its parts, and the text that a call carries for each of them. */
+    /** The parsed body of a query: its parts, and the text that is sent to a worker with each of them. */
     record QueryBody(List<QueryRequest.RequestedPart> parts, byte[] text) {}
 
     /** Parses the headers of a query. */
-    static QueryHeaders parseQueryHeaders(HttpMessage message, DeploymentSettings site) throws HttpException {
+    static QueryHeaders parseQueryHeaders(HttpMessage message, DeploymentSettings settings) throws HttpException {
         String id = requiredHeader(message, REQUEST_ID);
-        int queryClass = site.classes().indexOf(requiredHeader(message, REQUEST_CLASS));
-        check(queryClass >= 0, "Request-Class: unknown");
+        int queryClass = settings.classes().indexOf(requiredHeader(message, REQUEST_CLASS));
+        check(queryClass >= 0, "Request-Class: unknown class");
         String timeout = requiredHeader(message, REQUEST_TIMEOUT_MS);
-        check(TIMEOUT_MS.matcher(timeout).matches(), "Request-Timeout-Ms: not a whole number in range");
+        check(
+                TIMEOUT_MS_PATTERN.matcher(timeout).matches(),
+                "Request-Timeout-Ms: expected a whole number from 1 to 3600000");
         long timeoutMs = Long.parseLong(timeout);
-        RetrySafety retrySafety = site.scheduler().classes().get(queryClass).retrySafety();
+        RetrySafety retrySafety = settings.scheduler().classes().get(queryClass).retrySafety();
         String key = retrySafety == RetrySafety.IDEMPOTENCY_KEY ? requiredHeader(message, IDEMPOTENCY_KEY) : "";
         check(
-                ID.matcher(id).matches() && KEY.matcher(key).matches(),
-                "Request-Id or Idempotency-Key: not a plain word");
+                REQUEST_ID_PATTERN.matcher(id).matches()
+                        && IDEMPOTENCY_KEY_PATTERN.matcher(key).matches(),
+                "Request-Id or Idempotency-Key: too long, or contains a character that is not allowed");
         return new QueryHeaders(id, queryClass, key, timeoutMs / 1e3);
     }
 
     private static String requiredHeader(HttpMessage message, String name) throws HttpException {
         String value = message.header(name);
         if (value == null || value.isEmpty()) {
-            throw new HttpException(400, name + ": missing");
+            throw new HttpException(400, name + ": missing or empty");
         }
         return value;
     }
 
-    /** Parses the body of a query; {@code shards} is the number of shards of the site's layout. */
+    /** Parses the body of a query; {@code shards} is the number of shards in the deployment's layout. */
     static QueryBody parseQueryBody(byte[] body, int shards) throws HttpException {
         try (JsonReader in = new JsonReader(new StringReader(decodeUtf8(body)))) {
             in.setStrictness(Strictness.STRICT);
             QueryBody query = readQuery(in, shards);
-            check(in.peek() == JsonToken.END_DOCUMENT, "more than a query");
+            check(in.peek() == JsonToken.END_DOCUMENT, "body: unexpected data after the query");
             return query;
         } catch (CharacterCodingException e) {
-            throw new HttpException(400, "body: not UTF-8");
+            throw new HttpException(400, "body: not valid UTF-8");
         } catch (IOException | IllegalStateException | NumberFormatException e) {
-            throw new HttpException(400, "body: not a query: " + e.getMessage());
+            throw new HttpException(400, "body: malformed query: " + e.getMessage());
         }
     }
 
@@ -118,7 +123,7 @@
             if (name.equals("ranges")) {
                 parts = readParts(in, shards);
             } else if (name.equals("predicate")) {
-                check(in.peek() == JsonToken.STRING, "predicate: not a text");
+                check(in.peek() == JsonToken.STRING, "predicate: not a string");
                 text = in.nextString();
             } else {
                 in.skipValue();
@@ -137,9 +142,9 @@
         in.beginArray();
         while (in.hasNext()) {
             QueryRequest.RequestedPart part = readPart(in);
-            check(part.shard() >= 0 && part.shard() < shards, "ranges: no such range");
-            check(seenShards.add(part.shard()), "ranges: one given twice");
-            check(part.weight() >= 0 && part.weight() <= 1, "ranges: portion out of range");
+            check(part.shard() >= 0 && part.shard() < shards, "ranges: unknown range");
+            check(seenShards.add(part.shard()), "ranges: duplicate range");
+            check(part.weight() >= 0 && part.weight() <= 1, "ranges: portion is not between 0 and 1");
             parts.add(part);
         }
         in.endArray();
@@ -155,10 +160,10 @@
         while (in.hasNext()) {
             String name = nextUniqueName(in, seen);
             if (name.equals("range")) {
-                check(in.peek() == JsonToken.NUMBER, "ranges: range not a number");
+                check(in.peek() == JsonToken.NUMBER, "ranges: range is not a number");
                 shard = in.nextInt();
             } else if (name.equals("portion")) {
-                check(in.peek() == JsonToken.NUMBER, "ranges: portion not a number");
+                check(in.peek() == JsonToken.NUMBER, "ranges: portion is not a number");
                 weight = in.nextDouble();
             } else {
                 in.skipValue();
@@ -168,10 +173,10 @@
         return new QueryRequest.RequestedPart(shard, weight);
     }
 
-    /** Rejects duplicate names: some readers take the first value under a name, others the last. */
+    /** Returns the next field name. Rejects duplicates: some parsers use the first value of a name, others the last. */
     private static String nextUniqueName(JsonReader in, Set<String> seen) throws IOException, HttpException {
         String name = in.nextName();
-        check(seen.add(name), "a name given twice");
+        check(seen.add(name), "body: duplicate field name");
         return name;
     }
 
@@ -181,7 +186,7 @@
         }
     }
 
-    /** The body of an answer: the value of each part that has one, and whether the answer is marked complete. */
+    /** Encodes the body of an answer: the value of each part that has one, and whether the answer is complete. */
     static byte[] answerBody(Query query, boolean complete) {
         JsonArray answers = new JsonArray();
         for (Part part : query.parts()) {
@@ -198,29 +203,29 @@
         return body.toString().getBytes(StandardCharsets.UTF_8);
     }
 
-    /** The body of an answer without parts. */
+    /** Returns an empty JSON object, the body of an answer without parts. */
     static byte[] emptyBody() {
         return "{}".getBytes(StandardCharsets.UTF_8);
     }
 
-    /** The body of an answer to a query that was rejected: it never ran. */
+    /** Returns the body of the answer to a query that was rejected and never ran. */
     static byte[] rejectedBody() {
         return "{\"error\":\"refused\"}".getBytes(StandardCharsets.UTF_8);
     }
 
-    /** The body of an answer to a query that failed: it may have run. */
+    /** Returns the body of the answer to a query that failed and may have run. */
     static byte[] failedBody() {
         return "{\"error\":\"failed\"}".getBytes(StandardCharsets.UTF_8);
     }
 
-    /** The body of an answer to a request that is malformed. */
+    /** Encodes the body of the answer to a malformed request. */
     static byte[] errorBody(String error) {
         JsonObject body = new JsonObject();
         body.addProperty("error", error);
         return body.toString().getBytes(StandardCharsets.UTF_8);
     }
 
-    /** The header that advises a client when to retry; empty where there is no advice. */
+    /** Returns the header line that tells a client when to retry, or an empty string if there is no advice. */
     static String retryAfterHeader(double retryAfterS) {
         return retryAfterS > 0 ? String.format(Locale.ROOT, "Retry-After: %.3f\r\n", retryAfterS) : "";
     }
--- a/src/main/java/pepperdock/platform/DiscoveryProtocol.java
+++ b/src/main/java/pepperdock/platform/DiscoveryProtocol.java
@@ -7,8 +7,9 @@
 import pepperdock.config.EndpointListJson;
 
 /**
- * The calls of the discovery protocol (protocol, section "Discovery") and their answers. The entries of a list are parsed by
- * {@link EndpointListJson}, as the configuration and the store hold them in the same form. Stateless; may be used on any thread.
+ * Builds the requests of the discovery protocol (protocol, section "Discovery") and parses the answers. The entries of
+ * a list are parsed by {@link EndpointListJson}, because the configuration and the store use the same format. Stateless
+ * and thread-safe.
  */
 final class DiscoveryProtocol {
 
@@ -16,21 +17,23 @@
 
     private DiscoveryProtocol() {}
 
-    /** The target of a request for the complete list. */
+    /** Returns the target of a request for the complete list. */
     static String listTarget() {
         return LIST_PATH;
     }
 
-    /** The target of a request for what changed since a version; discovery may wait so long for a change. */
+    /**
+     * Returns the target of a request for the changes since a version; discovery may wait for one up to {@code waitMs}.
+     */
     static String watchTarget(long version, int waitMs) {
         return LIST_PATH + "?since=" + version + "&timeout_ms=" + waitMs;
     }
 
-    /** Parses the answer to either request; throws {@link ConfigException} where it is an error or malformed. */
-    static EndpointListJson parseList(HttpMessage response, DeploymentSettings site) {
+    /** Parses the answer to either request; throws {@link ConfigException} if it is an error or malformed. */
+    static EndpointListJson parseList(HttpMessage response, DeploymentSettings settings) {
         if (response.status() != 200) {
             throw new ConfigException("answer", "status " + response.status());
         }
-        return EndpointListJson.parse(new String(response.body(), StandardCharsets.UTF_8), site);
+        return EndpointListJson.parse(new String(response.body(), StandardCharsets.UTF_8), settings);
     }
 }
--- a/src/main/java/pepperdock/platform/EndpointWatch.java
+++ b/src/main/java/pepperdock/platform/EndpointWatch.java
@@ -16,65 +16,75 @@
 import pepperdock.transport.HttpClient;
 
 /**
- * Watches the platform's endpoint list by long polls: each poll is sent as soon as the last is answered.
+ * Watches the platform's endpoint list with long polls: each poll is sent as soon as the previous one is answered.
  *
- * <p>A poll that is overdue is retried on a new connection at once, and the first of the two answers is used: events count as
- * delivered after a fixed time, whether they arrived or not. After a poll that failed, the core decides when to poll again, as
- * discovery is one service for all gatherers. Where the settings say that lists are pushed, a local agent holds the list, and
- * the watch retries by itself with backoff.
+ * <p>An overdue poll is retried at once on a new connection, and the first of the two answers is used: events count as
+ * delivered after a fixed time, whether they arrived or not. After a failed poll, the core decides when to poll again,
+ * because all gatherers share one discovery service. If the settings say that lists are pushed, a local agent holds the
+ * list, and the watch retries by itself with backoff.
  *
- * <p>Made with the loop that owns it, and started with the gatherer that takes the lists; all else runs on the loop's thread.
+ * <p>Constructed with the event loop that owns it, and started with the gatherer that receives the lists. Everything
+ * else runs on the loop's thread.
  */
 public final class EndpointWatch implements EndpointDiscovery {
 
     private static final System.Logger LOG = System.getLogger("pepperdock.platform");
     /**
-     * Milliseconds that discovery may hold the first poll, and the first after a failure: next to none, so that the loss of
-     * one is noticed early. It returns what changed since the version in hand.
+     * Milliseconds for which discovery may hold the first poll, and the first one after a failure. Close to zero, so
+     * that the loss of such a poll is noticed early. It returns the changes since the current version.
      */
     static final int FIRST_POLL_MS = 1;
-    /** Milliseconds that discovery may hold a long poll; events in it count as delivered 2 s after that. */
+    /**
+     * Milliseconds for which discovery may hold a long poll; events in that time count as delivered 2 s after its end.
+     */
     static final int LONG_POLL_MS = 8000;
     /**
-     * Seconds until a poll that is not held is overdue. Discovery serves polls in turn and ends those that waited some
-     * seconds: when overloaded, it answers just before that limit.
+     * Seconds until a poll that is not held is overdue. Discovery serves polls in order and ends those that have waited
+     * for some seconds: when overloaded, it answers just before that limit.
      */
     private static final double FIRST_POLL_TIMEOUT_S = 3;
-    /** The same after a change of address, when events count as delivered after 4 s: there is time for two polls. */
+    /** The same after an address change, when events count as delivered after 4 s: this leaves time for two polls. */
     static final double ADDRESS_CHANGE_TIMEOUT_S = 2.3;
     /**
-     * Seconds past the end of its wait until a long poll is overdue: what it misses counts as delivered 2 s after the wait,
-     * or 6 s after discovery became unreachable, if that is later. Shorter waits would gain nothing down to 4 s, and would
-     * cost discovery more polls.
+     * Seconds after the end of its wait until a long poll is overdue. Events that it misses count as delivered 2 s
+     * after the wait, or 6 s after discovery became unreachable, whichever is later. Waits between 4 s and
+     * {@link #LONG_POLL_MS} would gain nothing, and would cost discovery more polls.
      */
     private static final double LONG_POLL_MARGIN_S = 0.5;
-    /** Seconds that an overdue poll is kept open beside its retry: no longer than discovery itself would hold it. */
+    /**
+     * Seconds for which an overdue poll is kept open alongside its retry: no longer than discovery itself would hold
+     * it.
+     */
     private static final double OVERDUE_TIMEOUT_S = 3;
 
-    /** Seconds for a connection to be established. */
+    /** Seconds until an attempt to connect times out. */
     private static final double CONNECT_TIMEOUT_S = 1;
-    /** The same for the retry of an overdue poll: if the path is lost, there must be time for one more connection. */
+    /**
+     * The same for the retry of an overdue poll: if the network path is lost, there must be time for one more
+     * connection.
+     */
     private static final double RETRY_CONNECT_TIMEOUT_S = 0.5;
     /**
-     * Seconds from one poll of a local agent to the next, doubled after each failure. What the agent holds counts as delivered
-     * at once, so that the next poll and its answer have to fit into the 0.5 s that are allowed after a drain event.
+     * Seconds from a failed poll of a local agent to the next poll, doubled after each failure. Events that the agent
+     * holds count as delivered at once, so the next poll and its answer must fit into the 0.5 s allowed after a drain
+     * event.
      */
     private static final double MIN_AGENT_BACKOFF_S = 0.1;
 
     static final double MAX_AGENT_BACKOFF_S = 0.25;
-    /** Bytes: a complete list of a large fleet is half of it. */
+    /** Twice the size of the complete list of a large fleet. */
     private static final int MAX_LIST_BYTES = 1 << 20;
 
     private final EventLoop loop;
-    private final DeploymentSettings site;
+    private final DeploymentSettings settings;
     private final SplittableRandom random = new SplittableRandom();
     private InetSocketAddress address;
     /** Carries the current poll. */
     private HttpClient client;
-    /** Carries a poll that is overdue and still awaited; null where there is none. */
+    /** Carries an overdue poll whose answer is still awaited; null if there is none. */
     private HttpClient overdueClient;
 
-    /** Whether the connection of the current poll, a retry, failed once and has been tried again. */
+    /** Whether the current poll is a retry whose connection failed once and has been tried again. */
     private boolean connectRetried;
     /** Fires when the current poll is overdue. */
     private Clock.Timer overdueTimer;
@@ -82,46 +92,50 @@
     private String authority;
 
     private Gatherer core;
-    /** The version of the list in hand. */
+    /** The version of the current list. */
     private long version;
     /** Whether the next poll is the first, or the first after a failure. */
     private boolean firstPoll = true;
-    /** Whether the address has changed and no list has come from the new one. */
+    /** Whether the address has changed and no list has arrived from the new one yet. */
     private boolean addressChanged;
 
     private double agentBackoffS = MIN_AGENT_BACKOFF_S;
 
-    /** {@code knownVersion} is that of the list with which the gatherer starts. */
-    public EndpointWatch(EventLoop loop, InetSocketAddress address, DeploymentSettings site, long knownVersion) {
+    /** Creates a watch; {@code knownVersion} is the version of the list with which the gatherer starts. */
+    public EndpointWatch(EventLoop loop, InetSocketAddress address, DeploymentSettings settings, long knownVersion) {
         this.loop = loop;
-        this.site = site;
+        this.settings = settings;
         version = knownVersion;
         useNewClient(address, CONNECT_TIMEOUT_S);
     }
 
-    private void useNewClient(InetSocketAddress to, double connectTimeoutS) {
-        address = to;
-        authority = to.getHostString() + ':' + to.getPort();
-        // Three at most, not counted under the cap of sockets: discovery must be reachable when workers hang and hold
-        // all sockets, as the list then says which of them are gone.
-        client = new HttpClient(loop, to, EventLoop.SocketScope.OUTSIDE_CAP, connectTimeoutS, MAX_LIST_BYTES);
+    private void useNewClient(InetSocketAddress newAddress, double connectTimeoutS) {
+        address = newAddress;
+        authority = newAddress.getHostString() + ':' + newAddress.getPort();
+        // At most three sockets, exempt from the socket cap: discovery must be reachable when workers hang and hold all
+        // sockets, because the list then says which of them are gone.
+        client = new HttpClient(loop, newAddress, EventLoop.SocketScope.OUTSIDE_CAP, connectTimeoutS, MAX_LIST_BYTES);
     }
 
     /**
-     * Moves the watch to another address of discovery. The polls in flight end, and the new address is asked for the complete
-     * list at once, as its versions need not be those of the old one; until it answers the list in hand stays in use.
+     * Moves the watch to another address of discovery. The polls in flight are closed. The complete list is requested
+     * from the new address at once, because its versions may differ from those of the old address; the current list
+     * stays in use until the answer arrives.
      */
-    public void changeAddress(InetSocketAddress to) {
+    public void changeAddress(InetSocketAddress newAddress) {
         closeAll();
-        useNewClient(to, CONNECT_TIMEOUT_S);
+        useNewClient(newAddress, CONNECT_TIMEOUT_S);
         addressChanged = true;
         poll(FIRST_POLL_MS);
     }
 
-    /** Sets the gatherer that takes the lists. Where lists are pushed the watch begins now, else with {@link #watch}. */
+    /**
+     * Sets the gatherer that receives the lists. If lists are pushed the watch begins now, otherwise with
+     * {@link #watch}.
+     */
     public void start(Gatherer gatherer) {
         core = gatherer;
-        if (!site.scheduler().pollsEndpointList()) {
+        if (!settings.scheduler().pollsEndpointList()) {
             loop.execute(this::watch);
         }
     }
@@ -133,12 +147,12 @@
         }
     }
 
-    /** Seconds until a poll that discovery may hold so long is overdue. */
+    /** Returns the seconds until a poll that discovery may hold for {@code waitMs} is overdue. */
     static double pollTimeoutS(int waitMs) {
         return waitMs <= FIRST_POLL_MS ? FIRST_POLL_TIMEOUT_S : waitMs / 1e3 + LONG_POLL_MARGIN_S;
     }
 
-    /** Sends a poll for changes, or for the complete list where no version of it is known. */
+    /** Sends a poll for changes, or for the complete list if no version of it is known at this address. */
     private void poll(int waitMs) {
         String target =
                 addressChanged ? DiscoveryProtocol.listTarget() : DiscoveryProtocol.watchTarget(version, waitMs);
@@ -168,7 +182,7 @@
                 && failure == HttpClient.Failure.NOT_SENT
                 && overdueClient != null
                 && !connectRetried) {
-            // The path to discovery may be lost: one more connection is tried while the overdue poll is awaited.
+            // The network path to discovery may be lost: try one more connection while the overdue poll is awaited.
             connectRetried = true;
             pollOnNewConnection();
         } else if (sender == client) {
@@ -176,9 +190,9 @@
         }
     }
 
-    /** The current poll is overdue: it stays open beside its retry on a new connection. */
+    /** Retries the overdue poll on a new connection; the overdue poll stays open alongside. */
     private void retryOverdue() {
-        LOG.log(System.Logger.Level.WARNING, "endpoint list watch timed out, retried on a new connection");
+        LOG.log(System.Logger.Level.WARNING, "endpoint list poll is overdue, retrying on a new connection");
         if (overdueClient != null) {
             overdueClient.close();
         }
@@ -206,7 +220,7 @@
 
     private void onPollAnswered(HttpClient sender, HttpMessage response) {
         try {
-            EndpointListJson list = DiscoveryProtocol.parseList(response, site);
+            EndpointListJson list = DiscoveryProtocol.parseList(response, settings);
             keepOnly(sender);
             onList(list);
         } catch (ConfigException e) {
@@ -219,7 +233,7 @@
         }
     }
 
-    /** The first answer is used; the other poll ends, as what it brings would be older. */
+    /** Keeps the connection that answered first and closes the other one, whose answer would be older. */
     private void keepOnly(HttpClient sender) {
         overdueTimer.cancel();
         HttpClient other = sender == client ? overdueClient : client;
@@ -235,7 +249,7 @@
         firstPoll = false;
         addressChanged = false;
         agentBackoffS = MIN_AGENT_BACKOFF_S;
-        // Before the list is applied: a poll that comes late would begin a new watch.
+        // Poll before the list is applied: a poll that arrives late would begin a new watch.
         poll(LONG_POLL_MS);
         EndpointListKind kind = list.whole() ? EndpointListKind.COMPLETE : EndpointListKind.CHANGES;
         core.onEndpointList(kind, list.hosts());
@@ -246,7 +260,7 @@
         firstPoll = true;
         closeAll();
         useNewClient(address, CONNECT_TIMEOUT_S);
-        if (site.scheduler().pollsEndpointList()) {
+        if (settings.scheduler().pollsEndpointList()) {
             core.onEndpointList(EndpointListKind.FAILED, List.of());
         } else {
             double jitter = 0.5 + random.nextDouble();
--- a/src/main/java/pepperdock/platform/FrameBackend.java
+++ b/src/main/java/pepperdock/platform/FrameBackend.java
@@ -8,28 +8,29 @@
 import pepperdock.transport.EventLoop;
 
 /**
- * The backend for workers that speak the platform's frames: one {@link WorkerConnectionPool} for each endpoint of the list.
+ * The backend for workers that speak the platform's frame protocol: one {@link WorkerConnectionPool} for each endpoint
+ * of the list.
  *
- * <p>Made with the loop that owns it, and started with the gatherer that sends through it. All calls, and all calls back to
- * the gatherer, are made on the loop's thread.
+ * <p>Constructed with the event loop that owns it, and started with the gatherer that sends through it. All calls, and
+ * all callbacks to the gatherer, run on the loop's thread.
  */
 public final class FrameBackend extends PooledBackend<WorkerConnectionPool> {
 
     private final EventLoop loop;
-    private final DeploymentSettings site;
-    /** One for all workers: a hundred of them may fail in the same second. */
+    private final DeploymentSettings settings;
+    /** Shared by all workers, because a hundred of them may fail in the same second. */
     private final LogRateLimiter log;
 
-    /** The site's settings give the limits of connections and the form of load reports. */
-    public FrameBackend(EventLoop loop, DeploymentSettings site) {
+    /** Creates a backend; the settings give the connection limits and the format of load reports. */
+    public FrameBackend(EventLoop loop, DeploymentSettings settings) {
         this.loop = loop;
-        this.site = site;
+        this.settings = settings;
         log = new LogRateLimiter(System.getLogger("pepperdock.platform"), loop, "malformed or rejected frames");
     }
 
     @Override
     protected WorkerConnectionPool createWorker(WorkerEndpoint endpoint, Gatherer core) {
-        WorkerContext context = new WorkerContext(endpoint.id(), loop, site, core, log);
+        WorkerContext context = new WorkerContext(endpoint.id(), loop, settings, core, log);
         return new WorkerConnectionPool(context, endpoint.address());
     }
 }
--- a/src/main/java/pepperdock/platform/IdleTimeout.java
+++ b/src/main/java/pepperdock/platform/IdleTimeout.java
@@ -4,8 +4,9 @@
 import pepperdock.core.Clock;
 
 /**
- * Closes a connection that has not been used for some time. One timer is pending at a time, set for the moment at which the
- * connection would have been idle for too long; a use does not touch the timer. Owned by the loop's thread.
+ * Closes a connection that has not been used for some time. A single timer is pending at a time, set for the moment at
+ * which the connection would have been idle for too long; using the connection does not touch the timer. Owned by the
+ * loop's thread.
  */
 final class IdleTimeout {
 
@@ -16,7 +17,10 @@
     private Clock.Timer timer;
     private double lastUsedAt;
 
-    /** {@code onIdle} may leave the connection open; it is called again after the same time until {@code closed}. */
+    /**
+     * Starts the timeout. {@code onIdle} may keep the connection open; it is called again after the same time until
+     * {@code closed} returns true.
+     */
     IdleTimeout(Clock clock, double timeoutS, Runnable onIdle, BooleanSupplier closed) {
         this.clock = clock;
         this.timeoutS = timeoutS;
@@ -26,7 +30,7 @@
         schedule(timeoutS);
     }
 
-    /** The connection is used now. */
+    /** Records that the connection is used now. */
     void onUse() {
         lastUsedAt = clock.now();
     }
@@ -36,12 +40,12 @@
     }
 
     private void check() {
-        double leftS = lastUsedAt + timeoutS - clock.now();
-        if (leftS <= 0) {
+        double remainingS = lastUsedAt + timeoutS - clock.now();
+        if (remainingS <= 0) {
             onIdle.run();
         }
         if (!closed.getAsBoolean()) {
-            schedule(leftS > 0 ? leftS : timeoutS);
+            schedule(remainingS > 0 ? remainingS : timeoutS);
         }
     }
 
--- a/src/main/java/pepperdock/platform/InFlightAttempts.java
+++ b/src/main/java/pepperdock/platform/InFlightAttempts.java
@@ -7,20 +7,21 @@
 import pepperdock.core.Attempt;
 
 /**
- * The attempts in flight on one connection by their id on the wire, and the ids of those that ended lately. Owned by the loop's
- * thread.
+ * Tracks the attempts in flight on one connection by wire id, and the ids of attempts that ended recently. Owned by the
+ * loop's thread.
  *
- * <p>Ids of ended attempts are remembered as their results may come late or twice, and are not a protocol error then.
+ * <p>Ids of ended attempts are remembered because their results may arrive late or twice, which is not a protocol
+ * error.
  */
 final class InFlightAttempts {
 
-    /** Ended ids remembered a connection: many times what ends on one while a late result is under way. */
+    /** Ended ids remembered per connection: many times the number that end on one while a late result is in transit. */
     private static final int MAX_ENDED_IDS = 512;
 
     /**
      * An attempt whose call has been written to the connection.
      *
-     * @param frameEnd how many bytes have been queued on the connection up to the end of the call's frame
+     * @param frameEnd the number of bytes queued on the connection up to the end of the call's frame
      */
     record InFlight(Attempt attempt, long frameEnd) {
 
@@ -52,13 +53,13 @@
         byId.put(WorkerProtocol.wireId(inFlight.attempt()), inFlight);
     }
 
-    /** Whether this very attempt is in flight under the id, and not another of the same part. */
+    /** Returns whether this attempt, and not another attempt at the same part, is in flight under the id. */
     boolean contains(String id, Attempt attempt) {
         InFlight inFlight = byId.get(id);
         return inFlight != null && inFlight.attempt() == attempt;
     }
 
-    /** Ends the attempt of that id and remembers the id; null where none is in flight. */
+    /** Removes and returns the attempt with this id and remembers the id; returns null if none is in flight. */
     InFlight end(String id) {
         InFlight inFlight = byId.remove(id);
         if (inFlight != null) {
@@ -67,27 +68,29 @@
         return inFlight;
     }
 
-    /** Removes and returns all that is in flight. */
+    /** Removes and returns all attempts in flight. */
     List<InFlight> removeAll() {
         List<InFlight> all = List.copyOf(byId.values());
         byId.clear();
         return all;
     }
 
-    /** Whether the id is in flight, or was lately. */
+    /** Returns whether an attempt with this id is in flight, or ended recently. */
     boolean isKnown(String id) {
         return byId.containsKey(id) || endedIds.containsKey(id);
     }
 
     /**
-     * Whether the attempt's id is, or was lately, that of another query. A client may use a request id again once its query is
-     * over: a late result for the old query would be taken for the new one's.
+     * Returns whether the attempt's id is, or recently was, the id of a part of another query. A client may reuse a
+     * request id once its query has ended: a late result for the old query would then be mistaken for a result of the
+     * new one.
      */
     boolean hasIdConflict(Attempt attempt) {
         String id = WorkerProtocol.wireId(attempt);
         long sequenceNumber = attempt.part().query().sequenceNumber();
         InFlight inFlight = byId.get(id);
-        long knownAs = inFlight != null ? inFlight.querySequenceNumber() : endedIds.getOrDefault(id, sequenceNumber);
-        return knownAs != sequenceNumber;
+        long knownSequenceNumber =
+                inFlight != null ? inFlight.querySequenceNumber() : endedIds.getOrDefault(id, sequenceNumber);
+        return knownSequenceNumber != sequenceNumber;
     }
 }
--- a/src/main/java/pepperdock/platform/JvmWarmup.java
+++ b/src/main/java/pepperdock/platform/JvmWarmup.java
@@ -23,59 +23,60 @@
 import pepperdock.transport.HttpResponseSender;
 
 /**
- * Runs synthetic queries through the front, the core and the frame codec, so that no client waits for classes to be initialised
- * and for code that is still interpreted. They run on a gatherer and a clock of their own, and what that gatherer learns is
- * discarded.
+ * Runs synthetic queries through the front, the core and the frame codec, so that no client waits for class
+ * initialisation or for code that is still interpreted. The queries run on a separate gatherer with its own clock, and
+ * what that gatherer learns is discarded.
  *
  * <p>{@link #runQueries} is called with {@link #QUERIES_BEFORE_READY} before the gatherer reports that it is ready;
- * {@link #runRemainingQueries} runs the others between the first clients' queries, as a start on part of a core must be short.
- * Used by one thread at a time: the starting one, then the loop's.
+ * {@link #runRemainingQueries} runs the others between the queries of the first clients, because startup must be short
+ * on a fraction of a processor core. Used by one thread at a time: first the starting thread, then the loop's.
  */
 public final class JvmWarmup {
 
     /**
-     * Queries before ready. Measured on half a core with many clients waiting: after one query, the queries of the first second
-     * all ran out of time; all {@link #TOTAL_QUERIES} would delay the start by a second.
+     * Queries to run before the gatherer is ready. On half a processor core with many clients waiting, one query was
+     * too few: all client queries of the first second ran out of time. Running all {@link #TOTAL_QUERIES} would delay
+     * the start by a second.
      */
     public static final int QUERIES_BEFORE_READY = 24;
-    /** After so many queries, the code on a query's path has been compiled. */
+    /** The number of queries after which the code on a query's path has been compiled. */
     private static final int TOTAL_QUERIES = 150;
-    /** Seconds between the remaining queries; on half a core they take a few per cent of the time. */
+    /** Seconds between the remaining queries; on half a processor core they take a few per cent of the time. */
     private static final double REMAINING_INTERVAL_S = 0.02;
-    /** Seconds on the warm-up's own clock from one query to the next: each is answered before the next begins. */
+    /** Seconds from one query to the next on the warm-up's own clock: each is answered before the next begins. */
     private static final double QUERY_INTERVAL_S = 0.3;
-    /** Seconds on that clock until a worker answers. */
+    /** Seconds until a worker answers, on the warm-up's own clock. */
     private static final double WORKER_LATENCY_S = 0.1;
-    /** Parts of a query, where the layout has as many shards. */
+    /** The most parts of a query; it has fewer if the layout has fewer shards. */
     private static final int MAX_PARTS = 40;
-    /** Bytes of a request, or of a worker's frame. */
+    /** The maximum size of a request, or of a worker's frame. */
     private static final int MAX_MESSAGE_BYTES = 1 << 16;
 
     private static final String VALUE = "value";
 
-    private final DeploymentSettings site;
+    private final DeploymentSettings settings;
     private final ManualClock clock = new ManualClock(1000);
     private final PlatformFront front;
     private final HttpParser parser = HttpParser.ofRequests(MAX_MESSAGE_BYTES);
     private int queriesRun;
     private int queriesAnswered;
 
-    /** Sets up a gatherer with one worker for each cell of the site's layout. */
-    public JvmWarmup(DeploymentSettings site) {
-        this.site = site;
-        EchoBackend backend = new EchoBackend(clock);
-        Gatherer core = new Gatherer(site.scheduler(), 1, clock, backend, () -> {});
+    /** Creates a gatherer with one worker for each cell of the deployment's layout. */
+    public JvmWarmup(DeploymentSettings settings) {
+        this.settings = settings;
+        FixedValueBackend backend = new FixedValueBackend(clock);
+        Gatherer core = new Gatherer(settings.scheduler(), 1, clock, backend, () -> {});
         backend.core = core;
         List<WorkerEndpoint> endpoints = new ArrayList<>();
-        for (int cell = 0; cell < site.scheduler().layout().cells(); cell++) {
+        for (int cell = 0; cell < settings.scheduler().layout().cells(); cell++) {
             endpoints.add(new WorkerEndpoint("warm-" + cell, "", 0, 0, cell, EndpointState.HEALTHY, 1, 0));
         }
         core.onEndpointList(EndpointListKind.CACHED, endpoints);
         core.onEndpointList(EndpointListKind.CHANGES, endpoints);
-        front = new PlatformFront(site, core, () -> true);
+        front = new PlatformFront(settings, core, () -> true);
     }
 
-    /** Runs so many queries now; returns how many of all that were run so far have been answered. */
+    /** Runs {@code count} queries now; returns how many of all queries run so far have been answered. */
     public int runQueries(int count) {
         HttpResponseSender reply = (status, type, extra, body) -> queriesAnswered += status == 200 ? 1 : 0;
         for (int end = queriesRun + count; queriesRun < end; queriesRun++) {
@@ -91,7 +92,10 @@
         return queriesAnswered;
     }
 
-    /** Runs the remaining queries one by one on the loop, each only while {@code idle}: real queries warm the same code. */
+    /**
+     * Runs the remaining queries one by one on the loop. Each is skipped unless {@code idle} returns true, because
+     * client queries then warm the same code.
+     */
     public void runRemainingQueries(Clock loop, BooleanSupplier idle) {
         loop.after(REMAINING_INTERVAL_S, () -> {
             if (idle.getAsBoolean()) {
@@ -106,8 +110,9 @@
     }
 
     private byte[] request(int index) {
-        String body = queryBody(Math.min(MAX_PARTS, site.scheduler().layout().shards()));
-        String queryClass = site.classes().get(index % site.classes().size());
+        String body =
+                queryBody(Math.min(MAX_PARTS, settings.scheduler().layout().shards()));
+        String queryClass = settings.classes().get(index % settings.classes().size());
         String head = "POST /api HTTP/1.1\r\nHost: warm\r\nRequest-Id: warm" + index
                 + "\r\nRequest-Class: " + queryClass
                 + "\r\nRequest-Timeout-Ms: 3000\r\nIdempotency-Key: w" + index
@@ -115,7 +120,7 @@
         return (head + body).getBytes(StandardCharsets.UTF_8);
     }
 
-    /** A query for the first shards, with equal weights. */
+    /** Returns the body of a query for the first shards, with equal weights. */
     private static String queryBody(int parts) {
         StringBuilder ranges = new StringBuilder();
         for (int shard = 0; shard < parts; shard++) {
@@ -129,14 +134,14 @@
         return "{\"ranges\":[" + ranges + "],\"predicate\":\"warm\"}";
     }
 
-    /** Answers every call after a while, by way of the frame codec. */
-    private static final class EchoBackend extends InertBackend {
+    /** Answers every call with a fixed value after {@link #WORKER_LATENCY_S}, through the frame codec. */
+    private static final class FixedValueBackend extends InertBackend {
 
         private final ManualClock clock;
-        /** Set once the gatherer has been made with this backend. */
+        /** Set after the gatherer has been constructed with this backend. */
         private Gatherer core;
 
-        private EchoBackend(ManualClock clock) {
+        private FixedValueBackend(ManualClock clock) {
             this.clock = clock;
         }
 
--- a/src/main/java/pepperdock/platform/LoadReportParser.java
+++ b/src/main/java/pepperdock/platform/LoadReportParser.java
@@ -3,16 +3,17 @@
 import java.util.List;
 
 /**
- * Parses the load report of a worker's result, {@code name=figure} pairs with commas between them, into figures in the order
- * of the settings. Stateless; may be used on any thread.
+ * Parses the load report of a worker's result, which consists of comma-separated {@code name=figure} pairs, into
+ * figures in the order of the settings. Stateless and thread-safe.
  */
 final class LoadReportParser {
 
     private LoadReportParser() {}
 
     /**
-     * Returns the figures of a report in the order of {@code names}. Null where there is no report, where it lacks one of the
-     * names, or where a figure is not a finite number of at least 0: half a report would be taken for a light load.
+     * Returns the figures of a report in the order of {@code names}. Returns null if there is no report, if it lacks
+     * one of the names, or if a figure is not a finite number of at least 0: an incomplete report would be mistaken for
+     * a light load.
      */
     static double[] parse(String report, List<String> names) {
         double[] figures = new double[names.size()];
@@ -33,7 +34,7 @@
         return found > 0 && found == names.size() ? figures : null;
     }
 
-    /** A finite figure of at least 0; NaN for whatever else. */
+    /** Returns a finite figure of at least 0, or NaN for any other text. */
     private static double parseFigure(String text) {
         try {
             double figure = Double.parseDouble(text);
--- a/src/main/java/pepperdock/platform/PendingHealthChecks.java
+++ b/src/main/java/pepperdock/platform/PendingHealthChecks.java
@@ -7,19 +7,19 @@
 import pepperdock.scheduler.LoadReport;
 
 /**
- * The health checks that are pending on one connection. Answers carry no id and come in the order of the checks. Owned by the
- * loop's thread; each check has one outcome.
+ * Tracks the health checks that are pending on one connection. Answers carry no id and arrive in the order of the
+ * checks. Each check has exactly one outcome. Owned by the loop's thread.
  */
 final class PendingHealthChecks {
 
-    /** Seconds: a worker answers at once, so that a longer wait tells no more than this one. */
+    /** Seconds until a check times out: a worker answers at once, so a longer wait would reveal nothing more. */
     private static final double TIMEOUT_S = 0.25;
 
     private record HealthCheck(double sentAt, Clock.Timer timeout) {}
 
     private final WorkerContext context;
     private final ArrayDeque<HealthCheck> pending = new ArrayDeque<>();
-    /** Checks that timed out and whose answers may still come. */
+    /** The number of checks that timed out and whose answers may still arrive. */
     private int timedOut;
 
     PendingHealthChecks(WorkerContext context) {
@@ -30,7 +30,7 @@
         return pending.isEmpty();
     }
 
-    /** A check is about to be written. */
+    /** Records a check that is about to be written. */
     void add() {
         double now = context.loop().now();
         pending.addLast(new HealthCheck(now, context.loop().after(TIMEOUT_S, this::onTimeout)));
@@ -44,18 +44,18 @@
         }
     }
 
-    /** An answer has come: that of the oldest pending check, or of one that has timed out. */
+    /** Handles an answer, which is that of the oldest pending check, or of one that has timed out. */
     void onAnswer(AttemptOutcome outcome) throws FrameException {
         HealthCheck check = pending.pollFirst();
         if (check != null) {
             check.timeout().cancel();
             report(outcome, context.loop().now() - check.sentAt());
         } else if (--timedOut < 0) {
-            throw new FrameException("health check answer without a health check");
+            throw new FrameException("health check answer, but no health check is outstanding");
         }
     }
 
-    /** The connection has ended, and all pending checks with it. */
+    /** Ends all pending checks, because the connection has ended. */
     void onConnectionReset() {
         pending.forEach(check -> {
             check.timeout().cancel();
@@ -64,7 +64,7 @@
         pending.clear();
     }
 
-    private void report(AttemptOutcome outcome, double tookS) {
-        context.core().onHealthCheckEnded(context.workerId(), outcome, tookS, LoadReport.NONE);
+    private void report(AttemptOutcome outcome, double durationS) {
+        context.core().onHealthCheckEnded(context.workerId(), outcome, durationS, LoadReport.NONE);
     }
 }
--- a/src/main/java/pepperdock/platform/PlatformFront.java
+++ b/src/main/java/pepperdock/platform/PlatformFront.java
@@ -13,10 +13,11 @@
 import pepperdock.transport.HttpServer;
 
 /**
- * The HTTP front for the platform's clients: passes their queries to the core, and the core's outcomes back.
+ * The HTTP front for the platform's clients: passes their queries to the core, and the outcomes from the core back to
+ * the clients.
  *
- * <p>Given to an {@link HttpServer}, which calls it on the loop's thread; the core answers on the same thread. The form of
- * queries and answers is {@link ClientProtocol}'s.
+ * <p>Passed to an {@link HttpServer}, which calls it on the loop's thread; the core answers on the same thread.
+ * {@link ClientProtocol} defines the format of queries and answers.
  */
 public final class PlatformFront implements HttpRequestHandler {
 
@@ -26,20 +27,20 @@
     private static final int UNAVAILABLE = 503;
     private static final int GATEWAY_TIMEOUT = 504;
 
-    private DeploymentSettings site;
+    private DeploymentSettings settings;
     private final Gatherer core;
     private final BooleanSupplier ready;
 
-    /** {@code ready} says whether this gatherer takes queries, for the readiness check. */
-    public PlatformFront(DeploymentSettings site, Gatherer core, BooleanSupplier ready) {
-        this.site = site;
+    /** Creates a front; {@code ready} tells whether this gatherer accepts queries, for the readiness check. */
+    public PlatformFront(DeploymentSettings settings, Gatherer core, BooleanSupplier ready) {
+        this.settings = settings;
         this.core = core;
         this.ready = ready;
     }
 
-    /** Replaces the settings, for queries from now on. */
-    public void updateSettings(DeploymentSettings newSite) {
-        site = newSite;
+    /** Replaces the settings for all later queries. */
+    public void updateSettings(DeploymentSettings newSettings) {
+        settings = newSettings;
     }
 
     @Override
@@ -65,24 +66,24 @@
     }
 
     @Override
-    public void rejectMalformed(int status, String why, HttpResponseSender reply) {
+    public void rejectMalformed(int status, String reason, HttpResponseSender reply) {
         String headers = status == METHOD_NOT_ALLOWED ? "Allow: GET, POST\r\n" : "";
-        reply.send(status, ClientProtocol.CONTENT_TYPE, headers, ClientProtocol.errorBody(why));
+        reply.send(status, ClientProtocol.CONTENT_TYPE, headers, ClientProtocol.errorBody(reason));
     }
 
     private static void requireMethod(HttpMessage message, String method) throws HttpException {
         if (!message.method().equals(method)) {
-            throw new HttpException(METHOD_NOT_ALLOWED, "only " + method);
+            throw new HttpException(METHOD_NOT_ALLOWED, "expected method " + method);
         }
     }
 
     private QueryRequest parseQuery(HttpMessage message) throws HttpException {
-        ClientProtocol.QueryHeaders headers = ClientProtocol.parseQueryHeaders(message, site);
+        ClientProtocol.QueryHeaders headers = ClientProtocol.parseQueryHeaders(message, settings);
         if (core.isQueryIdInUse(headers.id())) {
-            // The ids of its parts would be in use on the workers' connections, and results could be mixed up.
-            throw new HttpException(409, "Request-Id: of a request that is still open");
+            // The ids of its parts would be in use on the workers' connections already, and results could be mixed up.
+            throw new HttpException(409, "Request-Id: already used by an open request");
         }
-        int shards = site.scheduler().layout().shards();
+        int shards = settings.scheduler().layout().shards();
         ClientProtocol.QueryBody body = ClientProtocol.parseQueryBody(message.body(), shards);
         return new QueryRequest(
                 headers.id(),
@@ -94,7 +95,7 @@
                 null);
     }
 
-    /** Sends the one outcome of a query to its client. */
+    /** Sends the single outcome of a query to its client. */
     private record ClientReply(HttpResponseSender reply) implements QueryListener {
 
         @Override
--- a/src/main/java/pepperdock/platform/WorkerConnection.java
+++ b/src/main/java/pepperdock/platform/WorkerConnection.java
@@ -16,17 +16,24 @@
 import pepperdock.transport.Connection;
 
 /**
- * One connection to a worker, with calls pipelined on it: many may be in flight, and results come in any order.
+ * A connection to a worker. Calls are pipelined on it: many may be in flight, and results arrive in any order.
  *
- * <p>Opened and used by a {@link WorkerConnectionPool}; owned by the loop's thread. Each attempt that is given to {@link #send}
- * ends in one outcome that is reported to the core, unless {@link #cancel} comes first. Where a worker violates the protocol
- * the connection is closed, as nothing that follows can be trusted; what was in flight may have run.
+ * <p>Opened and used by a {@link WorkerConnectionPool}; owned by the loop's thread. Each attempt that is passed to
+ * {@link #send} ends with one outcome that is reported to the core, unless {@link #cancel} comes first. If the worker
+ * violates the protocol, the connection is closed, because nothing that follows can be trusted; the attempts in flight
+ * may have run.
  */
 final class WorkerConnection implements Connection.Handler {
 
-    /** Closed after this share of the worker's own idle limit, so that no call crosses the worker's closing. */
+    /**
+     * The connection is closed after this share of the worker's own idle limit, so that no call is sent while the
+     * worker closes it.
+     */
     private static final double IDLE_TIMEOUT_SHARE = 0.8;
-    /** A frame that has begun must be complete within this multiple of the connect timeout: results are written at once. */
+    /**
+     * A frame must be complete within this multiple of the connect timeout after its first byte: results are written at
+     * once.
+     */
     private static final int FRAME_TIMEOUT_MULTIPLE = 4;
 
     private final WorkerConnectionPool pool;
@@ -35,16 +42,19 @@
     private final FrameParser parser =
             new FrameParser(WorkerProtocol.MAX_FRAME_BYTES, WorkerProtocol.TYPES_FROM_WORKERS);
     private final InFlightAttempts inFlight = new InFlightAttempts();
-    /** Calls that wait until all earlier ones are with the kernel; each is checked again before it is written. */
+    /**
+     * Calls that wait until all earlier ones have been passed to the kernel; each is checked again before it is
+     * written.
+     */
     private final ArrayDeque<List<Attempt>> pendingCalls = new ArrayDeque<>();
-    /** Attempts whose frame is not wholly with the kernel yet, in the order of their frames. */
+    /** Attempts whose frame has not been completely passed to the kernel yet, in the order of their frames. */
     private final ArrayDeque<InFlight> unflushed = new ArrayDeque<>();
 
     private final PendingHealthChecks healthChecks;
     private final IdleTimeout idleTimeout;
-    /** Set while a frame has begun and is incomplete, else null. */
+    /** Set while a frame is partly received, otherwise null. */
     private Clock.Timer frameTimeout;
-    /** The last time at which a frame came, or the first call was written after nothing was in flight. */
+    /** The last time at which a frame arrived, or a call was written while nothing was in flight. */
     private double lastProgressAt;
 
     WorkerConnection(WorkerConnectionPool pool, WorkerContext context, Connection connection) {
@@ -52,26 +62,26 @@
         this.context = context;
         this.connection = connection;
         healthChecks = new PendingHealthChecks(context);
-        double idleS = context.site().idleTimeoutS() * IDLE_TIMEOUT_SHARE;
+        double idleS = context.settings().idleTimeoutS() * IDLE_TIMEOUT_SHARE;
         idleTimeout = new IdleTimeout(context.loop(), idleS, this::closeIfIdle, connection::isClosed);
         connection.start(this);
     }
 
     /**
-     * Whether results are overdue. A network path may fail silently under an open connection: new calls then go on a new
-     * connection, which either works or shows at once that the worker is unreachable.
+     * Returns whether results are overdue. A network path may fail silently under an open connection: new calls are
+     * then sent on a new connection, which either works or shows at once that the worker is unreachable.
      */
     boolean isUnresponsive() {
         return !inFlight.isEmpty()
-                && context.loop().now() - lastProgressAt > context.site().connectTimeoutS();
+                && context.loop().now() - lastProgressAt > context.settings().connectTimeoutS();
     }
 
-    /** The number of parts that are in flight, or pending until they can be written. */
+    /** Returns the number of parts that are in flight, or pending until they can be written. */
     int inFlight() {
         return inFlight.size() + pendingCalls.stream().mapToInt(List::size).sum();
     }
 
-    /** Whether a result that comes on this connection could be mistaken for that of one of these attempts. */
+    /** Returns whether a result on this connection could be mistaken for the result of one of these attempts. */
     boolean hasIdConflict(List<Attempt> call) {
         for (Attempt attempt : call) {
             if (inFlight.hasIdConflict(attempt)) {
@@ -82,8 +92,9 @@
     }
 
     /**
-     * Writes a call, or keeps it pending while the kernel does not take the bytes of earlier ones. A pending call can still be
-     * withdrawn, when the worker begins to drain or the query ends; in the connection's buffer it could not.
+     * Writes a call, or keeps it pending while the kernel does not accept the bytes of earlier ones. A pending call can
+     * still be withdrawn when the worker begins to drain or the query ends; a call in the connection's buffer could
+     * not.
      */
     void send(List<Attempt> call) {
         if (connection.hasUnwrittenBytes()) {
@@ -104,7 +115,7 @@
         }
     }
 
-    /** Ends the pending calls: they never ran, and will not. */
+    /** Ends the pending calls, which have not run and never will. */
     void endPendingCalls(AttemptOutcome outcome) {
         List<List<Attempt>> calls = List.copyOf(pendingCalls);
         pendingCalls.clear();
@@ -141,14 +152,16 @@
                 attempt.part().query().request().body());
     }
 
-    /** Reports the attempts whose frame is wholly with the kernel. */
+    /** Reports the attempts whose frame has been completely passed to the kernel. */
     private void reportWritten() {
         while (!unflushed.isEmpty() && unflushed.peekFirst().frameEnd() <= connection.bytesWritten()) {
             context.core().onAttemptWritten(unflushed.removeFirst().attempt());
         }
     }
 
-    /** Cancels an attempt and returns whether it was on this connection; a result that still comes for it is ignored. */
+    /**
+     * Cancels an attempt and returns whether it was on this connection; a result that still arrives for it is ignored.
+     */
     boolean cancel(Attempt attempt) {
         String id = WorkerProtocol.wireId(attempt);
         if (!inFlight.contains(id, attempt)) {
@@ -174,7 +187,7 @@
         connection.write(WorkerProtocol.encodeHealthCheck());
     }
 
-    /** Closes the connection where nothing is in flight or pending on it. */
+    /** Closes the connection if nothing is in flight or pending on it. */
     void closeIfIdle() {
         if (inFlight.isEmpty() && healthChecks.isEmpty() && pendingCalls.isEmpty()) {
             connection.close();
@@ -188,13 +201,16 @@
         }
     }
 
-    /** Closes the connection at once; what is in flight ends as by a reset. */
+    /** Closes the connection at once; attempts in flight end as after a reset. */
     void abort() {
         connection.close();
         onClosed(connection);
     }
 
-    /** No timer may refer to a closed connection: a worker that closes after each result would leave hundreds in memory. */
+    /**
+     * Releases the connection and its timers. No timer may refer to a closed connection: a worker that closes after
+     * each result would otherwise leave hundreds of connections in memory.
+     */
     private void release() {
         pool.onConnectionClosed(this);
         idleTimeout.cancel();
@@ -227,7 +243,7 @@
     }
 
     /**
-     * Checks a frame of which only a beginning has come, so that no attempt waits for its whole time for a result that is
+     * Checks a frame that is only partly received, so that no attempt waits until its deadline for a result that is
      * unusable or never ends.
      */
     private void onPartialFrame(Connection source) throws FrameException {
@@ -240,12 +256,13 @@
                 checkKnown(header.id());
             }
         }
-        // From the first byte on: restarted by each further byte, a frame that never ends would block all behind it.
+        // Runs from the first byte on: if each further byte restarted it, a frame that never ends would block all
+        // frames behind it.
         if (available > 0 && frameTimeout == null) {
             frameTimeout = context.loop()
-                    .after(FRAME_TIMEOUT_MULTIPLE * context.site().connectTimeoutS(), () -> {
+                    .after(FRAME_TIMEOUT_MULTIPLE * context.settings().connectTimeoutS(), () -> {
                         if (!source.isClosed()) {
-                            onProtocolViolation("frame not finished in time");
+                            onProtocolViolation("frame was not completed in time");
                         }
                     });
         }
@@ -253,13 +270,15 @@
 
     private void checkKnown(String id) throws FrameException {
         if (!inFlight.isKnown(id)) {
-            throw new FrameException("unknown id");
+            throw new FrameException("result with an unknown id");
         }
     }
 
     private void onProtocolViolation(String reason) {
         context.log().log(
-                System.Logger.Level.WARNING, () -> "malformed frame from worker " + context.workerId() + ": " + reason);
+                System.Logger.Level.WARNING,
+                () -> "closing the connection after a malformed frame from worker " + context.workerId() + ": "
+                        + reason);
         abort();
     }
 
@@ -269,11 +288,13 @@
             case WorkerProtocol.HEALTH_CHECK ->
                 healthChecks.onAnswer(WorkerProtocol.parseHealthCheckAnswer(frame.payload()));
             case WorkerProtocol.PROTOCOL_ERROR -> onRejectedFrame(new String(frame.payload(), StandardCharsets.UTF_8));
-            default -> throw new FrameException("unexpected type " + frame.type());
+            default -> throw new FrameException("unexpected frame type " + frame.type());
         }
     }
 
-    /** The worker could not use a frame of ours, and closes the connection. */
+    /**
+     * Handles the report that the worker could not use a frame from this gatherer; the worker closes the connection.
+     */
     private void onRejectedFrame(String reason) {
         context.log().log(
                 System.Logger.Level.WARNING, () -> "worker " + context.workerId() + " rejected a frame: " + reason);
@@ -283,19 +304,19 @@
     private void onResult(WorkerProtocol.Result result) throws FrameException {
         WorkerProtocol.ResultHeader header = result.header();
         checkKnown(header.id());
-        if (header.outcome() == AttemptOutcome.OK && !WorkerProtocol.isText(result.value())) {
-            throw new FrameException("value is not UTF-8");
+        if (header.outcome() == AttemptOutcome.OK && !WorkerProtocol.isUtf8(result.value())) {
+            throw new FrameException("result value is not valid UTF-8");
         }
         InFlight ended = inFlight.end(header.id());
         if (ended != null) {
-            List<String> figures = context.site().scheduler().reportNames();
+            List<String> figures = context.settings().scheduler().reportNames();
             LoadReport report = LoadReport.of(LoadReportParser.parse(header.loadReport(), figures));
             context.core().onAttemptEnded(ended.attempt(), header.outcome(), report, result.value());
             closeIfDraining();
         }
     }
 
-    /** The connection broke: attempts whose frame was not wholly written never ran, the others may have. */
+    /** Ends all attempts: those whose frame was not completely written never ran, the others may have run. */
     @Override
     public void onClosed(Connection source) {
         release();
--- a/src/main/java/pepperdock/platform/WorkerConnectionPool.java
+++ b/src/main/java/pepperdock/platform/WorkerConnectionPool.java
@@ -14,13 +14,16 @@
 /**
  * The connections to one worker, and the calls that are queued until a new connection is established.
  *
- * <p>A call goes on the first connection that has capacity for it and answers in time; else a new connection is opened, one at
- * a time. Owned by the loop's thread. The outcome of each attempt is reported to the core exactly once, unless the attempt is
- * cancelled first.
+ * <p>A call is sent on the first connection that has capacity for it and is responsive; otherwise a new connection is
+ * opened, one at a time. The outcome of each attempt is reported to the core exactly once, unless the attempt is
+ * cancelled first. Owned by the loop's thread.
  */
 final class WorkerConnectionPool implements PooledBackend.PooledWorker {
 
-    /** An unresponsive connection is replaced only while there are fewer: the worker itself may have stalled. */
+    /**
+     * An unresponsive connection is replaced only while there are fewer connections than this: the worker may have
+     * stalled.
+     */
     private static final int MAX_CONNECTIONS = 3;
 
     private final WorkerContext context;
@@ -49,7 +52,10 @@
         return acceptingCalls;
     }
 
-    /** Once the worker is draining or gone, calls that wait for a connection have not run and never will. */
+    /**
+     * Sets whether calls may be sent. Once the worker is draining or gone, calls that wait for a connection end: they
+     * have not run and never will.
+     */
     @Override
     public void setAcceptingCalls(boolean accepting) {
         acceptingCalls = accepting;
@@ -62,7 +68,7 @@
         }
     }
 
-    /** The worker's address has changed: whatever is in flight ends with the connections. */
+    /** Closes all connections, because the worker's address has changed; attempts in flight end with them. */
     @Override
     public void retire() {
         acceptingCalls = false;
@@ -71,12 +77,13 @@
     }
 
     /**
-     * Sends a call. A connection may carry fewer parts than a call has: unless the call is split, no connection would ever
-     * have capacity for it, and new ones would be opened for nothing.
+     * Sends a call, split into calls that fit on one connection. A connection may carry fewer parts than a call has:
+     * unless the call is split, no connection would ever have capacity for it, and new ones would be opened for
+     * nothing.
      */
     @Override
     public void send(List<Attempt> call) {
-        int limit = context.site().partsPerConnection();
+        int limit = context.settings().partsPerConnection();
         for (int from = 0; from < call.size(); from += limit) {
             sendOnOneConnection(call.subList(from, Math.min(call.size(), from + limit)));
         }
@@ -92,7 +99,7 @@
         for (WorkerConnection connection : connections) {
             if (connection.hasIdConflict(call)) {
                 idConflict = true;
-            } else if (connection.inFlight() + call.size() <= context.site().partsPerConnection()) {
+            } else if (connection.inFlight() + call.size() <= context.settings().partsPerConnection()) {
                 if (!connection.isUnresponsive()) {
                     connection.send(call);
                     return;
@@ -104,7 +111,7 @@
         if (full && unresponsive != null) {
             unresponsive.send(call);
         } else if (full && idConflict) {
-            // A result could not be told from that of an earlier query with the same id.
+            // A result could not be distinguished from that of an earlier query with the same id.
             context.endAttempts(call, AttemptOutcome.NOT_SENT);
         } else {
             queuedCalls.add(List.copyOf(call));
@@ -121,7 +128,7 @@
             context.loop()
                     .connect(
                             Config.address("dial", address),
-                            context.site().connectTimeoutS(),
+                            context.settings().connectTimeoutS(),
                             new EventLoop.ConnectListener() {
                                 @Override
                                 public void onConnected(Connection connection) {
@@ -164,7 +171,7 @@
         }
     }
 
-    /** Returns the attempts of a delayed call that may still begin; the others end without having run. */
+    /** Returns the attempts of a delayed call that may still start; the others end without having run. */
     List<Attempt> retainStartable(List<Attempt> call) {
         if (!acceptingCalls) {
             context.endAttempts(call, AttemptOutcome.NOT_SENT);
@@ -180,8 +187,8 @@
     }
 
     /**
-     * Cancels an attempt. The search ends at the one connection that carries it: at a draining worker the last cancellation
-     * closes that connection and removes it from the list that is being iterated.
+     * Cancels an attempt. The loop ends at the connection that carries it: if the worker is draining, the last
+     * cancellation closes that connection and removes it from the list that is being iterated.
      */
     @Override
     public void cancel(Attempt attempt) {
@@ -197,12 +204,15 @@
         List.copyOf(connections).forEach(WorkerConnection::closeIfIdle);
     }
 
-    /** A connection has been closed. */
+    /** Removes a connection that has been closed. */
     void onConnectionClosed(WorkerConnection connection) {
         connections.remove(connection);
     }
 
-    /** Sends a health check on a connection that is established; none is opened for it. */
+    /**
+     * Sends a health check on an established connection. No connection is opened for it: if there is none, the check
+     * fails.
+     */
     @Override
     public void checkHealth() {
         if (connections.isEmpty()) {
--- a/src/main/java/pepperdock/platform/WorkerContext.java
+++ b/src/main/java/pepperdock/platform/WorkerContext.java
@@ -10,15 +10,16 @@
 import pepperdock.transport.EventLoop;
 
 /**
- * What the connections to one worker share. Immutable; what it refers to is used on the loop's thread only.
+ * The context shared by all connections to one worker. Immutable; the objects that it refers to are used on the loop's
+ * thread only.
  *
  * @param workerId the endpoint's id in the endpoint list
- * @param loop the thread that owns all state, its clock and its timers
- * @param site the settings of this installation
+ * @param loop the event loop that owns all state, with its clock and timers
+ * @param settings the settings of this deployment
  * @param core receives the outcomes of attempts and health checks
  * @param log for frames that are malformed or rejected
  */
-record WorkerContext(String workerId, EventLoop loop, DeploymentSettings site, Gatherer core, LogRateLimiter log) {
+record WorkerContext(String workerId, EventLoop loop, DeploymentSettings settings, Gatherer core, LogRateLimiter log) {
 
     /** Ends each attempt of a call with an outcome that no worker reported. */
     void endAttempts(List<Attempt> call, AttemptOutcome outcome) {
--- a/src/main/java/pepperdock/platform/WorkerProtocol.java
+++ b/src/main/java/pepperdock/platform/WorkerProtocol.java
@@ -13,29 +13,35 @@
 import pepperdock.scheduler.AttemptOutcome;
 
 /**
- * The messages of the workers' protocol (protocol, section "Gatherers to workers"): encodes those to a worker, parses those
- * from it, and maps the protocol's words to the core's terms. Stateless; may be used on any thread.
+ * Encodes the messages to workers (protocol, section "Gatherers to workers"), parses the messages from them, and maps
+ * the protocol's terms to those of the core. Stateless and thread-safe.
  */
 public final class WorkerProtocol {
 
-    /** Frame type, to a worker: a call with one or more parts. */
+    /** Type of frames to a worker: a call with one or more parts. */
     public static final char CALL = 'm';
-    /** Frame type, to a worker: a part that is no longer wanted. */
+    /** Type of frames to a worker: the cancellation of a part. */
     public static final char CANCEL = 'n';
-    /** Frame type, both ways: a health check and its answer. */
+    /** Type of frames in both directions: a health check and its answer. */
     public static final char HEALTH_CHECK = 'o';
-    /** Frame type, from a worker: the result of one part. */
+    /** Type of frames from a worker: the result of one part. */
     public static final char RESULT = 'q';
-    /** Frame type, from a worker: the last frame could not be used, and the worker closes the connection. */
+    /** Type of frames from a worker: the last frame could not be used, and the worker closes the connection. */
     public static final char PROTOCOL_ERROR = 'r';
 
-    /** The types that a worker may send here; checks for load reports are never sent, so their answers are not expected. */
+    /**
+     * The frame types that a worker may send. Requests for load reports are never sent, so their answers are not
+     * expected.
+     */
     static final String TYPES_FROM_WORKERS = "" + HEALTH_CHECK + RESULT + PROTOCOL_ERROR;
 
-    /** Bytes: a value is at most what a client's answer may hold, 64 KiB; its header comes before it. */
+    /**
+     * The maximum length of a frame: a value of at most 64 KiB, the limit of a client's answer, and the header before
+     * it.
+     */
     static final int MAX_FRAME_BYTES = (1 << 16) + 2048;
 
-    /** Bytes: an id, two words and a load report fit well within it. */
+    /** The maximum size of a result header: an id, two words and a load report fit well within it. */
     private static final int MAX_RESULT_HEADER_BYTES = 1024;
 
     /** The fields of a result's header: id, outcome, score, load report. */
@@ -48,7 +54,7 @@
             "bad", AttemptOutcome.ERROR,
             "later", AttemptOutcome.OVERLOADED);
 
-    /** The settings' names of the figures in a load report, by the names that the workers give them. */
+    /** The names of load report figures in the settings, keyed by the names that workers use for them. */
     private static final Map<String, String> LOAD_REPORT_NAMES = Map.of(
             "inflight", "outstanding",
             "queue", "backlog",
@@ -64,18 +70,18 @@
      *
      * @param id identifies the part on its connection, see {@link #wireId}
      * @param timeoutMs how long the gatherer will wait for the result
-     * @param idempotencyKey empty where the query's class has none
+     * @param idempotencyKey empty if the query's class has none
      * @param body the query's text, passed on unchanged
      */
     public record CallPart(String id, int shard, long timeoutMs, String idempotencyKey, byte[] body) {}
 
-    /** The line that a result begins with. */
+    /** The first line of a result. */
     record ResultHeader(String id, AttemptOutcome outcome, String loadReport) {}
 
     /** The result of one part. */
     record Result(ResultHeader header, byte[] value) {}
 
-    /** The id of an attempt's part on the wire: hedged requests and retries of a part share it. */
+    /** Returns the id of an attempt's part on the wire; hedged requests and retries of a part share it. */
     static String wireId(Attempt attempt) {
         return attempt.part().query().request().id() + '.' + attempt.part().shard();
     }
@@ -107,20 +113,20 @@
     static Result parseResult(byte[] payload) throws FrameException {
         ResultHeader header = parseResultHeader(payload, 0, payload.length);
         if (header == null) {
-            throw new FrameException("result without header");
+            throw new FrameException("result without a complete header");
         }
         int headerEnd = indexOfLineEnd(payload, 0, payload.length);
         return new Result(header, Arrays.copyOfRange(payload, headerEnd + 1, payload.length));
     }
 
     /**
-     * Parses the header of a result of which only a beginning may have arrived; null while the header is incomplete. The load
-     * report is the rest of the line, whatever it holds: an unreadable report does not invalidate the result.
+     * Parses the header of a result that may be only partly received; returns null while the header is incomplete. The
+     * load report is the rest of the line, whatever it contains: an unreadable report does not invalidate the result.
      */
     static ResultHeader parseResultHeader(byte[] bytes, int from, int to) throws FrameException {
         int end = indexOfLineEnd(bytes, from, to);
         if (end - from > MAX_RESULT_HEADER_BYTES) {
-            throw new FrameException("result header too long");
+            throw new FrameException("result header longer than " + MAX_RESULT_HEADER_BYTES + " bytes");
         }
         if (end == to) {
             return null;
@@ -134,7 +140,7 @@
         return new ResultHeader(fields[0], outcome, fields[3]);
     }
 
-    /** The index of the first line feed, or {@code to} where there is none. */
+    /** Returns the index of the first line feed, or {@code to} if there is none. */
     private static int indexOfLineEnd(byte[] bytes, int from, int to) {
         int end = from;
         while (end < to && bytes[end] != '\n') {
@@ -149,8 +155,8 @@
         return healthy ? AttemptOutcome.OK : AttemptOutcome.ERROR;
     }
 
-    /** Whether a value is valid UTF-8, so that it can be passed on in a client's answer unchanged. */
-    static boolean isText(byte[] value) {
+    /** Returns whether a value is valid UTF-8, so that it can be passed on unchanged in a client's answer. */
+    static boolean isUtf8(byte[] value) {
         try {
             StandardCharsets.UTF_8.newDecoder().decode(ByteBuffer.wrap(value));
             return true;
@@ -159,7 +165,7 @@
         }
     }
 
-    /** The settings' name of a figure in a load report; names that are not known stay as they are. */
+    /** Returns the settings' name for a figure of a load report; names that are not known are returned unchanged. */
     static String loadReportName(String name) {
         return LOAD_REPORT_NAMES.getOrDefault(name, name);
     }
