--- a/src/test/java/pepperdock/platform/BoundarySettingsTest.java
+++ b/src/test/java/pepperdock/platform/BoundarySettingsTest.java
@@ -23,9 +23,11 @@
 import pepperdock.transport.EventLoop;
 import pepperdock.transport.HttpServer;
 
-/** Settings at their limits, as other installations may have them: each serves queries and is obeyed. */
+/**
+ * Settings at the limits of their ranges, as other deployments may use: queries are served and the settings are obeyed.
+ */
 @Timeout(120)
-class EdgeSettingsTest {
+class BoundarySettingsTest {
 
     private final FakeWorkerBehaviour behaviour = new FakeWorkerBehaviour();
 
@@ -36,20 +38,21 @@
                 .getAsJsonObject();
     }
 
-    private static JsonObject withSettings(String part, Object... pairs) {
+    private static JsonObject withChangedSettings(String section, Object... namesAndValues) {
         JsonObject all = settings();
-        JsonObject at = all.getAsJsonObject(part);
-        for (int i = 0; i < pairs.length; i += 2) {
-            at.add((String) pairs[i], JsonParser.parseString(String.valueOf(pairs[i + 1])));
+        JsonObject changed = all.getAsJsonObject(section);
+        for (int i = 0; i < namesAndValues.length; i += 2) {
+            changed.add((String) namesAndValues[i], JsonParser.parseString(String.valueOf(namesAndValues[i + 1])));
         }
         return all;
     }
 
-    private static JsonObject withEachClass(Object... pairs) {
+    private static JsonObject withEachClass(Object... namesAndValues) {
         JsonObject all = settings();
         all.getAsJsonArray("RequestClasses").forEach(c -> {
-            for (int i = 0; i < pairs.length; i += 2) {
-                c.getAsJsonObject().add((String) pairs[i], JsonParser.parseString(String.valueOf(pairs[i + 1])));
+            for (int i = 0; i < namesAndValues.length; i += 2) {
+                c.getAsJsonObject()
+                        .add((String) namesAndValues[i], JsonParser.parseString(String.valueOf(namesAndValues[i + 1])));
             }
         });
         return all;
@@ -63,38 +66,39 @@
         return all;
     }
 
-    static Stream<JsonObject> edges() {
+    static Stream<JsonObject> settingsAtTheirLimits() {
         return Stream.of(
                 withOneClass(),
-                withSettings("FamilyInfo", "Slices", 1, "Cells", 1, "Span", 1),
-                withSettings("FamilyInfo", "Batch", 1),
-                withSettings("Limits", "Cancel", false),
-                withSettings("Limits", "RetryAfter", false),
-                withSettings("Limits", "MayDuplicate", false),
-                withSettings("Limits", "MaxAttempts", 1),
-                withSettings("Limits", "Multiplex", 1),
-                withSettings("Limits", "Multiplex", 3),
+                withChangedSettings("FamilyInfo", "Slices", 1, "Cells", 1, "Span", 1),
+                withChangedSettings("FamilyInfo", "Batch", 1),
+                withChangedSettings("Limits", "Cancel", false),
+                withChangedSettings("Limits", "RetryAfter", false),
+                withChangedSettings("Limits", "MayDuplicate", false),
+                withChangedSettings("Limits", "MaxAttempts", 1),
+                withChangedSettings("Limits", "Multiplex", 1),
+                withChangedSettings("Limits", "Multiplex", 3),
                 withEachClass("WindowS", 0),
                 withEachClass("GoalTimeS", 0.28, "DeadlineS", 0.28),
                 withEachClass("LateWorth", 0, "Worth", 0));
     }
 
-    /** Sends a query for the first shards to a gatherer with these settings, and reads the one answer. */
-    private String query(JsonObject settings, String queryClass, String text, int shards, int timeoutMs)
+    /** Sends a query for the first shards to a gatherer with these settings and returns the answer. */
+    private String sendQuery(JsonObject settings, String queryClass, String text, int shards, int timeoutMs)
             throws Exception {
-        DeploymentSettings site = TestDeploymentSettings.with(settings.toString());
+        DeploymentSettings deployment = TestDeploymentSettings.with(settings.toString());
         List<FakeWorker> workers = new ArrayList<>();
         try (EventLoop loop = new EventLoop(200, 1 << 18)) {
             List<WorkerEndpoint> endpoints = new ArrayList<>();
-            for (int cell = 0; cell < site.scheduler().layout().cells(); cell++) {
+            for (int cell = 0; cell < deployment.scheduler().layout().cells(); cell++) {
                 workers.add(new FakeWorker(behaviour));
                 endpoints.add(PlatformFixtures.endpoint(
                         "w" + cell, cell, workers.get(cell).address()));
             }
-            FrameBackend pool = new FrameBackend(loop, site);
-            Gatherer core = new Gatherer(site.scheduler(), 3, loop, pool, () -> {});
-            pool.start(core);
-            HttpServer server = PlatformFixtures.listen(loop, 1 << 16, 8, new PlatformFront(site, core, () -> true));
+            FrameBackend backend = new FrameBackend(loop, deployment);
+            Gatherer core = new Gatherer(deployment.scheduler(), 3, loop, backend, () -> {});
+            backend.start(core);
+            HttpServer server =
+                    PlatformFixtures.listen(loop, 1 << 16, 8, new PlatformFront(deployment, core, () -> true));
             loop.execute(() -> core.onEndpointList(EndpointListKind.CACHED, endpoints));
             StringBuilder ranges = new StringBuilder();
             for (int shard = 0; shard < shards; shard++) {
@@ -117,44 +121,45 @@
     }
 
     @ParameterizedTest
-    @MethodSource("edges")
+    @MethodSource("settingsAtTheirLimits")
     void everyClassIsServedCompletely(JsonObject settings) throws Exception {
-        DeploymentSettings site = TestDeploymentSettings.with(settings.toString());
-        int shards = Math.min(4, site.scheduler().layout().shards());
-        for (int c = 0; c < site.classes().size(); c++) {
-            double deadlineS = site.scheduler().classes().get(c).deadlineS();
-            String answer = query(settings, site.classes().get(c), "t" + c, shards, (int) (deadlineS * 1000));
+        DeploymentSettings deployment = TestDeploymentSettings.with(settings.toString());
+        int shards = Math.min(4, deployment.scheduler().layout().shards());
+        for (int c = 0; c < deployment.classes().size(); c++) {
+            double deadlineS = deployment.scheduler().classes().get(c).deadlineS();
+            String answer = sendQuery(settings, deployment.classes().get(c), "t" + c, shards, (int) (deadlineS * 1000));
             assertTrue(answer.startsWith("HTTP/1.1 200"), settings + "\n" + answer);
             JsonObject body = JsonParser.parseString(answer.substring(answer.indexOf("\r\n\r\n")))
                     .getAsJsonObject();
             assertTrue(body.get("total").getAsBoolean(), answer);
             assertEquals(shards, body.getAsJsonArray("answers").size());
             for (int shard = 0; shard < shards; shard++) {
-                assertEquals(1, behaviour.calls("t" + c, shard), "sent once");
+                assertEquals(1, behaviour.calls("t" + c, shard), "number of calls for the shard");
             }
         }
     }
 
-    /** The idempotency window ends before the first answer can be back. A part that may have run is then not retried. */
+    /** The idempotency window ends before the first answer can arrive. A part that may have run is not retried then. */
     @Test
     void aWindowShorterThanARoundTripAllowsNoRetry() throws Exception {
-        String answer = query(withEachClass("WindowS", 0.001), "balance-adjust", "bad:*", 1, 3000);
+        String answer = sendQuery(withEachClass("WindowS", 0.001), "balance-adjust", "bad:*", 1, 3000);
         assertTrue(answer.startsWith("HTTP/1.1 500"), answer);
         assertEquals(1, behaviour.calls("bad:*", 0));
     }
 
     @Test
-    void aKeyedPartIsRetriedWithinItsWindowAndAttempts() throws Exception {
-        String answer = query(withSettings("Limits", "MaxAttempts", 3), "balance-adjust", "bad:*", 1, 3000);
+    void aKeyedPartIsRetriedUpToMaxAttemptsWithinItsWindow() throws Exception {
+        String answer = sendQuery(withChangedSettings("Limits", "MaxAttempts", 3), "balance-adjust", "bad:*", 1, 3000);
         assertTrue(answer.startsWith("HTTP/1.1 500"), answer);
         assertEquals(3, behaviour.calls("bad:*", 0));
     }
 
     @Test
-    void retryAfterIsSentOnlyWhereTheSettingsAllowIt() throws Exception {
-        String answer = query(withSettings("Limits", "RetryAfter", false), "payout-report", "later:*", 1, 3000);
+    void retryAfterIsSentOnlyIfTheSettingsAllowIt() throws Exception {
+        String answer =
+                sendQuery(withChangedSettings("Limits", "RetryAfter", false), "payout-report", "later:*", 1, 3000);
         assertTrue(answer.startsWith("HTTP/1.1 503") && !answer.contains("Retry-After"), answer);
-        answer = query(settings(), "payout-report", "later:*", 1, 3000);
+        answer = sendQuery(settings(), "payout-report", "later:*", 1, 3000);
         assertTrue(answer.startsWith("HTTP/1.1 503") && answer.contains("Retry-After: 1.000"), answer);
     }
 }
--- a/src/test/java/pepperdock/platform/ClientGoneBenchmark.java
+++ b/src/test/java/pepperdock/platform/ClientGoneBenchmark.java
@@ -25,35 +25,38 @@
 import pepperdock.transport.HttpServer;
 
 /**
- * Measures how soon a client's disconnect is noticed, and what begins after it: clients ask for one part that its workers fail
- * or never answer, so that there are retries, and leave after 0 to 150 ms. A benchmark, not a test: its figures are those of
- * the machine's clock.
+ * Measures how soon a client's disconnect is noticed, and which attempts start after it. Each client requests one part,
+ * which its workers fail or never answer, so that there are retries, and disconnects after 0 to 150 ms. This is a
+ * benchmark, not a test: its figures depend on the machine's clock.
  *
- * <p>Arguments: queries, and by how many milliseconds of work the loop is kept busy in each turn, with {@link #PAUSE_MS}
- * between.
+ * <p>Arguments: the number of queries, and the milliseconds of work by which the loop is kept busy in each turn, with
+ * {@link #PAUSE_MS} between turns.
  */
 final class ClientGoneBenchmark {
 
     private static final int CLIENTS = 8;
-    /** The first queries of each client are not counted: the program loads its classes then, before it serves in service. */
+    /**
+     * The first queries of each client are not counted: classes are loaded during them, which in service happens before
+     * the first query.
+     */
     private static final int WARM_UP_QUERIES = 15;
 
-    private static final int MAX_STAY_MS = 150;
+    private static final int MAX_CLIENT_WAIT_MS = 150;
     private static final int PAUSE_MS = 10;
-    /** Attempts later than this after the disconnect are counted apart, as the operators do. */
+    /** Attempts that start later than this after the disconnect are also counted separately, as the operators do. */
     private static final long LATE_NANOS = 100_000_000;
-    /** Of the workers' reactions to a part, one in so many is none at all; the rest are errors. */
-    private static final int SILENT_ONE_IN = 4;
+    /** One in this many parts is never answered by its worker; the others fail. */
+    private static final int UNANSWERED_ONE_IN = 4;
 
-    private static final int MAX_REACTION_MS = 60;
+    private static final int MAX_RESPONSE_MS = 60;
 
     private final Map<String, Long> disconnectedAt = new ConcurrentHashMap<>();
     private final Map<String, Long> noticedAt = new ConcurrentHashMap<>();
-    private final List<BegunAttempt> attempts = new CopyOnWriteArrayList<>();
-    private final ScheduledExecutorService reactions = new ScheduledThreadPoolExecutor(1);
+    private final List<StartedAttempt> attempts = new CopyOnWriteArrayList<>();
+    private final ScheduledExecutorService responseTimer = new ScheduledThreadPoolExecutor(1);
 
-    /** An attempt that was passed on to its connection, and when. */
-    private record BegunAttempt(String query, long nanos) {}
+    /** An attempt that was passed on to its connection, and the time at which it was. */
+    private record StartedAttempt(String query, long nanos) {}
 
     public static void main(String[] args) throws Exception {
         new ClientGoneBenchmark().run(Integer.parseInt(args[0]), Integer.parseInt(args[1]));
@@ -61,14 +64,14 @@
     }
 
     private void run(int queries, int busyMs) throws Exception {
-        DeploymentSettings site = TestDeploymentSettings.with(
+        DeploymentSettings settings = TestDeploymentSettings.with(
                 TestDeploymentSettings.SETTINGS.replace("\"MostHeld\":40", "\"MostHeld\":400"));
         EventLoop loop = new EventLoop(500, 1 << 18);
-        FrameBackend pool = new FrameBackend(loop, site);
-        Gatherer core = new Gatherer(site.scheduler(), 3, loop, new AttemptRecorder(pool), () -> {});
-        pool.start(core);
+        FrameBackend backend = new FrameBackend(loop, settings);
+        Gatherer core = new Gatherer(settings.scheduler(), 3, loop, new AttemptRecorder(backend), () -> {});
+        backend.start(core);
         HttpServer server = PlatformFixtures.listen(
-                loop, 1 << 16, 300, recordDisconnects(new PlatformFront(site, core, () -> true)));
+                loop, 1 << 16, 300, recordDisconnects(new PlatformFront(settings, core, () -> true)));
         FakeWorker first = failingWorker();
         FakeWorker second = failingWorker();
         loop.execute(() -> core.onEndpointList(
@@ -101,8 +104,9 @@
         int count = noticedAfterMs.length;
         System.out.printf(
                 Locale.ROOT,
-                "held up %d ms a turn: %d clients left, %d with a request in hand, noticed after %.2f ms (median), %.2f (99 of"
-                        + " 100), %.2f (worst); %d attempts, begun after the close %d, later than 0.1 s %d%n",
+                "loop busy for %d ms per turn: %d clients disconnected, %d of them during a query, noticed after"
+                        + " %.2f ms (median), %.2f (99th percentile), %.2f (maximum); %d attempts, %d of them started"
+                        + " after the disconnect, %d later than 0.1 s after it%n",
                 busyMs,
                 disconnectedAt.size(),
                 count,
@@ -110,17 +114,17 @@
                 noticedAfterMs[count * 99 / 100],
                 noticedAfterMs[count - 1],
                 attempts.size(),
-                begunAfterDisconnect(0),
-                begunAfterDisconnect(LATE_NANOS));
+                startedAfterDisconnect(0),
+                startedAfterDisconnect(LATE_NANOS));
     }
 
-    private long begunAfterDisconnect(long nanos) {
+    private long startedAfterDisconnect(long nanos) {
         return attempts.stream()
                 .filter(a -> disconnectedAt.containsKey(a.query()) && a.nanos() - disconnectedAt.get(a.query()) > nanos)
                 .count();
     }
 
-    /** Records when attempts are passed on. */
+    /** Records the time at which attempts are passed on. */
     private final class AttemptRecorder extends ForwardingBackend {
 
         private AttemptRecorder(Backend delegate) {
@@ -131,7 +135,7 @@
         public void sendCall(String worker, List<Attempt> call) {
             long now = System.nanoTime();
             call.forEach(attempt -> attempts.add(
-                    new BegunAttempt(attempt.part().query().request().id(), now)));
+                    new StartedAttempt(attempt.part().query().request().id(), now)));
             super.sendCall(worker, call);
         }
     }
@@ -172,7 +176,7 @@
                 String id = "c" + number + "-" + i;
                 Socket client = PlatformFixtures.connect(server);
                 client.getOutputStream().write(PlatformFixtures.onePartQuery(id, 5000));
-                Thread.sleep(random.nextInt(MAX_STAY_MS));
+                Thread.sleep(random.nextInt(MAX_CLIENT_WAIT_MS));
                 client.setSoLinger(random.nextBoolean(), 0);
                 client.close();
                 if (i >= WARM_UP_QUERIES) {
@@ -184,15 +188,15 @@
         }
     }
 
-    /** A worker that fails most parts after a while, and never answers the others. */
+    /** Creates a worker that fails most parts after a while, and never answers the others. */
     private FakeWorker failingWorker() throws IOException {
         SplittableRandom random = new SplittableRandom();
         return new FakeWorker((parts, connection) -> {
             for (FakeWorker.ReceivedPart part : parts) {
                 synchronized (random) {
-                    if (random.nextInt(SILENT_ONE_IN) > 0) {
-                        var unused = reactions.schedule(
-                                () -> fail(part, connection), random.nextInt(MAX_REACTION_MS), TimeUnit.MILLISECONDS);
+                    if (random.nextInt(UNANSWERED_ONE_IN) > 0) {
+                        var unused = responseTimer.schedule(
+                                () -> fail(part, connection), random.nextInt(MAX_RESPONSE_MS), TimeUnit.MILLISECONDS);
                     }
                 }
             }
--- a/src/test/java/pepperdock/platform/ClientGoneOnBusyLoopTest.java
+++ b/src/test/java/pepperdock/platform/ClientGoneOnBusyLoopTest.java
@@ -35,8 +35,8 @@
 import pepperdock.transport.TcpTable;
 
 /**
- * A client closes its connection while the loop is busy, so that the close stands unread in the kernel: an attempt whose turn
- * comes before the loop polls the kernel again must not begin.
+ * A client closes its connection while the loop is busy, so that the kernel knows of the close and the loop does not:
+ * an attempt that is due before the loop polls the kernel again must not start.
  */
 @Timeout(60)
 class ClientGoneOnBusyLoopTest {
@@ -47,7 +47,7 @@
         RESET
     }
 
-    private final DeploymentSettings site = TestDeploymentSettings.with(
+    private final DeploymentSettings settings = TestDeploymentSettings.with(
             TestDeploymentSettings.SETTINGS.replace("\"DialTimeoutS\":0.25", "\"DialTimeoutS\":30"));
     private final EventLoop loop = new EventLoop(100, 1 << 18);
     private Gatherer core;
@@ -61,8 +61,8 @@
     }
 
     private void serve(Backend backend) throws IOException {
-        core = new Gatherer(site.scheduler(), 3, loop, backend, () -> {});
-        server = PlatformFixtures.listen(loop, 1 << 16, 10, new PlatformFront(site, core, () -> true));
+        core = new Gatherer(settings.scheduler(), 3, loop, backend, () -> {});
+        server = PlatformFixtures.listen(loop, 1 << 16, 10, new PlatformFront(settings, core, () -> true));
     }
 
     private Socket sendQuery() throws IOException {
@@ -71,7 +71,7 @@
         return client;
     }
 
-    /** Disconnects the client; when this returns, the server's kernel knows. */
+    /** Disconnects the client; when this method returns, the server's kernel has seen the disconnect. */
     private void disconnect(Socket client, Disconnect how) {
         try {
             int port = client.getLocalPort();
@@ -97,10 +97,13 @@
         }
     }
 
-    /** A retry is decided in the very turn of the loop in which the client's close stands unread. It is not sent. */
+    /**
+     * A retry becomes due in the same turn of the loop in which the client's close is still unread in the kernel. It
+     * must not be sent.
+     */
     @ParameterizedTest
     @EnumSource(Disconnect.class)
-    void noRetryBeginsOnceTheKernelKnowsThatTheClientHasGone(Disconnect how) throws Exception {
+    void noRetryStartsAfterTheKernelHasSeenTheDisconnect(Disconnect how) throws Exception {
         RecordingBackend backend = new RecordingBackend();
         serve(backend);
         loop.execute(() -> core.onEndpointList(
@@ -113,17 +116,18 @@
             BlockingQueue<Integer> inFlight = new LinkedBlockingQueue<>();
             loop.execute(() -> {
                 disconnect(client, how);
-                // The next batch falls due while the loop is busy here, so that it closes before the kernel is polled.
-                double due = loop.now() + 2 * site.scheduler().tickS();
+                // The next batch becomes due while the loop is busy here, so that it closes before the kernel is
+                // polled.
+                double due = loop.now() + 2 * settings.scheduler().tickS();
                 while (loop.now() < due) {
                     Thread.onSpinWait();
                 }
                 core.onAttemptEnded(first, AttemptOutcome.CONNECT_FAILED, LoadReport.NONE, null);
                 loop.execute(() -> inFlight.add(core.inFlightQueries()));
             });
-            Integer left = inFlight.poll(30, TimeUnit.SECONDS);
+            Integer inFlightQueries = inFlight.poll(30, TimeUnit.SECONDS);
             assertTrue(backend.sent.isEmpty(), "a retry was sent");
-            assertEquals(0, left, "the close is noticed in that turn");
+            assertEquals(0, inFlightQueries, "the close was not noticed in that turn");
         }
     }
 
@@ -144,11 +148,12 @@
     }
 
     /**
-     * An attempt waits for its connection. In the turn of the loop in which that is established, another connection's handler
-     * comes first and keeps the loop busy, and the client closes meanwhile. The attempt does not begin.
+     * An attempt waits for its connection. In the turn of the loop in which the connection is established, the handler
+     * of another connection runs first and keeps the loop busy, and the client closes meanwhile. The attempt must not
+     * start.
      */
     @Test
-    void noAttemptBeginsOnItsConnectionOnceTheKernelKnowsThatTheClientHasGone() throws Exception {
+    void noAttemptStartsOnANewConnectionAfterTheKernelHasSeenTheDisconnect() throws Exception {
         BlockingQueue<Connection> opened = new LinkedBlockingQueue<>();
         Socket[] client = {null};
         Connection.Handler busyHandler = new Connection.Handler() {
@@ -170,8 +175,8 @@
                 Socket trigger =
                         new Socket(other.address().getAddress(), other.address().getPort())) {
             opened.take();
-            FrameBackend pool = new FrameBackend(loop, site);
-            serve(new TaskAfterCall(pool, () -> {
+            FrameBackend backend = new FrameBackend(loop, settings);
+            serve(new TaskAfterCall(backend, () -> {
                 try {
                     trigger.getOutputStream().write(1);
                     TcpTable.awaitUnread(other.address().getPort(), trigger.getLocalPort());
@@ -179,11 +184,11 @@
                     throw new UncheckedIOException(e);
                 }
             }));
-            pool.start(core);
+            backend.start(core);
             loop.execute(() -> core.onEndpointList(
                     EndpointListKind.CACHED,
                     List.of(PlatformFixtures.endpoint("w", 0, "127.0.0.1:" + worker.getLocalPort()))));
-            // On the loop: the handler above must not run before the client is known.
+            // On the loop, because the handler above must not run before the client is known.
             PlatformFixtures.onLoop(loop, () -> {
                 try {
                     client[0] = sendQuery();
@@ -194,21 +199,24 @@
             });
             Socket sender = client[0];
             try (sender) {
-                assertNothingSent(worker, pool);
+                assertNothingSent(worker, backend);
             }
         }
     }
 
-    /** Accepts the connection and awaits the client's end; whatever was written by then would come before a health check. */
-    private void assertNothingSent(ServerSocket worker, FrameBackend pool) throws Exception {
+    /**
+     * Accepts the connection and waits until the client's disconnect is noticed. Anything written by then would precede
+     * the health check.
+     */
+    private void assertNothingSent(ServerSocket worker, FrameBackend backend) throws Exception {
         worker.setSoTimeout(30_000);
         try (Socket connection = worker.accept()) {
-            long gone;
+            long clientsGone;
             do {
-                gone = PlatformFixtures.onLoop(
+                clientsGone = PlatformFixtures.onLoop(
                         loop, () -> core.metrics().ended("class-1", Metrics.QueryOutcome.CLIENT_GONE));
-            } while (gone < 1);
-            loop.execute(() -> pool.checkHealth("w"));
+            } while (clientsGone < 1);
+            loop.execute(() -> backend.checkHealth("w"));
             assertEquals('o', OneWorkerFixture.readFrame(connection)[0]);
         }
     }
--- a/src/test/java/pepperdock/platform/ClientGoneWhileConnectingTest.java
+++ b/src/test/java/pepperdock/platform/ClientGoneWhileConnectingTest.java
@@ -19,14 +19,16 @@
 import pepperdock.transport.EventLoop;
 import pepperdock.transport.HttpServer;
 
-/** From the client's socket to the worker's: clients that leave while their first attempt waits for a connection. */
+/**
+ * Clients that disconnect while their first attempt waits for a connection to its worker, tested from socket to socket.
+ */
 @Timeout(90)
 class ClientGoneWhileConnectingTest {
 
-    private static final int LEAVING_CLIENTS = 50;
+    private static final int DISCONNECTING_CLIENTS = 50;
     private static final int TIMEOUT_MS = 60_000;
 
-    private static final DeploymentSettings PATIENT = TestDeploymentSettings.with(TestDeploymentSettings.SETTINGS
+    private static final DeploymentSettings LONG_TIMEOUTS = TestDeploymentSettings.with(TestDeploymentSettings.SETTINGS
             .replace("\"DialTimeoutS\":0.25", "\"DialTimeoutS\":60")
             .replace("\"MostHeld\":40", "\"MostHeld\":400")
             .replace("\"GoalTimeS\":2.5,\"DeadlineS\":6", "\"GoalTimeS\":60,\"DeadlineS\":60"));
@@ -41,8 +43,8 @@
         return client;
     }
 
-    /** Every other client resets its connection, the rest close it. */
-    private static void leave(List<Socket> clients) throws IOException {
+    /** Disconnects the clients: every other one resets its connection, the rest close it. */
+    private static void disconnect(List<Socket> clients) throws IOException {
         for (int i = 0; i < clients.size(); i++) {
             clients.get(i).setSoLinger(i % 2 == 0, 0);
             clients.get(i).close();
@@ -50,37 +52,37 @@
     }
 
     /**
-     * The worker's accept queue is full, so that no connection is established. Of 51 clients 50 leave. Once the worker accepts,
-     * the one query that is left is sent and no other.
+     * The worker's accept queue is full, so that no connection is established. Of 51 clients 50 disconnect. Once the
+     * worker accepts connections, only the remaining query must be sent.
      */
     @Test
-    void noQueryIsSentOnceItsClientHasGone() throws Exception {
-        // The queue holds two: whoever connects third waits until one of them is accepted.
+    void noQueryIsSentAfterItsClientHasDisconnected() throws Exception {
+        // The queue holds two connections: a third one waits until one of them is accepted.
         try (ServerSocket worker = new ServerSocket(0, 1, InetAddress.getLoopbackAddress());
                 EventLoop loop = new EventLoop(500, 1 << 18)) {
             List<Socket> queueFillers = new ArrayList<>();
             for (int i = 0; i < 2; i++) {
                 queueFillers.add(new Socket(worker.getInetAddress(), worker.getLocalPort()));
             }
-            FrameBackend pool = new FrameBackend(loop, PATIENT);
-            Gatherer core = new Gatherer(PATIENT.scheduler(), 3, loop, pool, () -> {});
-            pool.start(core);
+            FrameBackend backend = new FrameBackend(loop, LONG_TIMEOUTS);
+            Gatherer core = new Gatherer(LONG_TIMEOUTS.scheduler(), 3, loop, backend, () -> {});
+            backend.start(core);
             HttpServer server =
-                    PlatformFixtures.listen(loop, 1 << 16, 100, new PlatformFront(PATIENT, core, () -> true));
+                    PlatformFixtures.listen(loop, 1 << 16, 100, new PlatformFront(LONG_TIMEOUTS, core, () -> true));
             loop.execute(() -> core.onEndpointList(
                     EndpointListKind.CACHED,
                     List.of(PlatformFixtures.endpoint("w", 0, "127.0.0.1:" + worker.getLocalPort()))));
-            List<Socket> leaving = new ArrayList<>();
-            for (int i = 0; i < LEAVING_CLIENTS; i++) {
-                leaving.add(sendQuery(server, "left" + i));
+            List<Socket> disconnecting = new ArrayList<>();
+            for (int i = 0; i < DISCONNECTING_CLIENTS; i++) {
+                disconnecting.add(sendQuery(server, "left" + i));
             }
-            Socket stays = sendQuery(server, "stays");
-            try (stays) {
-                while (PlatformFixtures.onLoop(loop, core::inFlightQueries) < LEAVING_CLIENTS + 1) {
+            Socket remaining = sendQuery(server, "stays");
+            try (remaining) {
+                while (PlatformFixtures.onLoop(loop, core::inFlightQueries) < DISCONNECTING_CLIENTS + 1) {
                     Thread.onSpinWait();
                 }
-                leave(leaving);
-                while (clientsGone(loop, core) < LEAVING_CLIENTS) {
+                disconnect(disconnecting);
+                while (clientsGone(loop, core) < DISCONNECTING_CLIENTS) {
                     Thread.onSpinWait();
                 }
                 for (Socket filler : queueFillers) {
@@ -92,8 +94,8 @@
                     String call = new String(OneWorkerFixture.readFrame(connection), StandardCharsets.US_ASCII);
                     assertEquals("mstays.0 0", call.substring(0, 10));
                     assertEquals(-1, call.indexOf("left"));
-                    // Whatever has been written by now comes before this health check.
-                    loop.execute(() -> pool.checkHealth("w"));
+                    // Anything written by now would precede this health check.
+                    loop.execute(() -> backend.checkHealth("w"));
                     assertEquals('o', OneWorkerFixture.readFrame(connection)[0]);
                 }
             }
--- a/src/test/java/pepperdock/platform/DiscoveryConnection.java
+++ b/src/test/java/pepperdock/platform/DiscoveryConnection.java
@@ -7,7 +7,7 @@
 import java.net.Socket;
 import java.nio.charset.StandardCharsets;
 
-/** Discovery's side of one connection, for tests that play discovery on plain sockets. */
+/** Discovery's side of one connection, for tests that act as discovery on plain sockets. */
 final class DiscoveryConnection implements AutoCloseable {
 
     private static final String ENTRY =
@@ -25,12 +25,12 @@
         return new DiscoveryConnection(server.accept());
     }
 
-    /** Reads the first line of a request, and no more. */
+    /** Reads the first line of a request and nothing after it. */
     String readRequestLine() throws IOException {
         return in.readLine();
     }
 
-    /** Reads the rest of a request's head. */
+    /** Reads the remaining lines of a request's head. */
     void readHeaders() throws IOException {
         String header = in.readLine();
         while (!header.isEmpty()) {
@@ -38,14 +38,14 @@
         }
     }
 
-    /** Reads a request; returns its target without how long it may be held. */
+    /** Reads a request and returns its target without the time for which it may be held. */
     String readTarget() throws IOException {
         String target = readRequestLine().split(" ")[1].replaceAll("&.*", "");
         readHeaders();
         return target;
     }
 
-    /** Reads until something comes or the other side closes; -1 for the latter. */
+    /** Waits for one character and returns it, or -1 once the other side has closed. */
     int read() throws IOException {
         return in.read();
     }
@@ -58,17 +58,17 @@
         write("HTTP/1.1 " + status + " X\r\nContent-Length: " + body.length() + "\r\n\r\n" + body);
     }
 
-    /** Answers with changed entries. */
+    /** Answers with changed entries: healthy workers with these ids. */
     void answerChanges(long version, String... workers) throws IOException {
         answer(200, list(version, false, workers));
     }
 
-    /** Answers with the complete list. */
+    /** Answers with a complete list of healthy workers with these ids. */
     void answerComplete(long version, String... workers) throws IOException {
         answer(200, list(version, true, workers));
     }
 
-    /** A list in discovery's form with healthy workers of these ids. */
+    /** Returns a list in discovery's format of healthy workers with these ids. */
     static String list(long version, boolean complete, String... workers) {
         StringBuilder entries = new StringBuilder();
         for (String worker : workers) {
--- a/src/test/java/pepperdock/platform/EndpointWatchTest.java
+++ b/src/test/java/pepperdock/platform/EndpointWatchTest.java
@@ -29,21 +29,21 @@
 
 class EndpointWatchTest {
 
-    /** Seconds: discovery, when overloaded, answers polls that have waited a little less. */
+    /** Seconds: an overloaded discovery answers polls that have waited for slightly less than this. */
     private static final double DISCOVERY_LIMIT_S = 2.2;
-    /** Seconds after which events count as delivered: past a long poll's wait, and after a change of address. */
+    /** Seconds after which events count as delivered: after the end of a long poll, and after an address change. */
     private static final double DELIVERED_AFTER_WAIT_S = 2;
 
     private static final double DELIVERED_AFTER_ADDRESS_CHANGE_S = 4;
 
     private static final long KNOWN_VERSION = 41;
 
-    private final DeploymentSettings site = TestDeploymentSettings.small();
+    private final DeploymentSettings settings = TestDeploymentSettings.small();
     private final EventLoop loop = new EventLoop(100, 1 << 16);
     private final ServerSocket server = new ServerSocket(0, 50, InetAddress.getLoopbackAddress());
     private final BlockingQueue<Collection<WorkerEndpoint>> lists = new LinkedBlockingQueue<>();
-    private final EndpointWatch watch = new EndpointWatch(loop, addressOf(server), site, KNOWN_VERSION);
-    private final Gatherer core = new Gatherer(site.scheduler(), 3, loop, new FrameBackend(loop, site), watch);
+    private final EndpointWatch watch = new EndpointWatch(loop, addressOf(server), settings, KNOWN_VERSION);
+    private final Gatherer core = new Gatherer(settings.scheduler(), 3, loop, new FrameBackend(loop, settings), watch);
 
     EndpointWatchTest() throws IOException {
         server.setSoTimeout(30_000);
@@ -70,14 +70,14 @@
         return (InetSocketAddress) server.getLocalSocketAddress();
     }
 
-    private void changeAddress(ServerSocket to) {
-        loop.execute(() -> watch.changeAddress(addressOf(to)));
+    private void changeAddress(ServerSocket newServer) {
+        loop.execute(() -> watch.changeAddress(addressOf(newServer)));
     }
 
-    /** The ids of the workers in the next list that the gatherer takes. */
+    /** Returns the ids of the workers in the next list that the gatherer receives. */
     private Set<String> awaitList() throws InterruptedException {
         Collection<WorkerEndpoint> list = lists.poll(30, TimeUnit.SECONDS);
-        assertTrue(list != null, "no list came");
+        assertTrue(list != null, "no list arrived in time");
         return list.stream().map(WorkerEndpoint::id).collect(Collectors.toSet());
     }
 
@@ -110,8 +110,9 @@
     }
 
     /**
-     * Seen when 64 gatherers were restarted at once and discovery was overloaded: it then answers polls that have waited for
-     * two seconds, and each had timed out after 1.9 s. 33 gatherers had no list for ten seconds.
+     * When 64 gatherers were restarted at once, discovery was overloaded and answered polls that had waited for two
+     * seconds, but each poll timed out after 1.9 s: 33 gatherers had no list for ten seconds. A poll must wait longer
+     * than that.
      */
     @Test
     void aPollOutlastsTheTimeLimitOfAnOverloadedDiscovery() throws Exception {
@@ -124,15 +125,15 @@
     }
 
     /**
-     * Discovery takes a poll and answers nothing, or stops in the middle of its answer. The poll is retried on a new connection
-     * at once, and not after a pause of the scheduler's, and asks for an answer at once.
+     * Discovery accepts a poll and does not answer, or stops in the middle of its answer. The poll is retried on a new
+     * connection at once, without the scheduler's pause, and the retry must not be held by discovery.
      */
     @ParameterizedTest
     @ValueSource(strings = {"", "HTTP/1.1 200 X\r\nContent-Length: 90\r\n\r\n{\"seq\":42,"})
-    void anOverduePollIsRetriedAtOnceByOneThatIsNotHeld(String begun) throws Exception {
+    void anOverduePollIsRetriedAtOnceWithoutBeingHeld(String partialAnswer) throws Exception {
         try (DiscoveryConnection silent = DiscoveryConnection.accept(server)) {
             assertEquals("/api/targets?since=41", silent.readTarget());
-            silent.write(begun);
+            silent.write(partialAnswer);
             try (DiscoveryConnection retry = DiscoveryConnection.accept(server)) {
                 assertEquals(pollLine(41, 1), retry.readRequestLine());
                 assertTrue(lists.isEmpty());
@@ -141,15 +142,18 @@
     }
 
     /**
-     * The first poll at a new address is not answered. It used to time out at the very moment at which its events count as
-     * delivered, and the retry asked for changes since a version of the old address. Now there is time for two polls.
+     * The first poll at a new address is not answered. There must be time for two polls before the events count as
+     * delivered, and the retry must request the complete list. An earlier version timed out at the very moment at which
+     * the events count as delivered, and its retry requested the changes since a version of the old address.
      */
     @Test
     void anOverdueFirstPollAfterAnAddressChangeIsRetriedInTime() throws Exception {
         assertTrue(
                 EndpointWatch.ADDRESS_CHANGE_TIMEOUT_S + 1 < DELIVERED_AFTER_ADDRESS_CHANGE_S,
-                "two polls, and a connection that is lost, fit in");
-        assertTrue(EndpointWatch.ADDRESS_CHANGE_TIMEOUT_S > DISCOVERY_LIMIT_S, "outlasts an overloaded discovery");
+                "no time for two polls and a lost connection");
+        assertTrue(
+                EndpointWatch.ADDRESS_CHANGE_TIMEOUT_S > DISCOVERY_LIMIT_S,
+                "times out before an overloaded discovery answers");
         try (ServerSocket other = listen()) {
             changeAddress(other);
             Socket silent = other.accept();
@@ -163,7 +167,7 @@
         }
     }
 
-    /** How a long poll ends without an event; the connection is closed right after. */
+    /** The ways in which a long poll ends without an event; the connection is closed right after. */
     enum PollFailure {
         UNAVAILABLE {
             @Override
@@ -199,12 +203,13 @@
     }
 
     /**
-     * A long poll fails. Events count as delivered 6 s after discovery is reachable again, so that the loss of the next poll
-     * must be noticed early. It used to be a long one, held for 8 s and overdue after 8.5 s; now it is not held.
+     * A long poll fails. Events count as delivered 6 s after discovery is reachable again, so the loss of the next poll
+     * must be noticed early, and it must not be held. An earlier version sent a long poll, held for 8 s and overdue
+     * after 8.5 s.
      */
     @ParameterizedTest
     @EnumSource(PollFailure.class)
-    void aFailedPollIsFollowedByOneThatIsNotHeld(PollFailure failure) throws Exception {
+    void theNextPollAfterAFailureIsNotHeld(PollFailure failure) throws Exception {
         try (DiscoveryConnection discovery = DiscoveryConnection.accept(server)) {
             discovery.readTarget();
             discovery.answerChanges(42, "a");
@@ -222,18 +227,18 @@
     }
 
     /**
-     * An overdue poll and its retry are both answered. The first answer is used and the other connection closed: an older list
-     * that comes second must not replace a newer one.
+     * An overdue poll and its retry are both answered. The first answer is used and the other connection closed: an
+     * older list that arrives second must not replace a newer one.
      */
     @ParameterizedTest
     @ValueSource(booleans = {true, false})
-    void ofAnOverduePollAndItsRetryTheFirstAnswerIsUsed(boolean overdueOneAnswers) throws Exception {
+    void theFirstAnswerToAnOverduePollOrItsRetryIsUsed(boolean overduePollAnswersFirst) throws Exception {
         try (DiscoveryConnection overdue = DiscoveryConnection.accept(server)) {
             overdue.readTarget();
             try (DiscoveryConnection retry = DiscoveryConnection.accept(server)) {
                 assertEquals("/api/targets?since=41", retry.readTarget());
-                DiscoveryConnection first = overdueOneAnswers ? overdue : retry;
-                DiscoveryConnection second = overdueOneAnswers ? retry : overdue;
+                DiscoveryConnection first = overduePollAnswersFirst ? overdue : retry;
+                DiscoveryConnection second = overduePollAnswersFirst ? retry : overdue;
                 first.answerChanges(43, "new");
                 assertEquals(Set.of("new"), awaitList());
                 assertEquals("/api/targets?since=43", first.readTarget());
@@ -266,11 +271,12 @@
     }
 
     /**
-     * The address changes while the scheduler pauses after a failure, and the end of the pause finds a poll in flight. A second
-     * poll would have connected by the time of the test's own connection, which comes last in the accept queue.
+     * The address changes while the scheduler pauses after a failure, so that a poll is in flight when the pause ends.
+     * No second poll may be sent: it would have connected before the test's own connection, which comes last in the
+     * accept queue.
      */
     @Test
-    void anAddressChangeDuringAPauseMakesOnePoll() throws Exception {
+    void anAddressChangeDuringAPauseSendsOnlyOnePoll() throws Exception {
         try (ServerSocket other = listen()) {
             try (DiscoveryConnection discovery = DiscoveryConnection.accept(server)) {
                 discovery.readTarget();
@@ -292,9 +298,12 @@
         }
     }
 
-    /** Every socket is in use, as where workers hang. A watch that ended could not be opened again then. */
+    /**
+     * Every socket is in use, as when workers hang. If the watch counted towards the socket cap, it could not reconnect
+     * after its connection ended.
+     */
     @Test
-    void discoveryIsPolledWhereEverySocketIsInUse() throws Exception {
+    void discoveryIsPolledWhenEverySocketIsInUse() throws Exception {
         loop.execute(() -> loop.setSocketCap(0));
         server.accept().close();
         try (DiscoveryConnection discovery = DiscoveryConnection.accept(server)) {
@@ -304,18 +313,24 @@
         }
     }
 
-    /** Where lists are pushed a drain event counts as delivered at once, and calls must stop within the drain grace. */
+    /**
+     * If lists are pushed, a drain event counts as delivered at once, and calls must stop within the drain grace
+     * period.
+     */
     @Test
     void theNextPollOfAnAgentFitsIntoTheDrainGrace() {
         double longestPauseS = 1.5 * EndpointWatch.MAX_AGENT_BACKOFF_S;
         assertTrue(
-                longestPauseS < site.scheduler().rules().drainGraceS() - 0.1,
-                "with its jitter, and time for an answer");
+                longestPauseS < settings.scheduler().rules().drainGraceS() - 0.1,
+                "longest pause with jitter leaves no time for an answer");
     }
 
-    /** Where lists are pushed the core never polls. Found by reading: no watch was ever opened. */
+    /**
+     * If lists are pushed, the core never polls. Guards against a watch that never starts: in an earlier version, none
+     * was ever opened.
+     */
     @Test
-    void whereListsArePushedTheWatchStartsAndRetriesByItself() throws Exception {
+    void theWatchStartsAndRetriesByItselfIfListsArePushed() throws Exception {
         DeploymentSettings pushed = TestDeploymentSettings.with(
                 TestDeploymentSettings.SETTINGS.replace("\"Discovery\":\"subscribe\"", "\"Discovery\":\"automatic\""));
         try (ServerSocket agent = listen()) {
@@ -330,20 +345,21 @@
     }
 
     /**
-     * Seen with 53 watches unanswered from their first moment while half of the workers were replaced: they timed out four
-     * seconds past their wait, two after all that they missed counted as delivered, and had sent 98 calls to workers long gone.
+     * While half of the workers were replaced, 53 watches were unanswered from the start. They timed out four seconds
+     * after the end of their wait, which was two seconds after everything they missed counted as delivered, and had
+     * sent 98 calls to workers that were long gone. Polls must be overdue earlier.
      */
     @Test
     void aPollIsOverdueEarlyEnoughForARetryBeforeItsEventsCountAsDelivered() {
         double waitS = EndpointWatch.LONG_POLL_MS / 1e3;
         double longPollTimeoutS = EndpointWatch.pollTimeoutS(EndpointWatch.LONG_POLL_MS);
-        assertTrue(longPollTimeoutS <= waitS + DELIVERED_AFTER_WAIT_S - 1, "time for a pause, and an answer");
-        assertTrue(longPollTimeoutS > waitS, "an answer at the end of the wait is awaited");
+        assertTrue(longPollTimeoutS <= waitS + DELIVERED_AFTER_WAIT_S - 1, "no time for a pause and an answer");
+        assertTrue(longPollTimeoutS > waitS, "times out before an answer at the end of the wait");
         double firstPollTimeoutS = EndpointWatch.pollTimeoutS(EndpointWatch.FIRST_POLL_MS);
-        assertTrue(firstPollTimeoutS > DISCOVERY_LIMIT_S, "outlasts an overloaded discovery");
+        assertTrue(firstPollTimeoutS > DISCOVERY_LIMIT_S, "times out before an overloaded discovery answers");
     }
 
-    /** The old watch must end: a list that still came from it would replace the new one. */
+    /** The old watch must end: a list that arrived from it later would replace the new one. */
     @Test
     void anAddressChangeEndsTheOldWatchAndAsksForTheCompleteList() throws Exception {
         try (ServerSocket other = listen();
--- a/src/test/java/pepperdock/platform/FakeWorker.java
+++ b/src/test/java/pepperdock/platform/FakeWorker.java
@@ -17,18 +17,19 @@
 import pepperdock.codec.frame.FrameEncoder;
 
 /**
- * A worker of the platform's frames on a loopback port, written from the protocol's page with blocking sockets of its own: it
- * shares nothing with the program but the frame's length and type. A thread for each connection.
+ * A worker that speaks the platform's frame protocol on a loopback port. It is written from the protocol's
+ * specification with its own blocking sockets, and shares only the encoding of a frame's length and type with the
+ * program. Uses one thread for each connection.
  */
 public final class FakeWorker implements Closeable {
 
-    /** One part of a call, as it came. */
+    /** One part of a call, as received. */
     public record ReceivedPart(String id, int shard, String text) {}
 
-    /** Reacts to frames, on the thread of their connection. */
+    /** Handles frames, on the thread of their connection. */
     @FunctionalInterface
     public interface FrameHandler {
-        /** The parts of a call, in order; empty for any other frame. */
+        /** Handles a frame; {@code parts} are the parts of a call in order, or empty for any other frame. */
         void onFrame(List<ReceivedPart> parts, Socket connection) throws IOException;
     }
 
@@ -36,7 +37,7 @@
     private final FrameHandler handler;
     private final List<Socket> connections = new CopyOnWriteArrayList<>();
 
-    /** Serves frames by a handler. */
+    /** Creates a worker that passes each frame to a handler. */
     public FakeWorker(FrameHandler handler) throws IOException {
         this.handler = handler;
         startThread(() -> {
@@ -48,10 +49,10 @@
         });
     }
 
-    /** Serves each call after {@link FakeWorkerBehaviour#CALL_MS}, as the behaviour says. */
+    /** Creates a worker that answers each call after {@link FakeWorkerBehaviour#CALL_MS}, as the behaviour says. */
     public FakeWorker(FakeWorkerBehaviour behaviour) throws IOException {
         this((parts, connection) -> {
-            waitForCall();
+            sleepForCallDuration();
             for (ReceivedPart part : parts) {
                 FakeWorkerBehaviour.Reaction reaction = behaviour.onCall(part.text(), part.shard());
                 if (reaction != FakeWorkerBehaviour.Reaction.SILENT) {
@@ -64,12 +65,12 @@
         });
     }
 
-    /** The address at which it listens, as in an endpoint list. */
+    /** Returns the address at which the worker listens, as in an endpoint list. */
     public String address() {
         return "127.0.0.1:" + server.getLocalPort();
     }
 
-    /** Writes a result: its header without the line's end, and the value. */
+    /** Writes a result; {@code header} has no line end. */
     public static void sendResult(Socket connection, String header, String value) throws IOException {
         byte[] payload = (header + '\n' + value).getBytes(StandardCharsets.UTF_8);
         connection.getOutputStream().write(FrameEncoder.encode('q', payload));
@@ -101,7 +102,7 @@
         return parts;
     }
 
-    private static void waitForCall() throws IOException {
+    private static void sleepForCallDuration() throws IOException {
         try {
             Thread.sleep(FakeWorkerBehaviour.CALL_MS);
         } catch (InterruptedException e) {
@@ -118,7 +119,7 @@
             try {
                 task.run();
             } catch (EOFException | SocketException e) {
-                // The other side, or the test, has closed.
+                // The other side or the test has closed the connection.
             } catch (IOException e) {
                 throw new UncheckedIOException(e);
             }
--- a/src/test/java/pepperdock/platform/FakeWorkerBehaviour.java
+++ b/src/test/java/pepperdock/platform/FakeWorkerBehaviour.java
@@ -6,13 +6,13 @@
 import java.util.concurrent.atomic.AtomicInteger;
 
 /**
- * How a fake worker reacts to a part, whatever its protocol: as the query's text says, such as {@code bad:3,7} (an error for
- * these shards), {@code later:*} (all are rejected) or {@code silent:2}; any other text is served. Counts the calls for each
- * part. Thread-safe.
+ * Decides how a fake worker of any protocol reacts to a part. The query's text selects the reaction, such as
+ * {@code bad:3,7} (an error for these shards), {@code later:*} (all are rejected) or {@code silent:2}; any other text
+ * is served. Counts the calls for each part. Thread-safe.
  */
 public final class FakeWorkerBehaviour {
 
-    /** A worker's reaction to a part; its name in lower case begins a text that asks for it. */
+    /** A worker's reaction to a part; a text that selects it begins with its name in lower case. */
     public enum Reaction {
         GOOD,
         BAD,
@@ -21,8 +21,8 @@
     }
 
     /**
-     * How long a call takes: as in service far more than the pauses of a machine, which the scheduler would otherwise take
-     * for a slow worker, and leave parts of light weight out.
+     * The duration of a call. It is far longer than the pauses of a machine, as in service: the scheduler would
+     * otherwise mistake such a pause for a slow worker, and omit parts of low weight.
      */
     public static final int CALL_MS = 60;
 
@@ -43,13 +43,13 @@
         return Reaction.GOOD;
     }
 
-    /** How many calls came for a part. */
+    /** Returns the number of calls for a part. */
     public int calls(String text, int shard) {
         AtomicInteger count = callsByPart.get(text + '/' + shard);
         return count == null ? 0 : count.get();
     }
 
-    /** The value that a part has, the same at each of its replicas. */
+    /** Returns the value of a part, the same at each of its replicas. */
     public static String value(String text, int shard) {
         return Integer.toHexString((text + '#' + shard).hashCode());
     }
--- a/src/test/java/pepperdock/platform/ForwardingBackend.java
+++ b/src/test/java/pepperdock/platform/ForwardingBackend.java
@@ -6,7 +6,7 @@
 import pepperdock.core.Backend;
 import pepperdock.core.WorkerEndpoint;
 
-/** A backend that forwards every call to another; tests override what they observe or disturb. */
+/** A backend that forwards every call to another one; tests override the methods that they observe or disturb. */
 public abstract class ForwardingBackend implements Backend {
 
     private final Backend delegate;
--- a/src/test/java/pepperdock/platform/FrameBackendTest.java
+++ b/src/test/java/pepperdock/platform/FrameBackendTest.java
@@ -19,7 +19,10 @@
 import pepperdock.scheduler.EndpointListKind;
 import pepperdock.scheduler.EndpointState;
 
-/** How attempts end when their worker does not answer them, by the protocol's table; which connection a call takes. */
+/**
+ * Checks how attempts end when their worker does not answer, as the protocol's table says, and which connection a call
+ * uses.
+ */
 class FrameBackendTest {
 
     private static final DeploymentSettings ONE_ATTEMPT = TestDeploymentSettings.with(TestDeploymentSettings.SETTINGS
@@ -36,14 +39,14 @@
     }
 
     @Test
-    void aRefusedConnectionNeverRan() throws Exception {
+    void anAttemptOnARefusedConnectionNeverRan() throws Exception {
         worker.server.close();
         worker.listWorkerAndSubmit();
         assertEquals("rejected " + AttemptOutcome.CONNECT_FAILED, worker.awaitOutcome());
     }
 
     @Test
-    void aResetAfterTheCompleteFrameMayHaveRun() throws Exception {
+    void anAttemptResetAfterItsCompleteFrameMayHaveRun() throws Exception {
         worker.listWorkerAndSubmit();
         try (Socket connection = worker.server.accept()) {
             OneWorkerFixture.readFrame(connection);
@@ -51,9 +54,11 @@
         assertEquals("failed " + AttemptOutcome.RESET, worker.awaitOutcome());
     }
 
-    /** The worker writes a frame of an impossible length. Its connection is closed; the next call goes on a new one. */
+    /**
+     * The worker writes a frame of an impossible length. Only its connection is closed; the next call uses a new one.
+     */
     @Test
-    void aMalformedFrameEndsItsConnectionOnly() throws Exception {
+    void aMalformedFrameClosesOnlyItsConnection() throws Exception {
         worker.listWorkerAndSubmit();
         try (Socket connection = worker.server.accept()) {
             connection.getInputStream().readNBytes(5);
@@ -69,29 +74,32 @@
     }
 
     /**
-     * Found on a recorded day: the network path under a connection failed silently, and calls were still sent on it until all
-     * of them had timed out. A connection with an overdue result gets no new calls; a new one is opened.
+     * The network path under a connection failed silently, and calls were still sent on it until all of them had timed
+     * out. A connection with an overdue result must get no new calls; a new one is opened.
      */
     @Test
     void anUnresponsiveConnectionGetsNoNewCalls() throws Exception {
         DeploymentSettings shortTimeout = TestDeploymentSettings.with(
                 TestDeploymentSettings.SETTINGS.replace("\"DialTimeoutS\":0.25", "\"DialTimeoutS\":0.1"));
-        try (OneWorkerFixture own = new OneWorkerFixture(shortTimeout, 1 << 16)) {
-            own.listWorker();
-            own.submit(OneWorkerFixture.request("first", OneWorkerFixture.KEYED_CLASS));
-            try (Socket unresponsive = own.server.accept()) {
+        try (OneWorkerFixture fixture = new OneWorkerFixture(shortTimeout, 1 << 16)) {
+            fixture.listWorker();
+            fixture.submit(OneWorkerFixture.request("first", OneWorkerFixture.KEYED_CLASS));
+            try (Socket unresponsive = fixture.server.accept()) {
                 unresponsive.getInputStream().readNBytes(5);
                 Thread.sleep(200);
-                own.submit(OneWorkerFixture.request("second", OneWorkerFixture.KEYED_CLASS));
-                try (Socket next = own.server.accept()) {
-                    byte[] begun = next.getInputStream().readNBytes(15);
-                    assertEquals("msecond.0 0", new String(begun, 4, 11, StandardCharsets.US_ASCII));
+                fixture.submit(OneWorkerFixture.request("second", OneWorkerFixture.KEYED_CLASS));
+                try (Socket next = fixture.server.accept()) {
+                    byte[] frameStart = next.getInputStream().readNBytes(15);
+                    assertEquals("msecond.0 0", new String(frameStart, 4, 11, StandardCharsets.US_ASCII));
                 }
             }
         }
     }
 
-    /** A call is queued until its connection is established. When the worker begins to drain, it ends without having run. */
+    /**
+     * A call is queued until its connection is established. When the worker begins to drain, it ends without having
+     * run.
+     */
     @Test
     void callsQueuedForAConnectionEndWhenTheWorkerDrains() throws Exception {
         worker.listWorkerAndSubmit(() -> worker.gatherer.onEndpointList(
@@ -99,9 +107,9 @@
         assertEquals("rejected " + AttemptOutcome.NOT_SENT, worker.awaitOutcome());
     }
 
-    /** A worker that a complete list does not name has been removed, even if it still answers. */
+    /** A worker that is missing from a complete list has been removed, even if it still answers. */
     @Test
-    void callsQueuedForAConnectionEndWhenACompleteListLeavesTheWorkerOut() throws Exception {
+    void callsQueuedForAConnectionEndWhenACompleteListOmitsTheWorker() throws Exception {
         worker.listWorkerAndSubmit(() -> worker.gatherer.onEndpointList(EndpointListKind.COMPLETE, List.of()));
         assertEquals("rejected " + AttemptOutcome.NOT_SENT, worker.awaitOutcome());
     }
@@ -114,8 +122,9 @@
     }
 
     /**
-     * Seen on days of releases: a client left, and the cancellation of the last part at a draining worker closed the worker's
-     * connection while the list of connections was being iterated. The exception ended the batch half way.
+     * A client disconnected, and the cancellation of the last part at a draining worker closed the worker's connection
+     * while the list of connections was being iterated. The exception aborted the batch half way. This happened during
+     * releases.
      */
     @Test
     void cancellingTheLastPartAtADrainingWorkerClosesItsConnection() throws Exception {
@@ -137,7 +146,7 @@
             assertNull(thrown.get(30, TimeUnit.SECONDS));
             connection.setSoTimeout(30_000);
             while (connection.getInputStream().read() >= 0) {
-                // The rest of the call, the cancellation, then the end.
+                // Skip the rest of the call and the cancellation, until the end of the stream.
             }
         }
     }
--- a/src/test/java/pepperdock/platform/JvmWarmupTest.java
+++ b/src/test/java/pepperdock/platform/JvmWarmupTest.java
@@ -6,7 +6,9 @@
 import pepperdock.config.TestDeploymentSettings;
 import pepperdock.core.ManualClock;
 
-/** A query that is rejected or malformed would warm nothing: each must be answered. */
+/**
+ * Each warm-up query must be answered: a query that is rejected or malformed would not warm the code of the query path.
+ */
 class JvmWarmupTest {
 
     @Test
--- a/src/test/java/pepperdock/platform/LoadReportParserTest.java
+++ b/src/test/java/pepperdock/platform/LoadReportParserTest.java
@@ -28,7 +28,7 @@
                 "inflight=-1,util=0.5,custom=1",
                 "inflight=x,util=0.5,custom=1"
             })
-    void anIncompleteOrUnreadableReportIsNone(String report) {
+    void anIncompleteOrUnreadableReportIsIgnored(String report) {
         assertNull(LoadReportParser.parse(report, NAMES));
     }
 }
--- a/src/test/java/pepperdock/platform/OneWorkerFixture.java
+++ b/src/test/java/pepperdock/platform/OneWorkerFixture.java
@@ -25,58 +25,58 @@
 import pepperdock.scheduler.EndpointState;
 import pepperdock.transport.EventLoop;
 
-/** A gatherer whose queries go to one worker, {@code w}; the test plays the worker on plain sockets. */
+/** A gatherer whose queries go to one worker, {@code w}; the test acts as the worker on plain sockets. */
 final class OneWorkerFixture implements AutoCloseable {
 
-    /** Classes of the settings for tests, by index. */
+    /** Indices of query classes in the settings for tests. */
     static final int IDEMPOTENT_CLASS = 0;
 
     static final int KEYED_CLASS = 2;
 
-    /** Far more than anything here takes; a test that runs into it has failed. */
-    private static final int PATIENCE_MS = 30_000;
+    /** Far longer than any step of these tests takes; a test that reaches this timeout fails. */
+    private static final int TIMEOUT_MS = 30_000;
 
     final EventLoop loop;
-    final FrameBackend pool;
+    final FrameBackend backend;
     final Gatherer gatherer;
     final ServerSocket server = new ServerSocket(0, 50, InetAddress.getLoopbackAddress());
     private final BlockingQueue<String> outcomes = new LinkedBlockingQueue<>();
 
-    OneWorkerFixture(DeploymentSettings site, int maxBufferBytes) throws IOException {
-        server.setSoTimeout(PATIENCE_MS);
+    OneWorkerFixture(DeploymentSettings settings, int maxBufferBytes) throws IOException {
+        server.setSoTimeout(TIMEOUT_MS);
         loop = new EventLoop(100, maxBufferBytes);
-        pool = new FrameBackend(loop, site);
-        gatherer = new Gatherer(site.scheduler(), 3, loop, pool, () -> {});
-        pool.start(gatherer);
+        backend = new FrameBackend(loop, settings);
+        gatherer = new Gatherer(settings.scheduler(), 3, loop, backend, () -> {});
+        backend.start(gatherer);
     }
 
     WorkerEndpoint endpoint(EndpointState state) {
         return new WorkerEndpoint("w", "127.0.0.1:" + server.getLocalPort(), 0, 0, 0, state, 1, 0);
     }
 
-    /** Tells the gatherer of the healthy worker. */
+    /** Sends the gatherer a complete list with the worker as healthy. */
     void listWorker() {
         loop.execute(
                 () -> gatherer.onEndpointList(EndpointListKind.COMPLETE, List.of(endpoint(EndpointState.HEALTHY))));
     }
 
-    /** A query for one part that only this worker holds. */
+    /** Returns a query for one part that only this worker holds. */
     static QueryRequest request(String id, int queryClass, double timeoutS, byte[] text) {
         String key = queryClass == KEYED_CLASS ? "k" : "";
         return new QueryRequest(
                 id, queryClass, key, timeoutS, List.of(new QueryRequest.RequestedPart(0, 1)), text, null);
     }
 
-    /** The same with a short text, and far more time than a test takes. */
+    /** Returns a query with a short text and a timeout far longer than a test takes. */
     static QueryRequest request(String id, int queryClass) {
-        return request(id, queryClass, PATIENCE_MS / 1e3, new byte[] {'t'});
+        return request(id, queryClass, TIMEOUT_MS / 1e3, new byte[] {'t'});
     }
 
     Query submit(QueryRequest request) throws InterruptedException {
         return onLoop(() -> gatherer.submit(request, new OutcomeRecorder()));
     }
 
-    /** Records final answers for {@link #awaitOutcome}. */
+    /** Returns a listener that records final answers for {@link #awaitOutcome}. */
     QueryListener recorder() {
         return new OutcomeRecorder();
     }
@@ -86,7 +86,10 @@
         listWorkerAndSubmit(() -> {});
     }
 
-    /** {@code next} runs right after the batch that sends, and before the loop can notice that the connection is up. */
+    /**
+     * Like {@link #listWorkerAndSubmit()}; {@code next} runs right after the batch that sends the call, before the loop
+     * can notice that the connection is established.
+     */
     void listWorkerAndSubmit(Runnable next) {
         loop.execute(() -> {
             gatherer.onEndpointList(EndpointListKind.COMPLETE, List.of(endpoint(EndpointState.HEALTHY)));
@@ -95,14 +98,14 @@
         });
     }
 
-    /** Awaits the next final answer: its kind, and how the last attempt at the query's part ended. */
+    /** Awaits the next final answer; returns its kind and the outcome of the last attempt at the query's part. */
     String awaitOutcome() throws InterruptedException {
-        String outcome = outcomes.poll(PATIENCE_MS, TimeUnit.MILLISECONDS);
-        assertTrue(outcome != null, "no final answer");
+        String outcome = outcomes.poll(TIMEOUT_MS, TimeUnit.MILLISECONDS);
+        assertTrue(outcome != null, "no final answer in time");
         return outcome;
     }
 
-    /** Awaits the end of the first attempt at a query's part. */
+    /** Awaits the end of the first attempt at a query's part and returns its outcome. */
     AttemptOutcome awaitAttemptOutcome(Query query) throws InterruptedException {
         AttemptOutcome outcome = null;
         while (outcome == null) {
@@ -115,19 +118,19 @@
         return PlatformFixtures.onLoop(loop, task);
     }
 
-    /** Reads a frame without its length: its type and its payload. */
+    /** Reads a frame and returns its type and payload, without its length. */
     static byte[] readFrame(Socket connection) throws IOException {
         DataInputStream in = new DataInputStream(connection.getInputStream());
         return in.readNBytes(in.readInt());
     }
 
-    /** The type and the id at the beginning of a frame. */
+    /** Returns the type and the id at the beginning of a frame. */
     static String typeAndId(byte[] frame) {
         int length = Math.min(frame.length, 16);
         return new String(frame, 0, length, StandardCharsets.US_ASCII).split(" ")[0];
     }
 
-    /** A result frame with this header and value. */
+    /** Returns a result frame with this payload: its header and value. */
     static byte[] result(String payload) {
         return FrameEncoder.encode('q', payload.getBytes(StandardCharsets.ISO_8859_1));
     }
--- a/src/test/java/pepperdock/platform/PlatformFixtures.java
+++ b/src/test/java/pepperdock/platform/PlatformFixtures.java
@@ -15,32 +15,34 @@
 import pepperdock.transport.HttpRequestHandler;
 import pepperdock.transport.HttpServer;
 
-/** What tests of the platform's protocols share: servers on loopback, endpoints, queries in the clients' form. */
+/**
+ * Fixtures for tests of the platform's protocols: servers on loopback, endpoints, and queries in the clients' format.
+ */
 public final class PlatformFixtures {
 
-    /** The body of a query for all of shard 0. */
+    /** The body of a query for shard 0 alone. */
     public static final String ONE_PART_BODY = "{\"ranges\":[{\"range\":0,\"portion\":1}],\"predicate\":\"x\"}";
 
     private PlatformFixtures() {}
 
-    /** Serves a front on a free loopback port. */
+    /** Starts a server for a front on a free loopback port. */
     public static HttpServer listen(EventLoop loop, int maxBodyBytes, int maxClients, HttpRequestHandler front)
             throws IOException {
         InetSocketAddress anyPort = new InetSocketAddress(InetAddress.getLoopbackAddress(), 0);
         return new HttpServer(loop, anyPort, maxBodyBytes, () -> maxClients, front);
     }
 
-    /** A client's connection to a server. */
+    /** Opens a client connection to a server. */
     public static Socket connect(HttpServer server) throws IOException {
         return new Socket(server.address().getAddress(), server.address().getPort());
     }
 
-    /** A healthy worker that holds the shards of a cell. */
+    /** Returns a healthy worker that holds the shards of a cell. */
     public static WorkerEndpoint endpoint(String id, int cell, String address) {
         return new WorkerEndpoint(id, address, 0, 0, cell, EndpointState.HEALTHY, 1, 0);
     }
 
-    /** A query of the idempotent class payout-report for all of shard 0, as a client sends it. */
+    /** Returns a query of the idempotent class payout-report for shard 0 alone, as a client sends it. */
     public static byte[] onePartQuery(String id, int timeoutMs) {
         String head = "POST /api HTTP/1.1\r\nRequest-Id: " + id
                 + "\r\nRequest-Class: payout-report\r\nRequest-Timeout-Ms: " + timeoutMs
--- a/src/test/java/pepperdock/platform/PlatformFrontTest.java
+++ b/src/test/java/pepperdock/platform/PlatformFrontTest.java
@@ -27,24 +27,24 @@
     private static final String QUERY =
             "POST /api HTTP/1.1~Request-Id: a~Request-Class: payout-report~Request-Timeout-Ms: 900";
 
-    private interface Conversation {
-        void with(HttpServer server) throws Exception;
+    private interface ServerTask {
+        void run(HttpServer server) throws Exception;
     }
 
-    /** Serves at most eight clients, with these workers, while the conversation lasts. */
-    private static void serve(List<WorkerEndpoint> workers, Conversation conversation) throws Exception {
-        DeploymentSettings site = TestDeploymentSettings.small();
+    /** Serves at most eight clients, with these workers, until the task ends. */
+    private static void serve(List<WorkerEndpoint> workers, ServerTask task) throws Exception {
+        DeploymentSettings settings = TestDeploymentSettings.small();
         try (EventLoop loop = new EventLoop(100, 1 << 16)) {
-            FrameBackend pool = new FrameBackend(loop, site);
-            Gatherer core = new Gatherer(site.scheduler(), 3, loop, pool, () -> {});
-            pool.start(core);
-            HttpServer server = PlatformFixtures.listen(loop, 1000, 8, new PlatformFront(site, core, () -> true));
+            FrameBackend backend = new FrameBackend(loop, settings);
+            Gatherer core = new Gatherer(settings.scheduler(), 3, loop, backend, () -> {});
+            backend.start(core);
+            HttpServer server = PlatformFixtures.listen(loop, 1000, 8, new PlatformFront(settings, core, () -> true));
             loop.execute(() -> core.onEndpointList(EndpointListKind.CACHED, workers));
-            conversation.with(server);
+            task.run(server);
         }
     }
 
-    /** A client that has sent a text, with {@code ~} for the end of a line. */
+    /** Connects a client and sends a text, in which {@code ~} stands for a line end. */
     private static Socket client(HttpServer server, String text) throws IOException {
         Socket client = PlatformFixtures.connect(server);
         client.getOutputStream().write(text.replace("~", "\r\n").getBytes(StandardCharsets.ISO_8859_1));
@@ -55,7 +55,9 @@
         return new String(client.getInputStream().readAllBytes(), StandardCharsets.ISO_8859_1);
     }
 
-    /** Sends a text to a gatherer without workers; returns all that it writes until it closes. */
+    /**
+     * Sends a text to a gatherer without workers and returns everything that it writes until it closes the connection.
+     */
     private static String exchange(String text) throws Exception {
         String[] response = new String[1];
         serve(List.of(), server -> {
@@ -72,8 +74,9 @@
     }
 
     /**
-     * A client uses the id of a query that is still open. Its parts would have the same ids at the workers, and one client
-     * could be served what was made for the other. The second query is rejected; once the first is over, the id is free.
+     * A client uses the id of a query that is still open. The parts of both queries would have the same ids at the
+     * workers, and one client could receive the answer for the other. The second query must be rejected; once the first
+     * has ended, the id is free.
      */
     @Test
     void aRequestIdInUseIsRejectedAndFreeAgainAfterwards() throws Exception {
@@ -97,7 +100,10 @@
         }
     }
 
-    /** A client pipelines 2,001 requests. Answered one within the other, they would overflow the stack of the loop's thread. */
+    /**
+     * A client pipelines 2,001 requests. If each were answered within the call that answers the previous one, the stack
+     * of the loop's thread would overflow.
+     */
     @Test
     void pipelinedRequestsAreAnsweredInTurn() throws Exception {
         String response =
@@ -106,8 +112,8 @@
     }
 
     /**
-     * A request is malformed, and more bytes follow it. They may be the rest of it, or hide another request: they are read and
-     * discarded, and the error arrives, as no reset is sent.
+     * A request is malformed, and more bytes follow it, which may be the rest of it or hide another request. They must
+     * be read and discarded, so that no reset is sent and the error arrives.
      */
     @Test
     void bytesAfterAMalformedRequestAreDiscarded() throws Exception {
@@ -119,11 +125,11 @@
     }
 
     /**
-     * More clients than are admitted connect and send nothing, or half a request. One that sends a request is served all the
-     * same, and the others are closed in time.
+     * More clients than are admitted connect and send nothing, or half a request. A client that sends a complete
+     * request must still be served, and the others must be closed in time.
      */
     @Test
-    void clientsThatSendNothingOrNeverFinishBlockNobody() throws Exception {
+    void incompleteRequestsDoNotBlockOtherClients() throws Exception {
         serve(List.of(), server -> {
             List<Socket> silent = new ArrayList<>();
             for (int i = 0; i < 20; i++) {
@@ -136,7 +142,7 @@
                 try (client) {
                     assertTrue(readToEnd(client).matches("(?s)|HTTP/1.1 408.*"));
                 } catch (SocketException e) {
-                    assertTrue(e.getMessage().contains("reset"), "closed with its half request unread");
+                    assertTrue(e.getMessage().contains("reset"), "expected a reset, as half a request was unread");
                 }
             }
         });
@@ -152,7 +158,7 @@
                         "POST /api HTTP/1.1~Content-Length: 1001~~|413",
                 "what~~|400"
             })
-    void aMalformedRequestGetsTheFittingStatus(String text, int status) throws Exception {
+    void aMalformedRequestIsAnsweredWithTheMatchingStatus(String text, int status) throws Exception {
         assertTrue(exchange(text).startsWith("HTTP/1.1 " + status), text);
     }
 
@@ -175,12 +181,12 @@
                 "{\"ranges\":[{\"range\":1,\"portion\":1}],\"predicate\":\"x\",\"predicate\":\"y\"}",
                 "{\"ranges\":[{\"range\":1,\"portion\":0.5},{\"range\":1,\"portion\":0.5}],\"predicate\":\"x\"}"
             })
-    void aMalformedBodyIsABadRequest(String body) throws Exception {
+    void aMalformedBodyIsAnsweredWithBadRequest(String body) throws Exception {
         String response = exchange(QUERY + "~Connection: close~Content-Length: " + body.length() + "~~" + body);
         assertTrue(response.startsWith("HTTP/1.1 400"), response);
     }
 
-    /** A rejection carries the scheduler's own Retry-After; requests on one connection are answered in turn. */
+    /** A rejection carries the scheduler's Retry-After; requests on one connection are answered in order. */
     @Test
     void aRejectionHasRetryAfterAndTheConnectionStaysOpen() throws Exception {
         String body = "{\"ranges\":[{\"range\":1,\"portion\":1}],\"predicate\":\"x\"}";
--- a/src/test/java/pepperdock/platform/WorkerConnectionTest.java
+++ b/src/test/java/pepperdock/platform/WorkerConnectionTest.java
@@ -27,20 +27,22 @@
 import pepperdock.scheduler.EndpointListKind;
 import pepperdock.scheduler.EndpointState;
 
-/** Frames and calls on one connection to a worker, each in the order or the form that is hardest. */
+/** Frames and calls on one connection to a worker, in the orders and forms that are most likely to break it. */
 class WorkerConnectionTest {
 
     private static final DeploymentSettings ONE_ATTEMPT = TestDeploymentSettings.with(TestDeploymentSettings.SETTINGS
             .replace("\"MaxAttempts\":4", "\"MaxAttempts\":1")
             .replace("\"DialTimeoutS\":0.25", "\"DialTimeoutS\":20"));
 
-    /** More than the kernel's buffers of both sides take. */
+    /** More than the kernel's buffers of both sides hold. */
     private static final int LARGE_BYTES = 24 << 20;
 
     private static final int SMALL_BUFFER = 1 << 18;
     private static final int LARGE_BUFFER = LARGE_BYTES + (1 << 20);
 
-    /** Plays a worker that reads one call, writes these bytes and keeps the connection open; returns the final answer. */
+    /**
+     * Acts as a worker that reads one call, writes these bytes and keeps the connection open; returns the final answer.
+     */
     private static String outcomeAfter(byte[] written) throws Exception {
         try (OneWorkerFixture worker = new OneWorkerFixture(ONE_ATTEMPT, SMALL_BUFFER)) {
             worker.listWorkerAndSubmit();
@@ -53,8 +55,9 @@
     }
 
     /**
-     * The connection stays open in each case: an attempt that waited for it to end, or for more bytes, would take the query's
-     * whole time. The frame's type comes first, and {@code ~} is a line feed.
+     * An invalid frame ends the attempt at once. The connection stays open in each case: an attempt that waited for the
+     * connection to end, or for more bytes, would take the query's whole time. The first character is the frame's type,
+     * and {@code ~} stands for a line feed.
      */
     @ParameterizedTest
     @ValueSource(
@@ -72,7 +75,7 @@
         assertEquals("failed " + AttemptOutcome.RESET, outcomeAfter(FrameEncoder.encode((char) bytes[0], payload)));
     }
 
-    /** Only a beginning of the frame arrives: an unknown id, a header that does not end, a value that is not UTF-8. */
+    /** Only the beginning of a frame arrives: an unknown id, a header that does not end, a value that is not UTF-8. */
     @Test
     void anInvalidResultIsRejectedBeforeItIsComplete() throws Exception {
         byte[] unknownId = OneWorkerFixture.result("q.9 good 1 -\n" + "x".repeat(5000));
@@ -83,9 +86,12 @@
         assertEquals("failed " + AttemptOutcome.RESET, outcomeAfter(notText));
     }
 
-    /** A valid result comes with an unreadable load report, and is followed by a duplicate, or by bytes that are no frame. */
+    /**
+     * A valid result arrives with an unreadable load report, and is followed by a duplicate, or by bytes that are not a
+     * frame.
+     */
     @Test
-    void aValidResultStandsWhateverFollowsItAndWhateverItsLoadReport() throws Exception {
+    void aValidResultIsUsedDespiteAnInvalidLoadReportOrInvalidBytesAfterIt() throws Exception {
         byte[] valid = OneWorkerFixture.result("q.0 good 1 not a=report,qps=NaN\nv");
         byte[] twice = Arrays.copyOf(valid, valid.length * 2);
         System.arraycopy(valid, 0, twice, valid.length, valid.length);
@@ -93,7 +99,7 @@
         assertEquals("answered " + AttemptOutcome.OK, outcomeAfter(Arrays.copyOf(valid, valid.length + 50)));
     }
 
-    /** The types and ids of the frames up to and including the next health check. */
+    /** Returns the types and ids of the frames up to and including the next health check. */
     private static List<String> framesUpToHealthCheck(DataInputStream in) throws IOException {
         List<String> frames = new ArrayList<>();
         do {
@@ -102,7 +108,7 @@
         return frames;
     }
 
-    /** What happens while a call is pending: each is a reason not to send it. */
+    /** Events while a call is pending, each of which is a reason not to send it. */
     enum Withdrawal {
         WORKER_DRAINS {
             @Override
@@ -134,8 +140,9 @@
     }
 
     /**
-     * A large call fills the kernel's buffers, and a small one is decided on while it is stuck. Found by reading: in the
-     * connection's own buffer the small call would have been sent whatever came meanwhile. It is kept pending, and withdrawn.
+     * A large call fills the kernel's buffers, and the scheduler sends a small one while the large one is stuck. The
+     * small call must be kept pending and withdrawn: in the connection's own buffer it would be sent whatever happens
+     * in the meantime.
      */
     @ParameterizedTest
     @EnumSource(Withdrawal.class)
@@ -152,17 +159,18 @@
                 worker.loop.execute(() -> {
                     Query small = worker.gatherer.submit(
                             OneWorkerFixture.request("small", OneWorkerFixture.KEYED_CLASS), worker.recorder());
-                    // After the batch that decides on it.
+                    // After the batch that sends it.
                     worker.loop.after(0.02, () -> {
                         sent.add(small.parts().get(0).isSent());
                         withdrawal.apply(worker, small);
-                        worker.pool.checkHealth("w");
+                        worker.backend.checkHealth("w");
                     });
                 });
-                assertTrue(sent.take(), "it was decided on");
+                assertTrue(sent.take(), "the small call was not sent by the scheduler");
                 List<String> frames = framesUpToHealthCheck(in);
-                // Once more: a call that was still pending would have been written when all before it was gone.
-                worker.loop.execute(() -> worker.pool.checkHealth("w"));
+                // Once more, because a call that was still pending would be written after everything before it had been
+                // written.
+                worker.loop.execute(() -> worker.backend.checkHealth("w"));
                 frames.addAll(framesUpToHealthCheck(in));
                 assertEquals(List.of("mbig.0", "o", "o"), frames);
             }
@@ -170,11 +178,12 @@
     }
 
     /**
-     * A client uses a request id again once its first query is over, while a result for the first may still come. Found by
-     * reading: the second query would have been served the first one's value. Its call goes on another connection.
+     * A client reuses a request id after its first query has ended, while a result for the first query may still
+     * arrive. The second query must not be answered with the value of the first: its call is sent on another
+     * connection.
      */
     @Test
-    void anIdThatIsUsedAgainGoesOnAConnectionWithoutResultsDueForIt() throws Exception {
+    void aReusedRequestIdIsSentOnAnotherConnection() throws Exception {
         try (OneWorkerFixture worker = new OneWorkerFixture(ONE_ATTEMPT, SMALL_BUFFER)) {
             worker.listWorker();
             Query first = worker.submit(
@@ -199,7 +208,10 @@
         }
     }
 
-    /** The worker closes while half of a frame is written and another call is pending behind it; neither ever ran. */
+    /**
+     * The worker closes the connection while half of a frame has been written and another call is pending behind it;
+     * neither of the calls ran.
+     */
     @Test
     void callsNotWrittenWhenTheWorkerClosesNeverRan() throws Exception {
         try (OneWorkerFixture worker = new OneWorkerFixture(ONE_ATTEMPT, LARGE_BUFFER)) {
@@ -220,20 +232,20 @@
     }
 
     /**
-     * A result for a cancelled part has half arrived when the connection has been idle for too long. Closing it ends nothing
-     * that is in flight, and the next call goes on a new connection.
+     * Half of a result for a cancelled part has arrived when the connection has been idle for too long. Closing it ends
+     * no attempt in flight, and the next call is sent on a new connection.
      */
     @Test
-    void anIdleConnectionIsClosedWithHalfALateResult() throws Exception {
+    void anIdleConnectionIsClosedDespiteAPartialLateResult() throws Exception {
         DeploymentSettings shortIdle = TestDeploymentSettings.with(TestDeploymentSettings.SETTINGS.replace(
                 "\"DialTimeoutS\":0.25", "\"DialTimeoutS\":20,\"ConnIdleS\":0.2"));
         try (OneWorkerFixture worker = new OneWorkerFixture(shortIdle, SMALL_BUFFER)) {
             worker.listWorker();
-            Query left = worker.submit(
+            Query cancelled = worker.submit(
                     OneWorkerFixture.request("left", OneWorkerFixture.IDEMPOTENT_CLASS, 600, new byte[] {'t'}));
             try (Socket connection = worker.server.accept()) {
                 OneWorkerFixture.readFrame(connection);
-                worker.loop.execute(() -> worker.gatherer.onClientGone(left));
+                worker.loop.execute(() -> worker.gatherer.onClientGone(cancelled));
                 assertEquals("nleft.0", OneWorkerFixture.typeAndId(OneWorkerFixture.readFrame(connection)));
                 byte[] late = OneWorkerFixture.result("left.0 good 1 -\nvalue");
                 connection.getOutputStream().write(Arrays.copyOf(late, 12));
@@ -242,8 +254,8 @@
                 Query next = worker.submit(
                         OneWorkerFixture.request("next", OneWorkerFixture.IDEMPOTENT_CLASS, 600, new byte[] {'t'}));
                 try (Socket fresh = worker.server.accept()) {
-                    byte[] begun = fresh.getInputStream().readNBytes(13);
-                    assertEquals("mnext.0 0", new String(begun, 4, 9, StandardCharsets.US_ASCII));
+                    byte[] frameStart = fresh.getInputStream().readNBytes(13);
+                    assertEquals("mnext.0 0", new String(frameStart, 4, 9, StandardCharsets.US_ASCII));
                     fresh.getOutputStream().write(OneWorkerFixture.result("next.0 good 1 -\nvalue"));
                     assertEquals(AttemptOutcome.OK, worker.awaitAttemptOutcome(next));
                 }
@@ -251,7 +263,7 @@
         }
     }
 
-    /** The other side has closed; a close with unread bytes arrives as a reset. */
+    /** Asserts that the other side has closed; a close with unread bytes arrives as a reset. */
     private static void assertClosed(Socket connection) throws IOException {
         try {
             assertEquals(-1, connection.getInputStream().read());
@@ -261,8 +273,8 @@
     }
 
     /**
-     * A worker sends a frame byte by byte and never ends it. While each byte counted as progress, the frame blocked all behind
-     * it for ever; now it has a time limit from its first byte.
+     * A worker sends a frame byte by byte and never ends it. The frame has a time limit that runs from its first byte:
+     * if each byte counted as progress, it would block all frames behind it forever.
      */
     @Test
     void aFrameThatArrivesByteByByteTimesOut() throws Exception {
@@ -275,12 +287,12 @@
                 connection.getInputStream().readNBytes(5);
                 byte[] endless = OneWorkerFixture.result("q.0 good 1 -\n" + "x".repeat(60_000));
                 connection.getOutputStream().write(Arrays.copyOf(endless, 40));
-                assertTrue(failsWithin(connection, 3000), "still waited for after 3,000 bytes one by one");
+                assertTrue(failsWithin(connection, 3000), "connection still open after 3,000 single bytes");
             }
         }
     }
 
-    /** Writes single bytes, 10 ms apart; returns whether a write failed as the other side has closed. */
+    /** Writes single bytes, 10 ms apart; returns whether a write failed because the other side has closed. */
     private static boolean failsWithin(Socket connection, int bytes) throws InterruptedException {
         for (int i = 0; i < bytes; i++) {
             Thread.sleep(10);
--- a/src/test/java/pepperdock/platform/WorkerProtocolTest.java
+++ b/src/test/java/pepperdock/platform/WorkerProtocolTest.java
@@ -33,7 +33,7 @@
     }
 
     @Property(seed = "31", tries = 200)
-    void resultsAreParsedWhateverTheCuts(@ForAll long seed, @ForAll byte[] anyValue) throws Exception {
+    void resultsAreParsedFromChunksOfAnySize(@ForAll long seed, @ForAll byte[] anyValue) throws Exception {
         byte[] value = anyValue.length > 900 ? new byte[900] : anyValue;
         ByteArrayOutputStream payload = new ByteArrayOutputStream();
         payload.writeBytes("q1.3 good 18 qps=2\n".getBytes(StandardCharsets.UTF_8));
@@ -52,7 +52,7 @@
     }
 
     @Property(seed = "32", tries = 300)
-    void garbageEndsInFramesOrAFrameException(@ForAll long seed) {
+    void randomBytesYieldFramesOrAFrameException(@ForAll long seed) {
         try {
             for (Frame frame : parse(RandomCuts.garbage(seed), seed)) {
                 assertTrue(frame.payload().length < 1000);
@@ -64,7 +64,7 @@
     }
 
     @Test
-    void aCallIsEncodedAsTheProtocolSays() {
+    void aCallIsEncodedAsSpecified() {
         byte[] body = "c41e77d0".getBytes(StandardCharsets.US_ASCII);
         byte[] frame = WorkerProtocol.encodeCall(List.of(
                 new WorkerProtocol.CallPart("9b1f.3", 3, 240, "5c0f", body),
@@ -76,8 +76,8 @@
 
     @Test
     void aResultWithoutAFullHeaderIsIncomplete() throws Exception {
-        byte[] begun = "q1.3 later 18 -".getBytes(StandardCharsets.UTF_8);
-        assertNull(WorkerProtocol.parseResultHeader(begun, 0, begun.length));
+        byte[] incomplete = "q1.3 later 18 -".getBytes(StandardCharsets.UTF_8);
+        assertNull(WorkerProtocol.parseResultHeader(incomplete, 0, incomplete.length));
         byte[] complete = "q1.3 later 18 -\n".getBytes(StandardCharsets.UTF_8);
         assertEquals(
                 new WorkerProtocol.ResultHeader("q1.3", AttemptOutcome.OVERLOADED, "-"),
