--- a/src/test/java/pepperdock/codec/frame/RandomCuts.java
+++ b/src/test/java/pepperdock/codec/frame/RandomChunks.java
@@ -8,7 +8,7 @@
  * Shared by the tests of parsers: feeds bytes in random chunks, as a connection would, and keeps those that were not
  * consumed for the next chunk.
  */
-public final class RandomCuts {
+public final class RandomChunks {
 
     /**
      * Passes bytes to a parser under test, adds the messages that it completes, and returns how many bytes it consumed.
@@ -17,7 +17,7 @@
         int feed(byte[] bytes, int from, int to, List<T> messages) throws Exception;
     }
 
-    private RandomCuts() {}
+    private RandomChunks() {}
 
     /** Returns all messages that the parser completes from the bytes; throws what the parser throws. */
     public static <T> List<T> feed(byte[] bytes, long seed, ChunkParser<T> parser) throws Exception {
--- a/src/test/java/pepperdock/codec/http/HttpParserTest.java
+++ b/src/test/java/pepperdock/codec/http/HttpParserTest.java
@@ -12,12 +12,12 @@
 import net.jqwik.api.Property;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
-import pepperdock.codec.frame.RandomCuts;
+import pepperdock.codec.frame.RandomChunks;
 
 class HttpParserTest {
 
     private static List<HttpMessage> parse(HttpParser parser, byte[] bytes, long seed) throws Exception {
-        return RandomCuts.feed(bytes, seed, (chunk, from, to, messages) -> {
+        return RandomChunks.feed(bytes, seed, (chunk, from, to, messages) -> {
             int used = parser.feed(chunk, from, to);
             if (parser.isComplete()) {
                 messages.add(parser.take());
@@ -61,7 +61,7 @@
     @Property(seed = "43", tries = 300)
     void randomBytesYieldMessagesOrAnHttpException(@ForAll long seed) {
         try {
-            assertTrue(parse(HttpParser.ofRequests(100), RandomCuts.garbage(seed), seed)
+            assertTrue(parse(HttpParser.ofRequests(100), RandomChunks.garbage(seed), seed)
                             .size()
                     < 600);
         } catch (Exception e) {
--- a/src/test/java/pepperdock/platform/WorkerProtocolTest.java
+++ b/src/test/java/pepperdock/platform/WorkerProtocolTest.java
@@ -15,14 +15,14 @@
 import pepperdock.codec.frame.FrameEncoder;
 import pepperdock.codec.frame.FrameException;
 import pepperdock.codec.frame.FrameParser;
-import pepperdock.codec.frame.RandomCuts;
+import pepperdock.codec.frame.RandomChunks;
 import pepperdock.scheduler.AttemptOutcome;
 
 class WorkerProtocolTest {
 
     private static List<Frame> parse(byte[] bytes, long seed) throws Exception {
         FrameParser parser = new FrameParser(1000, "oq");
-        return RandomCuts.feed(bytes, seed, (chunk, from, to, frames) -> {
+        return RandomChunks.feed(bytes, seed, (chunk, from, to, frames) -> {
             int used = parser.feed(chunk, from, to);
             Frame frame = parser.take();
             if (frame != null) {
@@ -54,7 +54,7 @@
     @Property(seed = "32", tries = 300)
     void randomBytesYieldFramesOrAFrameException(@ForAll long seed) {
         try {
-            for (Frame frame : parse(RandomCuts.garbage(seed), seed)) {
+            for (Frame frame : parse(RandomChunks.garbage(seed), seed)) {
                 assertTrue(frame.payload().length < 1000);
                 WorkerProtocol.parseResult(frame.payload());
             }
--- a/src/test/java/pepperdock/store/StoreTest.java
+++ b/src/test/java/pepperdock/store/StoreTest.java
@@ -23,7 +23,7 @@
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
-import pepperdock.codec.frame.RandomCuts;
+import pepperdock.codec.frame.RandomChunks;
 import pepperdock.config.StoreConfig;
 import pepperdock.transport.EventLoop;
 
@@ -181,7 +181,7 @@
     @Property(seed = "51", tries = 300)
     void garbageFromAPeerIsRefusedAndNothingElse(@ForAll long seed) {
         try {
-            assertTrue(StoreCodec.entries(RandomCuts.garbage(seed)).size() < 600);
+            assertTrue(StoreCodec.entries(RandomChunks.garbage(seed)).size() < 600);
         } catch (RuntimeException e) {
             assertEquals(IllegalArgumentException.class, e.getClass());
         }
