--- a/src/main/java/pepperdock/codec/http/HttpParser.java
+++ b/src/main/java/pepperdock/codec/http/HttpParser.java
@@ -148,7 +148,7 @@
     private static String decodeLine(byte[] bytes, int from, int to) throws HttpException {
         for (int i = from; i < to; i++) {
             if (bytes[i] >= 0 && bytes[i] < ' ' && bytes[i] != '\t' || bytes[i] == 0x7f) {
-                throw new HttpException(400, "control character in a line");
+                throw new HttpException(400, "control character");
             }
         }
         return new String(bytes, from, to - from, StandardCharsets.ISO_8859_1);
@@ -174,7 +174,7 @@
             }
             case CHUNK_END -> {
                 if (!text.isEmpty()) {
-                    throw new HttpException(400, "no line end after chunk data");
+                    throw new HttpException(400, "no line end after a chunk");
                 }
                 state = State.CHUNK_SIZE;
             }
@@ -190,14 +190,14 @@
         if (text.isEmpty()) {
             headBytes = 0;
             if (++emptyLines > MAX_EMPTY_LINES) {
-                throw new HttpException(400, "too many empty lines before a message");
+                throw new HttpException(400, "no request line");
             }
             return;
         }
         String[] fields = text.split(" ", 3);
         String version = fields.length < 2 ? "" : parsingResponses ? fields[0] : fields[fields.length - 1];
         if (!VERSION.matcher(version).matches() || !parsingResponses && fields.length != 3) {
-            throw new HttpException(400, "expected an HTTP/1.0 or HTTP/1.1 message");
+            throw new HttpException(400, "not HTTP/1.1");
         }
         isHttp10 = version.endsWith("0");
         if (parsingResponses) {
@@ -206,7 +206,7 @@
             method = fields[0];
             target = fields[1];
             if (!METHOD.matcher(method).matches() || !target.startsWith("/")) {
-                throw new HttpException(400, "malformed request line");
+                throw new HttpException(400, "bad request line");
             }
         }
         state = State.HEADERS;
@@ -217,13 +217,13 @@
         int colon = text.indexOf(':');
         String name = colon < 0 ? "" : text.substring(0, colon).toLowerCase(Locale.ROOT);
         if (!HEADER_NAME.matcher(name).matches()) {
-            throw new HttpException(400, "malformed header line");
+            throw new HttpException(400, "bad header");
         }
         String value = text.substring(colon + 1).strip();
         // Joined as the standard requires: a second coding, length or id is then invalid instead of being ignored.
         if (headers.merge(name, value, (first, second) -> first + ", " + second).length() > value.length()
                 && name.equals("content-length")) {
-            throw new HttpException(400, "duplicate Content-Length");
+            throw new HttpException(400, "two lengths");
         }
     }
 
@@ -233,7 +233,7 @@
         if (coding != null) {
             // With both a length and a coding, or a coding in HTTP/1.0, another request may be hidden in the body.
             if (!coding.equalsIgnoreCase("chunked") || length != null || isHttp10) {
-                throw new HttpException(400, "invalid Transfer-Encoding, or Transfer-Encoding with Content-Length");
+                throw new HttpException(400, "bad framing");
             }
             state = State.CHUNK_SIZE;
         } else if (length != null) {
@@ -267,11 +267,11 @@
             }
             long value = Long.parseLong(text, radix);
             if (value > max) {
-                throw new HttpException(413, "number too large");
+                throw new HttpException(413, "too large");
             }
             return (int) value;
         } catch (NumberFormatException e) {
-            throw new HttpException(400, "malformed number");
+            throw new HttpException(400, "bad number");
         }
     }
 }
--- a/src/main/java/pepperdock/opensearch/QueryErrors.java
+++ b/src/main/java/pepperdock/opensearch/QueryErrors.java
@@ -11,12 +11,7 @@
     static void sendRejected(HttpResponseSender reply, double retryAfterS) {
         // Retry-After is in whole seconds, and must not be sooner than advised.
         String header = retryAfterS > 0 ? "Retry-After: " + (long) Math.ceil(retryAfterS) + "\r\n" : "";
-        ApiResponses.sendError(
-                reply,
-                429,
-                "rejected_execution_exception",
-                "the query was rejected; a retry has no side effects",
-                header);
+        ApiResponses.sendError(reply, 429, "rejected_execution_exception", "refused, trying again is harmless", header);
     }
 
     /** Answers a query that failed, perhaps after it took effect; {@code overdue} if its deadline has passed. */
@@ -25,7 +20,7 @@
             ApiResponses.sendError(reply, 504, "timeout_exception", "no answer in time", "");
         } else {
             ApiResponses.sendError(
-                    reply, 500, "search_phase_execution_exception", "the query failed; it may have taken effect", "");
+                    reply, 500, "search_phase_execution_exception", "given up; it may have had effects", "");
         }
     }
 }
--- a/src/main/java/pepperdock/opensearch/RequestReader.java
+++ b/src/main/java/pepperdock/opensearch/RequestReader.java
@@ -73,7 +73,7 @@
             throw ApiException.illegal("result window is too large, from + size must be at most " + MAX_RESULT_WINDOW);
         }
         if (scrollS > 0 && (from > 0 || size == 0)) {
-            throw ApiException.illegal("a scroll must have no [from], and a [size] above 0");
+            throw ApiException.illegal("a scroll takes no [from], and a [size] above 0");
         }
         JsonElement timeout = body.remove("timeout");
         String timeText = message.parameter("timeout") != null
@@ -99,7 +99,7 @@
     QueryRequest readUpdate(HttpMessage message) throws ApiException {
         Matcher path = UPDATE_PATH.matcher(message.path());
         if (!path.matches()) {
-            throw ApiException.illegal("the path of an update must be /INDEX/_update/ID");
+            throw ApiException.illegal("not /INDEX/_update/ID");
         }
         int queryClass = queryClassOf(path.group(1));
         if (classSettings(queryClass).retrySafety() == RetrySafety.IDEMPOTENT) {
@@ -114,7 +114,7 @@
         try {
             docId = URLDecoder.decode(path.group(2), StandardCharsets.UTF_8);
         } catch (IllegalArgumentException e) {
-            throw ApiException.illegal("the document id in the path is not validly URL-encoded");
+            throw ApiException.illegal("bad document id");
         }
         double deadlineS = classSettings(queryClass).deadlineS();
         String timeText = message.parameter("timeout");
@@ -122,8 +122,7 @@
                 ? UUID.randomUUID().toString()
                 : message.header("Idempotency-Key");
         if (!key.matches("[!-+\\--~]{1,256}")) {
-            throw ApiException.illegal(
-                    "Idempotency-Key must be 1 to 256 printable ASCII characters without spaces or commas");
+            throw ApiException.illegal("Idempotency-Key is not a plain word");
         }
         byte[] text = body.toString().getBytes(StandardCharsets.UTF_8);
         return new QueryRequest(
@@ -255,7 +254,7 @@
                                 .distinct()
                                 .count()
                         < parts.size()) {
-            throw ApiException.illegal("no shard is given, or one is given twice");
+            throw ApiException.illegal("no shards, or one given twice");
         }
         if (!QueryRequest.weightsSumToOne(parts)) {
             throw ApiException.illegal("[portion]s do not add up to 1");
--- a/src/main/java/pepperdock/opensearch/ScrollHandler.java
+++ b/src/main/java/pepperdock/opensearch/ScrollHandler.java
@@ -100,7 +100,7 @@
             throw new ApiException(404, "search_context_missing_exception", "no search context found");
         }
         if (scroll.reading) {
-            throw ApiException.illegal("another page of this scroll is being read");
+            throw ApiException.illegal("a page of this scroll is being read");
         }
         return scroll;
     }
@@ -132,7 +132,7 @@
             shard.failure = new ShardFailure(
                     shard.number,
                     shard.timedOut ? "timeout_exception" : "search_context_missing_exception",
-                    "the worker returned no next page");
+                    "no next page from its worker");
             scrolls.release(shard);
         } else if (page.hits().isEmpty()) {
             scrolls.release(shard);
--- a/src/main/java/pepperdock/opensearch/SearchFront.java
+++ b/src/main/java/pepperdock/opensearch/SearchFront.java
@@ -104,7 +104,7 @@
         SearchRequest request = (SearchRequest) queryRequest.frontContext();
         if (request.isScroll()) {
             if (backend == null) {
-                throw ApiException.illegal("scrolls are not supported by this deployment");
+                throw ApiException.illegal("there are no scrolls on this deployment");
             }
             if (scrolls.size() + scrollsOpening >= maxScrolls) {
                 throw new ApiException(
--- a/src/main/java/pepperdock/platform/ClientProtocol.java
+++ b/src/main/java/pepperdock/platform/ClientProtocol.java
@@ -72,25 +72,23 @@
     static QueryHeaders parseQueryHeaders(HttpMessage message, DeploymentSettings settings) throws HttpException {
         String id = requiredHeader(message, REQUEST_ID);
         int queryClass = settings.classes().indexOf(requiredHeader(message, REQUEST_CLASS));
-        check(queryClass >= 0, "Request-Class: unknown class");
+        check(queryClass >= 0, "Request-Class: unknown");
         String timeout = requiredHeader(message, REQUEST_TIMEOUT_MS);
-        check(
-                TIMEOUT_MS_PATTERN.matcher(timeout).matches(),
-                "Request-Timeout-Ms: expected a whole number from 1 to 3600000");
+        check(TIMEOUT_MS_PATTERN.matcher(timeout).matches(), "Request-Timeout-Ms: not a whole number in range");
         long timeoutMs = Long.parseLong(timeout);
         RetrySafety retrySafety = settings.scheduler().classes().get(queryClass).retrySafety();
         String key = retrySafety == RetrySafety.IDEMPOTENCY_KEY ? requiredHeader(message, IDEMPOTENCY_KEY) : "";
         check(
                 REQUEST_ID_PATTERN.matcher(id).matches()
                         && IDEMPOTENCY_KEY_PATTERN.matcher(key).matches(),
-                "Request-Id or Idempotency-Key: too long, or contains a character that is not allowed");
+                "Request-Id or Idempotency-Key: not a plain word");
         return new QueryHeaders(id, queryClass, key, timeoutMs / 1e3);
     }
 
     private static String requiredHeader(HttpMessage message, String name) throws HttpException {
         String value = message.header(name);
         if (value == null || value.isEmpty()) {
-            throw new HttpException(400, name + ": missing or empty");
+            throw new HttpException(400, name + ": missing");
         }
         return value;
     }
@@ -100,12 +98,12 @@
         try (JsonReader in = new JsonReader(new StringReader(decodeUtf8(body)))) {
             in.setStrictness(Strictness.STRICT);
             QueryBody query = readQuery(in, shards);
-            check(in.peek() == JsonToken.END_DOCUMENT, "body: unexpected data after the query");
+            check(in.peek() == JsonToken.END_DOCUMENT, "more than a query");
             return query;
         } catch (CharacterCodingException e) {
-            throw new HttpException(400, "body: not valid UTF-8");
+            throw new HttpException(400, "body: not UTF-8");
         } catch (IOException | IllegalStateException | NumberFormatException e) {
-            throw new HttpException(400, "body: malformed query: " + e.getMessage());
+            throw new HttpException(400, "body: not a query: " + e.getMessage());
         }
     }
 
@@ -123,7 +121,7 @@
             if (name.equals("ranges")) {
                 parts = readParts(in, shards);
             } else if (name.equals("predicate")) {
-                check(in.peek() == JsonToken.STRING, "predicate: not a string");
+                check(in.peek() == JsonToken.STRING, "predicate: not a text");
                 text = in.nextString();
             } else {
                 in.skipValue();
@@ -142,9 +140,9 @@
         in.beginArray();
         while (in.hasNext()) {
             QueryRequest.RequestedPart part = readPart(in);
-            check(part.shard() >= 0 && part.shard() < shards, "ranges: unknown range");
-            check(seenShards.add(part.shard()), "ranges: duplicate range");
-            check(part.weight() >= 0 && part.weight() <= 1, "ranges: portion is not between 0 and 1");
+            check(part.shard() >= 0 && part.shard() < shards, "ranges: no such range");
+            check(seenShards.add(part.shard()), "ranges: one given twice");
+            check(part.weight() >= 0 && part.weight() <= 1, "ranges: portion out of range");
             parts.add(part);
         }
         in.endArray();
@@ -160,10 +158,10 @@
         while (in.hasNext()) {
             String name = nextUniqueName(in, seen);
             if (name.equals("range")) {
-                check(in.peek() == JsonToken.NUMBER, "ranges: range is not a number");
+                check(in.peek() == JsonToken.NUMBER, "ranges: range not a number");
                 shard = in.nextInt();
             } else if (name.equals("portion")) {
-                check(in.peek() == JsonToken.NUMBER, "ranges: portion is not a number");
+                check(in.peek() == JsonToken.NUMBER, "ranges: portion not a number");
                 weight = in.nextDouble();
             } else {
                 in.skipValue();
@@ -176,7 +174,7 @@
     /** Returns the next field name. Rejects duplicates: some parsers use the first value of a name, others the last. */
     private static String nextUniqueName(JsonReader in, Set<String> seen) throws IOException, HttpException {
         String name = in.nextName();
-        check(seen.add(name), "body: duplicate field name");
+        check(seen.add(name), "a name given twice");
         return name;
     }
 
--- a/src/main/java/pepperdock/platform/PlatformFront.java
+++ b/src/main/java/pepperdock/platform/PlatformFront.java
@@ -73,7 +73,7 @@
 
     private static void requireMethod(HttpMessage message, String method) throws HttpException {
         if (!message.method().equals(method)) {
-            throw new HttpException(METHOD_NOT_ALLOWED, "expected method " + method);
+            throw new HttpException(METHOD_NOT_ALLOWED, "only " + method);
         }
     }
 
@@ -81,7 +81,7 @@
         ClientProtocol.QueryHeaders headers = ClientProtocol.parseQueryHeaders(message, settings);
         if (core.isQueryIdInUse(headers.id())) {
             // The ids of its parts would be in use on the workers' connections already, and results could be mixed up.
-            throw new HttpException(409, "Request-Id: already used by an open request");
+            throw new HttpException(409, "Request-Id: of a request that is still open");
         }
         int shards = settings.scheduler().layout().shards();
         ClientProtocol.QueryBody body = ClientProtocol.parseQueryBody(message.body(), shards);
--- a/src/main/java/pepperdock/transport/HttpServer.java
+++ b/src/main/java/pepperdock/transport/HttpServer.java
@@ -244,7 +244,7 @@
                     || isTimedOut(ConnectionState.IDLE, IDLE_TIMEOUT_S, now)) {
                 closeIfIdle(this);
             } else if (isTimedOut(ConnectionState.READING, requestTimeoutS, now)) {
-                rejectMalformed(new HttpException(408, "request not complete within the time limit"));
+                rejectMalformed(new HttpException(408, "request not finished in time"));
             }
         }
 
@@ -378,7 +378,7 @@
         @Override
         public void onInputOverflow(Connection connection) {
             notifyDisconnect();
-            rejectMalformed(new HttpException(413, "too much data sent behind a request in progress"));
+            rejectMalformed(new HttpException(413, "too much sent behind a request in hand"));
         }
 
         @Override
