--- a/src/main/java/pepperdock/store/Replica.java
+++ b/src/main/java/pepperdock/store/Replica.java
@@ -10,8 +10,9 @@
 import java.util.UUID;
 
 /**
- * One member's copy: the log since the last snapshot, and the values that result; in memory only without a folder. A log has a
- * lineage, a random name that tells it from another leader's, whose sequence numbers mean other entries. Owned by one thread.
+ * One member's copy of the store: the log since the last snapshot and the resulting values. Without a folder the copy
+ * is kept in memory only. Each log has an id, a random name that distinguishes it from another leader's log, in which
+ * the same sequence numbers stand for other entries. Used by one thread only.
  */
 final class Replica implements AutoCloseable {
 
@@ -20,21 +21,22 @@
 
     private final int snapshotEvery;
     private final Map<String, byte[]> values = new LinkedHashMap<>();
-    /** The entries after the snapshot. */
-    private final List<StoreEntry> tail = new ArrayList<>();
+    /** The entries after the snapshot, in the order of their sequence numbers. */
+    private final List<StoreEntry> entriesSinceSnapshot = new ArrayList<>();
 
-    private String lineage = "";
+    private String logId = "";
     /** The sequence number of the snapshot. */
     private long snapshotSeq;
     /** The sequence number of the last entry. */
     private long seq;
 
     /**
-     * Opens the copy in a folder.
+     * Opens the copy that is stored in a folder.
      *
      * @param folder null for a copy in memory only
-     * @param snapshotEvery the log is compacted when it has twice as many entries
-     * @param leads a leader's empty copy begins a log of its own, a follower's takes on the leader's
+     * @param snapshotEvery number of entries; the log is compacted when it has twice as many
+     * @param leads whether this member is the leader: the empty copy of a leader starts a new log, that of a follower
+     *     adopts the leader's log
      */
     Replica(Path folder, int snapshotEvery, boolean leads) throws IOException {
         this.snapshotEvery = snapshotEvery;
@@ -44,34 +46,36 @@
             install(StoreCodec.snapshot(snapshot));
             for (byte[] record : file.recordsAtOpen()) {
                 StoreEntry entry = StoreCodec.entry(ByteBuffer.wrap(record));
-                // A crash between writing a snapshot and truncating the log leaves entries up to the snapshot.
+                // After a crash between writing a snapshot and truncating the log, the log still has entries that the
+                // snapshot covers; they are skipped.
                 if (entry.seq() == seq + 1) {
                     apply(entry);
                 }
             }
         } else if (leads) {
-            // Only a log that others may follow needs a name; a random one costs every start the security providers.
-            lineage = file == null ? "memory" : UUID.randomUUID().toString();
+            // A log in memory has no followers and needs no unique id; generating a random one would load the
+            // security providers at every start.
+            logId = file == null ? "memory" : UUID.randomUUID().toString();
             compact();
         }
     }
 
-    /** The name of this copy's log; empty where a follower has none yet. */
-    String lineage() {
-        return lineage;
+    /** Returns the id of this copy's log; empty if this is a follower that has no log yet. */
+    String logId() {
+        return logId;
     }
 
-    /** The sequence number of the last entry; 0 where there is none. */
+    /** Returns the sequence number of the last entry; 0 if there is none. */
     long seq() {
         return seq;
     }
 
-    /** A key's value; null where there is none. */
+    /** Returns the value of a key; null if there is none. */
     byte[] get(String key) {
         return values.get(key);
     }
 
-    /** Adds the next entry, on disk before this returns. */
+    /** Appends the next entry. It is on disk when this returns. */
     void append(StoreEntry entry) throws IOException {
         if (entry.seq() != seq + 1) {
             throw new LogGapException(entry.seq(), seq);
@@ -80,24 +84,27 @@
             file.append(StoreCodec.entry(entry));
         }
         apply(entry);
-        if (tail.size() >= 2 * snapshotEvery) {
+        if (entriesSinceSnapshot.size() >= 2 * snapshotEvery) {
             compact();
         }
     }
 
-    /** The entries after a sequence number of a log; null where only a snapshot can bring a member of that log up to date. */
-    List<StoreEntry> after(String ofLineage, long after) {
-        return !ofLineage.equals(lineage) || after < snapshotSeq || after > seq
+    /**
+     * Returns the entries after a sequence number of a log; null if only a snapshot can bring a member with that log up
+     * to date.
+     */
+    List<StoreEntry> after(String requestedLogId, long after) {
+        return !requestedLogId.equals(logId) || after < snapshotSeq || after > seq
                 ? null
-                : List.copyOf(tail.subList((int) (after - snapshotSeq), tail.size()));
+                : List.copyOf(entriesSinceSnapshot.subList((int) (after - snapshotSeq), entriesSinceSnapshot.size()));
     }
 
-    /** All values as of now. */
+    /** Returns all current values. */
     StoreCodec.Snapshot snapshot() {
-        return new StoreCodec.Snapshot(lineage, seq, new LinkedHashMap<>(values));
+        return new StoreCodec.Snapshot(logId, seq, new LinkedHashMap<>(values));
     }
 
-    /** Replaces this copy by another's snapshot, on disk before this returns. */
+    /** Replaces this copy by a snapshot of another copy. It is on disk when this returns. */
     void restore(StoreCodec.Snapshot snapshot) throws IOException {
         install(snapshot);
         if (file != null) {
@@ -113,17 +120,17 @@
     }
 
     private void install(StoreCodec.Snapshot snapshot) {
-        lineage = snapshot.lineage();
+        logId = snapshot.logId();
         snapshotSeq = snapshot.seq();
         seq = snapshot.seq();
         values.clear();
         values.putAll(snapshot.values());
-        tail.clear();
+        entriesSinceSnapshot.clear();
     }
 
     private void apply(StoreEntry entry) {
         seq = entry.seq();
-        tail.add(entry);
+        entriesSinceSnapshot.add(entry);
         if (entry.value() == null) {
             values.remove(entry.key());
         } else {
@@ -131,12 +138,12 @@
         }
     }
 
-    /** Replaces the entries by a snapshot of the values. */
+    /** Replaces the log's entries by a snapshot of the current values. */
     private void compact() throws IOException {
         if (file != null) {
             file.replaceBySnapshot(StoreCodec.snapshot(snapshot()));
         }
         snapshotSeq = seq;
-        tail.clear();
+        entriesSinceSnapshot.clear();
     }
 }
--- a/src/main/java/pepperdock/store/Store.java
+++ b/src/main/java/pepperdock/store/Store.java
@@ -11,26 +11,27 @@
 import pepperdock.transport.EventLoop;
 
 /**
- * The replicated key-value store of the gatherers. One configured member leads and takes writes; a write is acknowledged once a
- * majority of members hold it on disk. Followers dial the leader, say which log they have and how far, and get the missing
- * entries, or a snapshot. There is no election: while the leader is away, reads go on and writes do not.
+ * The replicated key-value store of the gatherers. One configured member is the leader and accepts writes; a write is
+ * acknowledged once a majority of members hold it on disk. Followers connect to the leader, report which log they have
+ * and its last sequence number, and receive the missing entries or a snapshot. There is no election: while the leader
+ * is unavailable, values can be read but not written.
  *
- * <p>What only a leader does is in {@link StoreLeader}, what only a follower does in {@link StoreFollower}, and the file in
- * {@link Replica}. All of it belongs to the loop's thread.
+ * <p>{@link StoreLeader} has the leader's part, {@link StoreFollower} the follower's, and {@link Replica} the copy and
+ * its file. All of them are used on the event loop's thread only.
  */
 public final class Store implements AutoCloseable {
 
     private static final System.Logger LOG = System.getLogger("pepperdock.store");
 
     private final Replica replica;
-    /** One of the two is null, the other is this member's role. */
+    /** Null on a follower; exactly one of {@code leader} and {@code follower} is not null. */
     private final StoreLeader leader;
 
     private final StoreFollower follower;
     private final List<BiConsumer<String, byte[]>> watchers = new ArrayList<>();
 
     /**
-     * Opens this member's copy and begins to listen for followers, or to dial the leader.
+     * Opens this member's copy. The leader starts to listen for followers; a follower starts to connect to the leader.
      *
      * @param config null for a single copy in memory, without peers
      */
@@ -44,35 +45,41 @@
         follower = leads ? null : new StoreFollower(config, loop, replica, this::notifyWatchers);
     }
 
-    /** Where the leader listens; null on a follower, or without peers. */
+    /** Returns the address on which the leader listens; null on a follower or without peers. */
     public InetSocketAddress address() {
         return leader == null ? null : leader.address();
     }
 
-    /** Whether this member takes writes. */
+    /** Returns whether this member is the leader, which accepts writes. */
     public boolean leads() {
         return leader != null;
     }
 
-    /** The sequence number of the newest entry of this copy. */
+    /** Returns the sequence number of the newest entry of this copy. */
     public long version() {
         return replica.seq();
     }
 
-    /** This copy's value; on a follower it may be older than the leader's. Null where there is none. */
+    /**
+     * Returns the value of a key in this copy, which on a follower may be older than the leader's; null if there is
+     * none.
+     */
     public String get(String key) {
         byte[] value = replica.get(key);
         return value == null ? null : new String(value, StandardCharsets.UTF_8);
     }
 
-    /** Notifies of each value that is applied to this copy from now on; a null value is a removal. */
+    /**
+     * Registers a watcher that is called for each value applied to this copy from now on; a null value is a removal.
+     */
     public void watch(BiConsumer<String, byte[]> watcher) {
         watchers.add(watcher);
     }
 
     /**
-     * Writes a value, or removes the key with null. {@code then} gets true once a majority holds it, and false at once where
-     * this member does not lead, or its disk fails. While a majority is away it gets nothing: the write may yet be held.
+     * Writes a value, or removes the key if the value is null. {@code then} receives true once a majority of members
+     * hold the write on disk, and false at once if this member is not the leader or its disk fails. While no majority
+     * is reachable, {@code then} is not called, as the write may still be replicated later.
      */
     public void put(String key, String value, Consumer<Boolean> then) {
         if (!leads()) {
@@ -84,7 +91,7 @@
         try {
             replica.append(entry);
         } catch (IOException failed) {
-            LOG.log(System.Logger.Level.ERROR, "store: write failed: {0}", failed.getMessage());
+            LOG.log(System.Logger.Level.ERROR, "store: could not append a write to the log: {0}", failed.getMessage());
             then.accept(false);
             return;
         }
--- a/src/main/java/pepperdock/store/StoreCodec.java
+++ b/src/main/java/pepperdock/store/StoreCodec.java
@@ -9,27 +9,30 @@
 import java.util.Map;
 
 /**
- * Encodes entries and snapshots, on disk and between members alike. Stateless. Malformed bytes are rejected with
- * {@link IllegalArgumentException}.
+ * Encodes and decodes entries and snapshots, in the same format on disk and between members. Stateless. Malformed bytes
+ * are rejected with {@link IllegalArgumentException}.
  */
 final class StoreCodec {
 
-    /** Bytes of an entry beside its key and value: the sequence number and two lengths. */
+    /** Bytes of an entry in addition to its key and value: the sequence number and the two lengths. */
     private static final int HEADER_BYTES = 16;
-    /** In place of the length of a value that is absent. */
+    /** Stands in place of the length of a value that is absent. */
     private static final int NO_VALUE = -1;
 
     private StoreCodec() {}
 
     /**
-     * All keys with their values as of one entry.
+     * All keys and their values as of one entry.
      *
-     * @param lineage of the log that the sequence number belongs to
-     * @param seq of the last entry that it covers
+     * @param logId id of the log that the sequence number belongs to
+     * @param seq sequence number of the last entry that the snapshot covers
      */
-    record Snapshot(String lineage, long seq, Map<String, byte[]> values) {}
+    record Snapshot(String logId, long seq, Map<String, byte[]> values) {}
 
-    /** Sequence number, key length, key, value length, value; a removal has {@link #NO_VALUE} for a value's length. */
+    /**
+     * Encodes an entry as sequence number, key length, key, value length and value. A removal has {@link #NO_VALUE} as
+     * value length and no value.
+     */
     static byte[] entry(StoreEntry entry) {
         byte[] key = entry.key().getBytes(StandardCharsets.UTF_8);
         byte[] value = entry.value();
@@ -42,7 +45,7 @@
         return buffer.array();
     }
 
-    /** Reads the next entry. */
+    /** Decodes the next entry. */
     static StoreEntry entry(ByteBuffer buffer) {
         try {
             long seq = buffer.getLong();
@@ -50,51 +53,55 @@
             int length = buffer.getInt();
             return new StoreEntry(seq, key, length == NO_VALUE ? null : bytes(buffer, length));
         } catch (BufferUnderflowException e) {
-            throw new IllegalArgumentException("entry cut short", e);
+            throw new IllegalArgumentException("entry ends before all of its fields", e);
         }
     }
 
-    /** Entries, one after the other. */
-    static byte[] entries(List<StoreEntry> all) {
-        List<byte[]> encoded = all.stream().map(StoreCodec::entry).toList();
+    /** Encodes entries one after the other. */
+    static byte[] entries(List<StoreEntry> entries) {
+        List<byte[]> encoded = entries.stream().map(StoreCodec::entry).toList();
         ByteBuffer buffer = ByteBuffer.allocate(
                 encoded.stream().mapToInt(entry -> entry.length).sum());
         encoded.forEach(buffer::put);
         return buffer.array();
     }
 
-    /** Reads entries to the end of the bytes. */
+    /** Decodes entries up to the end of the bytes. */
     static List<StoreEntry> entries(byte[] bytes) {
         ByteBuffer buffer = ByteBuffer.wrap(bytes);
-        List<StoreEntry> all = new ArrayList<>();
+        List<StoreEntry> entries = new ArrayList<>();
         while (buffer.hasRemaining()) {
-            all.add(entry(buffer));
+            entries.add(entry(buffer));
         }
-        return all;
+        return entries;
     }
 
-    /** A snapshot as entries: the first has its sequence number and lineage, then comes one a key. */
+    /**
+     * Encodes a snapshot as entries: the first holds the sequence number and the log id, and one entry per key follows.
+     */
     static byte[] snapshot(Snapshot snapshot) {
-        List<StoreEntry> all = new ArrayList<>();
-        all.add(new StoreEntry(snapshot.seq(), snapshot.lineage(), null));
-        snapshot.values().forEach((key, value) -> all.add(new StoreEntry(0, key, value)));
-        return entries(all);
+        List<StoreEntry> entries = new ArrayList<>();
+        entries.add(new StoreEntry(snapshot.seq(), snapshot.logId(), null));
+        snapshot.values().forEach((key, value) -> entries.add(new StoreEntry(0, key, value)));
+        return entries(entries);
     }
 
-    /** Reads a snapshot. */
+    /** Decodes a snapshot. */
     static Snapshot snapshot(byte[] bytes) {
-        List<StoreEntry> all = entries(bytes);
-        if (all.isEmpty()) {
-            throw new IllegalArgumentException("empty snapshot");
+        List<StoreEntry> entries = entries(bytes);
+        if (entries.isEmpty()) {
+            throw new IllegalArgumentException(
+                    "snapshot has no entries; expected a first entry with its sequence number and log id");
         }
         Map<String, byte[]> values = new LinkedHashMap<>();
-        all.subList(1, all.size()).forEach(entry -> values.put(entry.key(), entry.value()));
-        return new Snapshot(all.get(0).key(), all.get(0).seq(), values);
+        entries.subList(1, entries.size()).forEach(entry -> values.put(entry.key(), entry.value()));
+        return new Snapshot(entries.get(0).key(), entries.get(0).seq(), values);
     }
 
     private static byte[] bytes(ByteBuffer buffer, int length) {
         if (length < 0 || length > buffer.remaining()) {
-            throw new IllegalArgumentException("length " + length + " of " + buffer.remaining());
+            throw new IllegalArgumentException(
+                    "field length " + length + " is negative or exceeds the bytes left, " + buffer.remaining());
         }
         byte[] bytes = new byte[length];
         buffer.get(bytes);
--- a/src/main/java/pepperdock/store/StoreEntry.java
+++ b/src/main/java/pepperdock/store/StoreEntry.java
@@ -1,9 +1,9 @@
 package pepperdock.store;
 
 /**
- * One write.
+ * One write to the store.
  *
- * @param seq its sequence number, one more than that of the entry before
- * @param value null removes the key; not to be changed by anyone who holds it
+ * @param seq its sequence number, one more than that of the previous entry
+ * @param value null if the key is removed; the array must not be modified
  */
 public record StoreEntry(long seq, String key, byte[] value) {}
--- a/src/main/java/pepperdock/store/StoreFollower.java
+++ b/src/main/java/pepperdock/store/StoreFollower.java
@@ -11,8 +11,8 @@
 import pepperdock.transport.EventLoop;
 
 /**
- * A follower's role: dials the leader, again after each loss, catches up from it, and says how far it holds the log on disk. On
- * the loop's thread.
+ * The follower's part of the store: connects to the leader, reconnects after each loss, catches up, and reports up to
+ * which sequence number it holds the log on disk. Used on the event loop's thread only.
  */
 final class StoreFollower implements AutoCloseable {
 
@@ -22,12 +22,14 @@
     private final EventLoop loop;
     private final Replica replica;
     private final BiConsumer<String, byte[]> watcher;
-    /** Null while there is none. */
+    /** Null while there is no connection to the leader. */
     private Connection leader;
 
     private boolean closed;
 
-    /** Dials with the loop's next turn; {@code watcher} is notified of each value that is applied. */
+    /**
+     * Connects to the leader in the loop's next iteration; {@code watcher} is notified of each value that is applied.
+     */
     StoreFollower(StoreConfig config, EventLoop loop, Replica replica, BiConsumer<String, byte[]> watcher) {
         this.config = config;
         this.loop = loop;
@@ -45,7 +47,7 @@
             public void onConnected(Connection connection) {
                 leader = connection;
                 connection.start(new LeaderConnection());
-                connection.write(FrameEncoder.encode(StorePeerHandler.HELLO, hello()));
+                connection.write(FrameEncoder.encode(StorePeerHandler.HELLO, helloPayload()));
             }
 
             @Override
@@ -55,8 +57,8 @@
         });
     }
 
-    private byte[] hello() {
-        return (config.self() + ' ' + replica.lineage() + ' ' + replica.seq()).getBytes(StandardCharsets.UTF_8);
+    private byte[] helloPayload() {
+        return (config.self() + ' ' + replica.logId() + ' ' + replica.seq()).getBytes(StandardCharsets.UTF_8);
     }
 
     @Override
@@ -81,18 +83,22 @@
             } else {
                 throw StoreProtocolException.unexpectedFrame(frame.type());
             }
-            byte[] held = ByteBuffer.allocate(Long.BYTES).putLong(replica.seq()).array();
-            connection.write(FrameEncoder.encode(HELD, held));
+            byte[] heldSeq =
+                    ByteBuffer.allocate(Long.BYTES).putLong(replica.seq()).array();
+            connection.write(FrameEncoder.encode(HELD, heldSeq));
         }
 
         private void restore(StoreCodec.Snapshot snapshot) throws IOException {
             replica.restore(snapshot);
-            LOG.log(System.Logger.Level.INFO, "store: took a snapshot up to {0}", snapshot.seq());
+            LOG.log(
+                    System.Logger.Level.INFO,
+                    "store: installed a snapshot from the leader up to sequence number {0}",
+                    snapshot.seq());
             snapshot.values().forEach(watcher);
         }
 
         private void append(StoreEntry entry) throws IOException {
-            // An entry may come twice when it was written while this member said hello.
+            // An entry that was written while this member's hello frame was in transit may arrive twice.
             if (entry.seq() > replica.seq()) {
                 replica.append(entry);
                 watcher.accept(entry.key(), entry.value());
@@ -103,7 +109,7 @@
         public void onClosed(Connection connection) {
             leader = null;
             if (!closed) {
-                LOG.log(System.Logger.Level.WARNING, "store: leader lost, dialling again");
+                LOG.log(System.Logger.Level.WARNING, "store: connection to the leader lost, reconnecting");
                 loop.after(config.retryS(), StoreFollower.this::dial);
             }
         }
--- a/src/main/java/pepperdock/store/StoreLeader.java
+++ b/src/main/java/pepperdock/store/StoreLeader.java
@@ -17,34 +17,34 @@
 import pepperdock.transport.EventLoop;
 
 /**
- * The leader's role: listens for followers, sends them the log, and acknowledges each write once a majority of members hold it
- * on disk. On the loop's thread.
+ * The leader's part of the store: listens for followers, sends them the log, and acknowledges each write once a
+ * majority of members hold it on disk. Used on the event loop's thread only.
  */
 final class StoreLeader implements AutoCloseable {
 
-    /** A follower that has not said yet how far it holds the log. */
-    private static final long NOTHING_HELD = -1;
+    /** Value for a follower that has not yet reported up to where it holds the log. */
+    private static final long NO_SEQ_REPORTED = -1;
 
-    /** A write that is not acknowledged yet. */
+    /** A write that is not yet acknowledged. */
     private record PendingWrite(long seq, Consumer<Boolean> then) {}
 
     /** Null for a single copy in memory. */
     private final StoreConfig config;
 
     private final Replica replica;
-    /** Null where there is no other member. */
-    private final EventLoop.ServerSocketHandle listening;
+    /** Null if there is no other member. */
+    private final EventLoop.ServerSocketHandle serverSocket;
     /** The last sequence number that each connected follower holds on disk. */
-    private final Map<Connection, Long> heldBy = new LinkedHashMap<>();
+    private final Map<Connection, Long> heldSeqs = new LinkedHashMap<>();
 
-    private final Map<Connection, String> names = new HashMap<>();
+    private final Map<Connection, String> followerNames = new HashMap<>();
     private final List<PendingWrite> pendingWrites = new ArrayList<>();
 
     StoreLeader(StoreConfig config, EventLoop loop, Replica replica) throws IOException {
         this.config = config;
         this.replica = replica;
         boolean hasPeers = config != null && config.members().size() > 1;
-        listening = !hasPeers
+        serverSocket = !hasPeers
                 ? null
                 : loop.listen(
                         config.members().get(config.self()),
@@ -52,19 +52,22 @@
                         connection -> connection.start(new FollowerConnection()));
     }
 
-    /** Where followers connect; null without peers. */
+    /** Returns the address to which followers connect; null without peers. */
     InetSocketAddress address() {
-        return listening == null ? null : listening.address();
+        return serverSocket == null ? null : serverSocket.address();
     }
 
-    /** Sends an entry, which is on this disk, to all followers; {@code then} gets true once a majority holds it. */
+    /**
+     * Sends an entry, which is already on this member's disk, to all followers; {@code then} receives true once a
+     * majority of members hold it.
+     */
     void replicate(StoreEntry entry, Consumer<Boolean> then) {
         pendingWrites.add(new PendingWrite(entry.seq(), then));
         byte[] frame = FrameEncoder.encode(StorePeerHandler.ENTRIES, StoreCodec.entries(List.of(entry)));
-        List.copyOf(heldBy.keySet()).forEach(connection -> connection.write(frame));
+        List.copyOf(heldSeqs.keySet()).forEach(connection -> connection.write(frame));
     }
 
-    /** Acknowledges the writes that a majority of members, this one among them, hold on disk. */
+    /** Acknowledges the writes that a majority of members, including this one, hold on disk. */
     void acknowledge() {
         long committed = committedSeq();
         while (!pendingWrites.isEmpty() && pendingWrites.get(0).seq() <= committed) {
@@ -72,35 +75,38 @@
         }
     }
 
+    /** Returns the last sequence number that a majority of members hold on disk; -1 if there is no majority. */
     private long committedSeq() {
         int members = config == null ? 1 : config.members().size();
-        Map<String, Long> heldByName = new HashMap<>();
-        heldBy.forEach((connection, seq) -> heldByName.merge(names.get(connection), seq, Math::max));
-        List<Long> held = new ArrayList<>(heldByName.values());
-        held.add(replica.seq());
-        held.sort((one, other) -> Long.compare(other, one));
+        Map<String, Long> heldSeqsByName = new HashMap<>();
+        heldSeqs.forEach((connection, seq) -> heldSeqsByName.merge(followerNames.get(connection), seq, Math::max));
+        List<Long> sortedSeqs = new ArrayList<>(heldSeqsByName.values());
+        sortedSeqs.add(replica.seq());
+        sortedSeqs.sort((left, right) -> Long.compare(right, left));
         int majority = members / 2 + 1;
-        return held.size() < majority ? -1 : held.get(majority - 1);
+        return sortedSeqs.size() < majority ? -1 : sortedSeqs.get(majority - 1);
     }
 
     @Override
     public void close() {
-        if (listening != null) {
-            listening.close();
+        if (serverSocket != null) {
+            serverSocket.close();
         }
-        List.copyOf(heldBy.keySet()).forEach(Connection::close);
-        heldBy.clear();
+        List.copyOf(heldSeqs.keySet()).forEach(Connection::close);
+        heldSeqs.clear();
     }
 
-    /** A follower's connection. */
+    /** The connection of one follower. */
     private final class FollowerConnection extends StorePeerHandler {
 
         @Override
         void onFrame(Connection connection, Frame frame) throws IOException {
             if (frame.type() == HELLO) {
                 onHello(connection, frame);
-            } else if (frame.type() == HELD && heldBy.containsKey(connection) && frame.payload().length == Long.BYTES) {
-                heldBy.put(connection, ByteBuffer.wrap(frame.payload()).getLong());
+            } else if (frame.type() == HELD
+                    && heldSeqs.containsKey(connection)
+                    && frame.payload().length == Long.BYTES) {
+                heldSeqs.put(connection, ByteBuffer.wrap(frame.payload()).getLong());
                 acknowledge();
             } else {
                 throw StoreProtocolException.unexpectedFrame(frame.type());
@@ -108,15 +114,15 @@
         }
 
         private void onHello(Connection connection, Frame frame) throws IOException {
-            String[] words = new String(frame.payload(), StandardCharsets.UTF_8).split(" ", -1);
-            if (words.length != 3 || !config.members().containsKey(words[0]) || words[0].equals(config.self())) {
+            String[] fields = new String(frame.payload(), StandardCharsets.UTF_8).split(" ", -1);
+            if (fields.length != 3 || !config.members().containsKey(fields[0]) || fields[0].equals(config.self())) {
                 throw StoreProtocolException.notAMember();
             }
-            String name = words[0];
-            String lineage = words[1];
-            names.put(connection, name);
-            heldBy.put(connection, NOTHING_HELD);
-            List<StoreEntry> missing = replica.after(lineage, Long.parseLong(words[2]));
+            String name = fields[0];
+            String logId = fields[1];
+            followerNames.put(connection, name);
+            heldSeqs.put(connection, NO_SEQ_REPORTED);
+            List<StoreEntry> missing = replica.after(logId, Long.parseLong(fields[2]));
             connection.write(
                     missing == null
                             ? FrameEncoder.encode(SNAPSHOT, StoreCodec.snapshot(replica.snapshot()))
@@ -125,8 +131,8 @@
 
         @Override
         public void onClosed(Connection connection) {
-            heldBy.remove(connection);
-            names.remove(connection);
+            heldSeqs.remove(connection);
+            followerNames.remove(connection);
         }
     }
 }
--- a/src/main/java/pepperdock/store/StoreLogFile.java
+++ b/src/main/java/pepperdock/store/StoreLogFile.java
@@ -12,14 +12,15 @@
 import java.util.zip.CRC32;
 
 /**
- * A log and a snapshot in one folder. A record is its length, its CRC-32 and its bytes; what is written is on disk before a
- * method returns. A record that a crash cut short at the end is truncated when the log is opened again; damage anywhere else is
- * not a crash's doing, and opening fails with {@link LogCorruptionException}. Used by one thread at a time.
+ * Stores a log and a snapshot in one folder. A record consists of its length, its CRC-32 and its bytes, and is on disk
+ * when the method that writes it returns. If a crash left the last record incomplete, it is truncated when the log is
+ * opened again. A crash cannot damage any other record, so opening then fails with {@link LogCorruptionException}. Used
+ * by one thread at a time.
  */
 final class StoreLogFile implements AutoCloseable {
 
     private static final System.Logger LOG = System.getLogger("pepperdock.store");
-    /** Bytes of a record before its content: length and checksum. */
+    /** Bytes of a record before its content: the length and the checksum. */
     private static final int HEADER_BYTES = 8;
 
     private static final String LOG_FILE = "log";
@@ -30,56 +31,65 @@
     private final FileChannel log;
     private final List<byte[]> records = new ArrayList<>();
 
-    /** Opens the log, or creates it, and truncates a torn record at its end. */
+    /** Opens or creates the log, and truncates an incomplete record at its end. */
     StoreLogFile(Path folder) throws IOException {
         this.folder = folder;
         Files.createDirectories(folder);
         log = FileChannel.open(
                 folder.resolve(LOG_FILE), StandardOpenOption.CREATE, StandardOpenOption.READ, StandardOpenOption.WRITE);
-        long good = scan(Files.readAllBytes(folder.resolve(LOG_FILE)), records);
-        if (good < log.size()) {
-            LOG.log(System.Logger.Level.WARNING, "store log: torn tail of {0} bytes cut off", log.size() - good);
-            log.truncate(good);
+        long validEnd = readValidRecords(Files.readAllBytes(folder.resolve(LOG_FILE)), records);
+        if (validEnd < log.size()) {
+            LOG.log(
+                    System.Logger.Level.WARNING,
+                    "store log: truncated an incomplete or damaged last record of {0} bytes",
+                    log.size() - validEnd);
+            log.truncate(validEnd);
             log.force(true);
         }
-        log.position(good);
+        log.position(validEnd);
     }
 
-    /** Records found when the log was opened. */
+    /** Returns the records that were found when the log was opened. */
     List<byte[]> recordsAtOpen() {
         return records;
     }
 
-    /** The snapshot's bytes; null where there is none. */
+    /** Returns the snapshot's bytes; null if there is none. */
     byte[] snapshot() throws IOException {
         Path file = folder.resolve(SNAPSHOT_FILE);
         if (!Files.exists(file)) {
             return null;
         }
         List<byte[]> found = new ArrayList<>();
-        byte[] all = Files.readAllBytes(file);
-        if (scan(all, found) != all.length || found.size() != 1) {
+        byte[] bytes = Files.readAllBytes(file);
+        if (readValidRecords(bytes, found) != bytes.length || found.size() != 1) {
             throw LogCorruptionException.damagedSnapshot();
         }
         return found.get(0);
     }
 
-    /** Appends a record; it is on disk when this returns. */
+    /** Appends a record. It is on disk when this returns. */
     void append(byte[] record) throws IOException {
         write(log, record);
         log.force(false);
     }
 
-    /** Replaces the snapshot and all records by a new snapshot, atomically for whoever opens the folder later. */
+    /**
+     * Replaces the snapshot and all records by a new snapshot. Opening the folder later finds either the old state or
+     * the new snapshot.
+     */
     void replaceBySnapshot(byte[] snapshot) throws IOException {
-        Path fresh = folder.resolve(NEW_SNAPSHOT_FILE);
+        Path newSnapshot = folder.resolve(NEW_SNAPSHOT_FILE);
         try (FileChannel file = FileChannel.open(
-                fresh, StandardOpenOption.CREATE, StandardOpenOption.WRITE, StandardOpenOption.TRUNCATE_EXISTING)) {
+                newSnapshot,
+                StandardOpenOption.CREATE,
+                StandardOpenOption.WRITE,
+                StandardOpenOption.TRUNCATE_EXISTING)) {
             write(file, snapshot);
             file.force(true);
         }
         Files.move(
-                fresh,
+                newSnapshot,
                 folder.resolve(SNAPSHOT_FILE),
                 StandardCopyOption.ATOMIC_MOVE,
                 StandardCopyOption.REPLACE_EXISTING);
@@ -101,35 +111,35 @@
     }
 
     /**
-     * Collects the sound records; returns where they end.
+     * Collects the records with a valid checksum and returns the offset at which they end.
      *
-     * @throws LogCorruptionException where a damaged record is followed by more bytes
+     * @throws LogCorruptionException if a damaged record is followed by more bytes
      */
-    static long scan(byte[] all, List<byte[]> into) throws IOException {
-        ByteBuffer buffer = ByteBuffer.wrap(all);
+    static long readValidRecords(byte[] bytes, List<byte[]> found) throws IOException {
+        ByteBuffer buffer = ByteBuffer.wrap(bytes);
         while (buffer.remaining() >= HEADER_BYTES) {
             int start = buffer.position();
             int length = buffer.getInt();
-            int sum = buffer.getInt();
+            int expectedChecksum = buffer.getInt();
             if (length < 0 || length > buffer.remaining()) {
                 return start;
             }
             byte[] record = new byte[length];
             buffer.get(record);
-            if (checksum(record) != sum) {
+            if (checksum(record) != expectedChecksum) {
                 if (buffer.hasRemaining()) {
                     throw LogCorruptionException.damagedRecord(start);
                 }
                 return start;
             }
-            into.add(record);
+            found.add(record);
         }
         return buffer.position();
     }
 
     private static int checksum(byte[] record) {
-        CRC32 sum = new CRC32();
-        sum.update(record);
-        return (int) sum.getValue();
+        CRC32 crc = new CRC32();
+        crc.update(record);
+        return (int) crc.getValue();
     }
 }
--- a/src/main/java/pepperdock/store/StoreProtocolException.java
+++ b/src/main/java/pepperdock/store/StoreProtocolException.java
@@ -2,7 +2,7 @@
 
 import java.io.IOException;
 
-/** A member has sent what the store's protocol does not allow; its connection is closed. */
+/** Thrown when a peer sends what the store's protocol does not allow; its connection is closed. */
 final class StoreProtocolException extends IOException {
 
     private static final long serialVersionUID = 1;
@@ -11,13 +11,15 @@
         super(message);
     }
 
-    /** The first frame does not name a member that may follow. */
+    /** Returns the exception for a hello frame that is malformed or does not name another member. */
     static StoreProtocolException notAMember() {
-        return new StoreProtocolException("not a member's hello");
+        return new StoreProtocolException(
+                "hello frame does not have three fields or does not name another configured member");
     }
 
-    /** A frame that has no place here, or the wrong length. */
-    static StoreProtocolException unexpectedFrame(char letter) {
-        return new StoreProtocolException("unexpected frame " + letter);
+    /** Returns the exception for a frame that is not allowed at this point or has the wrong length. */
+    static StoreProtocolException unexpectedFrame(char frameType) {
+        return new StoreProtocolException(
+                "frame is not allowed here or has the wrong length, its type is " + frameType);
     }
 }
--- a/src/main/java/pepperdock/store/package-info.java
+++ b/src/main/java/pepperdock/store/package-info.java
@@ -1,6 +1,6 @@
 /**
- * The gatherers' small replicated store of settings and the endpoint list, with one configured leader.
- * {@link pepperdock.store.Store} is the entry point; it and the connections belong to the loop's thread. The consensus of
- * {@link pepperdock.store.raft} is not used by it.
+ * The gatherers' small replicated store of the settings and the endpoint list, with one configured leader.
+ * {@link pepperdock.store.Store} is the entry point; it and its connections are used on the event loop's thread only.
+ * The store does not use the consensus protocol in {@link pepperdock.store.raft}.
  */
 package pepperdock.store;
--- a/src/test/java/pepperdock/store/StoreCompatibilityTest.java
+++ b/src/test/java/pepperdock/store/StoreCompatibilityTest.java
@@ -14,13 +14,13 @@
 import org.junit.jupiter.api.io.TempDir;
 
 /**
- * Opens a store folder that commit 9402806 wrote: eight writes, of which the first six are in the snapshot and the others in
+ * Opens a store folder that commit 9402806 wrote. It has eight writes: the first six are in the snapshot, the others in
  * the log.
  */
 class StoreCompatibilityTest {
 
-    private static final Path WRITTEN = Path.of("src/test/resources/compatibility/store-9402806");
-    private static final String LINEAGE = "6654a120-ef29-49fe-bc28-a979d7a54c5f";
+    private static final Path EARLIER_FOLDER = Path.of("src/test/resources/compatibility/store-9402806");
+    private static final String LOG_ID = "6654a120-ef29-49fe-bc28-a979d7a54c5f";
     private static final int SNAPSHOT_EVERY = 3;
 
     @TempDir
@@ -29,14 +29,14 @@
     @BeforeEach
     void copy() throws Exception {
         for (String file : List.of("log", "snapshot")) {
-            Files.copy(WRITTEN.resolve(file), folder.resolve(file));
+            Files.copy(EARLIER_FOLDER.resolve(file), folder.resolve(file));
         }
     }
 
     @Test
-    void aFolderOfAnEarlierVersionIsOpenedWithAllItsValues() throws Exception {
+    void opensFolderOfEarlierVersionWithAllValues() throws Exception {
         try (Replica replica = new Replica(folder, SNAPSHOT_EVERY, true)) {
-            assertEquals(LINEAGE, replica.lineage());
+            assertEquals(LOG_ID, replica.logId());
             assertEquals(8, replica.seq());
             assertEquals("{\"TickS\":0.005,\"Kinds\":[\"std\"]}", text(replica, "settings"));
             assertEquals("{\"whole\":true,\"hosts\":[{\"host\":\"a\"}]}", text(replica, "nodes"));
@@ -47,25 +47,28 @@
         }
     }
 
-    /** A follower that has the snapshot gets the two entries after it, and one that has less gets a snapshot. */
+    /** A follower that has the snapshot gets the two entries after it; one that has less gets a snapshot. */
     @Test
-    void aFolderOfAnEarlierVersionBringsFollowersUpToDate() throws Exception {
+    void folderOfEarlierVersionBringsFollowersUpToDate() throws Exception {
         try (Replica replica = new Replica(folder, SNAPSHOT_EVERY, true)) {
-            List<StoreEntry> after = replica.after(LINEAGE, 6);
+            List<StoreEntry> after = replica.after(LOG_ID, 6);
             assertEquals(
                     List.of("7 nodes", "8 empty"),
                     after.stream().map(entry -> entry.seq() + " " + entry.key()).toList());
             assertNull(after.get(1).value());
-            assertNull(replica.after(LINEAGE, 5));
+            assertNull(replica.after(LOG_ID, 5));
         }
     }
 
-    /** What is written today is, byte for byte, what that version wrote: the older program can be put back. */
+    /**
+     * Compares the files written now with those of that version byte for byte, so that the older program can be
+     * restored.
+     */
     @Test
-    void theSameWritesMakeTheSameBytes() throws Exception {
-        Path again = Files.createDirectory(folder.resolve("again"));
-        try (Replica replica = new Replica(again, SNAPSHOT_EVERY, false)) {
-            replica.restore(new StoreCodec.Snapshot(LINEAGE, 0, Map.of()));
+    void sameWritesProduceSameBytes() throws Exception {
+        Path rewrittenFolder = Files.createDirectory(folder.resolve("again"));
+        try (Replica replica = new Replica(rewrittenFolder, SNAPSHOT_EVERY, false)) {
+            replica.restore(new StoreCodec.Snapshot(LOG_ID, 0, Map.of()));
             append(replica, "settings", "{\"TickS\":0.005,\"Kinds\":[\"std\"]}");
             append(replica, "nodes", "{\"whole\":true,\"hosts\":[]}");
             append(replica, "gone", "x");
@@ -76,8 +79,10 @@
             append(replica, "empty", null);
         }
         assertArrayEquals(
-                Files.readAllBytes(WRITTEN.resolve("snapshot")), Files.readAllBytes(again.resolve("snapshot")));
-        assertArrayEquals(Files.readAllBytes(WRITTEN.resolve("log")), Files.readAllBytes(again.resolve("log")));
+                Files.readAllBytes(EARLIER_FOLDER.resolve("snapshot")),
+                Files.readAllBytes(rewrittenFolder.resolve("snapshot")));
+        assertArrayEquals(
+                Files.readAllBytes(EARLIER_FOLDER.resolve("log")), Files.readAllBytes(rewrittenFolder.resolve("log")));
     }
 
     private static void append(Replica replica, String key, String value) throws Exception {
--- a/src/test/java/pepperdock/store/StoreTest.java
+++ b/src/test/java/pepperdock/store/StoreTest.java
@@ -36,11 +36,11 @@
     private final Map<String, InetSocketAddress> members = new LinkedHashMap<>();
 
     StoreTest() throws IOException {
-        members(0);
+        setMembers(0);
     }
 
-    /** All at one address: only the leader listens, and followers only dial. */
-    private void members(int port) {
+    /** Gives all members the same address: only the leader listens, and followers only connect. */
+    private void setMembers(int port) {
         for (String name : List.of("a", "b", "c")) {
             members.put(name, new InetSocketAddress(InetAddress.getLoopbackAddress(), port));
         }
@@ -51,7 +51,7 @@
         loop.close();
     }
 
-    private <T> T on(java.util.concurrent.Callable<T> step) throws Exception {
+    private <T> T onLoop(java.util.concurrent.Callable<T> step) throws Exception {
         CompletableFuture<T> done = new CompletableFuture<>();
         loop.execute(() -> {
             try {
@@ -64,105 +64,111 @@
     }
 
     private Store open(String self) throws Exception {
-        Store s = on(
+        Store store = onLoop(
                 () -> new Store(new StoreConfig(self, "a", Map.copyOf(members), folder.resolve(self), 0.05, 3), loop));
-        if (s.address() != null) {
-            members(s.address().getPort());
+        if (store.address() != null) {
+            setMembers(store.address().getPort());
         }
-        return s;
+        return store;
     }
 
-    private CompletableFuture<Boolean> put(Store s, String key, String value) throws Exception {
-        CompletableFuture<Boolean> told = new CompletableFuture<>();
-        on(() -> {
-            s.put(key, value, told::complete);
+    private CompletableFuture<Boolean> put(Store store, String key, String value) throws Exception {
+        CompletableFuture<Boolean> acknowledged = new CompletableFuture<>();
+        onLoop(() -> {
+            store.put(key, value, acknowledged::complete);
             return null;
         });
-        return told;
+        return acknowledged;
     }
 
-    private void await(Store s, String key, String value) throws Exception {
-        for (int i = 0; i < 3000 && !value.equals(on(() -> s.get(key))); i++) {
+    private void awaitValue(Store store, String key, String value) throws Exception {
+        for (int i = 0; i < 3000 && !value.equals(onLoop(() -> store.get(key))); i++) {
             Thread.sleep(10);
         }
-        assertEquals(value, on(() -> s.get(key)));
+        assertEquals(value, onLoop(() -> store.get(key)));
     }
 
-    private static void end(Store s) throws IOException {
-        s.close();
+    private static void closeStore(Store store) throws IOException {
+        store.close();
     }
 
     @Test
-    void aWriteIsAcknowledgedOnceAMajorityHoldsItAndNotBefore() throws Exception {
-        Store a = open("a");
-        CompletableFuture<Boolean> told = put(a, "k", "v");
-        assertFalse(told.isDone());
-        Store b = open("b");
-        assertTrue(told.get(30, TimeUnit.SECONDS));
-        await(b, "k", "v");
-        assertFalse(put(b, "k", "w").get(30, TimeUnit.SECONDS));
+    void writeIsAcknowledgedOnlyOnceMajorityHoldsIt() throws Exception {
+        Store leader = open("a");
+        CompletableFuture<Boolean> acknowledged = put(leader, "k", "v");
+        assertFalse(acknowledged.isDone());
+        Store follower = open("b");
+        assertTrue(acknowledged.get(30, TimeUnit.SECONDS));
+        awaitValue(follower, "k", "v");
+        assertFalse(put(follower, "k", "w").get(30, TimeUnit.SECONDS));
     }
 
-    /** A follower is away for one write, and another one for all: the first gets the entry, the second a snapshot. */
+    /**
+     * One follower is disconnected for one write and gets that entry; another one was never connected and gets a
+     * snapshot.
+     */
     @Test
-    void aFollowerCatchesUpBySequenceNumberOrSnapshot() throws Exception {
-        Store a = open("a");
-        Store b = open("b");
-        assertTrue(put(a, "k0", "v").get(30, TimeUnit.SECONDS));
-        await(b, "k0", "v");
-        on(() -> {
-            end(b);
+    void followerCatchesUpFromEntriesOrSnapshot() throws Exception {
+        Store leader = open("a");
+        Store follower = open("b");
+        assertTrue(put(leader, "k0", "v").get(30, TimeUnit.SECONDS));
+        awaitValue(follower, "k0", "v");
+        onLoop(() -> {
+            closeStore(follower);
             return null;
         });
-        CompletableFuture<Boolean> alone = put(a, "k1", "v");
-        Store b2 = open("b");
-        await(b2, "k1", "v");
-        assertTrue(alone.get(30, TimeUnit.SECONDS));
+        CompletableFuture<Boolean> acknowledgedLater = put(leader, "k1", "v");
+        Store restartedFollower = open("b");
+        awaitValue(restartedFollower, "k1", "v");
+        assertTrue(acknowledgedLater.get(30, TimeUnit.SECONDS));
         for (int i = 2; i < 20; i++) {
-            assertTrue(put(a, "k" + i, "v").get(30, TimeUnit.SECONDS));
+            assertTrue(put(leader, "k" + i, "v").get(30, TimeUnit.SECONDS));
         }
-        Store c = open("c");
-        await(c, "k19", "v");
-        assertEquals("v", on(() -> c.get("k0")));
-        assertEquals(20L, on(c::version));
+        Store newFollower = open("c");
+        awaitValue(newFollower, "k19", "v");
+        assertEquals("v", onLoop(() -> newFollower.get("k0")));
+        assertEquals(20L, onLoop(newFollower::version));
     }
 
-    /** The leader's process ends and starts again from its folder, while a follower goes on dialling it. */
+    /** The leader stops and starts again from its folder while a follower keeps reconnecting to it. */
     @Test
-    void aLeaderThatStartsAgainHasAllItWroteAndFollowersComeBack() throws Exception {
-        Store a = open("a");
-        Store b = open("b");
+    void restartedLeaderHasAllWritesAndFollowersReconnect() throws Exception {
+        Store leader = open("a");
+        Store follower = open("b");
         for (int i = 0; i < 10; i++) {
-            assertTrue(put(a, "k" + i, "v" + i).get(30, TimeUnit.SECONDS));
+            assertTrue(put(leader, "k" + i, "v" + i).get(30, TimeUnit.SECONDS));
         }
-        assertTrue(put(a, "k3", null).get(30, TimeUnit.SECONDS));
-        on(() -> {
-            end(a);
+        assertTrue(put(leader, "k3", null).get(30, TimeUnit.SECONDS));
+        onLoop(() -> {
+            closeStore(leader);
             return null;
         });
-        Store again = open("a");
-        assertNull(on(() -> again.get("k3")));
-        assertEquals("v9", on(() -> again.get("k9")));
-        assertEquals(11L, on(again::version));
-        assertTrue(put(again, "more", "x").get(30, TimeUnit.SECONDS));
-        await(b, "more", "x");
+        Store restartedLeader = open("a");
+        assertNull(onLoop(() -> restartedLeader.get("k3")));
+        assertEquals("v9", onLoop(() -> restartedLeader.get("k9")));
+        assertEquals(11L, onLoop(restartedLeader::version));
+        assertTrue(put(restartedLeader, "more", "x").get(30, TimeUnit.SECONDS));
+        awaitValue(follower, "more", "x");
     }
 
-    /** A crash cuts the last record short: it was never acknowledged, and goes. A bit flips in the middle: the store must not open. */
+    /**
+     * A crash leaves the last record incomplete: it was never acknowledged and is truncated. A flipped bit in the
+     * middle of the log must prevent the store from opening.
+     */
     @Test
-    void aTornTailIsCutAndDamageElsewhereIsNotPassedOver() throws Exception {
-        try (Replica r = new Replica(folder, 100, true)) {
-            r.append(new StoreEntry(1, "k", new byte[] {1}));
-            r.append(new StoreEntry(2, "k", new byte[] {2}));
+    void incompleteLastRecordIsTruncatedAndOtherDamageIsRejected() throws Exception {
+        try (Replica replica = new Replica(folder, 100, true)) {
+            replica.append(new StoreEntry(1, "k", new byte[] {1}));
+            replica.append(new StoreEntry(2, "k", new byte[] {2}));
         }
         Path log = folder.resolve("log");
         Files.write(log, new byte[] {0, 0, 0, 9, 1, 2, 3}, StandardOpenOption.APPEND);
-        try (Replica r = new Replica(folder, 100, true)) {
-            assertEquals(2, r.seq());
-            r.append(new StoreEntry(3, "k", new byte[] {3}));
+        try (Replica replica = new Replica(folder, 100, true)) {
+            assertEquals(2, replica.seq());
+            replica.append(new StoreEntry(3, "k", new byte[] {3}));
         }
-        try (Replica r = new Replica(folder, 100, true)) {
-            assertArrayEquals(new byte[] {3}, r.get("k"));
+        try (Replica replica = new Replica(folder, 100, true)) {
+            assertArrayEquals(new byte[] {3}, replica.get("k"));
         }
         byte[] bytes = Files.readAllBytes(log);
         bytes[10] ^= 1;
@@ -171,15 +177,18 @@
     }
 
     @Test
-    void aSingleCopyInMemoryNeedsNoPeers() throws Exception {
-        Store s = on(() -> new Store(null, loop));
-        assertTrue(put(s, "k", "v").get(30, TimeUnit.SECONDS));
-        assertEquals("v", on(() -> s.get("k")));
+    void singleCopyInMemoryNeedsNoPeers() throws Exception {
+        Store store = onLoop(() -> new Store(null, loop));
+        assertTrue(put(store, "k", "v").get(30, TimeUnit.SECONDS));
+        assertEquals("v", onLoop(() -> store.get("k")));
     }
 
-    /** A peer sends random bytes. They are decoded or rejected by one kind of exception, and never run out of memory. */
+    /**
+     * Random bytes from a peer are either decoded or rejected with one type of exception, and do not exhaust the
+     * memory.
+     */
     @Property(seed = "51", tries = 300)
-    void garbageFromAPeerIsRefusedAndNothingElse(@ForAll long seed) {
+    void randomBytesFromPeerAreDecodedOrRejected(@ForAll long seed) {
         try {
             assertTrue(StoreCodec.entries(RandomCuts.garbage(seed)).size() < 600);
         } catch (RuntimeException e) {
