--- a/src/main/java/pepperdock/membership/transport/MembershipEndpoint.java
+++ b/src/main/java/pepperdock/membership/transport/MembershipEndpoint.java
@@ -12,12 +12,14 @@
 import pepperdock.transport.HttpRequestHandler;
 import pepperdock.transport.HttpResponseSender;
 
-/** {@code GET /members} on a loopback address: the view, with its reasons, as JSON. Called on the loop. */
+/**
+ * Serves {@code GET /members} on a loopback address: the membership view and its reasons as JSON. Called on the loop.
+ */
 final class MembershipEndpoint implements HttpRequestHandler {
 
     private static final String PATH = "/members";
     private static final String JSON = "application/json";
-    /** Keys of the counters, in the order of {@link MembershipService#counts}. */
+    /** The JSON keys of the counters, in the order of {@link MembershipService#counts}. */
     private static final String[] COUNTERS = {
         "datagrams_sent", "bytes_sent", "withheld_for_budget", "of_other_fleets", "not_to_be_read"
     };
@@ -31,10 +33,10 @@
     @Override
     public Runnable serve(HttpMessage request, HttpResponseSender reply) throws HttpException {
         if (!request.path().equals(PATH)) {
-            throw new HttpException(404, "only /members is here");
+            throw new HttpException(404, "no such path, expected /members");
         }
         if (!request.method().equals("GET") && !request.method().equals("HEAD")) {
-            throw new HttpException(405, "only GET");
+            throw new HttpException(405, "method not allowed, expected GET or HEAD");
         }
         reply.send(200, JSON, "", json().toString().getBytes(StandardCharsets.UTF_8));
         return () -> {};
--- a/src/main/java/pepperdock/membership/transport/MembershipEvents.java
+++ b/src/main/java/pepperdock/membership/transport/MembershipEvents.java
@@ -8,14 +8,15 @@
 import pepperdock.membership.MembershipView;
 
 /**
- * Outputs of membership as events for the test rig; the same names and words from a real process and from simulated time. Names
- * and keys are read by {@code lab check}: {@code life} there is the generation, {@code sure} the majority.
+ * Writes the outputs of membership as events for the test rig. A real process and a simulation write the same names and
+ * values. {@code lab check} reads these names and keys; in them {@code life} is the generation and {@code sure} is
+ * whether a majority is reachable.
  */
 public final class MembershipEvents {
 
     private MembershipEvents() {}
 
-    /** A process has started, with this budget. */
+    /** Writes that a process has started, with its bandwidth budget and the pause that it tolerates. */
     public static void processStarted(Events events, MemberRecord self, MembershipSettings settings) {
         events.write(
                 "life",
@@ -31,7 +32,10 @@
                 settings.toleratedPauseS());
     }
 
-    /** All outputs of one input are published: the view between two of its changes is none that lasted. */
+    /**
+     * Marks that all outputs of one input are published. A view between two changes of the same input is not a stable
+     * state, so the check skips it.
+     */
     public static void outputsPublished(Events events, List<MembershipOutput> outputs) {
         if (events.isEnabled()
                 && outputs.stream().anyMatch(output -> output instanceof MembershipOutput.MemberChanged)) {
@@ -39,7 +43,7 @@
         }
     }
 
-    /** Publishes an output, where it is one that has an event. */
+    /** Publishes an output; does nothing if its kind has no event. */
     public static void publish(Events events, MembershipOutput output) {
         if (output instanceof MembershipOutput.MemberChanged changed) {
             publish(events, changed.change());
--- a/src/main/java/pepperdock/membership/transport/MembershipLog.java
+++ b/src/main/java/pepperdock/membership/transport/MembershipLog.java
@@ -5,19 +5,19 @@
 import pepperdock.membership.MembershipOutput;
 import pepperdock.membership.MembershipView;
 
-/** Writes what membership notifies into the log, in the operators' words. */
+/** Logs the notifications of membership, with the names of states that operators know. */
 final class MembershipLog {
 
     static final System.Logger LOG = System.getLogger("pepperdock.membership");
 
     private final String name;
 
-    /** {@code name} is this member's own. */
+    /** Creates a log for the member of this name. */
     MembershipLog(String name) {
         this.name = name;
     }
 
-    /** Logs an output, where it is one that operators should see. */
+    /** Logs an output; does nothing if it is not meant for operators. */
     void log(MembershipOutput output) {
         if (output instanceof MembershipOutput.MemberChanged changed) {
             log(changed.change());
@@ -43,7 +43,7 @@
                 majority.hasMajority() ? System.Logger.Level.INFO : System.Logger.Level.WARNING,
                 majority.hasMajority()
                         ? "reaching {0} of {1} members again"
-                        : "may be cut off: reaching {0} of {1} members, nobody is called gone",
+                        : "possibly cut off: reaching {0} of {1} members, no member is declared gone",
                 majority.reachable(),
                 majority.fleetSize());
     }
@@ -53,15 +53,19 @@
             case MembershipOutput.Notice.NAME_TAKEN ->
                 LOG.log(
                         System.Logger.Level.ERROR,
-                        "name {0} is used twice, by {1} too: this one stays out",
+                        "name {0} is also used by {1}: this member does not join",
                         name,
                         notice.reason());
             case MembershipOutput.Notice.NAME_CLAIMED ->
-                LOG.log(System.Logger.Level.WARNING, "name {0} is this one''s again: {1}", name, notice.reason());
+                LOG.log(
+                        System.Logger.Level.WARNING,
+                        "name {0} belongs to this member again: {1}",
+                        name,
+                        notice.reason());
             case MembershipOutput.Notice.PAUSED ->
                 LOG.log(
                         System.Logger.Level.WARNING,
-                        "was paused for {0} s, says nothing of others for a while",
+                        "process was paused for {0} s, reports no observations of other members for a while",
                         String.format(Locale.ROOT, "%.1f", notice.amount()));
             default -> LOG.log(System.Logger.Level.INFO, "{0}: {1}", notice.kind(), notice.reason());
         }
--- a/src/main/java/pepperdock/membership/transport/MembershipMessageCodec.java
+++ b/src/main/java/pepperdock/membership/transport/MembershipMessageCodec.java
@@ -10,18 +10,19 @@
 import pepperdock.membership.Message;
 
 /**
- * Membership messages as CBOR (RFC 8949): one array, the version and the kind first, then the header, then what the kind has.
- * Strict: what is not exactly a message of this version, down to names and addresses, is rejected as a whole.
+ * Encodes and decodes membership messages as CBOR (RFC 8949). A message is one array: the version, the kind, the
+ * header, and the fields of the kind. Decoding is strict: anything that is not exactly a message of this version, down
+ * to the syntax of names and addresses, is rejected as a whole.
  */
 final class MembershipMessageCodec {
 
-    /** Of the wire; a member that speaks another is rejected, and counted. */
+    /** The version of the wire format. Messages of any other version are rejected and counted. */
     static final int VERSION = 1;
 
     private static final int MAX_NESTING = 8;
     private static final int MAX_TEXT_LENGTH = 256;
     private static final int MAX_NUMBER_LENGTH = 32;
-    /** Bytes that a buffer for encoding begins with: most datagrams fit. */
+    /** Initial size of an encoding buffer; most datagrams fit. */
     private static final int INITIAL_BUFFER_BYTES = 256;
 
     private static final CBORFactory CBOR = CBORFactory.builder()
@@ -36,7 +37,7 @@
 
     // ---- Encoding ------------------------------------------------------------
 
-    /** Encodes a message. */
+    /** Returns the bytes of a message. */
     static byte[] encode(Message message) {
         ByteArrayOutputStream out = new ByteArrayOutputStream(INITIAL_BUFFER_BYTES);
         try (CBORGenerator generator = CBOR.createGenerator(out)) {
@@ -48,7 +49,7 @@
             }
             generator.writeEndArray();
         } catch (IOException e) {
-            throw new IllegalStateException("writing to memory", e);
+            throw new IllegalStateException("encoding a message in memory failed", e);
         }
         return out.toByteArray();
     }
@@ -56,9 +57,9 @@
     // ---- Decoding ------------------------------------------------------------
 
     /**
-     * Decodes the bytes from {@code from} up to {@code to}.
+     * Returns the message in the bytes from {@code from} up to {@code to}.
      *
-     * @throws IllegalArgumentException for whatever is not a message of this version
+     * @throws IllegalArgumentException if the bytes are not exactly one message of this version
      */
     static Message decode(byte[] bytes, int from, int to) {
         try (CBORParser parser = CBOR.createParser(bytes, from, to - from)) {
@@ -66,11 +67,11 @@
             Message message = reader.readMessage();
             reader.expect(JsonToken.END_ARRAY);
             if (parser.nextToken() != null) {
-                throw new IllegalArgumentException("more than one message");
+                throw new IllegalArgumentException("bytes after the end of the message");
             }
             return message;
         } catch (IOException e) {
-            throw new IllegalArgumentException("not CBOR", e);
+            throw new IllegalArgumentException("invalid CBOR", e);
         }
     }
 }
--- a/src/main/java/pepperdock/membership/transport/MembershipMessageReader.java
+++ b/src/main/java/pepperdock/membership/transport/MembershipMessageReader.java
@@ -17,13 +17,16 @@
 import pepperdock.membership.RecordStatus;
 
 /**
- * Reads one membership message; every method throws an {@link IllegalArgumentException} for what is not exactly as it should be.
+ * Reads one membership message. Every method throws an {@link IllegalArgumentException} for a field that is invalid.
  */
 record MembershipMessageReader(CBORParser parser) {
 
-    /** Entries of a list, at most. */
+    /** Maximum number of entries in a list. */
     private static final int MAX_LIST_ENTRIES = 100_000;
-    /** Incarnations, revisions and sequence numbers, at most: none can be driven to the end of its range by one message. */
+    /**
+     * Maximum of incarnations, revisions and sequence numbers, so that one message cannot push any to the end of its
+     * range.
+     */
     private static final long MAX_COUNT = 1L << 48;
 
     private static final Pattern NAME = Pattern.compile(MemberRecord.NAME_PATTERN);
@@ -34,7 +37,7 @@
         expect(JsonToken.START_ARRAY);
         long version = readLong();
         if (version != MembershipMessageCodec.VERSION) {
-            throw new IllegalArgumentException("version " + version);
+            throw new IllegalArgumentException("unsupported message version " + version);
         }
         long kind = readLong();
         Header header = new Header(readName(), readName(), readLong(), readCount(), readAddress(), readLong());
@@ -53,14 +56,14 @@
             case MessageKinds.PARTIAL_DIGEST_REQUEST -> new Message.DigestRequest(header, readBits(), readDigests());
             case MessageKinds.DIGEST_RESPONSE -> new Message.DigestResponse(header, readItems(), readNames());
             case MessageKinds.MISSING_ITEMS -> new Message.MissingItems(header, readItems());
-            default -> throw new IllegalArgumentException("kind " + kind);
+            default -> throw new IllegalArgumentException("unknown message kind " + kind);
         };
     }
 
     void expect(JsonToken expected) throws IOException {
         JsonToken actual = parser.nextToken();
         if (actual != expected) {
-            throw new IllegalArgumentException(actual + " in place of " + expected);
+            throw new IllegalArgumentException(actual + " found, expected " + expected);
         }
     }
 
@@ -69,11 +72,11 @@
         return parser.getLongValue();
     }
 
-    /** A number that grows from nothing, and not by leaps up to its end. */
+    /** Reads a number that counts up from zero, and rejects one above {@link #MAX_COUNT}. */
     private long readCount() throws IOException {
         long number = readLong();
         if (number < 0 || number > MAX_COUNT) {
-            throw new IllegalArgumentException("count " + number);
+            throw new IllegalArgumentException("count out of range: " + number);
         }
         return number;
     }
@@ -82,7 +85,7 @@
         expect(JsonToken.VALUE_STRING);
         String text = parser.getText();
         if (!pattern.matcher(text).matches()) {
-            throw new IllegalArgumentException("a text not as it should be");
+            throw new IllegalArgumentException("name or address has invalid syntax");
         }
         return text;
     }
@@ -101,12 +104,12 @@
         while (parser.nextToken() != JsonToken.END_ARRAY) {
             checkListSize(items.size());
             if (parser.currentToken() != JsonToken.VALUE_NUMBER_INT) {
-                throw new IllegalArgumentException("no kind of item");
+                throw new IllegalArgumentException("item does not begin with its kind");
             }
             switch (parser.getIntValue()) {
                 case MessageKinds.MEMBER_RECORD -> items.add(readMemberRecord());
                 case MessageKinds.OBSERVATIONS -> items.add(readObservations());
-                default -> throw new IllegalArgumentException("kind of item");
+                default -> throw new IllegalArgumentException("unknown kind of item");
             }
         }
         return items;
@@ -130,7 +133,7 @@
     private <T> T readConstant(T[] constants) throws IOException {
         long number = readLong();
         if (number < 0 || number >= constants.length) {
-            throw new IllegalArgumentException("no such word");
+            throw new IllegalArgumentException("number is not an ordinal of the expected enum");
         }
         return constants[(int) number];
     }
@@ -138,7 +141,7 @@
     private boolean readBoolean() throws IOException {
         JsonToken token = parser.nextToken();
         if (token != JsonToken.VALUE_TRUE && token != JsonToken.VALUE_FALSE) {
-            throw new IllegalArgumentException("neither true nor false");
+            throw new IllegalArgumentException("expected true or false");
         }
         return token == JsonToken.VALUE_TRUE;
     }
@@ -167,7 +170,7 @@
     private int readBits() throws IOException {
         long number = readLong();
         if (number != (int) number) {
-            throw new IllegalArgumentException("too many bits");
+            throw new IllegalArgumentException("slice selection has more than 32 bits");
         }
         return (int) number;
     }
@@ -180,7 +183,7 @@
             digests.add(parser.getLongValue());
         }
         if (parser.currentToken() != JsonToken.END_ARRAY || digests.size() != Message.SLICE_COUNT) {
-            throw new IllegalArgumentException("not one digest for each slice");
+            throw new IllegalArgumentException("expected exactly one digest for each slice");
         }
         return digests;
     }
@@ -198,14 +201,14 @@
     private String currentName() throws IOException {
         if (parser.currentToken() != JsonToken.VALUE_STRING
                 || !NAME.matcher(parser.getText()).matches()) {
-            throw new IllegalArgumentException("a text not as it should be");
+            throw new IllegalArgumentException("name or address has invalid syntax");
         }
         return parser.getText();
     }
 
     private static void checkListSize(int size) {
         if (size >= MAX_LIST_ENTRIES) {
-            throw new IllegalArgumentException("a list too long");
+            throw new IllegalArgumentException("list has more than " + MAX_LIST_ENTRIES + " entries");
         }
     }
 }
--- a/src/main/java/pepperdock/membership/transport/MembershipMessageWriter.java
+++ b/src/main/java/pepperdock/membership/transport/MembershipMessageWriter.java
@@ -10,10 +10,10 @@
 import pepperdock.membership.Message.Header;
 import pepperdock.membership.Observations;
 
-/** Writes the parts of a membership message after the version. One writer, one message. */
+/** Writes the fields of a membership message that follow the version. Each writer writes one message. */
 record MembershipMessageWriter(CBORGenerator generator) {
 
-    /** Writes a message that goes by datagram; false where it is none. */
+    /** Writes a message that is sent as a datagram; returns false if the message is of another kind. */
     boolean writeDatagram(Message message) throws IOException {
         if (message instanceof Message.Ping ping) {
             writeHeader(MessageKinds.PING, ping.header());
@@ -47,7 +47,7 @@
         return true;
     }
 
-    /** Writes a message of an exchange. */
+    /** Writes a message of an anti-entropy exchange. */
     void writeExchange(Message message) throws IOException {
         if (message instanceof Message.SliceDigests digests) {
             writeHeader(MessageKinds.SLICE_DIGESTS, digests.header());
--- a/src/main/java/pepperdock/membership/transport/MembershipService.java
+++ b/src/main/java/pepperdock/membership/transport/MembershipService.java
@@ -28,22 +28,22 @@
 import pepperdock.transport.HttpServer;
 
 /**
- * Runs {@link Membership} on a loop: its sockets, its clock, its log, its events, and the endpoint for operators. All decisions
- * are {@link Membership}'s. All methods are called on the loop, which owns the state.
+ * Runs {@link Membership} on an event loop: provides its sockets, clock, log, events, and the operators' endpoint.
+ * {@link Membership} makes all decisions. All methods are called on the loop, which owns the state.
  */
 public final class MembershipService {
 
-    /** Bytes of one message on a stream, at most. */
+    /** Maximum size of one message on a stream. */
     private static final int MAX_FRAME_BYTES = 8 << 20;
 
     private static final char FRAME_TYPE = 'x';
     private static final int MAX_STREAMS = 16;
-    /** Seconds that an exchange may take. */
+    /** Maximum duration of an exchange. */
     private static final double STREAM_TIMEOUT_S = 5;
 
     private static final int MAX_REQUEST_BODY_BYTES = 1 << 10;
     private static final int MAX_HTTP_CONNECTIONS = 16;
-    /** Seconds after which a member that leaves says so again: the first datagrams may be lost. */
+    /** Time after which a leaving member repeats its announcement, since the first datagrams may be lost. */
     private static final double LEAVE_REPEAT_S = 0.2;
 
     private final MembersConfig config;
@@ -54,12 +54,14 @@
     private final DatagramSocket datagrams;
     private final LogRateLimiter rejectedMessages;
     private final List<Consumer<MembershipView.Change>> watchers = new ArrayList<>();
-    private int streams;
+    private int openStreams;
     private long malformedMessages;
-    /** Set on the loop, after the first event: what comes before is lost, as on a socket that is not open yet. */
+    /**
+     * Set on the loop together with the first event; earlier messages are dropped as if the socket were not open yet.
+     */
     private boolean started;
 
-    /** Opens what the file's {@code members} says; null where it has none. */
+    /** Opens membership as configured by the {@code members} key; returns null if the file does not have it. */
     public static MembershipService open(ConfigReader file, EventLoop loop, Events events) throws IOException {
         MembersConfig config = MembersConfig.read(file);
         return config == null ? null : new MembershipService(config, loop, events);
@@ -81,9 +83,9 @@
                 config.machine());
         membership =
                 new Membership(config.settings(), config.fleet(), self, config.seeds(), random.nextLong(), loop.now());
-        rejectedMessages = new LogRateLimiter(MembershipLog.LOG, loop, "messages of members not taken");
+        rejectedMessages = new LogRateLimiter(MembershipLog.LOG, loop, "rejected membership messages");
         datagrams = loop.datagrams(config.address(), this::onDatagram);
-        loop.listen(config.address(), () -> started && streams < MAX_STREAMS, Exchange::new);
+        loop.listen(config.address(), () -> started && openStreams < MAX_STREAMS, Exchange::new);
         if (config.ask() != null) {
             new HttpServer(
                     loop,
@@ -100,12 +102,12 @@
         });
     }
 
-    /** Notifies the watcher of each change from now on, once and in order, on the loop. */
+    /** Registers a watcher, which gets each later change exactly once and in order, on the loop. */
     public void watch(Consumer<MembershipView.Change> watcher) {
         watchers.add(watcher);
     }
 
-    /** All members as this one sees them now. */
+    /** Returns all members as this one sees them now. */
     public MembershipView view() {
         return membership.view();
     }
@@ -118,13 +120,16 @@
         return loop;
     }
 
-    /** Datagrams sent, bytes sent, withheld, of other fleets, and malformed. */
+    /**
+     * Returns the counts of datagrams sent, bytes sent, datagrams withheld for the budget, messages of other fleets,
+     * and malformed messages.
+     */
     long[] counts() {
         long[] counts = membership.counts();
         return new long[] {counts[0], counts[1], counts[2], counts[3], malformedMessages};
     }
 
-    /** Tells all members that this one leaves; goes on answering until the program's end. */
+    /** Announces to all members that this one leaves. It goes on answering until the program ends. */
     public void leave() {
         membership.leave(loop.now());
         processOutputs();
@@ -176,19 +181,19 @@
         }
     }
 
-    /** Null, and counted, where the bytes are no message. */
+    /** Returns the decoded message; counts it and returns null if the bytes are malformed. */
     private Message decode(byte[] bytes, int from, int to) {
         try {
             return MembershipMessageCodec.decode(bytes, from, to);
         } catch (IllegalArgumentException e) {
             malformedMessages++;
-            rejectedMessages.log(System.Logger.Level.WARNING, () -> "message of a member not taken: " + e.getMessage());
+            rejectedMessages.log(System.Logger.Level.WARNING, () -> "membership message rejected: " + e.getMessage());
             return null;
         }
     }
 
     private void openExchange(String address) {
-        if (streams >= MAX_STREAMS) {
+        if (openStreams >= MAX_STREAMS) {
             return;
         }
         loop.connect(resolve(address), config.settings().suspicionTimeoutS(), new EventLoop.ConnectListener() {
@@ -199,12 +204,15 @@
 
             @Override
             public void onFailed() {
-                // Membership opens another one, there or elsewhere, when it needs it.
+                // Membership opens another exchange, with this or another member, when it needs one.
             }
         });
     }
 
-    /** One anti-entropy exchange on a stream, from either side: messages by turns, and the end; bounded in time. */
+    /**
+     * One side of an anti-entropy exchange on a stream. The sides send messages in turns, and the stream is closed at
+     * the end or after a timeout.
+     */
     private final class Exchange implements Connection.Handler {
         private final Connection connection;
         private final FrameParser parser = new FrameParser(MAX_FRAME_BYTES, "" + FRAME_TYPE);
@@ -213,7 +221,7 @@
 
         Exchange(Connection connection) {
             this.connection = connection;
-            streams++;
+            openStreams++;
             connection.start(this);
         }
 
@@ -225,11 +233,11 @@
         public void onBytes(Connection stream) {
             try {
                 while (!finished) {
-                    int used = parser.feed(stream.bytes(), stream.readStart(), stream.readEnd());
-                    if (used == 0) {
+                    int bytesUsed = parser.feed(stream.bytes(), stream.readStart(), stream.readEnd());
+                    if (bytesUsed == 0) {
                         return;
                     }
-                    stream.consume(used);
+                    stream.consume(bytesUsed);
                     onFrame(parser.take(), stream);
                 }
             } catch (FrameException e) {
@@ -248,7 +256,7 @@
             }
             write(response);
             if (response instanceof Message.MissingItems) {
-                // The last message of an exchange: the other side closes when it has read it.
+                // The last message of an exchange: the other side closes the stream after reading it.
                 stream.closeAfterWrites();
             }
         }
@@ -261,7 +269,7 @@
         private void finish() {
             if (!finished) {
                 finished = true;
-                streams--;
+                openStreams--;
                 timeout.cancel();
                 connection.close();
             }
--- a/src/main/java/pepperdock/membership/transport/MessageKinds.java
+++ b/src/main/java/pepperdock/membership/transport/MessageKinds.java
@@ -1,6 +1,6 @@
 package pepperdock.membership.transport;
 
-/** The numbers that tell kinds of messages, and of items, apart on the wire. */
+/** The numbers that identify kinds of messages and kinds of items on the wire. */
 final class MessageKinds {
 
     static final int PING = 1;
@@ -13,7 +13,9 @@
     static final int MISSING_ITEMS = 8;
     static final int SLICE_DIGESTS = 9;
     static final int SLICE_SELECTION = 10;
-    /** A digest request of some slices; one of all slices is a {@link #DIGEST_REQUEST}, which has no slices on the wire. */
+    /**
+     * A digest request for some slices. A request for all is a {@link #DIGEST_REQUEST}, which omits them on the wire.
+     */
     static final int PARTIAL_DIGEST_REQUEST = 11;
 
     static final int JOIN = 12;
--- a/src/main/java/pepperdock/membership/transport/OperatorWords.java
+++ b/src/main/java/pepperdock/membership/transport/OperatorWords.java
@@ -3,12 +3,14 @@
 import java.util.Locale;
 import pepperdock.membership.MemberState;
 
-/** The words for member states in what operators and the test rig read: events, the log and {@code GET /members}. */
+/**
+ * The names of member states in the output for operators and the test rig: events, the log and {@code GET /members}.
+ */
 final class OperatorWords {
 
     private OperatorWords() {}
 
-    /** As events have it. */
+    /** Returns the name of a state as written in events. */
     static String inEvents(MemberState state) {
         return switch (state) {
             case ALIVE -> "HERE";
@@ -19,7 +21,7 @@
         };
     }
 
-    /** As the log and the operators' page have it. */
+    /** Returns the name of a state as written in the log and at the operators' endpoint. */
     static String of(MemberState state) {
         return inEvents(state).toLowerCase(Locale.ROOT).replace('_', ' ');
     }
--- a/src/test/java/pepperdock/membership/transport/MembershipMessageCodecTest.java
+++ b/src/test/java/pepperdock/membership/transport/MembershipMessageCodecTest.java
@@ -36,72 +36,73 @@
                     name(random),
                     name(random));
         }
-        Map<String, Observations.SubjectObservation> said = new HashMap<>();
+        Map<String, Observations.SubjectObservation> bySubject = new HashMap<>();
         for (int i = random.nextInt(9); i > 0; i--) {
-            said.put(
+            bySubject.put(
                     name(random),
                     new Observations.SubjectObservation(random.nextLong(), Observation.values()[random.nextInt(4)]));
         }
-        return new Observations(name(random), random.nextLong(), random.nextInt(1 << 30), random.nextBoolean(), said);
+        return new Observations(
+                name(random), random.nextLong(), random.nextInt(1 << 30), random.nextBoolean(), bySubject);
     }
 
     private static Message message(Random random) {
-        Message.Header head = new Message.Header(
+        Message.Header header = new Message.Header(
                 "fleet", name(random), random.nextLong(), random.nextInt(100), "[::1]:7400", random.nextLong());
         List<GossipItem> items = new ArrayList<>();
         for (int i = random.nextInt(5); i > 0; i--) {
             items.add(item(random));
         }
         return switch (random.nextInt(13)) {
-            case 0 -> new Message.Ping(head, name(random), random.nextLong(), 8, items);
-            case 1 -> new Message.Ack(head, random.nextInt(9), items);
-            case 2 -> new Message.WrongAddressee(head, name(random), random.nextLong());
-            case 3 -> new Message.IndirectPing(head, name(random), random.nextLong(), "127.0.0.1:1", 1L << 40);
-            case 4 -> new Message.IndirectAck(head, name(random), random.nextLong(), 5);
-            case 5 -> new Message.DigestRequest(head, Message.ALL_SLICES, Map.of(name(random), random.nextLong()));
+            case 0 -> new Message.Ping(header, name(random), random.nextLong(), 8, items);
+            case 1 -> new Message.Ack(header, random.nextInt(9), items);
+            case 2 -> new Message.WrongAddressee(header, name(random), random.nextLong());
+            case 3 -> new Message.IndirectPing(header, name(random), random.nextLong(), "127.0.0.1:1", 1L << 40);
+            case 4 -> new Message.IndirectAck(header, name(random), random.nextLong(), 5);
+            case 5 -> new Message.DigestRequest(header, Message.ALL_SLICES, Map.of(name(random), random.nextLong()));
             case 7 ->
                 new Message.SliceDigests(
-                        head, random.longs(Message.SLICE_COUNT).boxed().toList());
-            case 8 -> new Message.SliceSelection(head, random.nextInt());
-            case 10 -> new Message.Join(head);
-            case 11 -> new Message.JoinResponse(head, items);
+                        header, random.longs(Message.SLICE_COUNT).boxed().toList());
+            case 8 -> new Message.SliceSelection(header, random.nextInt());
+            case 10 -> new Message.Join(header);
+            case 11 -> new Message.JoinResponse(header, items);
             case 9 ->
-                new Message.DigestRequest(head, random.nextInt() & 0xFFFF, Map.of(name(random), random.nextLong()));
-            case 6 -> new Message.DigestResponse(head, items, List.of(name(random), "a"));
-            default -> new Message.MissingItems(head, items);
+                new Message.DigestRequest(header, random.nextInt() & 0xFFFF, Map.of(name(random), random.nextLong()));
+            case 6 -> new Message.DigestResponse(header, items, List.of(name(random), "a"));
+            default -> new Message.MissingItems(header, items);
         };
     }
 
     @Property(seed = "71", tries = 500)
-    void whatIsWrittenIsRead(@ForAll long seed) {
+    void decodesWhatItEncodes(@ForAll long seed) {
         Message message = message(new Random(seed));
         byte[] bytes = MembershipMessageCodec.encode(message);
         assertEquals(message, MembershipMessageCodec.decode(bytes, 0, bytes.length));
     }
 
     @Property(seed = "74", tries = 500)
-    void aMessageIsNoLargerThanItSays(@ForAll long seed) {
+    void encodedMessageIsNoLargerThanItsDeclaredMaximum(@ForAll long seed) {
         Message message = message(new Random(seed));
         assertTrue(MembershipMessageCodec.encode(message).length <= message.maxEncodedBytes(), message.toString());
     }
 
     @Property(seed = "72", tries = 500)
-    void anItemIsNoLargerThanItSays(@ForAll long seed) {
+    void encodedItemIsNoLargerThanItsDeclaredMaximum(@ForAll long seed) {
         GossipItem item = item(new Random(seed));
         Message.Header header = new Message.Header("f", "n", 1, 1, "127.0.0.1:1", 1);
-        int alone = MembershipMessageCodec.encode(new Message.MissingItems(header, List.of())).length;
+        int emptyLength = MembershipMessageCodec.encode(new Message.MissingItems(header, List.of())).length;
         assertTrue(
-                MembershipMessageCodec.encode(new Message.MissingItems(header, List.of(item))).length - alone
+                MembershipMessageCodec.encode(new Message.MissingItems(header, List.of(item))).length - emptyLength
                         <= item.maxEncodedBytes(),
                 item.toString());
     }
 
     /**
-     * A datagram arrives damaged or cut short, or somebody sends rubbish to the port. The codec rejects it by its one
-     * exception; no other exception reaches the loop.
+     * A datagram arrives corrupted or truncated, or something else sends garbage to the port. The codec rejects it with
+     * its one exception type; no other exception reaches the loop.
      */
     @Property(seed = "73", tries = 2000)
-    void whatWasSpoiltIsRefusedOrReadAndNothingElse(@ForAll long seed) {
+    void decodesOrRejectsCorruptedBytesWithoutOtherExceptions(@ForAll long seed) {
         Random random = new Random(seed);
         byte[] bytes = MembershipMessageCodec.encode(message(random));
         int length = random.nextInt(bytes.length + 1);
@@ -110,26 +111,27 @@
         }
         try {
             MembershipMessageCodec.decode(bytes, 0, length);
-        } catch (IllegalArgumentException refused) {
-            assertTrue(refused.getMessage() != null);
+        } catch (IllegalArgumentException rejected) {
+            assertTrue(rejected.getMessage() != null);
         }
     }
 
     /**
-     * A member of a later version, or a sender of two messages in one datagram, is rejected as a whole: half a message must
-     * not be taken in.
+     * A datagram from a member of a later version, or with two messages, is rejected as a whole: a message must not be
+     * applied in part.
      */
     @Test
-    void anotherVersionAndTwoMessagesAndRubbishAreRefused() {
-        byte[] sound = MembershipMessageCodec.encode(
+    void rejectsOtherVersionsSeveralMessagesAndGarbage() {
+        byte[] valid = MembershipMessageCodec.encode(
                 new Message.WrongAddressee(new Message.Header("f", "n", 1, 1, "127.0.0.1:1", 1), "m", 2));
-        byte[] twice = java.util.Arrays.copyOf(sound, 2 * sound.length);
-        System.arraycopy(sound, 0, twice, sound.length, sound.length);
-        byte[] newer = sound.clone();
-        // The first byte begins the array, the second is the version.
+        byte[] twice = java.util.Arrays.copyOf(valid, 2 * valid.length);
+        System.arraycopy(valid, 0, twice, valid.length, valid.length);
+        byte[] newer = valid.clone();
+        // The first byte is the start of the array, the second is the version.
         newer[1] = 2;
-        for (byte[] bad : List.of(twice, newer, new byte[0], new byte[2048])) {
-            assertThrows(IllegalArgumentException.class, () -> MembershipMessageCodec.decode(bad, 0, bad.length));
+        for (byte[] invalid : List.of(twice, newer, new byte[0], new byte[2048])) {
+            assertThrows(
+                    IllegalArgumentException.class, () -> MembershipMessageCodec.decode(invalid, 0, invalid.length));
         }
     }
 }
--- a/src/test/java/pepperdock/membership/transport/MembershipMessageCompatibilityTest.java
+++ b/src/test/java/pepperdock/membership/transport/MembershipMessageCompatibilityTest.java
@@ -23,9 +23,10 @@
 import pepperdock.membership.RecordStatus;
 
 /**
- * A fleet is updated member by member. Were a message of an earlier version read otherwise, or written in other bytes, members
- * of the two versions would reject each other's messages, and each would declare the other faulty. The resource has one message
- * of each kind as an earlier version wrote it: a kind and its bytes in hex, on a line each.
+ * Guards the wire format during a rolling update. If a message of an earlier version were decoded differently, or
+ * encoded to other bytes, members of the two versions would reject each other's messages, and each would declare the
+ * other faulty. The resource has one message of each kind as an earlier version wrote it; each line has the kind and
+ * the bytes in hex.
  */
 class MembershipMessageCompatibilityTest {
 
@@ -100,7 +101,7 @@
 
     @ParameterizedTest
     @MethodSource("kinds")
-    void aStoredMessageIsReadAndWrittenBackInTheSameBytes(String kind) {
+    void storedMessageIsDecodedAndEncodedToTheSameBytes(String kind) {
         byte[] bytes = stored().get(kind);
         Message decoded = MembershipMessageCodec.decode(bytes, 0, bytes.length);
         assertEquals(expected().get(kind), decoded);
@@ -108,7 +109,7 @@
     }
 
     @Test
-    void oneOfEachKindIsStored() {
+    void oneMessageOfEachKindIsStored() {
         assertEquals(List.copyOf(expected().keySet()), List.copyOf(stored().keySet()));
     }
 }
--- a/src/test/java/pepperdock/membership/transport/MembershipServiceTest.java
+++ b/src/test/java/pepperdock/membership/transport/MembershipServiceTest.java
@@ -22,11 +22,11 @@
 import pepperdock.membership.MembershipView;
 import pepperdock.transport.EventLoop;
 
-/** Members on real sockets in this process, and asked as an operator would. */
+/** Runs members on real sockets in this process and queries them with the operators' command. */
 @Timeout(120)
 class MembershipServiceTest {
 
-    /** A host of its own for each run of the tests, so that the ports are free. */
+    /** An address prefix that depends on the process id, so that the ports are free in each run of the tests. */
     private static final String HOSTS = "127.200." + ProcessHandle.current().pid() % 250 + '.';
 
     private final List<EventLoop> loops = new CopyOnWriteArrayList<>();
@@ -47,40 +47,40 @@
                                 + ":7400\",\"seeds\":[\""
                                 + HOSTS + "1:7400\"],\"ask\":\"" + HOSTS + number + ":7500\"}}",
                         ""));
-        MembershipService m = MembershipService.open(file, loop, Events.of(false));
-        loop.execute(() -> m.watch(changes::add));
-        return m;
+        MembershipService service = MembershipService.open(file, loop, Events.of(false));
+        loop.execute(() -> service.watch(changes::add));
+        return service;
     }
 
-    private static void await(List<MembershipView.Change> changes, String what) throws InterruptedException {
-        while (changes.stream().noneMatch(c -> (c.name() + ' ' + c.to()).equals(what))) {
+    private static void await(List<MembershipView.Change> changes, String expected) throws InterruptedException {
+        while (changes.stream().noneMatch(change -> (change.name() + ' ' + change.to()).equals(expected))) {
             Thread.sleep(10);
         }
     }
 
-    private static String asked(String... args) {
+    private static String runCommand(String... args) {
         StringWriter out = new StringWriter();
         assertEquals(0, Cli.run(args, new PrintWriter(out, true), new PrintWriter(out, true)), out::toString);
         return out.toString();
     }
 
     /**
-     * Two members find each other by a seed, a stranger sends a datagram that is no message, one member leaves. The other
-     * sees each change once and in order, counts the stray datagram, and tells operators all of it.
+     * Two members discover each other through a seed, another process sends an invalid datagram, and one member leaves.
+     * The other reports each change once and in order, counts the invalid datagram, and shows all this to operators.
      */
     @Test
-    void twoFindEachOtherAreAskedAndOneLeaves() throws Exception {
+    void twoMembersJoinAnswerOperatorsAndOneLeaves() throws Exception {
         List<MembershipView.Change> changes = new CopyOnWriteArrayList<>();
         open(1, changes);
         MembershipService two = open(2, new CopyOnWriteArrayList<>());
         await(changes, "n2 ALIVE");
-        String words = asked("members", HOSTS + "1:7500");
-        assertTrue(words.startsWith("fleet f as n1 sees it"), words);
-        assertTrue(words.contains("reaching 2 of 2"), words);
-        try (DatagramSocket stranger = new DatagramSocket()) {
-            stranger.send(new DatagramPacket(new byte[3000], 3000, new InetSocketAddress(HOSTS + "1", 7400)));
+        String output = runCommand("members", HOSTS + "1:7500");
+        assertTrue(output.startsWith("fleet f as n1 sees it"), output);
+        assertTrue(output.contains("reaching 2 of 2"), output);
+        try (DatagramSocket foreignSocket = new DatagramSocket()) {
+            foreignSocket.send(new DatagramPacket(new byte[3000], 3000, new InetSocketAddress(HOSTS + "1", 7400)));
         }
-        while (!asked("members", "--json", HOSTS + "1:7500").contains("\"not_to_be_read\": 1")) {
+        while (!runCommand("members", "--json", HOSTS + "1:7500").contains("\"not_to_be_read\": 1")) {
             Thread.sleep(10);
         }
         CompletableFuture<Void> left = new CompletableFuture<>();
