--- a/src/main/java/pepperdock/operator/BanFile.java
+++ b/src/main/java/pepperdock/operator/BanFile.java
@@ -20,15 +20,18 @@
 import pepperdock.config.ConfigReader;
 
 /**
- * The bans on disk, shared by the two processes of an upgrade. The file is replaced by an atomic rename, so that a reader sees
- * all or nothing of a change, and a process that is killed leaves the state before. Used on one thread, which may wait for a
- * disk.
+ * Stores the bans on disk, shared by the two processes of an upgrade. The file is replaced by an atomic rename, so that
+ * a reader sees all or nothing of a change, and a process that is killed during a write leaves the previous state. Used
+ * on one thread, which may block on the disk.
  */
 final class BanFile {
 
     private static final System.Logger LOG = System.getLogger("pepperdock.operator");
     private static final int VERSION = 1;
-    /** The other process holds the lock for one write; one that is stopped while it holds it must not stop this one. */
+    /**
+     * The other process holds the lock for one write. Attempts are limited, so that a suspended holder cannot block
+     * this one.
+     */
     private static final int LOCK_ATTEMPTS = 50;
 
     private static final int LOCK_BACKOFF_MS = 10;
@@ -42,13 +45,16 @@
     private final Path folder;
     private final Path file;
 
-    /** In that folder, which must exist. */
+    /** Uses the ban file in a folder, which must exist. */
     BanFile(Path folder) {
         this.folder = folder;
         file = folder.resolve(BANS_FILE);
     }
 
-    /** The banned workers; none where there is no file. A damaged file is moved aside, named in the log, and counts as none. */
+    /**
+     * Returns the banned workers; none if there is no file. A damaged file counts as none: it is moved aside, and its
+     * new path is logged.
+     */
     Set<String> read() throws IOException {
         try {
             return parse(Files.readString(file));
@@ -58,7 +64,7 @@
             Path aside = folder.resolve(DAMAGED_FILE);
             LOG.log(
                     System.Logger.Level.ERROR,
-                    "bans not readable, kept as {0}, none in force: {1}",
+                    "ban file is damaged, moved to {0}, no bans are in force: {1}",
                     aside,
                     e.getMessage());
             Files.move(file, aside, StandardCopyOption.REPLACE_EXISTING);
@@ -67,39 +73,39 @@
     }
 
     /**
-     * Makes one change to the file as it is now.
+     * Applies one change to the current content of the file.
      *
-     * @return the banned workers since the change
+     * @return the banned workers after the change
      */
     Set<String> change(String worker, boolean banned) throws IOException {
         try (FileChannel lockChannel =
                 FileChannel.open(folder.resolve(LOCK_FILE), StandardOpenOption.CREATE, StandardOpenOption.WRITE)) {
-            FileLock held = lock(lockChannel);
+            FileLock fileLock = lock(lockChannel);
             Set<String> state = new LinkedHashSet<>(read());
             boolean changes = banned ? state.add(worker) : state.remove(worker);
             if (changes) {
                 write(state);
             }
-            if (held != null) {
-                held.release();
+            if (fileLock != null) {
+                fileLock.release();
             }
             return state;
         }
     }
 
-    /** The lock; null where the other process has held it for all attempts, or this thread is interrupted. */
+    /** Returns the lock; null if the other process held it during all attempts or this thread was interrupted. */
     private static FileLock lock(FileChannel channel) throws IOException {
-        FileLock held = channel.tryLock();
-        for (int attempt = 0; held == null && attempt < LOCK_ATTEMPTS; attempt++) {
+        FileLock fileLock = channel.tryLock();
+        for (int attempt = 0; fileLock == null && attempt < LOCK_ATTEMPTS; attempt++) {
             try {
                 Thread.sleep(LOCK_BACKOFF_MS);
             } catch (InterruptedException e) {
                 Thread.currentThread().interrupt();
                 return null;
             }
-            held = channel.tryLock();
+            fileLock = channel.tryLock();
         }
-        return held;
+        return fileLock;
     }
 
     private void write(Set<String> state) throws IOException {
@@ -129,7 +135,7 @@
         }
         Set<String> state = new LinkedHashSet<>(keys.texts(DISABLED_KEY));
         if (state.size() > Bans.MAX_BANS) {
-            throw new ConfigException(keys.key(DISABLED_KEY), "more than " + Bans.MAX_BANS);
+            throw new ConfigException(keys.key(DISABLED_KEY), "more than the maximum of " + Bans.MAX_BANS);
         }
         return state;
     }
--- a/src/main/java/pepperdock/operator/Bans.java
+++ b/src/main/java/pepperdock/operator/Bans.java
@@ -7,34 +7,40 @@
 import java.util.Set;
 
 /**
- * The workers that operators have banned: the state last read or written, and the changes that are still being written. A change
- * is in force from the moment it is requested, whatever is read of an older state meanwhile. No I/O; on the loop's thread.
+ * The workers that operators have banned: the state last read or written, and the changes that are still being written.
+ * A change is in force as soon as it is requested, even if an older state is read before it is written. Does no I/O;
+ * used on the loop's thread.
  */
 final class Bans {
 
-    /** Bans at most: the file is read whole, and a fleet without most of its workers is not what a ban is for. */
+    /** Maximum number of bans: the file is read whole, and bans are not meant to remove most workers of a fleet. */
     static final int MAX_BANS = 1000;
 
-    /** A worker banned, or let back. */
+    /** A request to ban a worker or to lift its ban. */
     private record Change(String worker, boolean banned) {}
 
-    /** As last read or written. */
+    /** The banned workers as last read or written. */
     private final Set<String> saved = new LinkedHashSet<>();
-    /** Changes that could not be written: in force here whatever is read, until one of the same worker is written. */
+    /**
+     * Changes that could not be written, by worker. Each overrides the file here until a change of the same worker is
+     * written.
+     */
     private final Map<String, Change> unwritten = new LinkedHashMap<>();
 
-    /** Changes that are being written, by number. */
+    /** Changes that are being written, by change number. */
     private final Map<Long, Change> pending = new LinkedHashMap<>();
 
     private long changeNumber;
 
-    /** Takes a requested change; returns its number for {@link #written}. */
+    /** Adds a requested change; returns its number for {@link #written}. */
     long request(String worker, boolean banned) {
         pending.put(++changeNumber, new Change(worker, banned));
         return changeNumber;
     }
 
-    /** A change is written, and this is the state since; null where it could not be written. */
+    /**
+     * Ends a requested change. {@code state} is the content of the file after it, or null if it could not be written.
+     */
     void written(long number, Collection<String> state) {
         Change change = pending.remove(number);
         unwritten.remove(change.worker());
@@ -45,18 +51,18 @@
         }
     }
 
-    /** Takes on the state of the file, which another process may have changed. */
+    /** Adopts the state of the file, which another process may have changed. */
     void read(Collection<String> state) {
         saved.clear();
         saved.addAll(state);
     }
 
-    /** How many changes are still being written. */
+    /** Returns how many changes are still being written. */
     int pendingCount() {
         return pending.size();
     }
 
-    /** The workers that are banned now. */
+    /** Returns the workers that are banned now. */
     Set<String> inForce() {
         Set<String> now = new LinkedHashSet<>(saved);
         unwritten.values().forEach(change -> apply(now, change));
--- a/src/main/java/pepperdock/operator/MetricsText.java
+++ b/src/main/java/pepperdock/operator/MetricsText.java
@@ -5,26 +5,26 @@
 import pepperdock.core.Metrics.QueryOutcome;
 
 /**
- * The format of metrics, and their names: a line {@code svc.NAME=VALUE} each, and {@code svc.NAME.CLASS=VALUE} for each query
- * class. Stateless.
+ * Formats metrics as text: one line {@code svc.NAME=VALUE} for each metric, or {@code svc.NAME.CLASS=VALUE} for each
+ * query class. Stateless.
  */
 final class MetricsText {
 
     private MetricsText() {}
 
     /**
-     * All metrics as of now.
+     * Returns the current values of all metrics.
      *
-     * @param loads how many configuration files were put in use
+     * @param loads how many configuration files were put into use
      * @param loadErrors how many were rejected
      */
     static String of(Gatherer core, long loads, long loadErrors) {
         Metrics metrics = core.metrics();
         StringBuilder text = new StringBuilder();
         for (String queryClass : metrics.classes()) {
-            line(text, "passed." + word(queryClass), metrics.ended(queryClass, QueryOutcome.SERVED));
-            line(text, "dropped." + word(queryClass), metrics.ended(queryClass, QueryOutcome.REJECTED));
-            line(text, "bad_gateway." + word(queryClass), metrics.ended(queryClass, QueryOutcome.FAILED));
+            line(text, "passed." + sanitize(queryClass), metrics.ended(queryClass, QueryOutcome.SERVED));
+            line(text, "dropped." + sanitize(queryClass), metrics.ended(queryClass, QueryOutcome.REJECTED));
+            line(text, "bad_gateway." + sanitize(queryClass), metrics.ended(queryClass, QueryOutcome.FAILED));
         }
         line(text, "upstream_tries", metrics.attempts());
         line(text, "in_progress", core.inFlightQueries());
@@ -39,8 +39,8 @@
         text.append("svc.").append(name).append('=').append(value).append('\n');
     }
 
-    /** Characters that would end a name or a line become underscores. */
-    private static String word(String name) {
+    /** Replaces characters that would end a name or a line by underscores. */
+    private static String sanitize(String name) {
         return name.replaceAll("[\\s=\\p{Cntrl}]", "_");
     }
 }
--- a/src/main/java/pepperdock/operator/OperatorEndpoint.java
+++ b/src/main/java/pepperdock/operator/OperatorEndpoint.java
@@ -10,22 +10,26 @@
 import pepperdock.transport.HttpResponseSender;
 
 /**
- * The operators' HTTP calls, one a connection: the paths, their methods and the JSON responses. On the loop's thread.
+ * Serves the operators' HTTP calls, one call per connection: the paths, their methods and the JSON responses. Runs on
+ * the loop's thread.
  */
 final class OperatorEndpoint implements HttpRequestHandler {
 
-    /** The operations behind the calls; on the loop's thread. */
+    /** The operations behind the calls. Called on the loop's thread. */
     interface Operations {
-        /** Whether this process takes queries now. */
+        /** Returns whether this process accepts queries now. */
         boolean ready();
 
-        /** All metrics as text. */
+        /** Returns all metrics as text. */
         String metrics();
 
-        /** Whether a worker of this id was ever in the endpoint list. */
+        /** Returns whether a worker with this id was ever in the endpoint list. */
         boolean knows(String worker);
 
-        /** Bans a worker, or lets it back; {@code then} gets null once that is saved, or why it could not be. */
+        /**
+         * Bans a worker or lifts its ban. {@code then} gets null once the change is saved, or the reason why it was
+         * not.
+         */
         void ban(String worker, boolean banned, Consumer<String> then);
     }
 
@@ -69,55 +73,57 @@
         if (!requireMethod(request, "POST", reply)) {
             return;
         }
-        String worker = worker(path.substring(WORKERS.length(), Math.max(WORKERS.length(), path.lastIndexOf('/'))));
+        String worker =
+                parseWorkerId(path.substring(WORKERS.length(), Math.max(WORKERS.length(), path.lastIndexOf('/'))));
         if (!operations.knows(worker)) {
-            throw new HttpException(404, "no worker of that id was ever listed");
+            throw new HttpException(404, "no worker with this id was ever listed");
         }
-        operations.ban(worker, banned, failed -> {
-            if (failed == null) {
+        operations.ban(worker, banned, failure -> {
+            if (failure == null) {
                 respond(reply, 200, "", "disabled", banned);
             } else {
-                rejectMalformed(500, failed, reply);
+                rejectMalformed(500, failure, reply);
             }
         });
     }
 
-    private static String worker(String segment) throws HttpException {
+    private static String parseWorkerId(String segment) throws HttpException {
         try {
             String id = URLDecoder.decode(segment.replace("+", "%2B"), StandardCharsets.UTF_8);
             if (id.isEmpty() || id.length() > MAX_ID_LENGTH || id.chars().anyMatch(Character::isISOControl)) {
-                throw new HttpException(400, "worker id: empty, too long or with control characters");
+                throw new HttpException(
+                        400, "worker id: expected 1 to " + MAX_ID_LENGTH + " characters, no control characters");
             }
             return id;
         } catch (IllegalArgumentException e) {
-            throw new HttpException(400, "worker id: not percent-encoded");
+            throw new HttpException(400, "worker id: invalid percent-encoding");
         }
     }
 
-    /** Whether it is that method, without a body; another method is answered at once. */
+    /** Returns whether the request has this method; responds with 405 if not. Rejects a request with a body. */
     private boolean requireMethod(HttpMessage request, String method, HttpResponseSender reply) throws HttpException {
         if (!request.method().equals(method)) {
-            respond(reply, 405, "Allow: " + method + "\r\n", "error", "only " + method);
+            respond(reply, 405, "Allow: " + method + "\r\n", "error", "method not allowed, expected " + method);
             return false;
         }
         if (request.body().length > 0) {
-            throw new HttpException(400, "body: none is taken here");
+            throw new HttpException(400, "body: must be empty");
         }
         return true;
     }
 
     @Override
-    public void rejectMalformed(int status, String why, HttpResponseSender reply) {
-        respond(reply, status, "", "error", why);
+    public void rejectMalformed(int status, String reason, HttpResponseSender reply) {
+        respond(reply, status, "", "error", reason);
     }
 
-    private static void respond(HttpResponseSender reply, int status, String extra, String key, Object value) {
+    private static void respond(HttpResponseSender reply, int status, String extraHeaders, String key, Object value) {
         JsonObject body = new JsonObject();
         if (value instanceof Boolean flag) {
             body.addProperty(key, flag);
         } else {
             body.addProperty(key, String.valueOf(value));
         }
-        reply.send(status, JSON, extra, body.toString().getBytes(StandardCharsets.UTF_8));
+        reply.send(status, JSON, extraHeaders, body.toString().getBytes(StandardCharsets.UTF_8));
     }
 }
--- a/src/main/java/pepperdock/operator/OperatorService.java
+++ b/src/main/java/pepperdock/operator/OperatorService.java
@@ -16,21 +16,22 @@
 import pepperdock.transport.HttpServer;
 
 /**
- * The operators' side of a running gatherer: their HTTP address, the bans, and the other process of an upgrade. State belongs to
- * the loop's thread; files are used on a thread of their own, which passes what it reads to the loop.
+ * Provides the operators' functions of a running gatherer: their HTTP address, the bans, and the detection of the other
+ * process of an upgrade. State belongs to the loop's thread. Files are accessed on a separate thread, which passes what
+ * it reads to the loop.
  */
 public final class OperatorService implements OperatorEndpoint.Operations, UpgradePeer {
 
     private static final System.Logger LOG = System.getLogger("pepperdock.operator");
-    /** Connections at a time, out of the spare descriptors; one without a complete request gives way to the next. */
+    /** Concurrent connections, out of the spare descriptors; one without a complete request is closed for a new one. */
     private static final int MAX_CONNECTIONS = 12;
-    /** A request that is not complete by then is dropped. */
+    /** A request that is not complete after this time is dropped. */
     private static final double REQUEST_TIMEOUT_S = 4;
 
     private static final int MAX_BODY_BYTES = 4096;
-    /** Bans that may wait for a disk that does not respond. */
+    /** Maximum number of ban changes that wait for a disk that does not respond. */
     private static final int MAX_PENDING_BANS = 100;
-    /** How often the files are read for another process and its bans; draining allows five times as long for that. */
+    /** Interval of checking the files for another process and its bans. Draining allows five times as long for that. */
     private static final long REFRESH_MS = 100;
 
     private final EventLoop loop;
@@ -39,28 +40,28 @@
     private final Bans bans = new Bans();
     private final List<Consumer<Boolean>> otherProcessListeners = new ArrayList<>();
     private final List<Consumer<Boolean>> otherServingListeners = new ArrayList<>();
-    /** This and the next two are null where there is no folder for the state. */
+    /** Null if there is no folder for the state; so are {@link #locks} and {@link #diskThread}. */
     private final BanFile file;
 
     private final ProcessLocks locks;
     private final ScheduledExecutorService diskThread;
     private boolean otherProcess;
-    private boolean otherServes;
+    private boolean otherProcessServing;
     private boolean handedOver;
     private long loads;
     private long loadErrors;
-    /** From here on: state of the disk thread, which reports changes of it. */
-    private boolean lastSeenOther;
+    /** This field and those below belong to the disk thread, which reports their changes to the loop. */
+    private boolean lastSeenOtherProcess;
 
     private boolean lastSeenServing;
     private Set<String> lastSeenBans;
-    private boolean failing;
+    private boolean refreshFailing;
 
     /**
-     * Reads the state that is there, and takes part in the handover between processes.
+     * Reads the saved state and takes the locks that other processes check.
      *
-     * @param folder null where nothing outlives this process
-     * @param ready whether this process takes queries
+     * @param folder the folder for the saved state; null if no state is kept after this process
+     * @param ready whether this process accepts queries
      */
     public OperatorService(Path folder, EventLoop loop, Gatherer core, BooleanSupplier ready) throws IOException {
         this.loop = loop;
@@ -71,18 +72,18 @@
         if (folder == null) {
             LOG.log(
                     System.Logger.Level.WARNING,
-                    "TMPDIR not set: bans last as long as this process, upgrades are not noticed");
+                    "TMPDIR is not set: bans are lost when this process ends, upgrades are not detected");
             diskThread = null;
             return;
         }
-        lastSeenOther = locks.otherLives();
-        if (!lastSeenOther) {
+        lastSeenOtherProcess = locks.otherProcessIsAlive();
+        if (!lastSeenOtherProcess) {
             locks.holdServing();
         }
         lastSeenServing = locks.otherProcessServes();
-        otherServes = lastSeenServing;
+        otherProcessServing = lastSeenServing;
         lastSeenBans = file.read();
-        otherProcess = lastSeenOther;
+        otherProcess = lastSeenOtherProcess;
         bans.read(lastSeenBans);
         if (otherProcess || !lastSeenBans.isEmpty()) {
             LOG.log(
@@ -98,13 +99,16 @@
         });
     }
 
-    /** Opens the address and begins to watch for another process; on the loop's thread, before the first endpoint list. */
-    public void start(InetSocketAddress at) throws IOException {
+    /**
+     * Opens the address and starts watching for another process. Called on the loop's thread before the first endpoint
+     * list.
+     */
+    public void start(InetSocketAddress address) throws IOException {
         core.setBannedEndpoints(bans.inForce());
         if (otherProcess) {
             otherProcessListeners.forEach(then -> then.accept(true));
         }
-        if (otherServes) {
+        if (otherProcessServing) {
             otherServingListeners.forEach(then -> then.accept(true));
         }
         if (diskThread != null) {
@@ -113,7 +117,7 @@
         }
         HttpServer server = new HttpServer(
                 loop,
-                at,
+                address,
                 EventLoop.SocketScope.OUTSIDE_CAP,
                 REQUEST_TIMEOUT_S,
                 MAX_BODY_BYTES,
@@ -122,7 +126,9 @@
         LOG.log(System.Logger.Level.INFO, "operators are served on {0}", server.address());
     }
 
-    /** Shows the other process that this one takes queries from now on, then runs the task on the loop's thread. */
+    /**
+     * Signals to the other process that this one accepts queries from now on, then runs the task on the loop's thread.
+     */
     public void startServing(Runnable then) {
         onDiskThread(locks::holdServing, then);
     }
@@ -137,18 +143,18 @@
     }
 
     /** A task for the disk thread. */
-    private interface Step {
+    private interface DiskTask {
         void run() throws IOException;
     }
 
-    private void onDiskThread(Step step, Runnable then) {
+    private void onDiskThread(DiskTask task, Runnable then) {
         diskThread.execute(() -> {
             try {
-                step.run();
+                task.run();
             } catch (IOException e) {
                 LOG.log(
                         System.Logger.Level.ERROR,
-                        "the other process may not be told of this one: {0}",
+                        "lock files of this process not updated, the other process may not detect it: {0}",
                         String.valueOf(e));
             }
             loop.execute(then);
@@ -157,20 +163,26 @@
 
     @Override
     public boolean otherProcessServes() {
-        return otherServes;
+        return otherProcessServing;
     }
 
-    /** Whether another process of this gatherer lives now. */
+    /** Returns whether another process of this gatherer is alive now. */
     public boolean otherProcess() {
         return otherProcess;
     }
 
-    /** Notifies, on the loop's thread, of each change of that, and of the state at the start where there is another. */
+    /**
+     * Registers a listener for changes of {@link #otherProcess()}. It is called on the loop's thread at each change,
+     * and at the start if there is another process.
+     */
     public void whenOtherProcessChanges(Consumer<Boolean> then) {
         otherProcessListeners.add(then);
     }
 
-    /** The same of whether another takes new queries: one that is draining lives on for a while, but takes none. */
+    /**
+     * Registers a listener in the same way for whether another process accepts new queries. A draining process stays
+     * alive for a while but accepts none.
+     */
     public void whenOtherServingChanges(Consumer<Boolean> then) {
         otherServingListeners.add(then);
     }
@@ -182,9 +194,9 @@
         onDiskThread(locks::releaseServing, () -> {});
     }
 
-    /** Counts a configuration file that was put in use, or rejected. */
-    public void countReload(boolean taken) {
-        if (taken) {
+    /** Counts a configuration file that was put into use or rejected. */
+    public void countReload(boolean applied) {
+        if (applied) {
             loads++;
         } else {
             loadErrors++;
@@ -193,45 +205,50 @@
 
     private void refresh() {
         try {
-            boolean another = locks.otherLives();
+            boolean otherAlive = locks.otherProcessIsAlive();
             boolean otherProcessServes = locks.otherProcessServes();
             Set<String> state = file.read();
-            if (another != lastSeenOther || otherProcessServes != lastSeenServing || !state.equals(lastSeenBans)) {
-                lastSeenOther = another;
+            if (otherAlive != lastSeenOtherProcess
+                    || otherProcessServes != lastSeenServing
+                    || !state.equals(lastSeenBans)) {
+                lastSeenOtherProcess = otherAlive;
                 lastSeenServing = otherProcessServes;
                 lastSeenBans = state;
-                loop.execute(() -> otherStateChanged(another, otherProcessServes, state));
+                loop.execute(() -> otherStateChanged(otherAlive, otherProcessServes, state));
             }
-            failing = false;
+            refreshFailing = false;
         } catch (IOException | RuntimeException e) {
-            if (!failing) {
-                failing = true;
-                LOG.log(System.Logger.Level.ERROR, "state of operators not readable: {0}", String.valueOf(e));
+            if (!refreshFailing) {
+                refreshFailing = true;
+                LOG.log(
+                        System.Logger.Level.ERROR,
+                        "cannot read the ban file and the lock files: {0}",
+                        String.valueOf(e));
             }
         }
     }
 
-    private void otherStateChanged(boolean another, boolean otherProcessServes, Set<String> state) {
+    private void otherStateChanged(boolean otherAlive, boolean otherProcessServes, Set<String> state) {
         bans.read(state);
         core.setBannedEndpoints(bans.inForce());
-        if (otherProcess != another) {
-            otherProcess = another;
+        if (otherProcess != otherAlive) {
+            otherProcess = otherAlive;
             LOG.log(
                     System.Logger.Level.INFO,
-                    another
+                    otherAlive
                             ? "another process of this gatherer has begun"
                             : "the other process of this gatherer has ended");
-            otherProcessListeners.forEach(then -> then.accept(another));
+            otherProcessListeners.forEach(then -> then.accept(otherAlive));
         }
-        if (otherServes != otherProcessServes) {
-            otherServes = otherProcessServes;
+        if (otherProcessServing != otherProcessServes) {
+            otherProcessServing = otherProcessServes;
             if (!handedOver) {
                 otherServingListeners.forEach(then -> then.accept(otherProcessServes));
             }
         }
     }
 
-    // ---- The calls ------------------------------------------------------------
+    // ---- Operations ------------------------------------------------------------
 
     @Override
     public boolean ready() {
@@ -248,18 +265,20 @@
         return core.isKnownEndpoint(worker);
     }
 
-    /** In force at once; acknowledged once it is also written, as an upgrade a moment later must find it. */
+    /**
+     * Applies the change at once and acknowledges it once it is written, since a process that starts then must find it.
+     */
     @Override
     public void ban(String worker, boolean banned, Consumer<String> then) {
         if (banned && !bans.inForce().contains(worker) && bans.inForce().size() >= Bans.MAX_BANS
                 || bans.pendingCount() >= MAX_PENDING_BANS) {
-            then.accept("not done: " + bans.inForce().size() + " workers are disabled, " + bans.pendingCount()
-                    + " calls wait for the disk");
+            then.accept("change not applied: " + bans.inForce().size() + " workers are disabled, " + bans.pendingCount()
+                    + " changes wait for the disk");
             return;
         }
         long changeNumber = bans.request(worker, banned);
         core.setBannedEndpoints(bans.inForce());
-        LOG.log(System.Logger.Level.INFO, "worker {0} {1} by hand", worker, banned ? "disabled" : "enabled");
+        LOG.log(System.Logger.Level.INFO, "worker {0} {1} by an operator", worker, banned ? "disabled" : "enabled");
         if (diskThread == null) {
             bans.written(changeNumber, null);
             then.accept(null);
@@ -267,20 +286,20 @@
         }
         diskThread.execute(() -> {
             Set<String> state = null;
-            String failed = null;
+            String failure = null;
             try {
                 state = file.change(worker, banned);
                 lastSeenBans = state;
             } catch (IOException | RuntimeException e) {
-                failed = "in force, but not written down, so lost with this process: " + e;
-                LOG.log(System.Logger.Level.ERROR, "bans not written: {0}", String.valueOf(e));
+                failure = "in force, but not saved, so it is lost when this process ends: " + e;
+                LOG.log(System.Logger.Level.ERROR, "cannot write the ban file: {0}", String.valueOf(e));
             }
-            Set<String> now = state;
-            String why = failed;
+            Set<String> newState = state;
+            String reason = failure;
             loop.execute(() -> {
-                bans.written(changeNumber, now);
+                bans.written(changeNumber, newState);
                 core.setBannedEndpoints(bans.inForce());
-                then.accept(why);
+                then.accept(reason);
             });
         });
     }
--- a/src/main/java/pepperdock/operator/ProcessLocks.java
+++ b/src/main/java/pepperdock/operator/ProcessLocks.java
@@ -8,14 +8,14 @@
 import java.nio.file.StandardOpenOption;
 
 /**
- * Tells whether another process of this gatherer lives, and whether it serves. Each process holds the lock of a file of its own
- * for as long as it lives, and of a second one while it takes queries; the system releases both however the process ends. A
- * POSIX lock belongs to the process, and is released with the first of its descriptors that is closed: so a process never opens
- * its own file again. Used on one thread at a time.
+ * Detects whether another process of this gatherer is alive and whether it serves queries. Each process holds a lock on
+ * a file of its own while it is alive, and on a second one while it accepts queries; the operating system releases both
+ * however the process ends. A POSIX lock belongs to the process and is released when any descriptor of the file is
+ * closed, so a process never opens its own file again. Used on one thread at a time.
  */
 final class ProcessLocks implements AutoCloseable {
 
-    /** An upgrade has two processes, and three when it begins before the last one has ended. */
+    /** An upgrade has two processes, or three if it begins before the previous upgrade has ended. */
     private static final int SLOTS = 4;
 
     private static final String LIFE_PREFIX = "life.";
@@ -24,21 +24,21 @@
 
     private final Path folder;
     private int slot = NO_SLOT;
-    private FileChannel lifeLock;
-    private FileChannel serviceLock;
+    private FileChannel livenessLock;
+    private FileChannel servingLock;
 
-    /** Takes the first free slot; without one, this process is not seen by others. */
+    /** Takes the first free slot. If there is none, other processes do not detect this one. */
     ProcessLocks(Path folder) throws IOException {
         this.folder = folder;
         for (int i = 0; i < SLOTS && slot < 0; i++) {
-            lifeLock = tryHold(LIFE_PREFIX, i);
-            if (lifeLock != null) {
+            livenessLock = tryHold(LIFE_PREFIX, i);
+            if (livenessLock != null) {
                 slot = i;
             }
         }
     }
 
-    /** The open file with its lock; null where another process holds it. */
+    /** Returns the open file with its lock held; null if another process holds the lock. */
     private FileChannel tryHold(String prefix, int index) throws IOException {
         FileChannel channel =
                 FileChannel.open(folder.resolve(prefix + index), StandardOpenOption.CREATE, StandardOpenOption.WRITE);
@@ -49,38 +49,38 @@
         return null;
     }
 
-    /** This process takes queries from now on. */
+    /** Marks that this process accepts queries from now on. */
     void holdServing() throws IOException {
-        serviceLock = slot < 0 ? null : tryHold(SERVING_PREFIX, slot);
+        servingLock = slot < 0 ? null : tryHold(SERVING_PREFIX, slot);
     }
 
-    /** This process takes no new queries from now on. */
+    /** Marks that this process accepts no new queries from now on. */
     void releaseServing() throws IOException {
-        if (serviceLock != null) {
-            serviceLock.close();
+        if (servingLock != null) {
+            servingLock.close();
         }
     }
 
-    /** Whether another process of this gatherer lives. */
-    boolean otherLives() throws IOException {
+    /** Returns whether another process of this gatherer is alive. */
+    boolean otherProcessIsAlive() throws IOException {
         return heldByOther(LIFE_PREFIX);
     }
 
-    /** Whether another process of this gatherer takes queries. */
+    /** Returns whether another process of this gatherer accepts queries. */
     boolean otherProcessServes() throws IOException {
         return heldByOther(SERVING_PREFIX);
     }
 
     private boolean heldByOther(String prefix) throws IOException {
         for (int i = 0; i < SLOTS; i++) {
-            Path at = folder.resolve(prefix + i);
-            if (i != slot && Files.exists(at)) {
-                try (FileChannel channel = FileChannel.open(at, StandardOpenOption.WRITE)) {
-                    FileLock free = channel.tryLock();
-                    if (free == null) {
+            Path lockFile = folder.resolve(prefix + i);
+            if (i != slot && Files.exists(lockFile)) {
+                try (FileChannel channel = FileChannel.open(lockFile, StandardOpenOption.WRITE)) {
+                    FileLock acquired = channel.tryLock();
+                    if (acquired == null) {
                         return true;
                     }
-                    free.release();
+                    acquired.release();
                 }
             }
         }
@@ -89,8 +89,8 @@
 
     @Override
     public void close() throws IOException {
-        if (lifeLock != null) {
-            lifeLock.close();
+        if (livenessLock != null) {
+            livenessLock.close();
         }
         releaseServing();
     }
--- a/src/main/java/pepperdock/operator/UpgradePeer.java
+++ b/src/main/java/pepperdock/operator/UpgradePeer.java
@@ -1,9 +1,9 @@
 package pepperdock.operator;
 
-/** The other process of an upgrade, as a graceful shutdown sees it; on the loop's thread. */
+/** The other process of an upgrade, as seen by a graceful shutdown. Used on the loop's thread. */
 public interface UpgradePeer {
 
-    /** There is none. */
+    /** Stands for the absence of another process. */
     UpgradePeer NONE = new UpgradePeer() {
         @Override
         public void refresh(Runnable then) {
@@ -19,12 +19,14 @@
         public void handOver() {}
     };
 
-    /** Runs the task once {@link #otherProcessServes} is up to date. */
+    /** Updates {@link #otherProcessServes}, then runs the task. */
     void refresh(Runnable then);
 
-    /** Whether another process of this gatherer takes queries, as of the last refresh. */
+    /** Returns whether another process of this gatherer accepted queries at the last refresh. */
     boolean otherProcessServes();
 
-    /** This process takes no new queries from now on; its share of what may be sent to workers is the other's. */
+    /**
+     * Stops accepting new queries in this process and passes its share of the sending capacity to the other process.
+     */
     void handOver();
 }
--- a/src/main/java/pepperdock/service/ClientServers.java
+++ b/src/main/java/pepperdock/service/ClientServers.java
@@ -14,11 +14,13 @@
 import pepperdock.transport.EventLoop;
 import pepperdock.transport.HttpServer;
 
-/** The fronts that the configuration names, and the HTTP servers on which clients reach them. On the loop's thread. */
+/** Opens the configured fronts and the HTTP servers through which clients reach them. Used on the loop's thread. */
 final class ClientServers {
 
-    /** Clients may use one in so many of all descriptors: connections to workers and discovery need the rest. */
-    private static final int DESCRIPTORS_PER_CLIENT = 3;
+    /**
+     * Clients may use one in this many of all descriptors; connections to workers and discovery need the rest.
+     */
+    private static final int CLIENT_DESCRIPTOR_DIVISOR = 3;
 
     private static final int MAX_BODY_BYTES = 64 << 10;
     private static final int MAX_SEARCH_BODY_BYTES = 1 << 20;
@@ -30,10 +32,10 @@
     private final List<HttpServer> servers = new ArrayList<>();
 
     /**
-     * Opens the fronts, but no address yet.
+     * Creates the fronts without opening an address.
      *
-     * @param search null where the workers speak frames
-     * @param ready whether queries are taken
+     * @param search the search backend; null if the workers speak frames
+     * @param ready whether queries are accepted
      */
     ClientServers(Config config, Gatherer core, EventLoop loop, SearchBackend search, BooleanSupplier ready) {
         this.config = config;
@@ -44,31 +46,40 @@
                 : new SearchFront(config.site(), config.openSearch(), core, loop, search);
     }
 
-    /** The servers that listen; none until {@link #listen}. */
+    /** Returns the servers that listen; none before {@link #listen}. */
     List<HttpServer> servers() {
         return servers;
     }
 
-    /** Opens the clients' addresses; shared with another process where operators may upgrade this one. */
+    /**
+     * Opens the clients' addresses; the two processes of an upgrade share them if an operators' address is configured.
+     */
     void listen() {
         int fronts = front != null && searchFront != null ? 2 : 1;
-        IntSupplier clients = () -> (loop.socketCap() + Startup.OTHER_DESCRIPTORS) / DESCRIPTORS_PER_CLIENT / fronts;
-        EventLoop.SocketScope kind = config.operator() == null
+        IntSupplier maxConnections =
+                () -> (loop.socketCap() + Startup.OTHER_DESCRIPTORS) / CLIENT_DESCRIPTOR_DIVISOR / fronts;
+        EventLoop.SocketScope scope = config.operator() == null
                 ? EventLoop.SocketScope.EXCLUSIVE
                 : EventLoop.SocketScope.SHARED_WITH_UPGRADE_PEER;
         try {
             if (front != null) {
                 servers.add(new HttpServer(
-                        loop, config.listen(), kind, HttpServer.REQUEST_TIMEOUT_S, MAX_BODY_BYTES, clients, front));
+                        loop,
+                        config.listen(),
+                        scope,
+                        HttpServer.REQUEST_TIMEOUT_S,
+                        MAX_BODY_BYTES,
+                        maxConnections,
+                        front));
             }
             if (searchFront != null) {
                 servers.add(new HttpServer(
                         loop,
                         config.openSearch().listen(),
-                        kind,
+                        scope,
                         HttpServer.REQUEST_TIMEOUT_S,
                         MAX_SEARCH_BODY_BYTES,
-                        clients,
+                        maxConnections,
                         searchFront));
             }
         } catch (IOException e) {
@@ -76,13 +87,13 @@
         }
     }
 
-    /** Puts changed settings in use, for queries from now on. */
-    void applySettings(DeploymentSettings site, Config changed) {
+    /** Applies changed settings to queries from now on. */
+    void applySettings(DeploymentSettings settings, Config changed) {
         if (front != null) {
-            front.updateSettings(site);
+            front.updateSettings(settings);
         }
         if (searchFront != null) {
-            searchFront.updateSettings(site, changed.openSearch());
+            searchFront.updateSettings(settings, changed.openSearch());
         }
     }
 }
--- a/src/main/java/pepperdock/service/ConfigReloader.java
+++ b/src/main/java/pepperdock/service/ConfigReloader.java
@@ -15,49 +15,54 @@
 import pepperdock.core.WorkerEndpoint;
 
 /**
- * Reloads the configuration file on SIGHUP, in place of the JVM's default, which is to end. The file is read and checked whole on
- * the thread "reload", and only then put in use, on the loop's thread; a faulty one leaves all as it was. What can't change
- * while the program runs is named in the log.
+ * Reloads the configuration file on SIGHUP, in place of the JVM's default, which is to exit. The whole file is read and
+ * checked on the thread "reload" and then applied on the loop's thread; a faulty file changes nothing. Changed keys
+ * that need a restart are logged.
  */
 final class ConfigReloader {
 
     private static final System.Logger LOG = System.getLogger("pepperdock");
-    /** Ignored by a running program: the seed is new in each file, and its endpoint list is older than the current one. */
+    /**
+     * Keys that a reload ignores: the seed is new in each file, and its endpoint list is older than the current one.
+     */
     private static final List<String> IGNORED = List.of("seed", "known");
-    /** Keys of the platform's files: one of these that is missing means a truncated file, not a part switched off. */
+    /**
+     * Keys of the platform's files: if one that was present is missing, the file is truncated, not a feature switched
+     * off.
+     */
     private static final List<String> PLATFORM_KEYS =
             List.of("name", "listen", "discovery", "seed", "limits", "known", "settings");
 
-    /** How to put in use what can change while the program runs; null where that is not in use. */
-    record Live(
+    /** Functions that apply new values while the program runs; null for a feature that is not in use. */
+    record ReloadTargets(
             Consumer<InetSocketAddress> discovery,
             Consumer<List<WorkerEndpoint>> known,
             Consumer<Integer> sockets,
             Consumer<Config> settings) {}
 
-    /** Without the address of discovery: at the start it takes precedence over the file, but a reload follows the file. */
+    /** The environment without the discovery address: it overrides the file at the start, but not at a reload. */
     private final Map<String, String> env;
 
     private final Consumer<Runnable> loop;
-    private final Live live;
+    private final ReloadTargets targets;
     private final Consumer<Boolean> reloadListener;
     private final boolean stored;
     private ConfigReader current;
 
     /**
-     * Waits for {@link #onSignal}.
+     * Creates a reloader, which does nothing until {@link #onSignal}.
      *
-     * @param current the file in use, with the settings in use
-     * @param stored whether the settings came from the store, so that the file need not have any
+     * @param current the file in use, including the settings in use
+     * @param stored whether the settings came from the store, so that the file may lack them
      * @param loop runs a task on the loop's thread
-     * @param reloadListener gets, on the loop's thread, whether a file was put in use
+     * @param reloadListener is told, on the loop's thread, whether a file was put into use
      */
     ConfigReloader(
             Map<String, String> env,
             ConfigReader current,
             boolean stored,
             Consumer<Runnable> loop,
-            Live live,
+            ReloadTargets targets,
             Consumer<Boolean> reloadListener) {
         this.reloadListener = reloadListener;
         this.stored = stored;
@@ -65,10 +70,10 @@
         this.env.remove("EDGE_DISCOVERY");
         this.current = current;
         this.loop = loop;
-        this.live = live;
+        this.targets = targets;
     }
 
-    /** Reloads on SIGHUP from now on; signals that come close together are handled in turn. */
+    /** Installs the SIGHUP handler. Signals in quick succession are handled one after the other. */
     void onSignal() {
         ExecutorService reader = Executors.newSingleThreadExecutor(task -> {
             Thread thread = new Thread(task, "reload");
@@ -78,11 +83,11 @@
         SignalHandlers.on("HUP", () -> reader.execute(this::reload));
     }
 
-    /** Reloads the file; whatever is wrong with it, the program goes on with the one in use. */
+    /** Reloads the file. If it has any fault, the program keeps the file in use. */
     void reload() {
         try {
-            ConfigReader read = Config.file(env);
-            ConfigReader file = read.has("settings") || !stored ? read : read.with("settings", current);
+            ConfigReader newFile = Config.file(env);
+            ConfigReader file = newFile.has("settings") || !stored ? newFile : newFile.with("settings", current);
             checkComplete(file);
             Config config = Config.read(file, env);
             List<Runnable> changes = new ArrayList<>();
@@ -97,33 +102,36 @@
             if (!keysForRestart.isEmpty()) {
                 LOG.log(
                         System.Logger.Level.WARNING,
-                        "configuration: changed, but in use only after a restart: {0}",
+                        "configuration: changed keys that take effect only after a restart: {0}",
                         String.join(", ", keysForRestart));
             }
         } catch (ConfigException e) {
-            LOG.log(System.Logger.Level.ERROR, "configuration not reloaded, the old one stays: {0}", e.getMessage());
+            LOG.log(
+                    System.Logger.Level.ERROR,
+                    "configuration not reloaded, keeping the one in use: {0}",
+                    e.getMessage());
             loop.accept(() -> reloadListener.accept(false));
         } catch (RuntimeException e) {
-            LOG.log(System.Logger.Level.ERROR, "configuration not reloaded, the old one stays", e);
+            LOG.log(System.Logger.Level.ERROR, "configuration not reloaded, keeping the one in use", e);
             loop.accept(() -> reloadListener.accept(false));
         }
     }
 
-    /** Rejects a file that lacks what the one in use has: it may be truncated. */
+    /** Rejects a file that lacks keys of the file in use, since it may be truncated. */
     private void checkComplete(ConfigReader file) {
         for (String key : PLATFORM_KEYS) {
             if (current.has(key) && !file.has(key)) {
                 throw new ConfigException(key, "missing");
             }
         }
-        String lost =
+        String missingKey =
                 current.has("settings") ? current.needed("settings").firstMissingKey(file.needed("settings")) : null;
-        if (lost != null) {
-            throw new ConfigException(lost, "missing, but in the file in use");
+        if (missingKey != null) {
+            throw new ConfigException(missingKey, "missing, but present in the file in use");
         }
     }
 
-    /** Sorts the keys that differ into changes to make now and keys that need a restart. */
+    /** Collects, from the keys that differ, the changes to apply now and the keys that need a restart. */
     private void collectChanges(ConfigReader file, Config config, List<Runnable> changes, List<String> keysForRestart) {
         for (String key : current.differingNames(file)) {
             Runnable change = change(key, config, file);
@@ -139,20 +147,20 @@
         }
     }
 
-    /** Puts a key's new value in use; null where that needs a restart. */
+    /** Returns a task that applies a key's new value; null if that needs a restart. */
     private Runnable change(String key, Config config, ConfigReader file) {
-        if (key.equals("discovery") && live.discovery() != null && config.discovery() != null) {
-            return () -> live.discovery().accept(config.discovery());
+        if (key.equals("discovery") && targets.discovery() != null && config.discovery() != null) {
+            return () -> targets.discovery().accept(config.discovery());
         }
-        if (key.equals("known") && live.known() != null) {
-            return () -> live.known().accept(config.known().hosts());
+        if (key.equals("known") && targets.known() != null) {
+            return () -> targets.known().accept(config.known().hosts());
         }
-        if (key.equals("settings") && live.settings() != null) {
-            return () -> live.settings().accept(config);
+        if (key.equals("settings") && targets.settings() != null) {
+            return () -> targets.settings().accept(config);
         }
         if (key.equals("limits")) {
             int sockets = Config.sockets(file);
-            return () -> live.sockets().accept(sockets);
+            return () -> targets.sockets().accept(sockets);
         }
         return null;
     }
--- a/src/main/java/pepperdock/service/EndpointSource.java
+++ b/src/main/java/pepperdock/service/EndpointSource.java
@@ -13,23 +13,23 @@
 import pepperdock.transport.EventLoop;
 
 /**
- * Where the endpoint list comes from: DNS records, the platform's discovery, or the configuration; and what of it can change
- * while the program runs. Immutable; its functions are called on the loop's thread.
+ * The source of the endpoint list: DNS records, the platform's discovery, or the configuration; with the functions that
+ * change it while the program runs. Immutable; its functions are called on the loop's thread.
  *
- * @param discovery as the core sees it
- * @param pushed whether an agent pushes the list, so that what it has counts as known from the start
- * @param start begins to poll, for this core
- * @param move changes the address of discovery; null where none is polled
- * @param replace replaces the configuration's list; null where that is not in use
+ * @param discovery the discovery that the core uses
+ * @param pushed whether an agent pushes the list, so that its list counts as known from the start
+ * @param start starts polling for a core
+ * @param changeAddress changes the address of discovery; null if none is polled
+ * @param replace replaces the list of the configuration; null if that list is not in use
  */
 record EndpointSource(
         EndpointDiscovery discovery,
         boolean pushed,
         Consumer<Gatherer> start,
-        Consumer<InetSocketAddress> move,
+        Consumer<InetSocketAddress> changeAddress,
         Consumer<List<WorkerEndpoint>> replace) {
 
-    /** The one that the configuration names. */
+    /** Returns the source that the configuration names. */
     static EndpointSource open(Config config, EventLoop loop) {
         if (config.dnsSd() != null) {
             DnsSdDiscovery dnsSd = new DnsSdDiscovery(config.dnsSd(), config.site(), loop, loop::execute);
@@ -41,7 +41,8 @@
             return new EndpointSource(
                     watch, !config.site().scheduler().pollsEndpointList(), watch::start, watch::changeAddress, null);
         }
-        StaticEndpointList fixed = new StaticEndpointList(loop, config.known().hosts());
-        return new EndpointSource(fixed, false, fixed::start, null, fixed::replace);
+        StaticEndpointList staticList =
+                new StaticEndpointList(loop, config.known().hosts());
+        return new EndpointSource(staticList, false, staticList::start, null, staticList::replace);
     }
 }
--- a/src/main/java/pepperdock/service/GathererService.java
+++ b/src/main/java/pepperdock/service/GathererService.java
@@ -26,17 +26,20 @@
 import pepperdock.transport.HttpServer;
 
 /**
- * One gatherer in service: opens each part that the configuration names, connects it to the others, and begins to serve once
- * the endpoint list is here or a timeout has passed. State belongs to the loop's thread.
+ * Runs one gatherer: opens each component that the configuration names, connects it to the others, and starts serving
+ * once the endpoint list has been received or a timeout has passed. State belongs to the loop's thread.
  */
 public final class GathererService {
 
     private static final System.Logger LOG = System.getLogger("pepperdock");
-    /** Beside another process of the same gatherer, ready once the first endpoint list has come, or after so long. */
+    /**
+     * With another process of the same gatherer running, ready once the first endpoint list is received, or after this
+     * time.
+     */
     private static final double LIST_TIMEOUT_S = 3;
     /**
-     * Where lists are pushed, what the agent has counts as known from a new process's first moment: ready once its list is
-     * here, or after so long. An agent that is silent has nothing to send.
+     * Where an agent pushes lists, its list counts as known to a new process from the start: the process is ready once
+     * the list is received, or after this time. An agent that sends nothing in this time has no list.
      */
     static final double PUSHED_LIST_TIMEOUT_S = 1.5;
 
@@ -44,100 +47,109 @@
     private final EventLoop loop;
     private final Config config;
     private final JvmWarmup warmup;
-    private final EndpointSource nodes;
+    private final EndpointSource endpointSource;
     private final Gatherer core;
-    /** Null where the file has no address for operators. */
+    /** Null if the file has no address for operators. */
     private final OperatorService operator;
 
     private final ClientServers clients;
-    private final InitialEndpointList firstList;
-    private DeploymentSettings site;
+    private final InitialEndpointList initialList;
+    private DeploymentSettings settings;
     private boolean ready;
 
     private GathererService(ConfigReader file, Startup.ProcessContext context) throws IOException {
         this.context = context;
         loop = context.loop();
         config = Config.read(file, context.env());
-        site = config.site();
-        if (!site.defaultsUsed().isEmpty()) {
+        settings = config.site();
+        if (!settings.defaultsUsed().isEmpty()) {
             LOG.log(
                     System.Logger.Level.WARNING,
-                    "configuration: not given, so taken as: {0}",
-                    String.join(", ", site.defaultsUsed()));
+                    "configuration: settings not given, defaults in use: {0}",
+                    String.join(", ", settings.defaultsUsed()));
         }
-        warmup = new JvmWarmup(site);
+        warmup = new JvmWarmup(settings);
         warmup.runQueries(JvmWarmup.QUERIES_BEFORE_READY);
         SearchBackend search =
                 config.openSearch() != null && config.openSearch().backend()
-                        ? new SearchBackend(loop, site, config.openSearch())
+                        ? new SearchBackend(loop, settings, config.openSearch())
                         : null;
-        PooledBackend<?> backend = search == null ? new FrameBackend(loop, site) : search;
-        nodes = EndpointSource.open(config, loop);
-        core = new Gatherer(site.scheduler(), config.seed(), loop, backend, nodes.discovery());
-        core.setClassNames(site.classes());
+        PooledBackend<?> backend = search == null ? new FrameBackend(loop, settings) : search;
+        endpointSource = EndpointSource.open(config, loop);
+        core = new Gatherer(settings.scheduler(), config.seed(), loop, backend, endpointSource.discovery());
+        core.setClassNames(settings.classes());
         backend.start(core);
-        firstList = new InitialEndpointList(core, loop);
+        initialList = new InitialEndpointList(core, loop);
         storeEndpointLists();
         startPlanner();
         loop.execute(this::followEndpoints);
         operator = config.operator() == null
                 ? null
-                : new OperatorService(folder(context.env()), loop, core, this::takesQueries);
+                : new OperatorService(stateFolder(context.env()), loop, core, this::acceptsQueries);
         clients = new ClientServers(config, core, loop, search, () -> ready);
     }
 
     /**
-     * Opens everything and begins to serve.
+     * Opens all components and starts serving.
      *
-     * @param stored whether the settings are the store's, not the file's
-     * @return the servers that listen, or will
+     * @param stored whether the settings come from the store instead of the file
+     * @return the servers that listen; filled later if another process still serves
      */
     public static List<HttpServer> start(ConfigReader file, boolean stored, Startup.ProcessContext context)
             throws IOException {
         GathererService service = new GathererService(file, context);
-        if (!service.anotherProcess()) {
+        if (!service.otherProcessExists()) {
             service.clients.listen();
         }
         service.handleSignals(file, stored);
-        // After the signals' handlers: told that it is ready, whoever starts it may send one at once, which else ends
-        // it.
+        // Runs after the signal handlers are installed: a supervisor may send a signal as soon as the process is ready,
+        // and without a handler the signal would end it.
         service.loop.execute(service::begin);
         return service.clients.servers();
     }
 
-    private boolean takesQueries() {
+    private boolean acceptsQueries() {
         return ready && clients.servers().stream().allMatch(HttpServer::isListening);
     }
 
-    private boolean anotherProcess() {
+    private boolean otherProcessExists() {
         return operator != null && operator.otherProcess();
     }
 
-    private static Path folder(Map<String, String> env) {
+    private static Path stateFolder(Map<String, String> env) {
         String folder = env.get("TMPDIR");
         return folder == null || folder.isEmpty() ? null : Path.of(folder);
     }
 
-    /** The store's leader saves each endpoint list: a gatherer that starts begins with it, before its first poll. */
+    /**
+     * Saves each endpoint list if this is the store's leader. A starting gatherer uses the saved list until its first
+     * poll.
+     */
     private void storeEndpointLists() {
         if (context.store().leads()) {
             core.addEndpointListListener(this::storeEndpointList);
         }
     }
 
-    private void storeEndpointList(Collection<WorkerEndpoint> hosts) {
+    private void storeEndpointList(Collection<WorkerEndpoint> endpoints) {
         Store store = context.store();
         String list = EndpointListJson.write(
-                hosts.stream().sorted(Comparator.comparing(WorkerEndpoint::id)).toList(), config.site());
+                endpoints.stream()
+                        .sorted(Comparator.comparing(WorkerEndpoint::id))
+                        .toList(),
+                config.site());
         if (!list.equals(store.get("nodes"))) {
             store.put("nodes", list, held -> {});
         }
     }
 
-    /** The file's list first: where lists are pushed the next may come at once, and must not be replaced by the file's. */
+    /**
+     * Applies the file's list before starting discovery: a pushed list may arrive at once and must not be replaced by
+     * it.
+     */
     private void followEndpoints() {
         core.onEndpointList(EndpointListKind.CACHED, config.known().hosts());
-        nodes.start().accept(core);
+        endpointSource.start().accept(core);
     }
 
     private void startPlanner() {
@@ -154,39 +166,39 @@
     }
 
     private void handleSignals(ConfigReader file, boolean stored) {
-        Consumer<Boolean> loaded = operator == null ? taken -> {} : operator::countReload;
-        ConfigReloader.Live live = new ConfigReloader.Live(
-                nodes.move(),
-                nodes.replace(),
+        Consumer<Boolean> reloadListener = operator == null ? applied -> {} : operator::countReload;
+        ConfigReloader.ReloadTargets targets = new ConfigReloader.ReloadTargets(
+                endpointSource.changeAddress(),
+                endpointSource.replace(),
                 sockets -> loop.setSocketCap(sockets - Startup.OTHER_DESCRIPTORS),
                 this::applySettings);
-        new ConfigReloader(context.env(), file, stored, loop::execute, live, loaded).onSignal();
+        new ConfigReloader(context.env(), file, stored, loop::execute, targets, reloadListener).onSignal();
         UpgradePeer peer = operator == null ? UpgradePeer.NONE : operator;
-        Runnable leave = context.members() == null ? () -> {} : context.members()::leave;
-        new GracefulShutdown(loop, clients.servers(), core, peer, leave).onSignal();
+        Runnable announceLeave = context.members() == null ? () -> {} : context.members()::leave;
+        new GracefulShutdown(loop, clients.servers(), core, peer, announceLeave).onSignal();
     }
 
-    /** Puts changed settings in use, for queries from now on. */
+    /** Applies changed settings to queries from now on. */
     private void applySettings(Config changed) {
-        site = site.withReloadable(changed.site());
-        core.updateSettings(site.scheduler(), site.classes());
-        clients.applySettings(site, changed);
+        settings = settings.withReloadable(changed.site());
+        core.updateSettings(settings.scheduler(), settings.classes());
+        clients.applySettings(settings, changed);
     }
 
     private void begin() {
         if (operator != null) {
             startOperator();
         }
-        if (anotherProcess()) {
-            firstList.runWithin(LIST_TIMEOUT_S, this::takeOver);
-        } else if (nodes.pushed()) {
-            firstList.runWithin(PUSHED_LIST_TIMEOUT_S, this::serve);
+        if (otherProcessExists()) {
+            initialList.runWithin(LIST_TIMEOUT_S, this::takeOver);
+        } else if (endpointSource.pushed()) {
+            initialList.runWithin(PUSHED_LIST_TIMEOUT_S, this::serve);
         } else {
             serve();
         }
     }
 
-    /** Shares capacity with another process of this gatherer, and opens the operators' address. */
+    /** Sets up capacity sharing with another process of this gatherer and opens the operators' address. */
     private void startOperator() {
         operator.whenOtherServingChanges(core::setUpgradePeerActive);
         operator.whenOtherProcessChanges(another ->
@@ -194,11 +206,11 @@
         try {
             operator.start(config.operator());
         } catch (IOException e) {
-            StartupFailure.exit("can't start: operators' address: " + e.getMessage(), 1);
+            StartupFailure.exit("can't start: opening the operators' address failed: " + e.getMessage(), 1);
         }
     }
 
-    /** Takes over from another process: serves beside it from now on. */
+    /** Starts the takeover from another process: both serve from now on. */
     private void takeOver() {
         operator.startServing(() -> {
             clients.listen();
--- a/src/main/java/pepperdock/service/GracefulShutdown.java
+++ b/src/main/java/pepperdock/service/GracefulShutdown.java
@@ -7,137 +7,148 @@
 import pepperdock.transport.HttpServer;
 
 /**
- * Graceful shutdown, on SIGTERM: queries in flight are finished, those that still arrive are answered, and the program ends
- * before SIGKILL. Clients keep their connections for as long as these are open, and the next gatherer may just be starting: so
- * they are served on, and their connections closed only when the time left is needed to finish. Handled as a signal, not in a
- * shutdown hook, since the JDK's log is closed by a hook of its own at the same time. On the loop's thread.
+ * Shuts down gracefully on SIGTERM: queries in flight are finished, queries that still arrive are answered, and the
+ * program exits before SIGKILL. Clients use their connections for as long as these are open, and the next gatherer may
+ * only be starting. So clients are served as before, and their connections are closed only when the remaining time is
+ * needed to finish. This is a signal handler and not a shutdown hook, since a hook of the JDK closes the log at the
+ * same time. Runs on the loop's thread.
  */
 final class GracefulShutdown {
 
     private static final System.Logger LOG = System.getLogger("pepperdock");
-    /** SIGKILL comes no sooner than the longest deadline, counted as this at most, and {@link #SPARE_S}. */
+    /** SIGKILL comes no sooner than the longest deadline, capped at this value, plus {@link #KILL_MARGIN_S}. */
     private static final double MAX_DEADLINE_S = 3;
 
-    private static final double SPARE_S = 0.7;
-    /** New connections keep coming for 0.4 s; with none left after that there is nothing to wait for. */
-    private static final double STILL_COMING_S = 0.6;
+    private static final double KILL_MARGIN_S = 0.7;
     /**
-     * The stages, in seconds before SIGKILL: responses close their connections, idle ones are closed, queries in flight fail,
-     * the program ends. The first two are as late as answers allow, most of which take under 0.1 s: a successor of another
-     * gatherer may be ready only 0.1 to 0.3 s after the last connections here have been closed. The other two leave half a
-     * core the time to write: what is unanswered at SIGKILL is lost.
+     * New connections keep arriving for 0.4 s after the signal; waiting ends after this time if no connection is left.
+     */
+    private static final double ARRIVAL_GRACE_S = 0.6;
+    /**
+     * Start of each stage, in seconds before SIGKILL: responses close their connections, idle connections are closed,
+     * queries in flight fail, the program exits. The first two are as late as answers allow, most of which take under
+     * 0.1 s, since the successor of another gatherer may be ready only 0.1 to 0.3 s after the last connections here are
+     * closed. The other two leave enough time to write on half a core, since queries unanswered at SIGKILL are lost.
      */
     private static final double CLOSE_AFTER_RESPONSE_S = 0.65;
 
-    private static final double CLOSE_S = 0.45;
-    private static final double FAIL_S = 0.35;
-    private static final double END_S = 0.2;
+    private static final double CLOSE_IDLE_S = 0.45;
+    private static final double FAIL_QUERIES_S = 0.35;
+    private static final double EXIT_S = 0.2;
     private static final double CHECK_INTERVAL_S = 0.02;
-    /** So long no connection and no query may have come, first with listening sockets and then without, before the end. */
-    private static final double QUIET_S = 0.1;
+    /**
+     * Time without a connection or query, required first with listening sockets open and again with them closed, before
+     * exit.
+     */
+    private static final double QUIET_PERIOD_S = 0.1;
 
     private final EventLoop loop;
     private final List<HttpServer> servers;
     private final Gatherer core;
-    private final Runnable leave;
+    private final Runnable announceLeave;
     private final UpgradePeer otherProcess;
-    private boolean begun;
-    private boolean stopped;
+    private boolean started;
+    private boolean stoppedListening;
     private double quietSince = Double.NaN;
 
-    /** {@code leave} announces to the other gatherers that this one shuts down, before all else. */
+    /**
+     * Creates the shutdown, whose first step is {@code announceLeave}: it tells the other gatherers that this one
+     * leaves.
+     */
     GracefulShutdown(
-            EventLoop loop, List<HttpServer> servers, Gatherer core, UpgradePeer otherProcess, Runnable leave) {
+            EventLoop loop, List<HttpServer> servers, Gatherer core, UpgradePeer otherProcess, Runnable announceLeave) {
         this.otherProcess = otherProcess;
-        this.leave = leave;
+        this.announceLeave = announceLeave;
         this.loop = loop;
         this.servers = servers;
         this.core = core;
     }
 
-    /** Shuts down on SIGTERM or SIGINT from now on. */
+    /** Installs the handlers of SIGTERM and SIGINT. */
     void onSignal() {
-        SignalHandlers.on("TERM", () -> loop.execute(this::begin));
-        SignalHandlers.on("INT", () -> loop.execute(this::begin));
+        SignalHandlers.on("TERM", () -> loop.execute(this::start));
+        SignalHandlers.on("INT", () -> loop.execute(this::start));
     }
 
-    private void begin() {
-        if (begun) {
+    private void start() {
+        if (started) {
             return;
         }
-        begun = true;
-        leave.run();
+        started = true;
+        announceLeave.run();
         double now = loop.now();
-        double killS = SPARE_S
+        double secondsToKill = KILL_MARGIN_S
                 + Math.min(
                         MAX_DEADLINE_S,
                         core.settings().classes().stream()
                                 .mapToDouble(queryClass -> queryClass.deadlineS())
                                 .max()
                                 .orElse(MAX_DEADLINE_S));
-        LOG.log(System.Logger.Level.INFO, "draining, {0} in hand", core.inFlightQueries());
-        loop.after(killS - CLOSE_AFTER_RESPONSE_S, () -> servers.forEach(HttpServer::drain));
-        loop.after(killS - CLOSE_S, () -> servers.forEach(HttpServer::stopListening));
-        loop.after(killS - FAIL_S, core::endAllQueries);
-        loop.after(killS - END_S, () -> {
+        LOG.log(System.Logger.Level.INFO, "draining, {0} queries in flight", core.inFlightQueries());
+        loop.after(secondsToKill - CLOSE_AFTER_RESPONSE_S, () -> servers.forEach(HttpServer::drain));
+        loop.after(secondsToKill - CLOSE_IDLE_S, () -> servers.forEach(HttpServer::stopListening));
+        loop.after(secondsToKill - FAIL_QUERIES_S, core::endAllQueries);
+        loop.after(secondsToKill - EXIT_S, () -> {
             servers.forEach(HttpServer::readAllNow);
-            // A turn of the loop later: what was read just now has been rejected and written.
-            loop.after(CHECK_INTERVAL_S, () -> end("with {0} in hand"));
+            // One iteration of the loop later, requests that were read just now have been rejected and the responses
+            // written.
+            loop.after(CHECK_INTERVAL_S, () -> exit("{0} queries in flight"));
         });
-        otherProcess.refresh(() -> begin(now + killS - CLOSE_S));
+        otherProcess.refresh(() -> continueShutdown(now + secondsToKill - CLOSE_IDLE_S));
     }
 
-    /** Goes on once it is known whether another process serves clients. */
-    private void begin(double closedAt) {
+    /** Continues the shutdown once it is known whether another process serves clients. */
+    private void continueShutdown(double closeAt) {
         if (otherProcess.otherProcessServes()) {
-            // New connections are the other's; each one here is closed with its next response.
-            LOG.log(System.Logger.Level.INFO, "another process serves on, no new connections here");
+            // The other process gets new connections; each connection here is closed with its next response.
+            LOG.log(System.Logger.Level.INFO, "another process serves clients, no new connections here");
             servers.forEach(HttpServer::drain);
             servers.forEach(HttpServer::stopListeningAtOnce);
             otherProcess.handOver();
-            whenDone(closedAt);
+            exitWhenDone(closeAt);
         } else {
-            loop.after(STILL_COMING_S, () -> whenDone(closedAt));
+            loop.after(ARRIVAL_GRACE_S, () -> exitWhenDone(closeAt));
         }
     }
 
     /**
-     * Ends once all answers are written to their last byte and no connection is left, after a quiet time and after the
-     * listening sockets are closed: else a client that was just connecting would be accepted by the system and never answered.
+     * Exits once all answers are completely written and no connection is left, after a quiet period and after the
+     * listening sockets are closed. Otherwise the operating system would accept a client that is just connecting, which
+     * would get no answer.
      */
-    private void whenDone(double closedAt) {
-        boolean written =
+    private void exitWhenDone(double closeAt) {
+        boolean allWritten =
                 servers.stream().mapToInt(HttpServer::busyConnectionCount).sum() == 0;
-        boolean left = loop.now() > closedAt
+        boolean connectionsDone = loop.now() > closeAt
                 || servers.stream().mapToInt(HttpServer::connectionCount).sum() == 0;
-        if (core.inFlightQueries() > 0 || !written || !left) {
+        if (core.inFlightQueries() > 0 || !allWritten || !connectionsDone) {
             quietSince = Double.NaN;
         } else if (Double.isNaN(quietSince)) {
             quietSince = loop.now();
-        } else if (loop.now() - quietSince > QUIET_S) {
-            if (stopped) {
-                endUnlessAsked();
+        } else if (loop.now() - quietSince > QUIET_PERIOD_S) {
+            if (stoppedListening) {
+                exitUnlessQueryArrived();
             } else {
-                stopped = true;
+                stoppedListening = true;
                 quietSince = loop.now();
                 servers.forEach(HttpServer::stopListening);
             }
         }
-        loop.after(CHECK_INTERVAL_S, () -> whenDone(closedAt));
+        loop.after(CHECK_INTERVAL_S, () -> exitWhenDone(closeAt));
     }
 
-    /** Ends, unless a query has come in this very moment, which is read and answered first. */
-    private void endUnlessAsked() {
+    /** Exits unless a query has just arrived; that query is read and answered first. */
+    private void exitUnlessQueryArrived() {
         servers.forEach(HttpServer::readAllNow);
         if (core.inFlightQueries() == 0
                 && servers.stream().mapToInt(HttpServer::busyConnectionCount).sum() == 0) {
-            end("with nothing in hand");
+            exit("no queries in flight");
         }
         quietSince = Double.NaN;
     }
 
-    private void end(String how) {
-        LOG.log(System.Logger.Level.INFO, "drained, " + how, core.inFlightQueries());
+    private void exit(String outcome) {
+        LOG.log(System.Logger.Level.INFO, "drained, " + outcome, core.inFlightQueries());
         System.exit(0);
     }
 }
--- a/src/main/java/pepperdock/service/InitialEndpointList.java
+++ b/src/main/java/pepperdock/service/InitialEndpointList.java
@@ -3,33 +3,35 @@
 import pepperdock.core.Clock;
 import pepperdock.core.Gatherer;
 
-/** Runs a task once the first endpoint list has come, or after a timeout. On the loop's thread. */
+/** Runs a task once the first endpoint list has been received, or after a timeout. Used on the loop's thread. */
 final class InitialEndpointList {
 
     private final Clock clock;
-    private boolean come;
-    private Runnable waiting;
+    private boolean received;
+    private Runnable waitingTask;
 
-    /** Listens from now on; a list that comes before a task waits for it counts. */
+    /** Starts listening. A list that is received before {@link #runWithin} counts too. */
     InitialEndpointList(Gatherer core, Clock clock) {
         this.clock = clock;
-        core.addEndpointListListener(hosts -> come());
+        core.addEndpointListListener(hosts -> runTask());
     }
 
-    /** Runs the task once a list has come; else after {@code mostS} seconds, as the one that is known serves too. */
-    void runWithin(double mostS, Runnable task) {
-        waiting = task;
-        if (come) {
-            come();
+    /**
+     * Runs the task once a list is received, or after {@code timeoutS} seconds, since the known list can be used too.
+     */
+    void runWithin(double timeoutS, Runnable task) {
+        waitingTask = task;
+        if (received) {
+            runTask();
         } else {
-            clock.after(mostS, this::come);
+            clock.after(timeoutS, this::runTask);
         }
     }
 
-    private void come() {
-        come = true;
-        Runnable task = waiting;
-        waiting = null;
+    private void runTask() {
+        received = true;
+        Runnable task = waitingTask;
+        waitingTask = null;
         if (task != null) {
             task.run();
         }
--- a/src/main/java/pepperdock/service/SignalHandlers.java
+++ b/src/main/java/pepperdock/service/SignalHandlers.java
@@ -3,8 +3,9 @@
 import java.lang.reflect.Proxy;
 
 /**
- * Handles signals of the system in place of the JVM's default, which is to end. By reflection: the compiler warns of the JDK's
- * unsupported module that holds them, and has no switch for it. Stateless.
+ * Handles signals of the operating system in place of the JVM's default, which is to exit. It uses reflection because
+ * the compiler warns of the JDK's unsupported module with the signal API, and has no option to suppress that.
+ * Stateless.
  */
 final class SignalHandlers {
 
@@ -12,15 +13,15 @@
 
     private SignalHandlers() {}
 
-    /** Runs a task, on a thread of the JVM's own, whenever the signal comes. */
-    static void on(String name, Runnable then) {
+    /** Runs a task on a thread of the JVM whenever the signal arrives. */
+    static void on(String name, Runnable task) {
         try {
             Class<?> signal = Class.forName("sun.misc.Signal");
             Class<?> handler = Class.forName("sun.misc.SignalHandler");
-            Object ours = Proxy.newProxyInstance(
+            Object signalHandler = Proxy.newProxyInstance(
                     SignalHandlers.class.getClassLoader(), new Class<?>[] {handler}, (proxy, method, args) -> {
                         switch (method.getName()) {
-                            case "handle" -> then.run();
+                            case "handle" -> task.run();
                             case "hashCode" -> {
                                 return System.identityHashCode(proxy);
                             }
@@ -34,9 +35,9 @@
                         return null;
                     });
             signal.getMethod("handle", signal, handler)
-                    .invoke(null, signal.getConstructor(String.class).newInstance(name), ours);
+                    .invoke(null, signal.getConstructor(String.class).newInstance(name), signalHandler);
         } catch (ReflectiveOperationException e) {
-            LOG.log(System.Logger.Level.WARNING, "no handler for SIG{0}: {1}", name, e);
+            LOG.log(System.Logger.Level.WARNING, "cannot install a handler for SIG{0}: {1}", name, e);
         }
     }
 }
--- a/src/main/java/pepperdock/service/Startup.java
+++ b/src/main/java/pepperdock/service/Startup.java
@@ -12,13 +12,17 @@
 import pepperdock.transport.EventLoop;
 
 /**
- * Opens what a gatherer needs before its settings: the loop, the store, events and membership; then starts the {@link GathererService}
- * once there are settings, the file's, or where it has none the store's. State belongs to the loop's thread once it runs.
+ * Opens what a gatherer needs before its settings: the loop, the store, events and membership. Then starts the {@link
+ * GathererService} with the settings of the file, or, if it has none, once the store has settings. State belongs to the
+ * loop's thread once that runs.
  */
 public final class Startup {
 
     private static final System.Logger LOG = System.getLogger("pepperdock");
-    /** Descriptors that are not for connections: the jar, the selectors, the standard streams (18), and some spare ones. */
+    /**
+     * Descriptors reserved for uses other than connections: the jar, the selectors, the standard streams (18), and
+     * spare ones.
+     */
     static final int OTHER_DESCRIPTORS = 40;
 
     private static final int MAX_BUFFER_BYTES = 256 << 10;
@@ -26,13 +30,16 @@
     private static final String SETTINGS_KEY = "settings";
     private static final String ENDPOINTS_KEY = "nodes";
 
-    /** What is open before there are settings; {@code members} is null where the file has none. */
+    /**
+     * The components that are open before there are settings. {@code members} is null if the file does not configure
+     * it.
+     */
     public record ProcessContext(
             Map<String, String> env, EventLoop loop, Store store, Events events, MembershipService members) {}
 
     private final ConfigReader file;
     private final ProcessContext context;
-    private boolean begun;
+    private boolean started;
 
     private Startup(ConfigReader file, ProcessContext context) {
         this.file = file;
@@ -40,25 +47,26 @@
     }
 
     /**
-     * Opens the store first: a member whose file has no settings uses those that the store holds.
+     * Opens these components, the store before the gatherer: a member whose file has no settings uses those of the
+     * store.
      *
-     * @throws pepperdock.config.ConfigException where the file can't be used
+     * @throws pepperdock.config.ConfigException if the file can't be used
      */
     public static void open(Map<String, String> env) throws IOException {
         ConfigReader file = Config.file(env);
-        StoreConfig members = Config.store(file);
+        StoreConfig storeConfig = Config.store(file);
         if (file.has("settings")) {
             Config.read(file, env);
         }
         EventLoop loop = new EventLoop(
                 Config.sockets(file) - OTHER_DESCRIPTORS,
-                file.has("opensearch") || members != null || file.has("members")
+                file.has("opensearch") || storeConfig != null || file.has("members")
                         ? MAX_SEARCH_BUFFER_BYTES
                         : MAX_BUFFER_BYTES);
-        Store store = new Store(members, loop);
+        Store store = new Store(storeConfig, loop);
         Events events = Events.of(Config.events(file));
-        MembershipService fleet = file.has("members") ? MembershipService.open(file, loop, events) : null;
-        new Startup(file, new ProcessContext(env, loop, store, events, fleet)).begin();
+        MembershipService membership = file.has("members") ? MembershipService.open(file, loop, events) : null;
+        new Startup(file, new ProcessContext(env, loop, store, events, membership)).begin();
     }
 
     private void begin() throws IOException {
@@ -67,13 +75,13 @@
             GathererService.start(withKnownEndpoints(file), false, context);
             context.loop().execute(this::storeSettings);
         } else if (store.get(SETTINGS_KEY) != null) {
-            serveByStore();
+            startFromStore();
         } else {
-            LOG.log(System.Logger.Level.INFO, "no settings yet, waiting for the store");
+            LOG.log(System.Logger.Level.INFO, "the configuration file has no settings, waiting for those of the store");
             store.watch((key, value) -> {
-                if (key.equals(SETTINGS_KEY) && !begun) {
-                    begun = true;
-                    context.loop().execute(this::serveByStore);
+                if (key.equals(SETTINGS_KEY) && !started) {
+                    started = true;
+                    context.loop().execute(this::startFromStore);
                 }
             });
         }
@@ -86,11 +94,11 @@
         }
     }
 
-    private void serveByStore() {
+    private void startFromStore() {
         try {
-            ConfigReader whole =
+            ConfigReader complete =
                     file.with("settings", Config.parse(context.store().get(SETTINGS_KEY), "settings"));
-            GathererService.start(withKnownEndpoints(whole), true, context);
+            GathererService.start(withKnownEndpoints(complete), true, context);
         } catch (ConfigException e) {
             StartupFailure.exit("configuration: " + e.getMessage(), 2);
         } catch (IOException e) {
@@ -98,11 +106,11 @@
         }
     }
 
-    /** Where the file has no endpoint list, the one that the store holds. */
-    private ConfigReader withKnownEndpoints(ConfigReader of) {
+    /** Returns the file, with the endpoint list of the store if it has none of its own. */
+    private ConfigReader withKnownEndpoints(ConfigReader source) {
         Store store = context.store();
-        return of.has("known") || store.get(ENDPOINTS_KEY) == null
-                ? of
-                : of.with("known", Config.parse(store.get(ENDPOINTS_KEY), "known"));
+        return source.has("known") || store.get(ENDPOINTS_KEY) == null
+                ? source
+                : source.with("known", Config.parse(store.get(ENDPOINTS_KEY), "known"));
     }
 }
--- a/src/test/java/pepperdock/SignalsIT.java
+++ b/src/test/java/pepperdock/SignalsIT.java
@@ -87,7 +87,7 @@
                 try (Socket taken = worker.accept()) {
                     taken.getInputStream().readNBytes(5);
                     signal("TERM", jar.process);
-                    jar.awaited("draining, 1 in hand");
+                    jar.awaited("draining, 1 queries in flight");
                     signal("HUP", jar.process);
                     signal("TERM", jar.process);
                     jar.awaited("configuration reloaded");
@@ -101,7 +101,7 @@
             assertEquals(0, jar.process.exitValue());
             assertEquals(
                     1, jar.log().lines().filter(l -> l.contains("draining, ")).count(), jar::log);
-            assertTrue(jar.log().contains("drained, with nothing in hand"), jar::log);
+            assertTrue(jar.log().contains("drained, no queries in flight"), jar::log);
         }
     }
 
@@ -125,7 +125,7 @@
             try (Socket taken = worker.accept()) {
                 taken.getInputStream().readNBytes(5);
                 signal("TERM", jar.process);
-                jar.awaited("draining, 1 in hand");
+                jar.awaited("draining, 1 queries in flight");
                 half.getOutputStream().write(whole, 30, whole.length - 30);
                 String said = new String(half.getInputStream().readNBytes(12), StandardCharsets.US_ASCII);
                 assertTrue(said.matches("HTTP/1.1 50[34]"), said);
@@ -154,7 +154,7 @@
             signal("TERM", jar.process);
             assertTrue(jar.process.waitFor(30, java.util.concurrent.TimeUnit.SECONDS), jar::log);
             assertEquals(0, jar.process.exitValue());
-            assertTrue(jar.log().contains("drained, with nothing in hand"), jar::log);
+            assertTrue(jar.log().contains("drained, no queries in flight"), jar::log);
         }
     }
 
@@ -166,12 +166,12 @@
             try (Socket client = jar.connect()) {
                 BuiltJar.ready(client);
                 signal("TERM", jar.process);
-                jar.awaited("draining, 0 in hand");
+                jar.awaited("draining, 0 queries in flight");
                 BuiltJar.ready(client);
             }
             jar.end();
             assertEquals(0, jar.process.exitValue());
-            assertTrue(jar.log().contains("drained, with nothing in hand"), jar::log);
+            assertTrue(jar.log().contains("drained, no queries in flight"), jar::log);
         }
     }
 }
--- a/src/test/java/pepperdock/UpgradeIT.java
+++ b/src/test/java/pepperdock/UpgradeIT.java
@@ -366,7 +366,7 @@
                 assertEquals('G', asks.getInputStream().read());
                 old.awaited("another process of this gatherer has begun");
                 old.signal("TERM");
-                old.awaited("draining, 0 in hand");
+                old.awaited("draining, 0 queries in flight");
                 try (Socket c = client()) {
                     assertTrue(ask(c, "a", "good").startsWith("HTTP/1.1 200"));
                 }
@@ -382,7 +382,7 @@
     void aDamagedStateIsSurvivedAndADisabledWorkerIsNotEvenRetriedAt() throws Exception {
         Files.writeString(folder.resolve("state").resolve("bans.json"), "{\"version\":1,\"disab");
         Gatherer only = new Gatherer("n0").ready();
-        only.awaited("bans not readable");
+        only.awaited("ban file is damaged, moved to ");
         only.yes("POST /-/workers/w0/disable");
         try (Socket c = client()) {
             String said = ask(c, "a", "bad:*");
--- a/src/test/java/pepperdock/operator/BanFileCompatibilityTest.java
+++ b/src/test/java/pepperdock/operator/BanFileCompatibilityTest.java
@@ -10,30 +10,33 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** Opens a ban file that commit 9402806 wrote: four workers banned, one of them let back. */
+/** Opens a ban file that commit 9402806 wrote: four workers were banned and the ban of one of them lifted. */
 class BanFileCompatibilityTest {
 
-    private static final Path WRITTEN = Path.of("src/test/resources/compatibility/bans-9402806/bans.json");
+    private static final Path EARLIER_FILE = Path.of("src/test/resources/compatibility/bans-9402806/bans.json");
 
     @TempDir
     private Path folder;
 
     @Test
-    void aFileOfAnEarlierVersionIsReadWithAllItsBans() throws Exception {
-        Files.copy(WRITTEN, folder.resolve("bans.json"));
+    void readsAllBansFromAFileOfAnEarlierVersion() throws Exception {
+        Files.copy(EARLIER_FILE, folder.resolve("bans.json"));
         assertEquals(List.of("wörker \"2\"", "worker-3", "10.0.0.4:7001"), List.copyOf(new BanFile(folder).read()));
         assertFalse(Files.exists(folder.resolve("bans.damaged")));
     }
 
-    /** What is written today is, byte for byte, what that version wrote: the older program can be put back. */
+    /**
+     * The file written now is byte for byte the file that version wrote, so a rollback to the older program is
+     * possible.
+     */
     @Test
-    void theSameChangesMakeTheSameBytes() throws Exception {
+    void sameChangesProduceTheSameBytesAsTheEarlierVersion() throws Exception {
         BanFile file = new BanFile(folder);
         file.change("worker-1", true);
         file.change("wörker \"2\"", true);
         file.change("worker-3", true);
         file.change("worker-1", false);
         file.change("10.0.0.4:7001", true);
-        assertArrayEquals(Files.readAllBytes(WRITTEN), Files.readAllBytes(folder.resolve("bans.json")));
+        assertArrayEquals(Files.readAllBytes(EARLIER_FILE), Files.readAllBytes(folder.resolve("bans.json")));
     }
 }
--- a/src/test/java/pepperdock/operator/BansTest.java
+++ b/src/test/java/pepperdock/operator/BansTest.java
@@ -17,29 +17,29 @@
     @TempDir
     private Path folder;
 
-    /** Whatever is read of an older state meanwhile: what was asked holds from the moment it was asked. */
+    /** A change is in force from the moment it is requested, even if an older state is read before it is written. */
     @Test
-    void whatIsAskedHoldsBeforeItIsWrittenAndWhateverIsReadMeanwhile() {
+    void requestedChangeIsInForceBeforeItIsWritten() {
         Bans bans = new Bans();
-        long a = bans.request("a", true);
+        long banA = bans.request("a", true);
         assertEquals(Set.of("a"), bans.inForce());
         bans.read(Set.of("b"));
         assertEquals(Set.of("a", "b"), bans.inForce());
-        long back = bans.request("b", false);
-        bans.written(a, Set.of("b", "a"));
+        long liftB = bans.request("b", false);
+        bans.written(banA, Set.of("b", "a"));
         assertEquals(Set.of("a"), bans.inForce());
-        bans.written(back, Set.of("a"));
+        bans.written(liftB, Set.of("a"));
         assertEquals(Set.of("a"), bans.inForce());
         bans.written(bans.request("c", true), null);
         assertEquals(Set.of("a", "c"), bans.inForce());
         bans.read(Set.of("a"));
-        assertEquals(Set.of("a", "c"), bans.inForce(), "not written, and in force all the same");
+        assertEquals(Set.of("a", "c"), bans.inForce(), "a change that could not be written is in force");
         bans.written(bans.request("c", false), Set.of("a"));
         assertEquals(Set.of("a"), bans.inForce());
     }
 
     @Test
-    void whatOneProcessWritesTheOtherReadsAndBothChange() throws Exception {
+    void twoProcessesReadAndChangeTheSameFile() throws Exception {
         BanFile one = new BanFile(folder);
         BanFile other = new BanFile(folder);
         assertEquals(Set.of(), one.read());
@@ -51,16 +51,16 @@
         assertEquals(Set.of("b"), new BanFile(folder).read());
     }
 
-    /** Killed in the middle of a write: the new file is there half, and the old one whole. */
+    /** A process is killed during a write: the new file is incomplete and the old one complete. */
     @Test
-    void aWriteThatWasCutOffLeavesTheStateBefore() throws Exception {
+    void interruptedWriteLeavesThePreviousState() throws Exception {
         new BanFile(folder).change("a", true);
         Files.writeString(folder.resolve("bans.new"), "{\"version\":1,\"disab");
         assertEquals(Set.of("a"), new BanFile(folder).read());
         assertEquals(Set.of("a", "b"), new BanFile(folder).change("b", true));
     }
 
-    /** Something else has damaged the file. It must not stop the gatherer, and is kept for whoever looks into it. */
+    /** The ban file is damaged. The gatherer must still start, and the file is kept for analysis. */
     @ParameterizedTest
     @ValueSource(
             strings = {
@@ -72,27 +72,30 @@
                 "{\"version\":1,\"disabled\":[{}]}",
                 "{\"version\":1,\"disabled\":[],\"more\":1}"
             })
-    void aDamagedFileIsPutAsideAndNobodyIsBanned(String text) throws Exception {
+    void damagedFileIsMovedAsideAndNoWorkerIsBanned(String text) throws Exception {
         Files.writeString(folder.resolve("bans.json"), text);
         assertEquals(Set.of(), new BanFile(folder).read());
         assertEquals(text, Files.readString(folder.resolve("bans.damaged")));
         assertEquals(Set.of("a"), new BanFile(folder).change("a", true));
     }
 
-    /** The ban file has bytes that are no UTF-8. It is moved aside like any damaged file. */
+    /** The ban file has bytes that are not UTF-8. It is moved aside like any damaged file. */
     @Test
-    void aFileThatIsNoTextIsDamagedToo() throws Exception {
+    void fileThatIsNotTextCountsAsDamaged() throws Exception {
         Files.write(folder.resolve("bans.json"), new byte[] {-1, -2, -3});
         assertEquals(Set.of(), new BanFile(folder).read());
         assertTrue(Files.exists(folder.resolve("bans.damaged")));
     }
 
-    /** Another process's lock is forced by {@code UpgradeIT}; a place left behind by one that is gone is nobody's life. */
+    /**
+     * A lock file left by a process that has ended does not count as another process. {@code UpgradeIT} covers real
+     * ones.
+     */
     @Test
-    void whoIsAloneSeesNobody() throws Exception {
+    void leftoverLockFileIsNotAnotherProcess() throws Exception {
         Files.writeString(folder.resolve("life.1"), "");
         try (ProcessLocks locks = new ProcessLocks(folder)) {
-            assertFalse(locks.otherLives());
+            assertFalse(locks.otherProcessIsAlive());
         }
     }
 }
--- a/src/test/java/pepperdock/operator/OperatorEndpointTest.java
+++ b/src/test/java/pepperdock/operator/OperatorEndpointTest.java
@@ -19,14 +19,14 @@
 import pepperdock.transport.EventLoop;
 import pepperdock.transport.HttpServer;
 
-/** The operators' calls on their own address, with no room left for anyone else. */
+/** Tests the operators' calls on their own address while no other sockets are available. */
 @Timeout(60)
 class OperatorEndpointTest {
 
-    private static final int CALLERS = 4;
+    private static final int MAX_CALLERS = 4;
 
     private final List<String> banned = new ArrayList<>();
-    /** No socket counts as free: the operators' connections are beside the cap. */
+    /** The loop has a cap of 0 sockets: the operators' connections do not count towards it. */
     private final EventLoop loop = new EventLoop(0, 1 << 16);
 
     private final HttpServer server = new HttpServer(
@@ -35,7 +35,7 @@
             EventLoop.SocketScope.OUTSIDE_CAP,
             4,
             4096,
-            () -> CALLERS,
+            () -> MAX_CALLERS,
             new OperatorEndpoint(new OperatorEndpoint.Operations() {
                 @Override
                 public boolean ready() {
@@ -53,8 +53,8 @@
                 }
 
                 @Override
-                public void ban(String worker, boolean out, Consumer<String> then) {
-                    banned.add(worker + out);
+                public void ban(String worker, boolean ban, Consumer<String> then) {
+                    banned.add(worker + ban);
                     loop.execute(() -> then.accept(worker.equals("s-full") ? "disk full" : null));
                 }
             }));
@@ -67,16 +67,17 @@
     }
 
     private Socket connect() throws IOException {
-        Socket s = new Socket(server.address().getAddress(), server.address().getPort());
-        s.setSoTimeout(30_000);
-        return s;
+        Socket socket =
+                new Socket(server.address().getAddress(), server.address().getPort());
+        socket.setSoTimeout(30_000);
+        return socket;
     }
 
     private String call(String request) throws IOException {
-        try (Socket s = connect()) {
-            s.getOutputStream().write((request + "\r\n\r\n").getBytes(StandardCharsets.US_ASCII));
-            // To the end: one call a connection, whatever the caller would keep.
-            return new String(s.getInputStream().readAllBytes(), StandardCharsets.US_ASCII);
+        try (Socket socket = connect()) {
+            socket.getOutputStream().write((request + "\r\n\r\n").getBytes(StandardCharsets.US_ASCII));
+            // Reads to the end: a connection serves one call, even if the caller asks to keep it open.
+            return new String(socket.getInputStream().readAllBytes(), StandardCharsets.US_ASCII);
         }
     }
 
@@ -101,41 +102,42 @@
                 "POST /-/workers/s-1/disable HTTP/1.1~Content-Length: 9999|413|error",
                 "nonsense|400|error"
             })
-    void eachCallHasItsAnswerAndEachWrongOneItsOwn(String request, int status, String said) throws Exception {
-        String answer = call(request.replace("~", "\r\n"));
+    void eachCallGetsItsResponseAndEachInvalidOneItsError(String request, int status, String expected)
+            throws Exception {
+        String response = call(request.replace("~", "\r\n"));
         assertTrue(
-                answer.startsWith("HTTP/1.1 " + status + ' ')
-                        && answer.contains(said)
-                        && answer.contains("Connection: close"),
-                answer);
+                response.startsWith("HTTP/1.1 " + status + ' ')
+                        && response.contains(expected)
+                        && response.contains("Connection: close"),
+                response);
         assertEquals(status == 200 && request.contains("workers") || status == 500, !banned.isEmpty());
     }
 
-    /** More than there is room for, each silent or in the middle of its call: the longest waiting give way. */
+    /** More callers connect than the limit, each silent or with half a request. The oldest are closed for new ones. */
     @Test
-    void callersThatCompleteNoCallDoNotHoldUpTheNext() throws Exception {
-        List<Socket> stuck = new ArrayList<>();
-        for (int i = 0; i < 3 * CALLERS; i++) {
-            Socket s = connect();
-            s.getOutputStream().write("GET /-/re".getBytes(StandardCharsets.US_ASCII), 0, i % 2 * 9);
-            stuck.add(s);
+    void incompleteCallsDoNotBlockTheNextCall() throws Exception {
+        List<Socket> incompleteCallers = new ArrayList<>();
+        for (int i = 0; i < 3 * MAX_CALLERS; i++) {
+            Socket socket = connect();
+            socket.getOutputStream().write("GET /-/re".getBytes(StandardCharsets.US_ASCII), 0, i % 2 * 9);
+            incompleteCallers.add(socket);
             assertTrue(call("GET /-/ready HTTP/1.1").startsWith("HTTP/1.1 200"));
         }
-        for (Socket s : stuck) {
-            s.close();
+        for (Socket socket : incompleteCallers) {
+            socket.close();
         }
     }
 
-    /** A slow caller is none that completes nothing: it may take its time between two bytes. */
+    /** A slow caller whose bytes keep arriving is served, unlike one that never completes its call. */
     @Test
-    void aCallThatComesInPiecesIsServed() throws Exception {
-        try (Socket s = connect()) {
+    void callThatArrivesInPiecesIsServed() throws Exception {
+        try (Socket socket = connect()) {
             for (byte b : "GET /-/ready HTTP/1.1\r\n\r\n".getBytes(StandardCharsets.US_ASCII)) {
-                s.getOutputStream().write(b);
-                // Another's whole call is served between.
+                socket.getOutputStream().write(b);
+                // A whole call of another caller is served in between.
                 assertTrue(call("GET /-/metrics HTTP/1.1").contains("svc.loads"));
             }
-            assertTrue(new String(s.getInputStream().readAllBytes(), StandardCharsets.US_ASCII)
+            assertTrue(new String(socket.getInputStream().readAllBytes(), StandardCharsets.US_ASCII)
                     .startsWith("HTTP/1.1 200"));
         }
     }
--- a/src/test/java/pepperdock/service/ConfigReloaderTest.java
+++ b/src/test/java/pepperdock/service/ConfigReloaderTest.java
@@ -27,53 +27,53 @@
     private Path folder;
 
     private final List<String> changed = new ArrayList<>();
-    private final List<Boolean> told = new ArrayList<>();
+    private final List<Boolean> reloadResults = new ArrayList<>();
 
-    private ConfigReloader begin(String text) throws Exception {
+    private ConfigReloader createReloader(String text) throws Exception {
         Map<String, String> env = Map.of("EDGE_CONFIG", write(text).toString(), "EDGE_DISCOVERY", "127.0.0.1:1");
         return new ConfigReloader(
                 env,
                 Config.file(env),
                 false,
                 Runnable::run,
-                new ConfigReloader.Live(
+                new ConfigReloader.ReloadTargets(
                         at -> changed.add("discovery " + at.getPort()),
                         null,
                         n -> changed.add("sockets " + n),
                         to -> changed.add("classes " + to.site().classes() + " attempts "
                                 + to.site().scheduler().limits().maxAttempts())),
-                told::add);
+                reloadResults::add);
     }
 
     private Path write(String text) throws Exception {
         return Files.writeString(folder.resolve("config.json"), text);
     }
 
-    /** The address that the environment had at the start must not hide the file's. */
+    /** The discovery address from the environment at the start must not override that of the reloaded file. */
     @Test
-    void whatDiffersIsPutIntoUseAndNothingElse() throws Exception {
-        ConfigReloader reload = begin(FILE.formatted(1, 256, TestDeploymentSettings.SETTINGS));
-        reload.reload();
+    void appliesOnlyTheKeysThatDiffer() throws Exception {
+        ConfigReloader reloader = createReloader(FILE.formatted(1, 256, TestDeploymentSettings.SETTINGS));
+        reloader.reload();
         assertEquals(List.of(), changed);
         write(FILE.formatted(2, 256, TestDeploymentSettings.SETTINGS));
-        reload.reload();
-        reload.reload();
+        reloader.reload();
+        reloader.reload();
         assertEquals(List.of("discovery 2"), changed);
         write(FILE.formatted(2, 512, TestDeploymentSettings.SETTINGS.replace("0.005", "0.006")));
-        reload.reload();
+        reloader.reload();
         assertEquals(
                 List.of(
                         "discovery 2",
                         "sockets 512",
                         "classes [history-search, payout-report, balance-adjust] attempts 4"),
                 changed);
-        assertEquals(List.of(true, true, true, true), told);
+        assertEquals(List.of(true, true, true, true), reloadResults);
     }
 
-    /** Classes added, dropped, with another effect, and fewer attempts: in use from here on. */
+    /** Applies classes that were added, removed or given another effect, and a lower number of attempts. */
     @Test
-    void otherClassesAndFewerAttemptsArePutIntoUse() throws Exception {
-        ConfigReloader reload = begin(FILE.formatted(1, 256, TestDeploymentSettings.SETTINGS));
+    void appliesChangedClassesAndFewerAttempts() throws Exception {
+        ConfigReloader reloader = createReloader(FILE.formatted(1, 256, TestDeploymentSettings.SETTINGS));
         write(FILE.formatted(
                 1,
                 256,
@@ -81,11 +81,11 @@
                         .replace("balance-adjust", "wallet-move")
                         .replace("idempotency_key", "non_idempotent")
                         .replace("\"MaxAttempts\":4", "\"MaxAttempts\":2")));
-        reload.reload();
+        reloader.reload();
         assertEquals(List.of("classes [history-search, payout-report, wallet-move] attempts 2"), changed);
     }
 
-    static Stream<String> faults() {
+    static Stream<String> invalidSettings() {
         String all = TestDeploymentSettings.SETTINGS;
         return Stream.of(
                 all.replace("\"DeadlineS\":6", "\"DeadlineS\":0"),
@@ -101,50 +101,52 @@
                 all.substring(0, all.length() - 40));
     }
 
-    /** A file with one faulty setting also changes other keys. Nothing of it may be put in use. */
+    /** A file with one invalid setting also changes other keys. Nothing of it may be applied. */
     @ParameterizedTest
-    @MethodSource("faults")
-    void settingsWithAFaultAreTurnedDownWholeWithAllElseInTheirFile(String settings) throws Exception {
-        ConfigReloader reload = begin(FILE.formatted(1, 256, TestDeploymentSettings.SETTINGS));
+    @MethodSource("invalidSettings")
+    void rejectsTheWholeFileIfOneSettingIsInvalid(String settings) throws Exception {
+        ConfigReloader reloader = createReloader(FILE.formatted(1, 256, TestDeploymentSettings.SETTINGS));
         write(FILE.formatted(2, 512, settings));
-        reload.reload();
+        reloader.reload();
         assertEquals(List.of(), changed);
-        assertEquals(List.of(false), told);
+        assertEquals(List.of(false), reloadResults);
     }
 
-    /** Each of the platform's own keys, and the whole of the settings. */
+    /** Covers each of the platform's keys, including the settings as a whole. */
     @ParameterizedTest
     @ValueSource(strings = {"name", "listen", "discovery", "limits", "settings"})
-    void aFileThatLacksAKeyOfThePlatformIsTurnedDown(String key) throws Exception {
-        ConfigReloader reload = begin(FILE.formatted(1, 256, TestDeploymentSettings.SETTINGS));
-        JsonObject cut = JsonParser.parseString(FILE.formatted(2, 512, TestDeploymentSettings.SETTINGS))
+    void rejectsAFileThatLacksAPlatformKey(String key) throws Exception {
+        ConfigReloader reloader = createReloader(FILE.formatted(1, 256, TestDeploymentSettings.SETTINGS));
+        JsonObject incomplete = JsonParser.parseString(FILE.formatted(2, 512, TestDeploymentSettings.SETTINGS))
                 .getAsJsonObject();
-        cut.remove(key);
-        write(cut.toString());
-        reload.reload();
+        incomplete.remove(key);
+        write(incomplete.toString());
+        reloader.reload();
         assertEquals(List.of(), changed);
-        assertEquals(List.of(false), told);
+        assertEquals(List.of(false), reloadResults);
     }
 
-    /** Empty, truncated and otherwise faulty files come, then none at all; the next sound file is put in use all the same. */
+    /**
+     * Reloads empty, truncated and otherwise invalid files, then a missing one. The next valid file is still applied.
+     */
     @Test
-    void aFaultyFileLeavesAllAsItWas() throws Exception {
-        ConfigReloader reload = begin(FILE.formatted(1, 256, TestDeploymentSettings.SETTINGS));
-        for (String faulty : List.of(
+    void invalidFileChangesNothing() throws Exception {
+        ConfigReloader reloader = createReloader(FILE.formatted(1, 256, TestDeploymentSettings.SETTINGS));
+        for (String invalid : List.of(
                 "",
                 "{",
                 "[]",
                 FILE.formatted(2, 8, TestDeploymentSettings.SETTINGS),
                 FILE.formatted(70000, 512, "{}"),
                 FILE.formatted(2, 256, TestDeploymentSettings.SETTINGS.replace("\"Slices\":12", "\"Slices\":-1")))) {
-            write(faulty);
-            reload.reload();
+            write(invalid);
+            reloader.reload();
         }
         Files.delete(folder.resolve("config.json"));
-        reload.reload();
+        reloader.reload();
         assertEquals(List.of(), changed);
         write(FILE.formatted(3, 256, TestDeploymentSettings.SETTINGS));
-        reload.reload();
+        reloader.reload();
         assertEquals(List.of("discovery 3"), changed);
     }
 }
--- a/src/test/java/pepperdock/service/ReadyTest.java
+++ b/src/test/java/pepperdock/service/ReadyTest.java
@@ -29,11 +29,11 @@
 import pepperdock.store.Store;
 import pepperdock.transport.EventLoop;
 
-/** When a gatherer says that it is ready, against what discovery does meanwhile. */
+/** Tests when a gatherer reports that it is ready, depending on the behaviour of discovery. */
 @Timeout(120)
 class ReadyTest {
 
-    private static final String UNASKED =
+    private static final String PUSHED_LISTS =
             TestDeploymentSettings.SETTINGS.replace("\"Discovery\":\"subscribe\"", "\"Discovery\":\"automatic\"");
     private static final String LIST = "{\"seq\":1,\"whole\":true,\"hosts\":[]}";
 
@@ -58,10 +58,10 @@
         return start(settings, "", LIST, Map.of());
     }
 
-    private InetSocketAddress start(String settings, String also, String known, Map<String, String> env)
+    private InetSocketAddress start(String settings, String extraKeys, String known, Map<String, String> env)
             throws IOException {
         String file = "{\"name\":\"n\",\"listen\":\"127.0.0.1:0\",\"discovery\":\"127.0.0.1:" + discovery.getLocalPort()
-                + "\"," + also + "\"known\":" + known + ",\"settings\":" + settings + "}";
+                + "\"," + extraKeys + "\"known\":" + known + ",\"settings\":" + settings + "}";
         ConfigReader keys = ConfigReader.of("", Config.parse(file, "test"));
         startedAt = loop.now();
         return GathererService.start(
@@ -72,21 +72,21 @@
                 .address();
     }
 
-    private static void passHead(BufferedReader in) throws IOException {
+    private static void skipHead(BufferedReader in) throws IOException {
         String line = in.readLine();
         while (!line.isEmpty()) {
             line = in.readLine();
         }
     }
 
-    private static void answer(Socket agent, String list) throws IOException {
+    private static void respond(Socket agent, String list) throws IOException {
         agent.getOutputStream()
                 .write(("HTTP/1.1 200 X\r\nContent-Length: " + list.length() + "\r\n\r\n" + list)
                         .getBytes(StandardCharsets.US_ASCII));
     }
 
-    private static int readiness(InetSocketAddress at) throws IOException {
-        try (Socket s = new Socket(at.getAddress(), at.getPort())) {
+    private static int readiness(InetSocketAddress address) throws IOException {
+        try (Socket s = new Socket(address.getAddress(), address.getPort())) {
             s.getOutputStream().write("GET /-/ready HTTP/1.1\r\n\r\n".getBytes(StandardCharsets.US_ASCII));
             String first =
                     new BufferedReader(new InputStreamReader(s.getInputStream(), StandardCharsets.US_ASCII)).readLine();
@@ -94,50 +94,53 @@
         }
     }
 
-    private static void awaitReady(InetSocketAddress at) throws IOException {
-        while (readiness(at) != 200) {
+    private static void awaitReady(InetSocketAddress address) throws IOException {
+        while (readiness(address) != 200) {
             Thread.onSpinWait();
         }
     }
 
-    /** What an agent has counts as told from the first moment. Was: ready, and sending by the file, before it had told. */
+    /**
+     * A pushed list counts as known from the start. Guards against a gatherer that is ready, and sends queries by the
+     * list of the file, before the agent's list is received.
+     */
     @Test
-    void whereListsComeUnaskedAGathererIsReadyOnceTheListIsHere() throws Exception {
-        InetSocketAddress at = start(UNASKED);
+    void withPushedListsReadyOnceTheListIsReceived() throws Exception {
+        InetSocketAddress address = start(PUSHED_LISTS);
         try (Socket agent = discovery.accept()) {
             BufferedReader in =
                     new BufferedReader(new InputStreamReader(agent.getInputStream(), StandardCharsets.US_ASCII));
-            passHead(in);
-            boolean early = readiness(at) == 200;
+            skipHead(in);
+            boolean early = readiness(address) == 200;
             assertTrue(
                     !early || loop.now() - startedAt >= GathererService.PUSHED_LIST_TIMEOUT_S,
-                    "ready before the list was told");
-            answer(agent, LIST);
-            // The next call is armed once the answer has been taken.
-            passHead(in);
-            awaitReady(at);
+                    "ready before the list was received");
+            respond(agent, LIST);
+            // The watch sends its next request once it has applied the response.
+            skipHead(in);
+            awaitReady(address);
         }
     }
 
-    /** The agent that pushes the endpoint list never sends. The gatherer is ready after the timeout all the same. */
+    /** The agent that should push the endpoint list never sends one. The gatherer is still ready after the timeout. */
     @Test
-    void anAgentThatIsSilentDoesNotKeepAGathererFromBeingReady() throws Exception {
-        InetSocketAddress at = start(UNASKED);
+    void withASilentAgentReadyAfterTheTimeout() throws Exception {
+        InetSocketAddress address = start(PUSHED_LISTS);
         try (Socket agent = discovery.accept()) {
-            passHead(new BufferedReader(new InputStreamReader(agent.getInputStream(), StandardCharsets.US_ASCII)));
-            awaitReady(at);
+            skipHead(new BufferedReader(new InputStreamReader(agent.getInputStream(), StandardCharsets.US_ASCII)));
+            awaitReady(address);
         }
     }
 
     @Test
-    void whereTheListIsAskedForAGathererIsReadyWhateverDiscoveryDoes() throws Exception {
+    void withPolledListsReadyRegardlessOfDiscovery() throws Exception {
         InetSocketAddress silent = start(TestDeploymentSettings.SETTINGS);
         awaitReady(silent);
         discovery.close();
         awaitReady(start(TestDeploymentSettings.SETTINGS));
     }
 
-    private static String everyCell(ServerSocket worker, String health) {
+    private static String listForAllCells(ServerSocket worker, String health) {
         return "{\"seq\":1,\"whole\":true,\"hosts\":["
                 + IntStream.range(0, 4)
                         .mapToObj(cell -> "{\"host\":\"w" + cell + "\",\"dial\":\"127.0.0.1:" + worker.getLocalPort()
@@ -147,21 +150,21 @@
     }
 
     /**
-     * The list of the file must not go over the agent's. The start is held up behind the opening of the watch until the
-     * agent's list has come. Was: the file's list was taken in after it, and what the agent had told
-     * was never told again.
+     * The list of the file must not replace the agent's. The test delays the start, after the watch is opened, until
+     * the agent's list has arrived. Guards against applying the file's list after it, since the agent does not send its
+     * list again.
      */
     @Test
     void theListOfTheFileDoesNotReplaceTheAgents() throws Exception {
         try (ServerSocket worker = new ServerSocket(0, 50, InetAddress.getLoopbackAddress())) {
-            CompletableFuture<Void> listed = CompletableFuture.runAsync(() -> {
+            CompletableFuture<Void> listSent = CompletableFuture.runAsync(() -> {
                 try {
                     Socket agent = discovery.accept();
                     BufferedReader in = new BufferedReader(
                             new InputStreamReader(agent.getInputStream(), StandardCharsets.US_ASCII));
-                    passHead(in);
-                    answer(agent, everyCell(worker, "terminating"));
-                    passHead(in);
+                    skipHead(in);
+                    respond(agent, listForAllCells(worker, "terminating"));
+                    skipHead(in);
                 } catch (IOException e) {
                     throw new UncheckedIOException(e);
                 }
@@ -172,28 +175,31 @@
                 @Override
                 public String get(Object name) {
                     if (name.equals("TMPDIR")) {
-                        listed.join();
+                        listSent.join();
                     }
                     return null;
                 }
             };
-            InetSocketAddress at =
-                    start(UNASKED, "\"operator\":\"127.0.0.1:0\",", everyCell(worker, "in_service"), env);
-            listed.get(60, TimeUnit.SECONDS);
-            awaitReady(at);
-            try (Socket client = new Socket(at.getAddress(), at.getPort())) {
+            InetSocketAddress address =
+                    start(PUSHED_LISTS, "\"operator\":\"127.0.0.1:0\",", listForAllCells(worker, "in_service"), env);
+            listSent.get(60, TimeUnit.SECONDS);
+            awaitReady(address);
+            try (Socket client = new Socket(address.getAddress(), address.getPort())) {
                 String body = "{\"ranges\":[{\"range\":0,\"portion\":1}],\"predicate\":\"b\"}";
                 client.getOutputStream()
                         .write(("POST /api HTTP/1.1\r\nHost: b\r\nRequest-Id: b1\r\nRequest-Class: history-search\r\n"
                                         + "Request-Timeout-Ms: 1000\r\nContent-Length: " + body.length() + "\r\n\r\n"
                                         + body)
                                 .getBytes(StandardCharsets.US_ASCII));
-                assertTrue(client.getInputStream().read() >= 0, "an answer");
+                assertTrue(client.getInputStream().read() >= 0, "no response");
             }
-            // Who connects now stands behind any connection that the query was given.
+            // The backlog is in order: a connection that the query had opened would be accepted before this one.
             try (Socket last = new Socket(worker.getInetAddress(), worker.getLocalPort());
                     Socket next = worker.accept()) {
-                assertEquals(last.getLocalPort(), next.getPort(), "sent to a worker that drains by the agent's list");
+                assertEquals(
+                        last.getLocalPort(),
+                        next.getPort(),
+                        "query sent to a worker that is terminating according to the agent's list");
             }
         }
     }
