--- a/src/main/java/pepperdock/membership/MemberState.java
+++ b/src/main/java/pepperdock/membership/MemberState.java
@@ -1,6 +1,6 @@
 package pepperdock.membership;
 
-/** What a view says of a member; the operators' words for these are in {@code membership.transport.OperatorWords}. */
+/** What a view says of a member; the operators' words for these are in {@code membership.transport.MemberStateNames}. */
 public enum MemberState {
     /** Reached by all who observe it. */
     ALIVE,
--- a/src/main/java/pepperdock/membership/transport/OperatorWords.java
+++ b/src/main/java/pepperdock/membership/transport/MemberStateNames.java
@@ -6,9 +6,9 @@
 /**
  * The names of member states in the output for operators and the test rig: events, the log and {@code GET /members}.
  */
-final class OperatorWords {
+final class MemberStateNames {
 
-    private OperatorWords() {}
+    private MemberStateNames() {}
 
     /** Returns the name of a state as written in events. */
     static String inEvents(MemberState state) {
--- a/src/main/java/pepperdock/membership/transport/MembershipEndpoint.java
+++ b/src/main/java/pepperdock/membership/transport/MembershipEndpoint.java
@@ -76,7 +76,7 @@
         json.addProperty("address", member.address());
         json.addProperty("life", Long.toHexString(member.generation()));
         json.addProperty("incarnation", member.incarnation());
-        json.addProperty("standing", OperatorWords.of(member.state()));
+        json.addProperty("standing", MemberStateNames.of(member.state()));
         json.addProperty("for_s", Math.round((service.clock().now() - member.since()) * 10) / 10.0);
         JsonObject observations = new JsonObject();
         for (Map.Entry<String, Observation> observation : new TreeMap<>(member.observations()).entrySet()) {
--- a/src/main/java/pepperdock/membership/transport/MembershipEvents.java
+++ b/src/main/java/pepperdock/membership/transport/MembershipEvents.java
@@ -73,9 +73,9 @@
                 "incarnation",
                 change.incarnation(),
                 "from",
-                change.from() == null ? "" : OperatorWords.inEvents(change.from()),
+                change.from() == null ? "" : MemberStateNames.inEvents(change.from()),
                 "to",
-                OperatorWords.inEvents(change.to()),
+                MemberStateNames.inEvents(change.to()),
                 "why",
                 change.reason());
     }
--- a/src/main/java/pepperdock/membership/transport/MembershipLog.java
+++ b/src/main/java/pepperdock/membership/transport/MembershipLog.java
@@ -34,7 +34,7 @@
                 expected ? System.Logger.Level.INFO : System.Logger.Level.WARNING,
                 "member {0} {1}{2}",
                 change.name(),
-                OperatorWords.of(change.to()),
+                MemberStateNames.of(change.to()),
                 change.reason().isEmpty() ? "" : ": " + change.reason());
     }
 
