--- a/src/main/java/pepperdock/membership/MemberState.java
+++ b/src/main/java/pepperdock/membership/MemberState.java
@@ -2,7 +2,7 @@
 
 /**
  * The state of a member in a view. The operators' words for the states are in
- * {@code membership.transport.OperatorWords}.
+ * {@code membership.transport.MemberStateNames}.
  */
 public enum MemberState {
     /** All of its observers reach it. */
--- a/src/test/java/pepperdock/SignalsIT.java
+++ b/src/test/java/pepperdock/SignalsIT.java
@@ -92,7 +92,7 @@
                 try (Socket workerConnection = worker.accept()) {
                     workerConnection.getInputStream().readNBytes(5);
                     signal("TERM", jar.process);
-                    jar.awaitLogLine("draining, 1 in hand");
+                    jar.awaitLogLine("draining, 1 queries in flight");
                     signal("HUP", jar.process);
                     signal("TERM", jar.process);
                     jar.awaitLogLine("configuration reloaded");
@@ -106,7 +106,7 @@
             assertEquals(0, jar.process.exitValue());
             assertEquals(
                     1, jar.log().lines().filter(l -> l.contains("draining, ")).count(), jar::log);
-            assertTrue(jar.log().contains("drained, with nothing in hand"), jar::log);
+            assertTrue(jar.log().contains("drained, no queries in flight"), jar::log);
         }
     }
 
@@ -133,7 +133,7 @@
             try (Socket workerConnection = worker.accept()) {
                 workerConnection.getInputStream().readNBytes(5);
                 signal("TERM", jar.process);
-                jar.awaitLogLine("draining, 1 in hand");
+                jar.awaitLogLine("draining, 1 queries in flight");
                 half.getOutputStream().write(request, 30, request.length - 30);
                 String status = new String(half.getInputStream().readNBytes(12), StandardCharsets.US_ASCII);
                 assertTrue(status.matches("HTTP/1.1 50[34]"), status);
@@ -165,7 +165,7 @@
             signal("TERM", jar.process);
             assertTrue(jar.process.waitFor(30, java.util.concurrent.TimeUnit.SECONDS), jar::log);
             assertEquals(0, jar.process.exitValue());
-            assertTrue(jar.log().contains("drained, with nothing in hand"), jar::log);
+            assertTrue(jar.log().contains("drained, no queries in flight"), jar::log);
         }
     }
 
@@ -180,12 +180,12 @@
             try (Socket client = jar.connect()) {
                 BuiltJar.assertReady(client);
                 signal("TERM", jar.process);
-                jar.awaitLogLine("draining, 0 in hand");
+                jar.awaitLogLine("draining, 0 queries in flight");
                 BuiltJar.assertReady(client);
             }
             jar.terminate();
             assertEquals(0, jar.process.exitValue());
-            assertTrue(jar.log().contains("drained, with nothing in hand"), jar::log);
+            assertTrue(jar.log().contains("drained, no queries in flight"), jar::log);
         }
     }
 }
--- a/src/test/java/pepperdock/UpgradeIT.java
+++ b/src/test/java/pepperdock/UpgradeIT.java
@@ -369,7 +369,7 @@
                 assertEquals('G', listRequest.getInputStream().read());
                 oldProcess.awaitLogLine("another process of this gatherer has begun");
                 oldProcess.signal("TERM");
-                oldProcess.awaitLogLine("draining, 0 in hand");
+                oldProcess.awaitLogLine("draining, 0 queries in flight");
                 try (Socket client = connect()) {
                     assertTrue(query(client, "a", "good").startsWith("HTTP/1.1 200"));
                 }
@@ -385,7 +385,7 @@
     void damagedBanFileDoesNotPreventTheStartAndDisabledWorkerReceivesNoRetries() throws Exception {
         Files.writeString(folder.resolve("state").resolve("bans.json"), "{\"version\":1,\"disab");
         GathererProcess gatherer = new GathererProcess("n0").awaitReady();
-        gatherer.awaitLogLine("bans not readable");
+        gatherer.awaitLogLine("ban file is damaged, moved to ");
         gatherer.assertSucceeds("POST /-/workers/w0/disable");
         try (Socket client = connect()) {
             String response = query(client, "a", "bad:*");
