--- a/src/main/java/pepperdock/ClassArchiveTraining.java
+++ b/src/main/java/pepperdock/ClassArchiveTraining.java
@@ -34,8 +34,8 @@
     private static final String CONFIG_RESOURCE = "class-archive-training.json";
     private static final int WORKER_COUNT = 4;
     /**
-     * Enough for each query class to be sent, answered and sent again on a kept connection, and for its code to be
-     * linked.
+     * Number of queries sent of each class: enough that queries are sent again on a kept connection after an answer,
+     * and that the JVM links the code that serves the class.
      */
     private static final int QUERIES_PER_CLASS = 12;
 
@@ -89,7 +89,7 @@
         sendQueries(address);
     }
 
-    /** Runs the simulator adapter: attaches one instance and asks it for nothing. */
+    /** Runs the simulator adapter: attaches one instance and sends it no queries. */
     private static void attachInstance(ConfigReader config) {
         PrintStream discarded = new PrintStream(new ByteArrayOutputStream(), false, StandardCharsets.UTF_8);
         new SimulatorAdapter(
@@ -159,7 +159,10 @@
         throw new IOException("connection closed after " + head.length() + " bytes of an HTTP head, before its end");
     }
 
-    /** Acts as discovery: answers a list request with the complete list, and a watch not at all, as nothing changes. */
+    /**
+     * Acts as discovery: answers a list request with the complete list, and leaves a watch unanswered, because the list
+     * never changes.
+     */
     private static void serveDiscovery(Socket socket, String list) throws IOException {
         while (true) {
             if (!readHead(socket.getInputStream()).contains("since=")) {
--- a/src/main/java/pepperdock/core/EventBatcher.java
+++ b/src/main/java/pepperdock/core/EventBatcher.java
@@ -20,7 +20,7 @@
     private Runnable afterBatch;
     private List<Consumer<Scheduler>> pendingEvents = new ArrayList<>();
     private boolean closeScheduled;
-    private boolean closing;
+    private boolean reportingBatch;
     private double batchTime;
     private double lastCloseAt = Double.NEGATIVE_INFINITY;
 
@@ -39,8 +39,8 @@
     }
 
     /** Returns whether a batch is being reported, in which case the scheduler may be in the middle of a decision. */
-    boolean isClosing() {
-        return closing;
+    boolean isReportingBatch() {
+        return reportingBatch;
     }
 
     /** Returns the time of the current or the last batch, in seconds on the clock. */
@@ -63,7 +63,7 @@
 
     private void closeBatch() {
         closeScheduled = false;
-        closing = true;
+        reportingBatch = true;
         List<Consumer<Scheduler>> events = pendingEvents;
         pendingEvents = new ArrayList<>();
         batchTime = clock.now();
@@ -71,7 +71,7 @@
         deliver(target -> target.beginBatch(batchTime));
         events.forEach(this::deliver);
         deliver(Scheduler::endBatch);
-        closing = false;
+        reportingBatch = false;
         afterBatch.run();
     }
 
--- a/src/main/java/pepperdock/core/QueryLifecycle.java
+++ b/src/main/java/pepperdock/core/QueryLifecycle.java
@@ -91,7 +91,7 @@
                                 : "in-flight limit reached, " + registry.capacityInUse() + " of "
                                         + settings.current().limits().maxQueriesAndParts()
                                         + " queries and parts in flight"));
-        clock.after(0, () -> query.listener.onRejected(query, maxRetryAfterS()));
+        clock.after(0, () -> query.listener.onRejected(query, retryAfterS()));
     }
 
     private void accept(Query query) {
@@ -153,7 +153,7 @@
             logEnding("ended at shutdown", query);
             cancelInScheduler(query);
             if (repeatable) {
-                query.listener.onRejected(query, maxRetryAfterS());
+                query.listener.onRejected(query, retryAfterS());
             } else {
                 query.listener.onFailed(query, false);
             }
@@ -202,7 +202,7 @@
         query.deadlineGuard.cancel();
         registry.remove(query);
         batcher.enqueueEvent(scheduler -> registry.removeParts(query));
-        if (!batcher.isClosing()) {
+        if (!batcher.isReportingBatch()) {
             for (Part part : query.parts) {
                 part.attempts.forEach(attempt -> attempts.abandonAttempt(attempt, AttemptOutcome.CANCELLED));
             }
@@ -213,7 +213,7 @@
         batcher.enqueueEvent(scheduler -> scheduler.onQueryCancelled(query.id));
     }
 
-    private double maxRetryAfterS() {
+    private double retryAfterS() {
         return settings.current().limits().retryAfterS();
     }
 
--- a/src/main/java/pepperdock/estimate/IdleLimit.java
+++ b/src/main/java/pepperdock/estimate/IdleLimit.java
@@ -7,22 +7,22 @@
  */
 public final class IdleLimit {
 
-    /** Share of unanswered calls on idle connections that is exceeded only where connections are dropped. */
+    /** Share of unanswered calls among those on idle connections above which connections are taken to be dropped. */
     private static final double DROPPED_SHARE = 0.25;
 
     /**
-     * Number of calls assumed to be answered in addition to those counted, so that a first unanswered call proves
-     * nothing.
+     * Number of calls assumed to be answered in addition to those counted, so that a single unanswered call does not
+     * set a limit.
      */
     private static final double PRIOR_ANSWERED_CALLS = 4;
 
     /**
-     * Share of the shortest idle time seen unanswered that is still trusted: the limit on the network path may be
-     * shorter.
+     * The limit, as a share of the shortest idle time after which a call got no answer: the network path may drop
+     * connections that were idle for less time than that.
      */
     private static final double TRUSTED_SHARE = 0.5;
 
-    /** Number of time constants for which a limit holds after the last sign of it. */
+    /** Number of time constants for which a limit holds after the last call that showed dropped connections. */
     private static final double HOLD_TIME_CONSTANTS = 20;
 
     private final DecayingCount unansweredCalls = new DecayingCount();
--- a/src/main/java/pepperdock/estimate/PartWork.java
+++ b/src/main/java/pepperdock/estimate/PartWork.java
@@ -4,17 +4,18 @@
 
 /**
  * Estimates the work of a part of each class, in seconds, from the time of parts that did not queue. Each class has its
- * own estimate: a single one would follow the quickest class and take ten heavy parts for ten light ones.
+ * own estimate: a single estimate would follow the class with the shortest parts, and would count ten heavy parts as
+ * ten light ones.
  */
 public final class PartWork {
 
-    /** Weight of one part towards a shorter time, which shows the work without queueing. */
+    /** Weight of a part that took less time than the estimate: its time shows the work without queueing. */
     private static final double SHORTER_GAIN = 0.1;
 
     /** Weight of one part in the mean over classes, which thus spans about sixty parts: a few seconds of traffic. */
     private static final double MEAN_GAIN = 1.0 / 64;
 
-    /** Weight of one part towards a longer time, which queueing may have caused. */
+    /** Weight of a part that took more time than the estimate: queueing may have caused the difference. */
     private static final double LONGER_GAIN = SHORTER_GAIN * MEAN_GAIN;
 
     /**
--- a/src/main/java/pepperdock/estimate/RetryBudget.java
+++ b/src/main/java/pepperdock/estimate/RetryBudget.java
@@ -1,14 +1,14 @@
 package pepperdock.estimate;
 
 /**
- * Limits the number of retries to a share of the first attempts, saved up to a limit, and to the budget over a window
- * where the settings define one. Guards against retry storms.
+ * Limits the number of retries to a share of the first attempts; unused retries are saved up to a limit. Where the
+ * settings define a budget over a window, retries must also stay within that budget. Guards against retry storms.
  */
 public final class RetryBudget {
 
     /**
-     * Retries added by a first attempt: ordinary faults affect fewer attempts, and load grows by no more than this
-     * share.
+     * Retries that each first attempt adds to those saved up: ordinary faults affect fewer attempts, and load grows by
+     * no more than this share.
      */
     private static final double RETRIES_PER_FIRST_ATTEMPT = 0.15;
 
--- a/src/main/java/pepperdock/estimate/ServiceTime.java
+++ b/src/main/java/pepperdock/estimate/ServiceTime.java
@@ -13,8 +13,8 @@
     private static final double QUARTILE_STEP = 0.1;
 
     /**
-     * Most by which the parts of one query together may move the quartile, as a share of it: answers arrive sorted by
-     * time, and must not move the estimate to the time of the slowest.
+     * Upper limit for the sum of the steps of all parts of one query, as a share of the quartile: the answers of a
+     * query arrive sorted by time, and the slow ones, which come last, must not move the estimate to their time.
      */
     private static final double QUARTILE_STEP_PER_QUERY = 2;
 
--- a/src/main/java/pepperdock/estimate/WarmUpAllowance.java
+++ b/src/main/java/pepperdock/estimate/WarmUpAllowance.java
@@ -5,8 +5,8 @@
  * accrues at a rate, is saved up to a limit, and may be overdrawn by one part, after which the instance waits until the
  * debt is paid. Times and work are in seconds.
  *
- * <p>Instances that start with a random share of a part overdrawn send evenly in total, although all learn of a start
- * together.
+ * <p>If each instance starts overdrawn by a random share of a part, all instances together send at an even rate,
+ * although they learn of the start of an endpoint at the same time.
  */
 public final class WarmUpAllowance {
 
--- a/src/main/java/pepperdock/events/Events.java
+++ b/src/main/java/pepperdock/events/Events.java
@@ -5,9 +5,9 @@
 
 /**
  * Writes the events of a gatherer for checkers that evaluate several gatherers together: one JSON object per line on
- * standard output. Enabled by {@code "events": true} in the deploy file; otherwise the only cost is a method call.
- * Unlike the log, which is for operators, events have stable names and keys, and each is written where it happens, in
- * order.
+ * standard output. Enabled by {@code "events": true} in the configuration file; otherwise the only cost is a method
+ * call. Unlike the log, which is for operators, events have stable names and keys, and each is written where it
+ * happens, in order.
  *
  * <p>Called on the I/O thread only. Standard output is a pipe to the checker, and a checker that stops reading blocks
  * the process, so only test rigs should enable events.
--- a/src/main/java/pepperdock/scheduler/AdaptiveScheduler.java
+++ b/src/main/java/pepperdock/scheduler/AdaptiveScheduler.java
@@ -188,7 +188,7 @@
     public void updateSettings(SchedulerSettings settings) {
         boolean classesChanged = !settings.classes().equals(context.settings().classes());
         context.updateSettings(settings);
-        retries.onSettings();
+        retries.onSettingsUpdated();
         if (classesChanged) {
             freshness.reset();
             estimates.resetPartWork();
--- a/src/main/java/pepperdock/scheduler/AdmissionController.java
+++ b/src/main/java/pepperdock/scheduler/AdmissionController.java
@@ -8,11 +8,12 @@
  * <p>{@link LoadShedder} may reject the query first. Otherwise it is dispatched if no query is queued and the
  * {@link ConcurrencyLimit} has room, queued if it would still be answered within its objective, and rejected if not.
  * Queued queries are dispatched first in, first out; one whose objective can no longer be met is rejected. The expected
- * wait is the time in which the parts ahead, Pmin of each query, are answered at the present rate. Inputs are times in
- * seconds and counts of parts.
+ * wait is the time that it takes, at the present rate of answers, to answer Pmin parts (see {@link FanOutPolicy}) of
+ * each queued query and of the new one. Inputs are times in seconds and counts of parts.
  *
- * <p>This guards against a queue of queries whose answers come too late, and leaves the client time to turn elsewhere.
- * It rejects too many queries where the rate of answers has just risen, because the expected wait is then too long.
+ * <p>This guards against a queue of queries whose answers come too late, and leaves the client time to try another
+ * instance. It rejects too many queries where the rate of answers has just risen, because the expected wait is then too
+ * long.
  */
 final class AdmissionController {
 
--- a/src/main/java/pepperdock/scheduler/AttemptResultHandler.java
+++ b/src/main/java/pepperdock/scheduler/AttemptResultHandler.java
@@ -2,9 +2,9 @@
 
 /**
  * Passes the result of an attempt on to the policies that learn from it. A timely answer counts as no failure while it
- * takes at most {@link #SLOW_QUARTILES} times the lower quartile of part times, as a fraction of a failure above that,
- * and as a whole failure from twice that time on. Answers that were late because this process was paused are not learnt
- * from.
+ * takes at most {@link #SLOW_QUARTILE_MULTIPLE} times the lower quartile of part times, as a fraction of a failure
+ * above that, and as a whole failure from twice that time on. Answers that were late because this process was paused
+ * are not learnt from.
  */
 final class AttemptResultHandler {
 
@@ -12,13 +12,13 @@
      * Multiple of the lower quartile of part times from which an answer counts as part of a failure: few healthy
      * answers take that long.
      */
-    private static final double SLOW_QUARTILES = 3;
+    private static final double SLOW_QUARTILE_MULTIPLE = 3;
 
     /**
      * While the list is not watched, an unreachable endpoint that has not answered for this many shortest objectives
      * may have restarted unnoticed.
      */
-    private static final double RESTART_OBJECTIVES = 2;
+    private static final double UNNOTICED_RESTART_OBJECTIVES = 2;
 
     private final SchedulerContext context;
     private final FleetEstimates estimates;
@@ -88,7 +88,7 @@
             shedder.onAnswer(endpoint, elapsedS);
         }
         boolean mayHaveRestarted = !listPoller.isWatching()
-                && context.nowS() - endpoint.lastOkAtS > RESTART_OBJECTIVES * context.shortestObjectiveS();
+                && context.nowS() - endpoint.lastOkAtS > UNNOTICED_RESTART_OBJECTIVES * context.shortestObjectiveS();
         endpoint.lastOkAtS = context.nowS();
         estimates.addAnsweredPart();
         if (endpoint.unreachable && mayHaveRestarted && !slowStart.isWarmingUp(endpoint)) {
@@ -103,6 +103,6 @@
     /** Returns 0 for a quick answer, and up to 1 for one that is as bad as a failure. */
     private double slowness(double elapsedS) {
         double quartiles = elapsedS / estimates.partTime().lowerQuartileS();
-        return Math.max(0, Math.min(1, quartiles / SLOW_QUARTILES - 1));
+        return Math.max(0, Math.min(1, quartiles / SLOW_QUARTILE_MULTIPLE - 1));
     }
 }
--- a/src/main/java/pepperdock/scheduler/EndpointListPoller.java
+++ b/src/main/java/pepperdock/scheduler/EndpointListPoller.java
@@ -8,7 +8,8 @@
  * <p>While no watch is open, at most one call is outstanding. After a failure the next call follows after a backoff
  * that doubles each time, up to a share of the longest allowed age of a list. Inputs are the outcome of each call, the
  * settings' list age in seconds and the number of gatherers. Discovery is one service for all gatherers and fails calls
- * that wait; gatherers that fail together and call again together fail again, so every backoff has a random part.
+ * that have to wait. If gatherers whose calls failed at the same time called again at the same time, these calls would
+ * fail too, so every backoff has a random part.
  *
  * <p>This guards against a synchronized retry storm when discovery recovers. It delays the list by up to one backoff
  * when discovery recovers right after a failure.
--- a/src/main/java/pepperdock/scheduler/FanOutPolicy.java
+++ b/src/main/java/pepperdock/scheduler/FanOutPolicy.java
@@ -28,9 +28,9 @@
     private static final double TRIM_RANGE_OBJECTIVE_SHARE = 0.2;
 
     /**
-     * Number of instances up to which an instance's own limit shows the load well enough, because each instance has
-     * queued queries, which the formula trims. One of many instances receives a query now and then and learns of the
-     * load from part times alone, so trimming begins earlier there.
+     * Number of instances up to which each instance's own concurrency limit shows the load well enough, because queries
+     * queue at each instance and the formula trims them. With many instances, each receives a query only now and then
+     * and learns of the load from part times alone, so trimming begins at a shorter part time.
      */
     private static final double FEW_INSTANCES = 2;
 
--- a/src/main/java/pepperdock/scheduler/HedgingPolicy.java
+++ b/src/main/java/pepperdock/scheduler/HedgingPolicy.java
@@ -29,7 +29,7 @@
      * A part is hedged at the last moment before the objective if it has been outstanding for more than this multiple
      * of the lower quartile of part times: most parts are answered by then.
      */
-    private static final double LAST_MOMENT_QUARTILES = 3;
+    private static final double LAST_MOMENT_QUARTILE_MULTIPLE = 3;
 
     /** Length of the last moment in sweeps, long enough that it is not missed. */
     private static final int LAST_MOMENT_SWEEPS = 2;
@@ -89,7 +89,7 @@
         if (last.outcome != null
                 || !seemsLost
                 || last.cancelRequested
-                || !retries.hasBudget(part)
+                || !retries.isWithinBudget(part)
                 || !part.hasAttemptsLeft()) {
             return FollowUp.NONE;
         }
@@ -125,7 +125,7 @@
                                 * context.settings().tickS()
                 && context.nowS() < part.query.objectiveAtS
                 && context.nowS() - last.sentAtS
-                        > LAST_MOMENT_QUARTILES * estimates.partTime().lowerQuartileS();
+                        > LAST_MOMENT_QUARTILE_MULTIPLE * estimates.partTime().lowerQuartileS();
     }
 
     private boolean hasOtherReplica(PartState part, AttemptState last) {
--- a/src/main/java/pepperdock/scheduler/OverdueDetector.java
+++ b/src/main/java/pepperdock/scheduler/OverdueDetector.java
@@ -20,7 +20,7 @@
      * Multiple of the lower quartile of part times after which an attempt is overdue: few healthy attempts take that
      * long.
      */
-    private static final double OVERDUE_QUARTILES = 6;
+    private static final double OVERDUE_QUARTILE_MULTIPLE = 6;
 
     /** Mean deviations above the mean part time after which an attempt is lost: until then it may have been queued. */
     private static final double LOST_DEVIATIONS = 5;
@@ -73,7 +73,7 @@
 
     /** Returns how long an attempt may be outstanding before it is overdue, in seconds. */
     double overdueAfterS() {
-        return OVERDUE_QUARTILES * estimates.partTime().lowerQuartileS();
+        return OVERDUE_QUARTILE_MULTIPLE * estimates.partTime().lowerQuartileS();
     }
 
     private void check(AttemptState attempt, double overdueAfterS, double lostAfterS) {
@@ -90,8 +90,8 @@
             shedder.onOverload(endpoint);
             outliers.onFailure(endpoint);
         }
-        boolean othersAnswer = endpoint.lastOkAtS < attempt.sentAtS && estimates.lastAnswerAtS() > attempt.sentAtS;
-        if (!endpoint.unreachable && othersAnswer && outstandingS > SILENT_OVERDUE_FACTOR * overdueAfterS) {
+        boolean onlyOthersAnswer = endpoint.lastOkAtS < attempt.sentAtS && estimates.lastAnswerAtS() > attempt.sentAtS;
+        if (!endpoint.unreachable && onlyOthersAnswer && outstandingS > SILENT_OVERDUE_FACTOR * overdueAfterS) {
             outliers.onUnreachable(endpoint);
         }
         if (outstandingS > LATE_OBJECTIVE_SHARE * attempt.part.query.queryClass.latencyObjectiveS()) {
--- a/src/main/java/pepperdock/scheduler/ProtocolRules.java
+++ b/src/main/java/pepperdock/scheduler/ProtocolRules.java
@@ -27,7 +27,7 @@
         double retryBudgetWindowS,
         double listPollIntervalS) {
 
-    /** Seconds after which the protocol counts a change of the list as notified, once the list could be reached. */
+    /** Seconds, from when the list could be reached, after which the protocol expects a change of it to be known. */
     private static final double NOTIFICATION_DEADLINE_S = 6;
 
     /**
--- a/src/main/java/pepperdock/scheduler/ReplicaSelector.java
+++ b/src/main/java/pepperdock/scheduler/ReplicaSelector.java
@@ -18,8 +18,8 @@
 final class ReplicaSelector {
 
     /**
-     * Penalty of a replica that an earlier attempt at the part was sent to: more than one failure adds to the failure
-     * rate, less than two.
+     * Penalty of a replica that an earlier attempt at the part was sent to: larger than what one failure adds to the
+     * failure rate, and smaller than what two failures add.
      */
     private static final double ATTEMPTED_PENALTY = 0.5;
 
--- a/src/main/java/pepperdock/scheduler/RetryPolicy.java
+++ b/src/main/java/pepperdock/scheduler/RetryPolicy.java
@@ -22,11 +22,11 @@
     RetryPolicy(SchedulerContext context, OutlierDetector outliers) {
         this.context = context;
         this.outliers = outliers;
-        onSettings();
+        onSettingsUpdated();
     }
 
     /** Applies the retry budget of the settings, which have been replaced. */
-    void onSettings() {
+    void onSettingsUpdated() {
         ProtocolRules rules = context.settings().rules();
         budget.update(new RetryBudget.WindowBudget(
                 rules.retryBudgetWindowS(), rules.retryBudgetFree(), rules.retryBudgetShare()));
@@ -52,13 +52,13 @@
     }
 
     /** Returns whether the budget permits another attempt at the part, which has been attempted. */
-    boolean hasBudget(PartState part) {
+    boolean isWithinBudget(PartState part) {
         return budget.allows(context.nowS(), hasFailureResponse(part));
     }
 
     /** Returns whether the part, which has been attempted, may be retried at the endpoint. */
     boolean allowsRetry(PartState part, EndpointRecord endpoint) {
-        return hasBudget(part)
+        return isWithinBudget(part)
                 && (!outliers.isOutlier(endpoint)
                         || context.nowS() >= endpoint.nextTrialAtS
                         || outliers.isLastResort(part, endpoint));
