--- a/src/test/java/pepperdock/DescriptorsIT.java
+++ b/src/test/java/pepperdock/DescriptorsIT.java
@@ -37,8 +37,8 @@
     @Test
     void failedAcceptNeitherEndsTheProcessNorFloodsTheLog() throws Exception {
         List<String> command =
-                List.of("/bin/sh", "-c", "ulimit -n 70 && exec '" + String.join("' '", BuiltJar.SERVE_COMMAND) + "'");
-        try (BuiltJar jar = new BuiltJar(
+                List.of("/bin/sh", "-c", "ulimit -n 70 && exec '" + String.join("' '", JarProcess.SERVE_COMMAND) + "'");
+        try (JarProcess jar = new JarProcess(
                 Path.of("."),
                 folder,
                 command,
@@ -56,7 +56,7 @@
                 }
             }
             try (Socket client = jar.connect()) {
-                BuiltJar.assertReady(client);
+                JarProcess.assertReady(client);
             }
             // XNIO pauses accepting for some seconds. A line for each iteration of the selector would flood the log.
             assertTrue(
@@ -69,13 +69,13 @@
     /** More connections than the socket limit and the backlog of the listening socket allow together. */
     private static final int IDLE_CLIENTS = 400;
 
-    private long descriptorCount(BuiltJar jar) throws IOException {
+    private long descriptorCount(JarProcess jar) throws IOException {
         try (Stream<Path> descriptors = Files.list(Path.of("/proc", Long.toString(jar.process.pid()), "fd"))) {
             return descriptors.count();
         }
     }
 
-    private static void signal(BuiltJar jar, String name) throws Exception {
+    private static void signal(JarProcess jar, String name) throws Exception {
         assertEquals(
                 0,
                 new ProcessBuilder("kill", "-" + name, Long.toString(jar.process.pid()))
@@ -84,14 +84,14 @@
     }
 
     /** Connects the idle clients while the process is stopped, so that it sees all connections at the same time. */
-    private void connectIdleClients(BuiltJar jar, List<Socket> clients) throws Exception {
+    private void connectIdleClients(JarProcess jar, List<Socket> clients) throws Exception {
         signal(jar, "STOP");
         for (int i = 0; i < IDLE_CLIENTS; i++) {
             clients.add(jar.connect());
         }
         signal(jar, "CONT");
         try (Socket last = jar.connect()) {
-            BuiltJar.assertReady(last);
+            JarProcess.assertReady(last);
         }
     }
 
@@ -134,10 +134,10 @@
         }
         List<Socket> clients = new ArrayList<>();
         try (FakeWorker worker = new FakeWorker(new FakeWorkerBehaviour());
-                BuiltJar jar = new BuiltJar(
+                JarProcess jar = new JarProcess(
                         Path.of("."),
                         folder,
-                        BuiltJar.SERVE_COMMAND,
+                        JarProcess.SERVE_COMMAND,
                         "\"discovery\":\"127.0.0.1:" + port + "\",\"limits\":{\"sockets\":" + MAX_SOCKETS
                                 + "},\"known\":{\"seq\":1,\"whole\":true,\"hosts\":[]},",
                         null)) {
@@ -177,7 +177,7 @@
     }
 
     /** Sends one query on a new connection and returns the response, which is an error until the list has arrived. */
-    private static String query(BuiltJar jar, int number) throws Exception {
+    private static String query(JarProcess jar, int number) throws Exception {
         String body = "{\"ranges\":[{\"range\":0,\"portion\":1}],\"predicate\":\"x\"}";
         try (Socket client = jar.connect()) {
             client.getOutputStream()
--- a/src/test/java/pepperdock/JarProcess.java
+++ b/src/test/java/pepperdock/JarProcess.java
@@ -13,7 +13,7 @@
 import pepperdock.config.TestDeploymentSettings;
 
 /** A gatherer started from the built jar as a separate process; closing it terminates the process. */
-final class BuiltJar implements AutoCloseable {
+final class JarProcess implements AutoCloseable {
 
     static final List<String> SERVE_COMMAND = List.of(
             Path.of(System.getProperty("java.home"), "bin", "java").toString(),
@@ -30,7 +30,7 @@
      * @param extraKeys keys of the configuration besides name, address and settings, each followed by a comma
      * @param path search path of the process, null for that of this process
      */
-    BuiltJar(Path root, Path folder, List<String> command, String extraKeys, String path) throws IOException {
+    JarProcess(Path root, Path folder, List<String> command, String extraKeys, String path) throws IOException {
         configure(folder, extraKeys);
         ProcessBuilder builder = new ProcessBuilder(command).directory(root.toFile());
         builder.environment().put("EDGE_CONFIG", folder.resolve("config.json").toString());
--- a/src/test/java/pepperdock/SignalsIT.java
+++ b/src/test/java/pepperdock/SignalsIT.java
@@ -40,8 +40,8 @@
         return "\"discovery\":\"127.0.0.1:" + discovery.getLocalPort() + "\",";
     }
 
-    private BuiltJar start(ServerSocket discovery) throws IOException {
-        return new BuiltJar(Path.of("."), folder, BuiltJar.SERVE_COMMAND, discoveryKey(discovery), null);
+    private JarProcess start(ServerSocket discovery) throws IOException {
+        return new JarProcess(Path.of("."), folder, JarProcess.SERVE_COMMAND, discoveryKey(discovery), null);
     }
 
     private static void signal(String name, Process process) throws Exception {
@@ -53,9 +53,9 @@
     void sighupMovesTheWatchToTheNewAddressAndTheProcessContinues() throws Exception {
         try (ServerSocket first = openServer();
                 ServerSocket second = openServer();
-                BuiltJar jar = start(first)) {
+                JarProcess jar = start(first)) {
             assertTrue(acceptRequestLine(first).startsWith("GET /api/targets?since=0&"));
-            BuiltJar.configure(folder, discoveryKey(second));
+            JarProcess.configure(folder, discoveryKey(second));
             signal("HUP", jar.process);
             assertEquals("GET /api/targets HTTP/1.1", acceptRequestLine(second));
             assertTrue(jar.process.isAlive(), jar::log);
@@ -80,7 +80,8 @@
     @Test
     void queryInFlightAtSigtermIsAnsweredDespiteReloadAndSecondSigterm() throws Exception {
         try (ServerSocket worker = openServer();
-                BuiltJar jar = new BuiltJar(Path.of("."), folder, BuiltJar.SERVE_COMMAND, knownWorkers(worker), null)) {
+                JarProcess jar =
+                        new JarProcess(Path.of("."), folder, JarProcess.SERVE_COMMAND, knownWorkers(worker), null)) {
             try (Socket client = jar.connect();
                     Socket idle = jar.connect()) {
                 String body = "{\"ranges\":[{\"range\":0,\"portion\":1}],\"predicate\":\"x\"}";
@@ -99,7 +100,7 @@
                     String status = new String(client.getInputStream().readNBytes(12), StandardCharsets.US_ASCII);
                     assertTrue(status.matches("HTTP/1.1 50[34]"), status);
                     // A connection that was idle all the time is still served.
-                    BuiltJar.assertReady(idle);
+                    JarProcess.assertReady(idle);
                 }
             }
             assertTrue(jar.process.waitFor(30, java.util.concurrent.TimeUnit.SECONDS));
@@ -124,7 +125,8 @@
     @Test
     void halfSentRequestAtSigtermIsServedAndUnreadReplyOutlivesTheProcess() throws Exception {
         try (ServerSocket worker = openServer();
-                BuiltJar jar = new BuiltJar(Path.of("."), folder, BuiltJar.SERVE_COMMAND, knownWorkers(worker), null);
+                JarProcess jar =
+                        new JarProcess(Path.of("."), folder, JarProcess.SERVE_COMMAND, knownWorkers(worker), null);
                 Socket half = jar.connect();
                 Socket unread = jar.connect()) {
             byte[] request = queryRequest("half").getBytes(StandardCharsets.US_ASCII);
@@ -152,7 +154,7 @@
     @Test
     void sigtermDuringStartEndsTheProcess() throws Exception {
         try (ServerSocket discovery = openServer();
-                BuiltJar jar = start(discovery)) {
+                JarProcess jar = start(discovery)) {
             signal("TERM", jar.process);
             assertTrue(jar.process.waitFor(30, java.util.concurrent.TimeUnit.SECONDS), jar::log);
             assertTrue(
@@ -160,7 +162,7 @@
                     () -> "status " + jar.process.exitValue());
         }
         try (ServerSocket discovery = openServer();
-                BuiltJar jar = start(discovery)) {
+                JarProcess jar = start(discovery)) {
             jar.awaitLogLine(" serves on ");
             signal("TERM", jar.process);
             assertTrue(jar.process.waitFor(30, java.util.concurrent.TimeUnit.SECONDS), jar::log);
@@ -176,12 +178,12 @@
     @Test
     void keptConnectionIsServedAfterSigtermAndTheEndIsLogged() throws Exception {
         try (ServerSocket discovery = openServer();
-                BuiltJar jar = start(discovery)) {
+                JarProcess jar = start(discovery)) {
             try (Socket client = jar.connect()) {
-                BuiltJar.assertReady(client);
+                JarProcess.assertReady(client);
                 signal("TERM", jar.process);
                 jar.awaitLogLine("draining, 0 in hand");
-                BuiltJar.assertReady(client);
+                JarProcess.assertReady(client);
             }
             jar.terminate();
             assertEquals(0, jar.process.exitValue());
--- a/src/test/java/pepperdock/StartIT.java
+++ b/src/test/java/pepperdock/StartIT.java
@@ -59,10 +59,10 @@
      * Starts the process, checks that it is ready, looks in /proc whether the archive is mapped, and ends the process.
      */
     private StartResult startAndServe() throws Exception {
-        try (BuiltJar jar =
-                new BuiltJar(root, root, command, "\"known\":{\"seq\":1,\"whole\":true,\"hosts\":[]},", path)) {
+        try (JarProcess jar =
+                new JarProcess(root, root, command, "\"known\":{\"seq\":1,\"whole\":true,\"hosts\":[]},", path)) {
             try (Socket client = jar.connect()) {
-                BuiltJar.assertReady(client);
+                JarProcess.assertReady(client);
             }
             return new StartResult(
                     jar.log(),
@@ -101,8 +101,8 @@
     }
 
     /**
-     * On a platform that refuses fork, a start script that checks the archive in a child process would go without the
-     * archive. Here no program but Java is on the search path.
+     * On a platform that refuses fork, a start script that checks the archive in a child process would start without
+     * the archive. In this test, Java is the only program on the search path.
      */
     @Test
     void archiveIsUsedWhenJavaIsTheOnlyProgramOnThePath() throws Exception {
@@ -112,7 +112,7 @@
         archiveOfTheBuildIsUsed();
     }
 
-    /** The run line of the platform is a single exec, because a start can fail at each further step. */
+    /** The run line in deploy/balancer.toml is a single exec, because each further step could make the start fail. */
     @Test
     void runLineOfThePlatformServesWithAndWithoutTheArchive() throws Exception {
         String run = Files.readAllLines(Path.of("deploy/balancer.toml")).stream()
--- a/src/test/java/pepperdock/UpgradeIT.java
+++ b/src/test/java/pepperdock/UpgradeIT.java
@@ -42,7 +42,7 @@
 
         GathererProcess(String name) throws IOException {
             log = folder.resolve(name + ".log");
-            ProcessBuilder builder = new ProcessBuilder(BuiltJar.SERVE_COMMAND);
+            ProcessBuilder builder = new ProcessBuilder(JarProcess.SERVE_COMMAND);
             builder.environment()
                     .put("EDGE_CONFIG", folder.resolve("config.json").toString());
             builder.environment().put("EDGE_OPERATOR", "127.0.0.1:0");
@@ -260,7 +260,7 @@
         assertEquals(1, behaviour.calls("good", 0));
     }
 
-    /** The banned worker returns with its id, cold and at another address, by a reload; later it is enabled again. */
+    /** A reload lists the banned worker, restarted, as cold and at another address; later it is enabled again. */
     @Test
     void banOutlastsRestartOfTheWorkerAndReloadUntilTheWorkerIsEnabled() throws Exception {
         GathererProcess gatherer = new GathererProcess("n0").awaitReady();
--- a/src/test/java/pepperdock/core/GathererTest.java
+++ b/src/test/java/pepperdock/core/GathererTest.java
@@ -20,7 +20,7 @@
 
     private static final double STEP_S = 0.01;
     /** Interval of the scheduler's sweep (25 ms), plus one batch (5 ms) and two steps of the clock. */
-    private static final double SWEEP_S = 0.025 + 0.005 + 2 * STEP_S;
+    private static final double MAX_SWEEP_DELAY_S = 0.025 + 0.005 + 2 * STEP_S;
 
     private final GathererFixture fixture = new GathererFixture();
 
@@ -67,8 +67,8 @@
     }
 
     /**
-     * Three large queries are in flight, and the parts of a fourth would exceed the limit. It is accepted: if its own
-     * parts were counted before, a gatherer would reject queries of all shards under low load, with a third of its
+     * Three large queries are in flight, and the parts of a fourth would exceed the limit. It is accepted: if the parts
+     * of the arriving query counted, a gatherer under low load would reject queries of all shards, with a third of its
      * capacity unused. The next query finds the limit reached and is rejected, although it is small.
      */
     @Test
@@ -307,7 +307,7 @@
     @ParameterizedTest
     @ValueSource(doubles = {0, 1, 2, 2.5})
     void endpointListIsPolledAgainInTimeAfterRepeatedFailures(double failsAfterS) {
-        double maxIntervalS = Math.max(3, failsAfterS + 0.75) + SWEEP_S;
+        double maxIntervalS = Math.max(3, failsAfterS + 0.75) + MAX_SWEEP_DELAY_S;
         fixture.gatherer.onEndpointList(EndpointListKind.FAILED, List.of());
         awaitPoll(maxIntervalS);
         for (int i = 0; i < 40; i++) {
--- a/src/test/java/pepperdock/core/MemoryBoundTest.java
+++ b/src/test/java/pepperdock/core/MemoryBoundTest.java
@@ -36,7 +36,7 @@
      * Sizes without a query in flight: the endpoint list, the classes, and the scheduler's records of workers, cells
      * and zones.
      */
-    private static final Map<String, Integer> AT_REST = Map.of(
+    private static final Map<String, Integer> SIZES_AT_REST = Map.of(
             "core.KnownEndpoints.listedEndpoints", WORKERS,
             "core.Metrics.endedByClass", 3,
             "scheduler.EndpointRegistry.endpoints", WORKERS,
@@ -44,9 +44,9 @@
             "scheduler.OutlierDetector.zones", 1);
 
     /** Minimum numbers of maps and collections to be found; fewer would mean that the search has missed some. */
-    private static final int CORE_COLLECTIONS = 10;
+    private static final int MIN_CORE_COLLECTIONS = 10;
 
-    private static final int SCHEDULER_COLLECTIONS = 8;
+    private static final int MIN_SCHEDULER_COLLECTIONS = 8;
 
     private final GathererFixture fixture = new GathererFixture();
     private final SplittableRandom random = new SplittableRandom(11);
@@ -189,13 +189,13 @@
             sizes(owner).forEach((name, size) -> {
                 found.merge(owner.getClass().getPackageName(), 1, Integer::sum);
                 String collection = name(owner) + '.' + name;
-                if (size > AT_REST.getOrDefault(collection, 0)) {
+                if (size > SIZES_AT_REST.getOrDefault(collection, 0)) {
                     retained.add(collection + ": " + size);
                 }
             });
         }
-        assertTrue(found.get("pepperdock.core") >= CORE_COLLECTIONS, found::toString);
-        assertTrue(found.get("pepperdock.scheduler") >= SCHEDULER_COLLECTIONS, found::toString);
+        assertTrue(found.get("pepperdock.core") >= MIN_CORE_COLLECTIONS, found::toString);
+        assertTrue(found.get("pepperdock.scheduler") >= MIN_SCHEDULER_COLLECTIONS, found::toString);
         assertEquals(List.of(), retained);
         assertTrue(
                 replaced > 70 && fixture.answers.size() > 1000,
--- a/src/test/java/pepperdock/estimate/EstimatesTest.java
+++ b/src/test/java/pepperdock/estimate/EstimatesTest.java
@@ -56,9 +56,9 @@
             time.add(i % 4 == 0 ? 0.09 : 5, 4);
             work.add(0, i % 4 == 0 ? 0.09 : 5);
         }
-        assertTrue(time.lowerQuartileS() < 0.2, "" + time.lowerQuartileS());
-        assertTrue(time.meanS() > 3, "" + time.meanS());
-        assertTrue(work.estimateS(0) < 1, "" + work.estimateS(0));
+        assertTrue(time.lowerQuartileS() < 0.2, "lower quartile, expected below 0.2 s: " + time.lowerQuartileS());
+        assertTrue(time.meanS() > 3, "mean, expected above 3 s: " + time.meanS());
+        assertTrue(work.estimateS(0) < 1, "estimated work, expected below 1 s: " + work.estimateS(0));
     }
 
     @Test
--- a/src/test/java/pepperdock/scheduler/CompletionPolicyTest.java
+++ b/src/test/java/pepperdock/scheduler/CompletionPolicyTest.java
@@ -68,9 +68,9 @@
         assertThrows(
                 IllegalArgumentException.class,
                 () -> {
-                    SchedulerFixture odd = new SchedulerFixture();
-                    odd.completeCoverage = 0.5;
-                    odd.start("a");
+                    SchedulerFixture invalid = new SchedulerFixture();
+                    invalid.completeCoverage = 0.5;
+                    invalid.start("a");
                 },
                 "minimum coverage above complete coverage");
     }
--- a/src/test/java/pepperdock/scheduler/HedgingPolicyTest.java
+++ b/src/test/java/pepperdock/scheduler/HedgingPolicyTest.java
@@ -75,13 +75,13 @@
         fixture.scheduler.endBatch();
         fixture.sweep(queryStart + 1.9);
         long retries = fixture.actions.sends.size() - 100L;
-        // The budget is 5 and a fifth of the 101 arrivals, less the one left unused. This is more than the ten saved
-        // up, and covers all missing parts.
+        // The window budget allows 5 retries and a fifth of the 101 arrivals, less the one left unused. This is more
+        // than the ten retries saved up, and covers all 15 missing parts.
         assertEquals(15, retries);
     }
 
     @Test
-    void latePartIsHedgedAtTheLastMomentOnlyWithStatedBudget() {
+    void latePartIsHedgedAtTheLastMomentOnlyWithWindowBudget() {
         for (boolean budgeted : new boolean[] {true, false}) {
             SchedulerFixture fixture = new SchedulerFixture();
             fixture.hedging = true;
--- a/src/test/java/pepperdock/scheduler/IdleConnectionPolicyTest.java
+++ b/src/test/java/pepperdock/scheduler/IdleConnectionPolicyTest.java
@@ -37,14 +37,14 @@
      * Returns a fixture after five queries that all endpoints answered, one that the given number of endpoints left
      * unanswered, and one that was just sent.
      */
-    private static SchedulerFixture afterManyQueries(int silent) {
+    private static SchedulerFixture afterQueryWithSilentEndpoints(int silentCount) {
         SchedulerFixture fixture = new SchedulerFixture();
         String[] names = IntStream.range(0, 12).mapToObj(i -> "s" + i).toArray(String[]::new);
         fixture.start(names);
         for (int i = 1; i <= 5; i++) {
             runQuery(fixture, i, 12, Set.of());
         }
-        runQuery(fixture, 6, 12, Set.of(Arrays.copyOf(names, silent)));
+        runQuery(fixture, 6, 12, Set.of(Arrays.copyOf(names, silentCount)));
         fixture.actions.clear();
         fixture.query(7, 6, SchedulerFixture.equalWeights(12));
         fixture.scheduler.endBatch();
@@ -53,24 +53,24 @@
 
     @Test
     void silentlyDroppedIdleConnectionsAreClosedAndEndpointsNotEjected() {
-        SchedulerFixture fixture = afterManyQueries(8);
-        assertEquals(12, fixture.actions.count("drop"));
+        SchedulerFixture fixture = afterQueryWithSilentEndpoints(8);
+        assertEquals(12, fixture.actions.count("close idle"));
         assertTrue(
-                fixture.actions.recorded.get(0).startsWith("drop"),
+                fixture.actions.recorded.get(0).startsWith("close idle"),
                 "connections are closed before the attempts are sent");
-        assertEquals(12, fixture.counts().size(), "every endpoint receives attempts");
+        assertEquals(12, fixture.sentTo().size(), "every endpoint receives attempts");
     }
 
     @Test
     void fewSilentEndpointsAreNotTakenForDroppedConnections() {
-        SchedulerFixture fixture = afterManyQueries(3);
-        assertTrue(fixture.actions.count("drop") <= 3, "connections are closed at most to the silent endpoints");
-        assertTrue(fixture.counts().size() <= 11, "silent endpoints receive only trials: " + fixture.counts());
+        SchedulerFixture fixture = afterQueryWithSilentEndpoints(3);
+        assertTrue(fixture.actions.count("close idle") <= 3, "connections are closed at most to the silent endpoints");
+        assertTrue(fixture.sentTo().size() <= 11, "silent endpoints receive only trials: " + fixture.sentTo());
     }
 
     @Test
     void failedConnectResetsTheIdleLimit() {
-        SchedulerFixture fixture = afterManyQueries(8);
+        SchedulerFixture fixture = afterQueryWithSilentEndpoints(8);
         List<RecordingActions.Sent> sent = List.copyOf(fixture.actions.sends);
         fixture.beginBatch(fixture.now + 0.25);
         fixture.scheduler.onAttemptResult(new AttemptResult(
@@ -85,6 +85,6 @@
         fixture.actions.clear();
         fixture.query(8, 6, SchedulerFixture.equalWeights(12));
         fixture.scheduler.endBatch();
-        assertEquals(0, fixture.actions.count("drop"));
+        assertEquals(0, fixture.actions.count("close idle"));
     }
 }
--- a/src/test/java/pepperdock/scheduler/LargeFleetTest.java
+++ b/src/test/java/pepperdock/scheduler/LargeFleetTest.java
@@ -52,8 +52,8 @@
         fixture.actions.clear();
         fixture.query(50, 6, SchedulerFixture.equalWeights(8));
         fixture.scheduler.endBatch();
-        long slow = fixture.counts().getOrDefault("c", 0L) + fixture.counts().getOrDefault("d", 0L);
-        assertTrue(slow <= 2, "slow endpoints receive only trials: " + fixture.counts());
+        long slow = fixture.sentTo().getOrDefault("c", 0L) + fixture.sentTo().getOrDefault("d", 0L);
+        assertTrue(slow <= 2, "slow endpoints receive only trials: " + fixture.sentTo());
     }
 
     @Test
@@ -82,9 +82,9 @@
         }
         fixture.scheduler.endBatch();
         assertTrue(
-                fixture.counts().getOrDefault("n3", 0L) >= 3, fixture.counts().toString());
+                fixture.sentTo().getOrDefault("n3", 0L) >= 3, fixture.sentTo().toString());
         assertTrue(
-                fixture.counts().getOrDefault("f3", 0L) <= 1, "new, but behind a degraded path: " + fixture.counts());
+                fixture.sentTo().getOrDefault("f3", 0L) <= 1, "new, but behind a degraded path: " + fixture.sentTo());
     }
 
     @Test
@@ -118,7 +118,7 @@
         fixture.query(50, 6, SchedulerFixture.equalWeights(6));
         fixture.scheduler.endBatch();
         assertTrue(
-                fixture.counts().getOrDefault(silent, 0L) <= 1, fixture.counts().toString());
+                fixture.sentTo().getOrDefault(silent, 0L) <= 1, fixture.sentTo().toString());
     }
 
     @Test
@@ -155,9 +155,9 @@
 
     @Test
     void partsWithoutAvailableReplicaAreLeftOutWithinMinimumCoverage() {
-        for (double floor : new double[] {0.6, 1}) {
+        for (double min : new double[] {0.6, 1}) {
             SchedulerFixture fixture = new SchedulerFixture();
-            fixture.minimumCoverage = floor;
+            fixture.minimumCoverage = min;
             fixture.start();
             SchedulerSettings base = fixture.settings();
             fixture.scheduler = Scheduler.create(
@@ -193,8 +193,8 @@
             fixture.query(2, 6, SchedulerFixture.equalWeights(4));
             fixture.scheduler.endBatch();
             assertEquals(
-                    floor < 1 ? List.of(200L, 201L, 202L) : List.of(), fixture.actions.sentParts(), "floor " + floor);
-            assertEquals(floor < 1 ? List.of() : List.of("reject 2"), fixture.actions.endings(2), "floor " + floor);
+                    min < 1 ? List.of(200L, 201L, 202L) : List.of(), fixture.actions.sentParts(), "minimum " + min);
+            assertEquals(min < 1 ? List.of() : List.of("reject 2"), fixture.actions.endings(2), "minimum " + min);
         }
     }
 
@@ -270,7 +270,7 @@
         fixture.actions.clear();
         fixture.query(2, 6, SchedulerFixture.equalWeights(9));
         fixture.scheduler.endBatch();
-        assertEquals(Map.of("a", 3L, "b", 3L, "c", 3L), fixture.counts());
+        assertEquals(Map.of("a", 3L, "b", 3L, "c", 3L), fixture.sentTo());
         fixture.beginBatch(fixture.now + 1e6);
         fixture.scheduler.onTimer("sweep");
         fixture.scheduler.endBatch();
@@ -295,9 +295,9 @@
                 fixture.endAttempt((1000 + n) * 100L, 0, AttemptOutcome.OK, 0.1);
                 fixture.scheduler.endBatch();
             }
-            sent += fixture.counts().getOrDefault("cold", 0L);
+            sent += fixture.sentTo().getOrDefault("cold", 0L);
         }
-        // Twice a fifth of a core's ten parts a second at 0.1 s each, changed by random waits and the safety margin.
+        // Twice a fifth of the ten parts of 0.1 s that a core serves a second, changed by random waits and the margin.
         assertTrue(sent <= 8, "attempts sent by all instances in the first second: " + sent);
     }
 
@@ -375,7 +375,7 @@
         fixture.scheduler.endBatch();
         fixture.query(1, 6, SchedulerFixture.equalWeights(4));
         fixture.scheduler.endBatch();
-        assertEquals(4, fixture.counts().size(), "the parts go to four different endpoints of six hundred");
+        assertEquals(4, fixture.sentTo().size(), "the parts go to four different endpoints of six hundred");
         fixture.scheduler.onQueryCancelled(1);
         fixture.scheduler.onEndpointList(
                 EndpointListKind.COMPLETE,
--- a/src/test/java/pepperdock/scheduler/RecordingActions.java
+++ b/src/test/java/pepperdock/scheduler/RecordingActions.java
@@ -41,12 +41,12 @@
 
     @Override
     public void checkHealth(String endpointId) {
-        recorded.add("probe " + endpointId);
+        recorded.add("check health " + endpointId);
     }
 
     @Override
     public void closeIdleConnections(String endpointId) {
-        recorded.add("drop " + endpointId);
+        recorded.add("close idle " + endpointId);
     }
 
     @Override
--- a/src/test/java/pepperdock/scheduler/ReplicaSelectorTest.java
+++ b/src/test/java/pepperdock/scheduler/ReplicaSelectorTest.java
@@ -68,7 +68,7 @@
             fixture.start("a", "b");
             fixture.query(1, 6, SchedulerFixture.equalWeights(3));
             fixture.scheduler.endBatch();
-            String busier = fixture.counts().get("a") == 2 ? "a" : "b";
+            String busier = fixture.sentTo().get("a") == 2 ? "a" : "b";
             fixture.beginBatch(100.01);
             fixture.query(2, 6, 1.0);
             fixture.scheduler.endBatch();
@@ -76,6 +76,7 @@
         }
         assertTrue(
                 sentToBusier > 3 && sentToBusier < 17,
-                "one call is outstanding at each, a tie; attempts to the endpoint with two parts: " + sentToBusier);
+                "both endpoints have one call outstanding; attempts to the one with two parts, expected 4 to 16: "
+                        + sentToBusier);
     }
 }
--- a/src/test/java/pepperdock/scheduler/RetryPolicyTest.java
+++ b/src/test/java/pepperdock/scheduler/RetryPolicyTest.java
@@ -72,7 +72,7 @@
     }
 
     @Test
-    void retriesStayWithinTheStatedBudget() {
+    void retriesStayWithinTheWindowBudget() {
         SchedulerFixture fixture = new SchedulerFixture();
         fixture.retryBudgetWindowS = 10;
         fixture.retryBudgetFree = 2;
--- a/src/test/java/pepperdock/scheduler/SchedulerFixture.java
+++ b/src/test/java/pepperdock/scheduler/SchedulerFixture.java
@@ -201,7 +201,7 @@
     }
 
     /** Returns the number of attempts sent to each endpoint. */
-    Map<String, Long> counts() {
+    Map<String, Long> sentTo() {
         return actions.sends.stream()
                 .collect(Collectors.groupingBy(RecordingActions.Sent::endpointId, Collectors.counting()));
     }
