--- a/src/main/java/pepperdock/distribution/ByteBudget.java
+++ b/src/main/java/pepperdock/distribution/ByteBudget.java
@@ -1,8 +1,8 @@
 package pepperdock.distribution;
 
 /**
- * A token bucket of bytes that may be sent: so many a second, and so many at once. Owned by the thread that calls
- * {@link Publisher}.
+ * A token bucket that limits the bytes sent: by a rate and a burst size. Not thread-safe: used only by the thread that
+ * calls {@link Publisher}.
  */
 final class ByteBudget {
 
@@ -10,7 +10,7 @@
 
     private final long bytesPerSecond;
     private final long burst;
-    /** Thousandths of a byte, so that no part of a byte is lost between two calls. */
+    /** The budget left, in thousandths of a byte, so that refilling loses no fraction of a byte between two calls. */
     private long milliBytes;
 
     private long filledAt;
@@ -22,13 +22,13 @@
         filledAt = now;
     }
 
-    /** Whether so many bytes may be sent now; a message larger than the burst may once the budget is full. */
+    /** Returns whether a message may be sent now; one larger than the burst is allowed once the budget is full. */
     boolean allows(int bytes, long now) {
         fill(now);
         return milliBytes >= Math.min(bytes, burst) * MILLIS;
     }
 
-    /** So many bytes are sent; the budget may be overdrawn by the last message. */
+    /** Deducts the bytes of a message that is sent; the last message may overdraw the budget. */
     void spend(int bytes) {
         milliBytes -= bytes * MILLIS;
     }
--- a/src/main/java/pepperdock/distribution/Change.java
+++ b/src/main/java/pepperdock/distribution/Change.java
@@ -1,15 +1,15 @@
 package pepperdock.distribution;
 
-/** The change of one key from one version to a later one. Immutable. */
+/** A change of one key from one version to a later one. Immutable. */
 public sealed interface Change {
 
-    /** The key that changes. */
+    /** Returns the key that changes. */
     String key();
 
-    /** Bytes of this change on the wire. */
+    /** Returns the bytes of this change on the wire. */
     int bytes();
 
-    /** The key gets this value. */
+    /** Adds the key with this value, or replaces its value. */
     record Put(ConfigurationItem item) implements Change {
         @Override
         public String key() {
@@ -22,7 +22,7 @@
         }
     }
 
-    /** The key is removed. */
+    /** Removes the key. */
     record Remove(String key) implements Change {
         @Override
         public int bytes() {
--- a/src/main/java/pepperdock/distribution/ConfigurationAge.java
+++ b/src/main/java/pepperdock/distribution/ConfigurationAge.java
@@ -1,9 +1,10 @@
 package pepperdock.distribution;
 
 /**
- * How old the version in force is: for how long it is not known to be the newest.
+ * The age of the version in force: the time since it was last known to be the newest.
  *
- * @param millis that long
- * @param atLeast it was never known to be since the subscriber's start, so it may be older
+ * @param millis the age in milliseconds
+ * @param atLeast whether the version was never known to be the newest since the subscriber started, so that
+ *     {@code millis} is only a lower bound
  */
 public record ConfigurationAge(long millis, boolean atLeast) {}
--- a/src/main/java/pepperdock/distribution/ConfigurationCodec.java
+++ b/src/main/java/pepperdock/distribution/ConfigurationCodec.java
@@ -8,7 +8,8 @@
 import java.util.List;
 
 /**
- * Encodes a configuration: version, format, number of items, then each item by key in ascending order. Big-endian. Stateless.
+ * Encodes and decodes a configuration: version, format, number of items, then the items in ascending order of their
+ * keys. Big-endian. Stateless.
  */
 public final class ConfigurationCodec {
 
@@ -16,12 +17,12 @@
 
     private ConfigurationCodec() {}
 
-    /** Bytes of a text and its length. */
+    /** Returns the bytes of an encoded text: its length field and its UTF-8 bytes. */
     static int textBytes(String text) {
         return 2 + text.getBytes(StandardCharsets.UTF_8).length;
     }
 
-    /** Encodes a configuration; the items must come by key in ascending order. */
+    /** Encodes a configuration; the items must be in ascending order of their keys. */
     static byte[] write(ConfigurationVersion version, int format, Collection<ConfigurationItem> items) {
         int bytes =
                 HEADER_BYTES + items.stream().mapToInt(ConfigurationItem::bytes).sum();
@@ -37,7 +38,7 @@
     /**
      * Decodes a configuration.
      *
-     * @throws MalformedConfigurationException where these bytes are not one whole configuration
+     * @throws MalformedConfigurationException if the bytes are not exactly one complete configuration
      */
     public static ConfigurationSnapshot read(byte[] bytes) {
         try {
@@ -54,11 +55,13 @@
                 items.add(new ConfigurationItem(new String(key, StandardCharsets.UTF_8), value));
             }
             if (from.hasRemaining()) {
-                throw new MalformedConfigurationException(from.remaining() + " bytes follow the configuration");
+                throw new MalformedConfigurationException(
+                        from.remaining() + " unexpected bytes after the end of the configuration");
             }
             return ConfigurationSnapshot.of(version, format, items);
         } catch (BufferUnderflowException | NegativeArraySizeException e) {
-            throw new MalformedConfigurationException("configuration cut short", e);
+            throw new MalformedConfigurationException(
+                    "configuration of " + bytes.length + " bytes is truncated or has a negative length field", e);
         }
     }
 }
--- a/src/main/java/pepperdock/distribution/ConfigurationDigest.java
+++ b/src/main/java/pepperdock/distribution/ConfigurationDigest.java
@@ -7,17 +7,18 @@
 /** The first 128 bits of the SHA-256 of a configuration's version, format and items. */
 public record ConfigurationDigest(long high, long low) {
 
-    /** Bytes of a digest on the wire. */
+    /** The bytes of a digest on the wire. */
     static final int BYTES = 16;
 
-    /** The digest of these bytes. */
+    /** Returns the digest of the bytes. */
     static ConfigurationDigest of(byte[] bytes) {
         try {
             ByteBuffer sum =
                     ByteBuffer.wrap(MessageDigest.getInstance("SHA-256").digest(bytes));
             return new ConfigurationDigest(sum.getLong(), sum.getLong());
         } catch (NoSuchAlgorithmException e) {
-            throw new IllegalStateException("every Java platform has SHA-256", e);
+            throw new IllegalStateException(
+                    "SHA-256 is not available, although every Java platform must support it", e);
         }
     }
 
--- a/src/main/java/pepperdock/distribution/ConfigurationItem.java
+++ b/src/main/java/pepperdock/distribution/ConfigurationItem.java
@@ -5,14 +5,14 @@
 /**
  * One named value of a configuration.
  *
- * @param value of at most 2^31 - 1 bytes; not to be changed by anyone who holds it
+ * @param value at most 2^31 - 1 bytes; not copied, so no holder may modify the array
  */
 public record ConfigurationItem(String key, byte[] value) {
 
-    /** Bytes for the length of the value. */
+    /** The bytes of the value's length field. */
     private static final int LENGTH = 4;
 
-    /** Bytes of this item in an encoded configuration. */
+    /** Returns the bytes of this item in an encoded configuration. */
     int bytes() {
         return ConfigurationCodec.textBytes(key) + LENGTH + value.length;
     }
--- a/src/main/java/pepperdock/distribution/ConfigurationSnapshot.java
+++ b/src/main/java/pepperdock/distribution/ConfigurationSnapshot.java
@@ -7,10 +7,12 @@
 import java.util.Optional;
 import java.util.TreeMap;
 
-/** A complete configuration as of one version. Immutable; two of the same version with equal digests are the same. */
+/**
+ * A complete configuration as of one version. Immutable; two snapshots with the same version and digest are the same.
+ */
 public final class ConfigurationSnapshot {
 
-    /** What there is before the first version. */
+    /** The empty configuration that precedes the first version. */
     public static final ConfigurationSnapshot NONE =
             new ConfigurationSnapshot(ConfigurationVersion.NONE, 0, new TreeMap<>());
 
@@ -26,7 +28,7 @@
         digest = ConfigurationDigest.of(encoded());
     }
 
-    /** The configuration of these items; of two with the same key the later one counts. */
+    /** Returns the configuration with these items; of two items with the same key, the later one is used. */
     public static ConfigurationSnapshot of(
             ConfigurationVersion version, int format, Collection<ConfigurationItem> items) {
         TreeMap<String, ConfigurationItem> byKey = new TreeMap<>();
@@ -34,32 +36,32 @@
         return new ConfigurationSnapshot(version, format, byKey);
     }
 
-    /** The version as of which this is. */
+    /** Returns the version of this configuration. */
     public ConfigurationVersion version() {
         return version;
     }
 
-    /** Which program versions can read it: those that read at least this format. */
+    /** Returns the format: a program version can read this configuration if it reads at least this format. */
     public int format() {
         return format;
     }
 
-    /** The digest of version, format and items. */
+    /** Returns the digest of version, format and items. */
     public ConfigurationDigest digest() {
         return digest;
     }
 
-    /** All items, by key in ascending order. */
+    /** Returns all items in ascending order of their keys. */
     public Collection<ConfigurationItem> items() {
         return Collections.unmodifiableCollection(items.values());
     }
 
-    /** The item of that key, if there is one. */
+    /** Returns the item with this key, if there is one. */
     public Optional<ConfigurationItem> item(String key) {
         return Optional.ofNullable(items.get(key));
     }
 
-    /** This configuration with the changes made, as of that version and format. */
+    /** Returns a copy of this configuration with the changes applied and the given version and format. */
     public ConfigurationSnapshot with(ConfigurationVersion to, int toFormat, List<Change> changes) {
         TreeMap<String, ConfigurationItem> next = new TreeMap<>(items);
         for (Change change : changes) {
@@ -72,7 +74,10 @@
         return new ConfigurationSnapshot(to, toFormat, next);
     }
 
-    /** What has to change to come from this configuration to that one, by key in ascending order. */
+    /**
+     * Returns the changes that turn this configuration into the other: the added and replaced items, then the removed
+     * keys, each in ascending order of the keys.
+     */
     public List<Change> changesTo(ConfigurationSnapshot to) {
         List<Change> changes = new ArrayList<>();
         for (ConfigurationItem item : to.items.values()) {
@@ -88,7 +93,7 @@
         return changes;
     }
 
-    /** All of it as bytes, the same ones for the same content. */
+    /** Returns this configuration encoded; the same content always has the same bytes. */
     public byte[] encoded() {
         return ConfigurationCodec.write(version, format, items.values());
     }
--- a/src/main/java/pepperdock/distribution/ConfigurationVersion.java
+++ b/src/main/java/pepperdock/distribution/ConfigurationVersion.java
@@ -1,10 +1,10 @@
 package pepperdock.distribution;
 
 /**
- * The place of a configuration in the settled order. Versions are compared by epoch first, so that a control machine with an
- * old disk can't make its number look newer.
+ * The position of a configuration in the committed order. Versions are compared by epoch first, so that the number of a
+ * control machine with an old disk cannot pass for a newer one.
  *
- * @param epoch the incarnation of the log; raised by the operator when a log has to be begun anew from an older disk
+ * @param epoch the incarnation of the log; the operator raises it when the log has to be restarted from an older disk
  * @param number the index of the committed log entry that made this version; it grows within an epoch, with gaps
  */
 public record ConfigurationVersion(long epoch, long number) implements Comparable<ConfigurationVersion> {
@@ -12,7 +12,7 @@
     /** Older than every version. */
     public static final ConfigurationVersion NONE = new ConfigurationVersion(0, 0);
 
-    /** Bytes of a version on the wire. */
+    /** The bytes of a version on the wire. */
     static final int BYTES = 16;
 
     @Override
@@ -21,7 +21,7 @@
         return byEpoch != 0 ? byEpoch : Long.compare(number, other.number);
     }
 
-    /** Whether this version was settled after the other. */
+    /** Returns whether this version was committed after the other. */
     public boolean newerThan(ConfigurationVersion other) {
         return compareTo(other) > 0;
     }
--- a/src/main/java/pepperdock/distribution/ControlConnection.java
+++ b/src/main/java/pepperdock/distribution/ControlConnection.java
@@ -3,12 +3,13 @@
 import java.util.Optional;
 
 /**
- * A subscriber's one connection: waits for its backoff, connects to the next control machine, and is connected until it is lost
- * or left. Owned by the thread that calls {@link Subscriber}.
+ * The single connection of a subscriber: waits for the backoff, connects to the next control machine, and stays
+ * connected until the connection is lost or closed. Not thread-safe: used only by the thread that calls
+ * {@link Subscriber}.
  */
 final class ControlConnection {
 
-    /** Where the connection is in its life cycle. */
+    /** The phase of the connection's life cycle. */
     private enum Phase {
         WAITING,
         CONNECTING,
@@ -20,10 +21,10 @@
     private final int connectMillis;
     private Phase phase = Phase.WAITING;
     private ControlMachine machine;
-    /** When the next attempt is due, or the present one is given up. */
+    /** When the next attempt is due, or the current one is given up. */
     private long phaseEnds;
 
-    /** Waits for the first attempt until {@code firstAttemptAt}. */
+    /** Creates a connection that waits until {@code firstAttemptAt} before its first attempt. */
     ControlConnection(
             ControlMachineSelector selector, SubscriberOutput output, int connectMillis, long firstAttemptAt) {
         this.selector = selector;
@@ -36,12 +37,12 @@
         return phase == Phase.CONNECTED;
     }
 
-    /** The control machine that it is connected to, if it is. */
+    /** Returns the control machine that the subscriber is connected to, if any. */
     Optional<ControlMachine> machine() {
         return connected() ? Optional.of(machine) : Optional.empty();
     }
 
-    /** Begins an attempt that is due, or gives up one that takes too long; whether the latter. */
+    /** Starts an attempt that is due, or gives up one that takes too long; returns true if an attempt was given up. */
     boolean tick(long now) {
         if (connected() || now < phaseEnds) {
             return false;
@@ -62,14 +63,14 @@
         phase = Phase.CONNECTED;
     }
 
-    /** Leaves a control machine that is of no use, and tries each of the others before it. */
+    /** Disconnects from a control machine that is unusable; it is tried again only after all others. */
     void leave(long now) {
         output.disconnect();
         selector.startRoundEndingWith(machine);
         backOff(now);
     }
 
-    /** Waits before the next attempt: the last one failed, or the connection is gone. */
+    /** Starts the backoff before the next attempt, after an attempt failed or the connection ended. */
     void backOff(long now) {
         phase = Phase.WAITING;
         phaseEnds = now + selector.nextBackoffMillis();
--- a/src/main/java/pepperdock/distribution/ControlMachine.java
+++ b/src/main/java/pepperdock/distribution/ControlMachine.java
@@ -3,7 +3,7 @@
 /**
  * A control machine as a subscriber knows it.
  *
- * @param name of the machine
- * @param region where it is
+ * @param name the name of the machine
+ * @param region the region in which it runs
  */
 public record ControlMachine(String name, String region) {}
--- a/src/main/java/pepperdock/distribution/ControlMachineSelector.java
+++ b/src/main/java/pepperdock/distribution/ControlMachineSelector.java
@@ -8,12 +8,13 @@
 import java.util.Random;
 
 /**
- * Selects the control machine of the next attempt, and its backoff: those of the subscriber's region first, in random order, with
- * jittered exponential backoff. Owned by the thread that calls {@link Subscriber}.
+ * Selects the control machine for the next attempt and the backoff before it. Machines in the subscriber's region come
+ * first, in random order; the backoff is exponential with jitter. Not thread-safe: used only by the thread that calls
+ * {@link Subscriber}.
  */
 final class ControlMachineSelector {
 
-    /** More doublings than this would not change a backoff. */
+    /** Further doublings would not change the backoff. */
     private static final int MAX_DOUBLINGS = 16;
 
     private final List<ControlMachine> all;
@@ -30,45 +31,46 @@
         this.random = random;
     }
 
-    /** The control machine to try now; a new round begins once all were tried. */
+    /** Returns the control machine to try now; starts a new round once all were tried. */
     ControlMachine next() {
         if (round.isEmpty()) {
-            begin();
+            startRound();
         }
         return round.removeFirst();
     }
 
-    /** Begins a round in which this one comes last. */
+    /** Starts a round in which this control machine comes last. */
     void startRoundEndingWith(ControlMachine machine) {
-        begin();
+        startRound();
         round.remove(machine);
         round.addLast(machine);
     }
 
-    /** Whether all were tried since the round began. */
+    /** Returns whether all control machines were tried since the round began. */
     boolean roundOver() {
         return round.isEmpty();
     }
 
-    /** A control machine has answered: the backoff begins anew. */
+    /** Resets the backoff, because a control machine has answered. */
     void onAnswer() {
         failures = 0;
     }
 
-    /** A control machine is up to date: the next attempt begins a new round. */
+    /** Ends the round, because a control machine is up to date: the next attempt starts a new one. */
     void onUpToDate() {
         round.clear();
     }
 
-    /** Milliseconds to wait before the next attempt; the attempt before failed. */
+    /** Returns the milliseconds to wait before the next attempt, and counts a failure of the previous one. */
     int nextBackoffMillis() {
         long maxMillis = Math.min(
-                settings.backOffMostMillis(), (long) settings.backOffMillis() << Math.min(failures, MAX_DOUBLINGS));
+                settings.maxBackoffMillis(),
+                (long) settings.initialBackoffMillis() << Math.min(failures, MAX_DOUBLINGS));
         failures++;
         return random.nextInt((int) maxMillis + 1);
     }
 
-    private void begin() {
+    private void startRound() {
         List<ControlMachine> near = new ArrayList<>();
         List<ControlMachine> far = new ArrayList<>();
         all.forEach(machine -> (machine.region().equals(region) ? near : far).add(machine));
--- a/src/main/java/pepperdock/distribution/Delta.java
+++ b/src/main/java/pepperdock/distribution/Delta.java
@@ -5,9 +5,9 @@
 /**
  * The changes from one version to a later one. Immutable.
  *
- * @param base the version that it applies to, with {@code baseDigest}, and no other
- * @param digest of the result
- * @param format of the result
+ * @param base the only version that the delta applies to, together with {@code baseDigest}
+ * @param digest the digest of the result
+ * @param format the format of the result
  */
 public record Delta(
         ConfigurationVersion base,
@@ -17,7 +17,7 @@
         int format,
         List<Change> changes) {
 
-    /** Bytes beside the changes. */
+    /** The bytes of all fields but the changes. */
     static final int HEADER_BYTES = 2 * (ConfigurationVersion.BYTES + ConfigurationDigest.BYTES) + 8;
 
     /** Copies the list. */
@@ -25,17 +25,17 @@
         changes = List.copyOf(changes);
     }
 
-    /** The changes from one configuration to the other. */
+    /** Returns the delta from one configuration to another. */
     static Delta between(ConfigurationSnapshot from, ConfigurationSnapshot to) {
         return new Delta(from.version(), from.digest(), to.version(), to.digest(), to.format(), from.changesTo(to));
     }
 
-    /** Whether it may be applied to this configuration. */
+    /** Returns whether the delta may be applied to this configuration. */
     public boolean fits(ConfigurationSnapshot configuration) {
         return base.equals(configuration.version()) && baseDigest.equals(configuration.digest());
     }
 
-    /** Bytes on the wire. */
+    /** Returns the bytes of the delta on the wire. */
     int bytes() {
         return HEADER_BYTES + changes.stream().mapToInt(Change::bytes).sum();
     }
--- a/src/main/java/pepperdock/distribution/DistributionMessage.java
+++ b/src/main/java/pepperdock/distribution/DistributionMessage.java
@@ -1,29 +1,32 @@
 package pepperdock.distribution;
 
-/** The messages between a subscriber and a publisher, over one connection, in order. Immutable. */
+/** A message between a subscriber and a publisher, sent over one connection and received in order. Immutable. */
 public sealed interface DistributionMessage {
 
-    /** Bytes of a message on the wire beside its content: IPv4 and TCP headers with time stamps, length and kind. */
+    /**
+     * The bytes of a message on the wire besides its content: IPv4 and TCP headers with timestamps (52), length and
+     * kind (5).
+     */
     int OVERHEAD = 52 + 5;
 
-    /** Bytes of content. */
+    /** Returns the bytes of the content. */
     int content();
 
-    /** Bytes on the wire, without acknowledgements of the transport. */
+    /** Returns the bytes on the wire, without TCP acknowledgements. */
     default int bytes() {
         return OVERHEAD + content();
     }
 
-    /** A message of a subscriber. */
+    /** A message that a subscriber sends. */
     sealed interface FromSubscriber extends DistributionMessage {}
 
-    /** A message of a publisher. */
+    /** A message that a publisher sends. */
     sealed interface FromPublisher extends DistributionMessage {}
 
     // ---- From a subscriber ------------------------------------------------------------
 
     /**
-     * First on a connection: who this is and what it has in force.
+     * Opens a connection: identifies the subscriber and reports the version that it has in force.
      *
      * @param highestFormat the highest format that this program version reads
      */
@@ -44,7 +47,7 @@
         }
     }
 
-    /** This is in force from now on, or still; also the subscriber's heartbeat. */
+    /** Reports that a version has been put in force or still is; also serves as the subscriber's heartbeat. */
     record InForce(ConfigurationVersion version, ConfigurationDigest digest, Durability durability)
             implements FromSubscriber {
         @Override
@@ -54,18 +57,19 @@
     }
 
     /**
-     * Requests what is newer than this.
+     * Requests a version newer than the one in force.
      *
-     * @param asSnapshot whether as a snapshot, since a delta did not fit
+     * @param asSnapshot whether a snapshot is requested, because a delta could not be applied
      */
-    record Ask(ConfigurationVersion inForce, ConfigurationDigest digest, boolean asSnapshot) implements FromSubscriber {
+    record UpdateRequest(ConfigurationVersion inForce, ConfigurationDigest digest, boolean asSnapshot)
+            implements FromSubscriber {
         @Override
         public int content() {
             return ConfigurationVersion.BYTES + ConfigurationDigest.BYTES + 1;
         }
     }
 
-    /** This version is not put in force here; the one before stays. */
+    /** Reports that the subscriber refuses a version; the previous one stays in force. */
     record Refused(Refusal refusal) implements FromSubscriber {
         @Override
         public int content() {
@@ -76,9 +80,10 @@
     // ---- From a publisher ------------------------------------------------------------
 
     /**
-     * The newest version that the control machine holds; sent at even intervals.
+     * Reports the newest version that the control machine holds; sent at regular intervals.
      *
-     * @param confirmedMillisAgo how long ago this control machine last knew that nothing newer was settled
+     * @param confirmedMillisAgo the milliseconds since this control machine last knew that no newer version was
+     *     committed
      */
     record Heartbeat(ConfigurationVersion latest, ConfigurationDigest digest, int confirmedMillisAgo)
             implements FromPublisher {
@@ -88,7 +93,7 @@
         }
     }
 
-    /** A later version as changes. */
+    /** Sends a later version as a delta. */
     record Update(Delta delta) implements FromPublisher {
         @Override
         public int content() {
@@ -97,20 +102,20 @@
     }
 
     /**
-     * A chunk of an encoded configuration. Chunks come in order; one at offset 0 begins anew.
+     * Sends a chunk of an encoded configuration. Chunks are sent in order; one at offset 0 starts a new transfer.
      *
-     * @param total bytes of the complete configuration
+     * @param total the bytes of the complete configuration
      */
-    record SnapshotPiece(
-            ConfigurationVersion version, ConfigurationDigest digest, int format, int total, int offset, byte[] chunk)
+    record SnapshotChunk(
+            ConfigurationVersion version, ConfigurationDigest digest, int format, int total, int offset, byte[] data)
             implements FromPublisher {
         @Override
         public int content() {
-            return ConfigurationVersion.BYTES + ConfigurationDigest.BYTES + 12 + chunk.length;
+            return ConfigurationVersion.BYTES + ConfigurationDigest.BYTES + 12 + data.length;
         }
     }
 
-    /** The request is rejected for now: retry after so many milliseconds. */
+    /** Rejects a request for now; the subscriber retries after this many milliseconds. */
     record RetryAfter(int millis) implements FromPublisher {
         @Override
         public int content() {
--- a/src/main/java/pepperdock/distribution/Durability.java
+++ b/src/main/java/pepperdock/distribution/Durability.java
@@ -1,11 +1,11 @@
 package pepperdock.distribution;
 
-/** What a subscriber's disk holds of the version in force. */
+/** How much of the version in force a subscriber has saved on its disk. */
 public enum Durability {
-    /** All of it. */
+    /** The complete configuration. */
     SAVED,
-    /** Only that it was in force: after a restart nothing older is put in force. */
+    /** Only the floor, that is, its version: no older version is put in force after a restart. */
     FLOOR_ONLY,
-    /** Nothing. */
+    /** Nothing: it is held in memory only. */
     MEMORY_ONLY
 }
--- a/src/main/java/pepperdock/distribution/InForceConfiguration.java
+++ b/src/main/java/pepperdock/distribution/InForceConfiguration.java
@@ -1,8 +1,9 @@
 package pepperdock.distribution;
 
 /**
- * The configuration that a subscriber has in force, and what its disk holds of it. The floor is the version that nothing older
- * may follow, also after a restart. Owned by the thread that calls {@link Subscriber}.
+ * The configuration that a subscriber has in force, and how much of it is on its disk. The floor is the oldest version
+ * that may be put in force, also after a restart. Not thread-safe: used only by the thread that calls
+ * {@link Subscriber}.
  */
 final class InForceConfiguration {
 
@@ -13,7 +14,9 @@
     private Durability durability;
     private long saveRetryAt;
 
-    /** Loads what the disk holds; nothing is in force where something newer than that was before the restart. */
+    /**
+     * Loads the saved configuration; nothing is in force if a newer version than the saved one was before the restart.
+     */
     InForceConfiguration(VersionStore store, int saveRetryMillis) {
         this.store = store;
         this.saveRetryMillis = saveRetryMillis;
@@ -44,18 +47,21 @@
         return floor;
     }
 
-    /** Whether nothing is in force, as something newer than the saved configuration was before the restart. */
+    /**
+     * Returns whether nothing is in force because a newer version than the saved configuration was in force before the
+     * restart.
+     */
     boolean heldBack() {
         return floor.newerThan(version());
     }
 
-    /** Saves a configuration as far as the disk allows, and puts it in force. */
+    /** Saves a configuration as far as the disk allows it, and puts it in force. */
     void replace(ConfigurationSnapshot next, long now) {
         save(next, now);
         configuration = next;
     }
 
-    /** Tries again to save what could not be saved, when it is time; true where it is saved now and was not before. */
+    /** Retries saving the configuration if that failed and a retry is due; returns true if this retry succeeded. */
     boolean retrySave(long now) {
         if (durability == Durability.SAVED || heldBack() || now < saveRetryAt) {
             return false;
--- a/src/main/java/pepperdock/distribution/MalformedConfigurationException.java
+++ b/src/main/java/pepperdock/distribution/MalformedConfigurationException.java
@@ -1,6 +1,6 @@
 package pepperdock.distribution;
 
-/** Bytes that are not one whole encoded configuration. */
+/** Thrown when bytes are not exactly one complete encoded configuration. */
 public final class MalformedConfigurationException extends IllegalArgumentException {
 
     private static final long serialVersionUID = 1;
--- a/src/main/java/pepperdock/distribution/Publisher.java
+++ b/src/main/java/pepperdock/distribution/Publisher.java
@@ -7,19 +7,19 @@
 import java.util.TreeMap;
 
 /**
- * A control machine's side of the distribution: sends every connected subscriber what was settled after the version that it has
- * in force, as a delta or a snapshot, within the budgets of {@link PublisherSettings}. One version is in flight to a subscriber
- * at a time; what is settled meanwhile goes in one delta after the answer.
+ * The control machine's side of the distribution: sends each connected subscriber the versions committed after the one
+ * that it has in force, as a delta or a snapshot, within the budgets of {@link PublisherSettings}. One version is in
+ * flight to a subscriber at a time; versions committed meanwhile are sent in one delta after the answer.
  *
- * <p>All state belongs to one thread, the caller's. Connections are opened by subscribers and numbered by the caller. Times are
- * milliseconds of the caller's clock.
+ * <p>Not thread-safe: used by a single thread only. Subscribers open the connections and the caller numbers them. Times
+ * are in milliseconds of the caller's clock.
  */
 public class Publisher {
 
     private static final int MILLIS_PER_SECOND = 1000;
-    /** A delta is one message, and no larger on the wire, whatever the burst. */
+    /** A delta is sent as one message, which is no larger than this even if the burst is. */
     private static final int MAX_DELTA_BYTES = 64 << 10;
-    /** Sent where this machine has not been confirmed for longer, or never was. */
+    /** Reported in heartbeats if this machine was last confirmed longer ago or never, or is known to be behind. */
     private static final int MAX_UNCONFIRMED_MILLIS = 86_400_000;
 
     private final PublisherSettings settings;
@@ -31,16 +31,16 @@
     private final TreeMap<Long, SubscriberSession> sessions = new TreeMap<>();
     private ConfigurationSnapshot latest = ConfigurationSnapshot.NONE;
     private byte[] latestEncoded = latest.encoded();
-    /** The newest version that any subscriber has reported in force. */
-    private ConfigurationVersion newestHeard = ConfigurationVersion.NONE;
-    /** The connection after which the next round of snapshot chunks begins: round robin. */
+    /** The newest version that any subscriber has reported in force when it introduced itself. */
+    private ConfigurationVersion newestReported = ConfigurationVersion.NONE;
+    /** The connection that was last sent a snapshot chunk; the next round starts after it (round robin). */
     private long lastServed;
 
     /**
-     * Learns what the source has.
+     * Creates a publisher and loads the versions that the source has.
      *
-     * @param seed of the jitter
-     * @param now as for all other calls
+     * @param seed the seed of the retry jitter
+     * @param now the current time, as for all other calls
      */
     public Publisher(PublisherSettings settings, VersionSource source, PublisherOutput output, long seed, long now) {
         this.settings = settings;
@@ -49,37 +49,39 @@
         admission = new SnapshotAdmission(settings.snapshotsAtOnce(), new Random(seed));
         snapshotBudget = new ByteBudget(settings.snapshotBytesPerSecond(), settings.snapshotBurstBytes(), now);
         recent = new RecentChanges(settings.keptVersions(), settings.keptBytes());
-        learn();
+        loadNewVersions();
     }
 
-    // ---- State, for the caller ------------------------------------------------------------
+    // ---- State ------------------------------------------------------------
 
-    /** The newest version that this control machine holds. */
+    /** Returns the newest configuration that this control machine holds. */
     public ConfigurationSnapshot latest() {
         return latest;
     }
 
-    /** Every connected subscriber that has introduced itself, in the order of connections. */
+    /**
+     * Returns the state of each connected subscriber that has introduced itself, in the order of connection numbers.
+     */
     public List<SubscriberState> subscribers(long now) {
         return sessions.values().stream()
-                .filter(SubscriberSession::known)
+                .filter(SubscriberSession::introduced)
                 .map(session -> session.state(latest.version(), now, settings.answerMillis()))
                 .toList();
     }
 
-    /** Snapshots that are under way now. */
+    /** Returns the number of snapshots that are being transferred. */
     public int snapshotsUnderWay() {
         return admission.underWay();
     }
 
     // ---- Inputs ------------------------------------------------------------
 
-    /** A subscriber has opened a connection. */
+    /** Handles a connection that a subscriber has opened. */
     public void connected(long connection, long now) {
         sessions.put(connection, new SubscriberSession(connection, settings, now));
     }
 
-    /** A connection has ended. */
+    /** Handles the end of a connection. */
     public void disconnected(long connection) {
         SubscriberSession session = sessions.remove(connection);
         if (session != null) {
@@ -87,17 +89,17 @@
         }
     }
 
-    /** The source may have something newer. */
+    /** Loads newer versions from the source, if there are any, and offers them to the subscribers. */
     public void settled(long now) {
-        if (learn()) {
+        if (loadNewVersions()) {
             sessions.values().forEach(session -> offer(session, false, now));
             send(now);
         }
     }
 
-    /** Time passes; to be called several times a second. */
+    /** Handles timeouts, offers and heartbeats that are due; must be called several times a second. */
     public void tick(long now) {
-        learn();
+        loadNewVersions();
         for (SubscriberSession session : List.copyOf(sessions.values())) {
             if (now - session.lastHeard > settings.silenceMillis()) {
                 disconnected(session.connection);
@@ -105,7 +107,7 @@
                 continue;
             }
             offer(session, false, now);
-            if (now >= session.heartbeatAt && session.known()) {
+            if (now >= session.heartbeatAt && session.introduced()) {
                 session.enqueue(heartbeat(now));
                 session.heartbeatAt = now + settings.heartbeatMillis();
             }
@@ -113,7 +115,7 @@
         send(now);
     }
 
-    /** A message has come on a connection. */
+    /** Handles a message received on a connection. */
     public void received(long connection, DistributionMessage.FromSubscriber message, long now) {
         SubscriberSession session = sessions.get(connection);
         if (session == null) {
@@ -121,63 +123,66 @@
         }
         session.lastHeard = now;
         if (message instanceof DistributionMessage.Hello hello) {
-            session.introduced(hello, now);
-            newestHeard = hello.inForce().newerThan(newestHeard) ? hello.inForce() : newestHeard;
+            session.onHello(hello, now);
+            newestReported = hello.inForce().newerThan(newestReported) ? hello.inForce() : newestReported;
             offer(session, false, now);
         } else if (message instanceof DistributionMessage.InForce inForce) {
-            session.inForce(inForce.version(), inForce.digest(), inForce.durability(), now);
+            session.onInForce(inForce.version(), inForce.digest(), inForce.durability(), now);
             offer(session, false, now);
         } else if (message instanceof DistributionMessage.Refused refused) {
-            refused(session, refused.refusal());
-        } else if (message instanceof DistributionMessage.Ask ask) {
-            asked(session, ask, now);
+            onRefused(session, refused.refusal());
+        } else if (message instanceof DistributionMessage.UpdateRequest request) {
+            onRequest(session, request, now);
         }
         send(now);
     }
 
-    // ---- Safety rules; tests plant faults by overriding them
+    // ---- Safety rules, which tests override to inject faults
     // ------------------------------------------------------------
 
-    /** Whether what this machine holds may be offered to a subscriber that has that version in force. */
+    /**
+     * Returns whether this machine's latest version may be offered to a subscriber that has another version in force.
+     */
     protected boolean mayOffer(ConfigurationVersion latestHere, ConfigurationVersion inForceThere) {
         return latestHere.newerThan(inForceThere);
     }
 
     // ---- Messages ------------------------------------------------------------
 
-    private boolean learn() {
-        boolean any = false;
+    /** Loads the versions newer than the latest one from the source; returns whether there were any. */
+    private boolean loadNewVersions() {
+        boolean found = false;
         for (ConfigurationSnapshot next : source.after(latest.version())) {
             recent.add(Delta.between(latest, next));
             latest = next;
-            any = true;
+            found = true;
         }
-        if (any) {
+        if (found) {
             latestEncoded = latest.encoded();
         }
-        return any;
+        return found;
     }
 
     private DistributionMessage.Heartbeat heartbeat(long now) {
-        boolean behind = newestHeard.newerThan(latest.version());
-        long ago = behind ? MAX_UNCONFIRMED_MILLIS : Math.max(0, now - source.confirmedAtMillis());
+        boolean behind = newestReported.newerThan(latest.version());
+        long confirmedMillisAgo = behind ? MAX_UNCONFIRMED_MILLIS : Math.max(0, now - source.confirmedAtMillis());
         return new DistributionMessage.Heartbeat(
-                latest.version(), latest.digest(), (int) Math.min(ago, MAX_UNCONFIRMED_MILLIS));
+                latest.version(), latest.digest(), (int) Math.min(confirmedMillisAgo, MAX_UNCONFIRMED_MILLIS));
     }
 
-    private void asked(SubscriberSession session, DistributionMessage.Ask ask, long now) {
-        if (session.waiting) {
-            session.waiting = false;
+    private void onRequest(SubscriberSession session, DistributionMessage.UpdateRequest request, long now) {
+        if (session.waitingToRetry) {
+            session.waitingToRetry = false;
             admission.returned();
         }
         if (session.transfer() == null) {
-            session.asked(ask.inForce(), ask.digest(), now);
-            offer(session, ask.asSnapshot(), now);
+            session.onRequest(request.inForce(), request.digest(), now);
+            offer(session, request.asSnapshot(), now);
         }
     }
 
-    private void refused(SubscriberSession session, Refusal refusal) {
-        session.refused(refusal);
+    private void onRefused(SubscriberSession session, Refusal refusal) {
+        session.onRefused(refusal);
         SnapshotTransfer transfer = session.transfer();
         if (transfer != null && transfer.version().equals(refusal.version())) {
             session.endTransfer();
@@ -190,51 +195,54 @@
             session.endTransfer();
             admission.finished();
         }
-        if (session.waiting) {
-            session.waiting = false;
+        if (session.waitingToRetry) {
+            session.waitingToRetry = false;
             admission.returned();
         }
     }
 
-    /** Begins to send what the subscriber lacks, unless something is in flight to it. */
-    private void offer(SubscriberSession session, boolean whole, long now) {
-        if (!session.known()
+    /** Starts to send the versions that the subscriber lacks, unless a transfer, an answer or a retry is pending. */
+    private void offer(SubscriberSession session, boolean asSnapshot, long now) {
+        if (!session.introduced()
                 || session.busy()
                 || session.hasRefused(latest.version())
                 || !mayOffer(latest.version(), session.inForce())) {
             return;
         }
-        Optional<Delta> delta = whole ? Optional.empty() : step(session);
+        Optional<Delta> delta = asSnapshot ? Optional.empty() : nextDelta(session);
         if (delta.isPresent()) {
             session.enqueue(new DistributionMessage.Update(delta.get()));
             session.sent(delta.get().result(), now);
-        } else if (admission.admits()) {
-            session.begin(new SnapshotTransfer(latest, latestEncoded, settings.pieceBytes()));
+        } else if (admission.tryAdmit()) {
+            session.startTransfer(new SnapshotTransfer(latest, latestEncoded, settings.pieceBytes()));
         } else {
             session.enqueue(new DistributionMessage.RetryAfter(admission.retryAfterMillis(snapshotMillis())));
-            session.waiting = true;
+            session.waitingToRetry = true;
         }
     }
 
     /**
-     * The next delta for a subscriber: to the newest version, or as far as may be sent at once, the rest after the answer.
-     * Empty where the snapshot is to be sent: the deltas would be too large beside it, or are not kept any more.
+     * Returns the next delta for a subscriber: to the newest version, or as far as one burst allows, with the rest to
+     * follow after the answer. Empty if the snapshot has to be sent instead, because the deltas would be too large
+     * compared with it or are no longer kept.
      */
-    private Optional<Delta> step(SubscriberSession session) {
+    private Optional<Delta> nextDelta(SubscriberSession session) {
         Optional<Delta> all = recent.since(session.inForce(), session.digest());
         long maxBytes = (long) latestEncoded.length * settings.deltaPercent() / 100;
         if (all.isEmpty() || all.get().bytes() > maxBytes) {
             return Optional.empty();
         }
-        int atOnce = Math.min(MAX_DELTA_BYTES, settings.subscriberBurstBytes() - DistributionMessage.OVERHEAD);
-        if (all.get().bytes() <= atOnce) {
+        int maxMessageBytes = Math.min(MAX_DELTA_BYTES, settings.subscriberBurstBytes() - DistributionMessage.OVERHEAD);
+        if (all.get().bytes() <= maxMessageBytes) {
             return all;
         }
-        return recent.since(session.inForce(), session.digest(), atOnce, session.reads())
+        return recent.since(session.inForce(), session.digest(), maxMessageBytes, session.highestFormat())
                 .filter(delta -> !session.hasRefused(delta.result()));
     }
 
-    /** How long a snapshot takes at the rate of one subscriber, or at that of all that may be under way. */
+    /**
+     * Returns how long a snapshot takes at one subscriber's rate or its share of the snapshot rate, whichever is lower.
+     */
     private int snapshotMillis() {
         int share = settings.snapshotBytesPerSecond() / settings.snapshotsAtOnce();
         int rate = Math.min(settings.subscriberBytesPerSecond(), share);
@@ -249,7 +257,7 @@
                 new ArrayList<>(sessions.tailMap(lastServed, false).values());
         order.addAll(sessions.headMap(lastServed, true).values());
         for (SubscriberSession session : order) {
-            if (session.transfer() != null && !pieces(session, now)) {
+            if (session.transfer() != null && !sendChunks(session, now)) {
                 return;
             }
         }
@@ -263,17 +271,17 @@
         }
     }
 
-    /** Sends chunks while the subscriber's budget lasts; false once that of all snapshots is spent. */
-    private boolean pieces(SubscriberSession session, long now) {
-        while (session.transfer() != null && session.idle()) {
+    /** Sends chunks while the subscriber's budget lasts; returns false once the budget of all snapshots is spent. */
+    private boolean sendChunks(SubscriberSession session, long now) {
+        while (session.transfer() != null && session.queueEmpty()) {
             if (!snapshotBudget.allows(settings.pieceBytes(), now)) {
                 return false;
             }
             SnapshotTransfer transfer = session.transfer();
-            DistributionMessage.SnapshotPiece piece = transfer.next();
-            snapshotBudget.spend(piece.bytes());
+            DistributionMessage.SnapshotChunk chunk = transfer.next();
+            snapshotBudget.spend(chunk.bytes());
             lastServed = session.connection;
-            session.enqueue(piece);
+            session.enqueue(chunk);
             if (transfer.done()) {
                 session.endTransfer();
                 session.sent(transfer.version(), now);
--- a/src/main/java/pepperdock/distribution/PublisherOutput.java
+++ b/src/main/java/pepperdock/distribution/PublisherOutput.java
@@ -1,11 +1,14 @@
 package pepperdock.distribution;
 
-/** What the caller does for a {@link Publisher}. Connections have the numbers that the caller gave them. */
+/**
+ * The actions that the caller performs for a {@link Publisher}. Connections are identified by the numbers the caller
+ * assigned.
+ */
 public interface PublisherOutput {
 
-    /** Sends a message on a connection; it is lost where that has ended. */
+    /** Sends a message on a connection; the message is dropped if the connection has ended. */
     void send(long connection, DistributionMessage.FromPublisher message);
 
-    /** The connection is no longer used by the publisher; {@link Publisher#disconnected} need not be called. */
+    /** Closes a connection that the publisher no longer uses; {@link Publisher#disconnected} need not be called. */
     void close(long connection);
 }
--- a/src/main/java/pepperdock/distribution/PublisherSettings.java
+++ b/src/main/java/pepperdock/distribution/PublisherSettings.java
@@ -3,18 +3,18 @@
 /**
  * The budgets and intervals of a publisher. Immutable.
  *
- * @param heartbeatMillis between two heartbeats to one subscriber
- * @param silenceMillis after so long without a message a subscriber's connection is closed
- * @param answerMillis a subscriber that has not put in force what was sent by then lags
- * @param subscriberBytesPerSecond to one subscriber, of all kinds of messages
- * @param subscriberBurstBytes to one subscriber at once; no second sees more than this and the rate together
- * @param snapshotBytesPerSecond of snapshots to all subscribers together
- * @param snapshotBurstBytes of snapshots at once
- * @param snapshotsAtOnce to so many subscribers
- * @param pieceBytes of a snapshot in one message
- * @param deltaPercent a delta is sent where it has at most so many hundredths of the snapshot's bytes
- * @param keptVersions deltas are kept of so many versions
- * @param keptBytes deltas are kept of so many bytes
+ * @param heartbeatMillis the interval between two heartbeats to one subscriber
+ * @param silenceMillis the time without a message after which a subscriber's connection is closed
+ * @param answerMillis the time after which a subscriber that has not put a sent version in force is reported as lagging
+ * @param subscriberBytesPerSecond the rate limit of all messages to one subscriber
+ * @param subscriberBurstBytes the burst to one subscriber; in any second it is sent at most this and the rate together
+ * @param snapshotBytesPerSecond the rate limit of snapshots to all subscribers together
+ * @param snapshotBurstBytes the burst of snapshots to all subscribers together
+ * @param snapshotsAtOnce the largest number of subscribers to which snapshots are sent at the same time
+ * @param pieceBytes the bytes of a snapshot in one message
+ * @param deltaPercent the largest size of a delta, in percent of the snapshot's bytes; otherwise the snapshot is sent
+ * @param keptVersions the largest number of versions of which deltas are kept
+ * @param keptBytes the limit for the bytes of all deltas that are kept
  */
 public record PublisherSettings(
         int heartbeatMillis,
@@ -30,7 +30,9 @@
         int keptVersions,
         int keptBytes) {
 
-    /** For 500 subscribers over four control machines, and 15 KB in any second at a subscriber. */
+    /**
+     * Returns settings for 500 subscribers on four control machines, with at most 15 KB in any second per subscriber.
+     */
     public static PublisherSettings defaults() {
         return new PublisherSettings(
                 1000, 15_000, 4000, 10_000, 4000, 2_000_000, 64 << 10, 192, 1024, 50, 1000, 1 << 20);
--- a/src/main/java/pepperdock/distribution/RecentChanges.java
+++ b/src/main/java/pepperdock/distribution/RecentChanges.java
@@ -7,8 +7,8 @@
 import java.util.TreeMap;
 
 /**
- * The deltas between the newest versions, kept within bounds, and their sum from any of those versions on. Owned by the thread
- * that calls {@link Publisher}.
+ * Keeps the deltas between the newest versions, within bounds, and combines them into one delta from any of those
+ * versions. Not thread-safe: used only by the thread that calls {@link Publisher}.
  */
 final class RecentChanges {
 
@@ -22,7 +22,7 @@
         this.maxBytes = maxBytes;
     }
 
-    /** Adds the newest delta, and drops the oldest beyond the bounds. */
+    /** Adds the newest delta, and drops the oldest ones that exceed the bounds. */
     void add(Delta delta) {
         deltas.addLast(delta);
         bytes += delta.bytes();
@@ -31,14 +31,18 @@
         }
     }
 
-    /** One delta from that version with that digest to the newest; empty where that version is no longer held. */
+    /**
+     * Returns one delta from a version and digest to the newest version; empty if the deltas from there are no longer
+     * kept.
+     */
     Optional<Delta> since(ConfigurationVersion version, ConfigurationDigest digest) {
         return since(version, digest, Integer.MAX_VALUE, Integer.MAX_VALUE);
     }
 
     /**
-     * One delta from that version with that digest as far towards the newest as so many bytes lead, to a version of a format
-     * that is no higher; empty where that version is no longer held or they lead nowhere.
+     * Returns one delta of at most {@code maxBytes} from a version and digest to the newest version that it can reach,
+     * among those whose format is at most {@code highestFormat}. Empty if the deltas from there are no longer kept, or
+     * if no such version can be reached.
      */
     Optional<Delta> since(ConfigurationVersion version, ConfigurationDigest digest, int maxBytes, int highestFormat) {
         Delta furthest = null;
@@ -48,18 +52,18 @@
         for (Delta delta : deltas) {
             begun |= delta.base().equals(version) && delta.baseDigest().equals(digest);
             if (begun) {
-                size += grown(changes, delta);
+                size += merge(changes, delta);
                 if (size > maxBytes) {
                     break;
                 }
                 furthest = delta.format() <= highestFormat ? delta : furthest;
             }
         }
-        return furthest == null ? Optional.empty() : Optional.of(sum(version, digest, furthest));
+        return furthest == null ? Optional.empty() : Optional.of(combine(version, digest, furthest));
     }
 
-    /** Adds the delta's changes to these; returns by how many bytes they have grown. */
-    private static long grown(TreeMap<String, Change> changes, Delta delta) {
+    /** Merges the delta's changes into the map; returns by how many bytes the map's changes have grown. */
+    private static long merge(TreeMap<String, Change> changes, Delta delta) {
         long grown = 0;
         for (Change change : delta.changes()) {
             Change before = changes.put(change.key(), change);
@@ -68,8 +72,8 @@
         return grown;
     }
 
-    /** All from that version up to and with the last one. */
-    private Delta sum(ConfigurationVersion version, ConfigurationDigest digest, Delta last) {
+    /** Combines all deltas from a version up to and including the last one. */
+    private Delta combine(ConfigurationVersion version, ConfigurationDigest digest, Delta last) {
         TreeMap<String, Change> changes = new TreeMap<>();
         for (Delta delta : deltas) {
             boolean within = !version.newerThan(delta.base()) && !delta.result().newerThan(last.result());
--- a/src/main/java/pepperdock/distribution/Refusal.java
+++ b/src/main/java/pepperdock/distribution/Refusal.java
@@ -1,26 +1,26 @@
 package pepperdock.distribution;
 
 /**
- * Why a subscriber does not put a version in force. Immutable.
+ * The reason why a subscriber does not put a version in force. Immutable.
  *
- * @param detail for the operator; 200 characters at most
+ * @param detail a description for the operator, truncated to 200 characters
  */
 public record Refusal(ConfigurationVersion version, Reason reason, String detail) {
 
     private static final int MAX_DETAIL_LENGTH = 200;
 
-    /** Truncates the detail. */
+    /** Creates a refusal and truncates its detail. */
     public Refusal {
         detail = detail.length() > MAX_DETAIL_LENGTH ? detail.substring(0, MAX_DETAIL_LENGTH) : detail;
     }
 
-    /** Kinds of refusal. */
+    /** The kinds of reasons. */
     public enum Reason {
-        /** This program version does not read the format. */
+        /** This program version does not support the format. */
         FORMAT,
-        /** The validator complains. */
+        /** The validator rejects the configuration. */
         INVALID,
-        /** The same version with another content is in force here. */
+        /** The subscriber has the same version in force with a different content. */
         CONFLICT
     }
 }
--- a/src/main/java/pepperdock/distribution/SnapshotAdmission.java
+++ b/src/main/java/pepperdock/distribution/SnapshotAdmission.java
@@ -3,8 +3,8 @@
 import java.util.Random;
 
 /**
- * Admission control of snapshots: how many may be under way at once, and when the others should retry. Owned by the thread that
- * calls {@link Publisher}.
+ * Admission control for snapshots: limits how many are transferred at once, and tells the others when to retry. Not
+ * thread-safe: used only by the thread that calls {@link Publisher}.
  */
 final class SnapshotAdmission {
 
@@ -13,7 +13,7 @@
     private final int limit;
     private final Random random;
     private int underWay;
-    /** Rejected, and not back yet. */
+    /** The number of subscribers that were rejected and have not retried yet. */
     private int waiting;
 
     SnapshotAdmission(int limit, Random random) {
@@ -21,8 +21,8 @@
         this.random = random;
     }
 
-    /** Whether a snapshot may begin now; each that does must be {@link #finished} once. */
-    boolean admits() {
+    /** Returns whether a snapshot may start now; {@link #finished} must be called once for each that does. */
+    boolean tryAdmit() {
         if (underWay >= limit) {
             return false;
         }
@@ -30,25 +30,26 @@
         return true;
     }
 
-    /** An admitted snapshot has ended. */
+    /** Records that an admitted snapshot has ended. */
     void finished() {
         underWay--;
     }
 
-    /** One that was rejected is back, or gone. */
+    /** Records that a rejected subscriber has retried or disconnected. */
     void returned() {
         waiting--;
     }
 
-    /** Snapshots that are under way. */
+    /** Returns the number of snapshots that are being transferred. */
     int underWay() {
         return underWay;
     }
 
     /**
-     * When one that was not admitted should retry. It counts as waiting until {@link #returned}.
+     * Returns the milliseconds after which a subscriber that was not admitted should retry. The subscriber counts as
+     * waiting until {@link #returned} is called.
      *
-     * @param snapshotMillis how long one snapshot takes
+     * @param snapshotMillis the time that one snapshot takes
      */
     int retryAfterMillis(int snapshotMillis) {
         int roundsAhead = 1 + waiting / limit;
--- a/src/main/java/pepperdock/distribution/SnapshotAssembly.java
+++ b/src/main/java/pepperdock/distribution/SnapshotAssembly.java
@@ -1,6 +1,6 @@
 package pepperdock.distribution;
 
-/** Assembles a snapshot from its chunks. Owned by the thread that calls {@link Subscriber}. */
+/** Assembles a snapshot from its chunks. Not thread-safe: used only by the thread that calls {@link Subscriber}. */
 final class SnapshotAssembly {
 
     private final ConfigurationVersion version;
@@ -8,21 +8,21 @@
     private final byte[] bytes;
     private int received;
 
-    SnapshotAssembly(DistributionMessage.SnapshotPiece first) {
+    SnapshotAssembly(DistributionMessage.SnapshotChunk first) {
         version = first.version();
         digest = first.digest();
         bytes = new byte[first.total()];
     }
 
-    /** Takes the chunk if it is the next one; whether it is. */
-    boolean add(DistributionMessage.SnapshotPiece piece) {
-        boolean next = piece.version().equals(version)
-                && piece.digest().equals(digest)
-                && piece.offset() == received
-                && piece.offset() + piece.chunk().length <= bytes.length;
+    /** Adds the chunk if it is the next one expected; returns whether it was added. */
+    boolean add(DistributionMessage.SnapshotChunk chunk) {
+        boolean next = chunk.version().equals(version)
+                && chunk.digest().equals(digest)
+                && chunk.offset() == received
+                && chunk.offset() + chunk.data().length <= bytes.length;
         if (next) {
-            System.arraycopy(piece.chunk(), 0, bytes, received, piece.chunk().length);
-            received += piece.chunk().length;
+            System.arraycopy(chunk.data(), 0, bytes, received, chunk.data().length);
+            received += chunk.data().length;
         }
         return next;
     }
--- a/src/main/java/pepperdock/distribution/SnapshotTransfer.java
+++ b/src/main/java/pepperdock/distribution/SnapshotTransfer.java
@@ -3,8 +3,8 @@
 import java.util.Arrays;
 
 /**
- * A snapshot in flight to one subscriber, in chunks. The bytes are shared by all transfers of one version. Owned by the thread
- * that calls {@link Publisher}.
+ * The transfer of a snapshot to one subscriber, in chunks. All transfers of one version share the bytes. Not
+ * thread-safe: used only by the thread that calls {@link Publisher}.
  */
 final class SnapshotTransfer {
 
@@ -23,12 +23,12 @@
         return snapshot.version();
     }
 
-    /** The next chunk. */
-    DistributionMessage.SnapshotPiece next() {
+    /** Returns the next chunk. */
+    DistributionMessage.SnapshotChunk next() {
         int end = Math.min(bytes.length, offset + pieceBytes);
-        byte[] piece = Arrays.copyOfRange(bytes, offset, end);
-        DistributionMessage.SnapshotPiece message = new DistributionMessage.SnapshotPiece(
-                snapshot.version(), snapshot.digest(), snapshot.format(), bytes.length, offset, piece);
+        byte[] data = Arrays.copyOfRange(bytes, offset, end);
+        DistributionMessage.SnapshotChunk message = new DistributionMessage.SnapshotChunk(
+                snapshot.version(), snapshot.digest(), snapshot.format(), bytes.length, offset, data);
         offset = end;
         return message;
     }
--- a/src/main/java/pepperdock/distribution/Subscriber.java
+++ b/src/main/java/pepperdock/distribution/Subscriber.java
@@ -5,18 +5,22 @@
 import java.util.Random;
 
 /**
- * The gatherer's side of the distribution: receives settled versions from one control machine at a time, puts each in force
- * whole or not at all, and never one that is older than any it had in force. Without a control machine it goes on with the last
- * version, and reports how old that is.
+ * The gatherer's side of the distribution: receives committed versions from one control machine at a time, puts each in
+ * force completely or not at all, and never one that is older than any it had in force. Without a control machine it
+ * continues with the last version, and reports how old that is.
  *
- * <p>All state belongs to one thread, the caller's. Times are milliseconds of the caller's clock. The connection is
- * {@link ControlConnection}'s, and what is in force {@link InForceConfiguration}'s; the messages between them are handled here.
+ * <p>Not thread-safe: used by a single thread only. Times are in milliseconds of the caller's clock.
+ * {@link ControlConnection} manages the connection and {@link InForceConfiguration} the configuration in force; this
+ * class handles the messages.
  */
 public class Subscriber {
 
-    /** After so many requests without an answer the control machine is left: it may not hear this subscriber. */
+    /**
+     * After this many unanswered requests the subscriber switches to another control machine: this one may not receive
+     * them.
+     */
     private static final int MAX_UNANSWERED_REQUESTS = 2;
-    /** Of snapshots; a larger total is not trusted. */
+    /** The size limit of a snapshot; one with a larger total is ignored. */
     private static final int MAX_SNAPSHOT_BYTES = 16 << 20;
 
     private final SubscriberId id;
@@ -27,35 +31,35 @@
     private final ControlConnection connection;
     private final InForceConfiguration inForce;
 
-    /** Null where there was none. */
+    /** The last refusal; null if there was none. */
     private Refusal refusal;
 
     private long lastHeard;
     /** The newest version that the control machine has offered. */
     private ConfigurationVersion offered = ConfigurationVersion.NONE;
-    /** When that was last known to be the newest. */
+    /** When the offered version was last known to be the newest. */
     private long offeredConfirmedAt;
-    /** Whether all control machines were tried in vain, so that this one is kept for a while. */
+    /** Whether all control machines were tried without success, so that this one is kept until {@code stayUntil}. */
     private boolean stays;
 
     private long stayUntil;
     private long lastProgress;
     private int unansweredRequests;
-    private long aliveAt;
-    /** The snapshot that is being received; null where there is none. */
+    private long heartbeatAt;
+    /** The snapshot that is being received; null if there is none. */
     private SnapshotAssembly assembly;
-    /** Whether a snapshot has to be requested, as a delta did not fit. */
+    /** Whether a snapshot has to be requested, because a delta could not be applied or a snapshot was not intact. */
     private boolean needsSnapshot;
-    /** The version in force was the newest at this time; the subscriber's start where that is not known. */
+    /** When the version in force was last known to be the newest; the start of the subscriber if it never was. */
     private long currentAt;
 
     private boolean everCurrent;
 
     /**
-     * Loads what the store holds, and puts it in force.
+     * Creates a subscriber, loads the configuration that the store holds, and puts it in force.
      *
-     * @param seed of the backoff and the order of control machines
-     * @param now as for all other calls
+     * @param seed the seed of the backoff and of the order of the control machines
+     * @param now the current time, as for all other calls
      */
     public Subscriber(
             SubscriberIdentity self,
@@ -73,49 +77,52 @@
         Random random = new Random(seed);
         selector = new ControlMachineSelector(machines, self.region(), settings, random);
         currentAt = now;
-        long firstAttemptAt = now + random.nextInt(settings.backOffMillis());
+        long firstAttemptAt = now + random.nextInt(settings.initialBackoffMillis());
         connection = new ControlConnection(selector, output, settings.connectMillis(), firstAttemptAt);
-        inForce = new InForceConfiguration(store, settings.saveAgainMillis());
+        inForce = new InForceConfiguration(store, settings.saveRetryMillis());
         if (!inForce.version().equals(ConfigurationVersion.NONE)) {
             output.inForce(inForce.configuration());
         }
     }
 
-    // ---- State, for the caller ------------------------------------------------------------
+    // ---- State ------------------------------------------------------------
 
-    /** What is in force; {@link ConfigurationSnapshot#NONE} where nothing is. */
+    /** Returns the configuration in force; {@link ConfigurationSnapshot#NONE} if there is none. */
     public ConfigurationSnapshot inForce() {
         return inForce.configuration();
     }
 
-    /** What the disk holds of it. */
+    /** Returns how much of the configuration in force is on the disk. */
     public Durability durability() {
         return inForce.durability();
     }
 
-    /** The last refusal, if there was one since the start. */
+    /** Returns the last refusal since the start, if any. */
     public Optional<Refusal> refusal() {
         return Optional.ofNullable(refusal);
     }
 
-    /** Whether a version newer than the one on the disk was in force before the restart, so that nothing is until it comes. */
+    /**
+     * Returns whether nothing is in force because a newer version than the saved one was in force before the restart.
+     * This lasts until that version or a newer one is received.
+     */
     public boolean heldBack() {
         return inForce.heldBack();
     }
 
-    /** The control machine that it is connected to, if it is. */
+    /** Returns the control machine that the subscriber is connected to, if any. */
     public Optional<ControlMachine> machine() {
         return connection.machine();
     }
 
-    /** How old the version in force is. */
+    /** Returns the age of the version in force. */
     public ConfigurationAge age(long now) {
         return new ConfigurationAge(Math.max(0, now - currentAt), !everCurrent);
     }
 
     // ---- Inputs ------------------------------------------------------------
 
-    /** Time passes; to be called several times a second. */
+    /** Handles timeouts, retries and heartbeats that are due; must be called several times a second. */
     public void tick(long now) {
         if (inForce.retrySave(now) && connection.connected()) {
             reportInForce();
@@ -127,7 +134,7 @@
         }
     }
 
-    /** The connection is open. */
+    /** Handles the opening of the connection. */
     public void connected(long now) {
         connection.opened();
         lastHeard = now;
@@ -137,22 +144,22 @@
         unansweredRequests = 0;
         stays = selector.roundOver();
         stayUntil = now + settings.stayMillis();
-        aliveAt = now + settings.aliveMillis();
+        heartbeatAt = now + settings.heartbeatMillis();
         assembly = null;
         output.send(new DistributionMessage.Hello(
-                id, settings.reads(), inForce.version(), inForce.digest(), inForce.durability()));
+                id, settings.highestFormat(), inForce.version(), inForce.digest(), inForce.durability()));
         if (refusal != null && !inForce.version().newerThan(refusal.version())) {
             output.send(new DistributionMessage.Refused(refusal));
         }
     }
 
-    /** The connection has ended, or could not be opened. */
+    /** Handles the end of the connection, or the failure to open it. */
     public void disconnected(long now) {
         assembly = null;
         connection.backOff(now);
     }
 
-    /** A message has come on the connection. */
+    /** Handles a message received on the connection. */
     public void received(DistributionMessage.FromPublisher message, long now) {
         lastHeard = now;
         selector.onAnswer();
@@ -160,37 +167,37 @@
             onHeartbeat(heartbeat, now);
         } else if (message instanceof DistributionMessage.Update update) {
             onUpdate(update.delta(), now);
-        } else if (message instanceof DistributionMessage.SnapshotPiece piece) {
-            onSnapshotPiece(piece, now);
-        } else if (message instanceof DistributionMessage.RetryAfter later) {
-            madeProgress(now + later.millis() - settings.lagMillis());
+        } else if (message instanceof DistributionMessage.SnapshotChunk chunk) {
+            onSnapshotChunk(chunk, now);
+        } else if (message instanceof DistributionMessage.RetryAfter retryAfter) {
+            madeProgress(now + retryAfter.millis() - settings.lagMillis());
         }
     }
 
-    // ---- Safety rules; tests plant faults by overriding them
+    // ---- Safety rules, which tests override to inject faults
     // ------------------------------------------------------------
 
-    /** Whether a version may follow on the one in force. */
+    /** Returns whether a version may replace the one in force. */
     protected boolean mayFollow(ConfigurationVersion next) {
         return next.newerThan(inForce.version()) && !inForce.floor().newerThan(next);
     }
 
-    /** Whether the result is what was settled. */
-    protected boolean intact(ConfigurationSnapshot result, ConfigurationDigest settled) {
-        return result.digest().equals(settled);
+    /** Returns whether the result is the configuration that was committed. */
+    protected boolean intact(ConfigurationSnapshot result, ConfigurationDigest committed) {
+        return result.digest().equals(committed);
     }
 
-    /** What comes of the version in force by these changes. */
+    /** Returns the configuration that results from applying the delta to the base. */
     protected ConfigurationSnapshot applied(ConfigurationSnapshot base, Delta delta) {
         return base.with(delta.result(), delta.format(), delta.changes());
     }
 
-    /** Whether the control machine has been silent for too long. */
+    /** Returns whether the control machine has been silent for too long. */
     protected boolean tooSilent(long silentMillis) {
         return silentMillis > settings.silenceMillis();
     }
 
-    /** Whether what the control machine holds has not been known to be the newest for too long. */
+    /** Returns whether the control machine's version has not been confirmed as the newest for too long. */
     protected boolean tooLongUnconfirmed(long unconfirmedMillis) {
         return unconfirmedMillis > settings.staleMillis();
     }
@@ -215,9 +222,9 @@
             }
             requestNewer(now);
         }
-        if (now >= aliveAt) {
+        if (now >= heartbeatAt) {
             reportInForce();
-            aliveAt = now + settings.aliveMillis();
+            heartbeatAt = now + settings.heartbeatMillis();
         }
     }
 
@@ -242,7 +249,9 @@
         }
     }
 
-    /** The control machine holds the version in force with another content. */
+    /**
+     * Reports that the control machine holds the version in force with a different content, unless already reported.
+     */
     private void onConflict(DistributionMessage.Heartbeat heartbeat) {
         Refusal conflict = new Refusal(offered, Refusal.Reason.CONFLICT, "other content: " + heartbeat.digest());
         if (!conflict.equals(refusal)) {
@@ -262,7 +271,7 @@
     private void requestNewer(long now) {
         unansweredRequests++;
         lastProgress = now;
-        output.send(new DistributionMessage.Ask(inForce.version(), inForce.digest(), needsSnapshot));
+        output.send(new DistributionMessage.UpdateRequest(inForce.version(), inForce.digest(), needsSnapshot));
     }
 
     private void requestSnapshot(long now) {
@@ -290,14 +299,14 @@
         putInForce(result, now);
     }
 
-    private void onSnapshotPiece(DistributionMessage.SnapshotPiece piece, long now) {
+    private void onSnapshotChunk(DistributionMessage.SnapshotChunk chunk, long now) {
         madeProgress(now);
-        if (piece.offset() == 0) {
-            boolean wanted = mayFollow(piece.version()) && readable(piece.version(), piece.format());
-            boolean possible = piece.total() >= 0 && piece.total() <= MAX_SNAPSHOT_BYTES;
-            assembly = wanted && possible ? new SnapshotAssembly(piece) : null;
+        if (chunk.offset() == 0) {
+            boolean wanted = mayFollow(chunk.version()) && readable(chunk.version(), chunk.format());
+            boolean possible = chunk.total() >= 0 && chunk.total() <= MAX_SNAPSHOT_BYTES;
+            assembly = wanted && possible ? new SnapshotAssembly(chunk) : null;
         }
-        if (assembly == null || !assembly.add(piece) || !assembly.complete()) {
+        if (assembly == null || !assembly.add(chunk) || !assembly.complete()) {
             return;
         }
         SnapshotAssembly complete = assembly;
@@ -310,7 +319,7 @@
         putInForce(result, now);
     }
 
-    /** Null where the bytes are no configuration. */
+    /** Returns the decoded configuration, or null if the bytes are malformed. */
     private static ConfigurationSnapshot decode(SnapshotAssembly complete) {
         try {
             return ConfigurationCodec.read(complete.bytes());
@@ -320,11 +329,11 @@
     }
 
     private boolean readable(ConfigurationVersion version, int format) {
-        if (format <= settings.reads()) {
+        if (format <= settings.highestFormat()) {
             return true;
         }
         refuse(new Refusal(
-                version, Refusal.Reason.FORMAT, "format " + format + ", this reads up to " + settings.reads()));
+                version, Refusal.Reason.FORMAT, "format " + format + ", this reads up to " + settings.highestFormat()));
         return false;
     }
 
@@ -334,9 +343,9 @@
     }
 
     private void putInForce(ConfigurationSnapshot next, long now) {
-        Optional<String> complaint = validator.complaint(next);
-        if (complaint.isPresent()) {
-            refuse(new Refusal(next.version(), Refusal.Reason.INVALID, complaint.get()));
+        Optional<String> validationError = validator.validationError(next);
+        if (validationError.isPresent()) {
+            refuse(new Refusal(next.version(), Refusal.Reason.INVALID, validationError.get()));
             return;
         }
         needsSnapshot = false;
--- a/src/main/java/pepperdock/distribution/SubscriberId.java
+++ b/src/main/java/pepperdock/distribution/SubscriberId.java
@@ -1,6 +1,6 @@
 package pepperdock.distribution;
 
-/** Who a subscriber is: the gatherer's name. */
+/** Identifies a subscriber by the name of its gatherer. */
 public record SubscriberId(String name) implements Comparable<SubscriberId> {
 
     @Override
--- a/src/main/java/pepperdock/distribution/SubscriberIdentity.java
+++ b/src/main/java/pepperdock/distribution/SubscriberIdentity.java
@@ -1,8 +1,8 @@
 package pepperdock.distribution;
 
 /**
- * Who a subscriber is and where it runs.
+ * The identity and location of a subscriber.
  *
- * @param region whose control machines it prefers
+ * @param region the region in which it runs, and whose control machines it prefers
  */
 public record SubscriberIdentity(SubscriberId id, String region) {}
--- a/src/main/java/pepperdock/distribution/SubscriberOutput.java
+++ b/src/main/java/pepperdock/distribution/SubscriberOutput.java
@@ -1,17 +1,19 @@
 package pepperdock.distribution;
 
-/** What the caller does for a {@link Subscriber}, which has one connection at most. */
+/** The actions that the caller performs for a {@link Subscriber}, which has at most one connection. */
 public interface SubscriberOutput {
 
-    /** Opens a connection; {@link Subscriber#connected} or {@link Subscriber#disconnected} is to be called. */
+    /**
+     * Opens a connection, then calls {@link Subscriber#connected} or, if that fails, {@link Subscriber#disconnected}.
+     */
     void connect(ControlMachine to);
 
     /** Sends a message on the connection. */
     void send(DistributionMessage.FromSubscriber message);
 
-    /** Closes the connection, also one that is being opened; {@link Subscriber#disconnected} need not be called. */
+    /** Closes the connection, even while it is being opened; {@link Subscriber#disconnected} need not be called. */
     void disconnect();
 
-    /** This configuration is in force from now on. */
+    /** Puts a configuration in force. */
     void inForce(ConfigurationSnapshot configuration);
 }
--- a/src/main/java/pepperdock/distribution/SubscriberSession.java
+++ b/src/main/java/pepperdock/distribution/SubscriberSession.java
@@ -5,32 +5,33 @@
 import java.util.Optional;
 
 /**
- * One connection of a publisher: the subscriber, what it has in force, and what waits to be sent to it. Owned by the thread that
- * calls {@link Publisher}.
+ * One connection of a publisher: the subscriber, the version that it has in force, and the messages queued for it. Not
+ * thread-safe: used only by the thread that calls {@link Publisher}.
  */
 final class SubscriberSession {
 
     final long connection;
     private final ByteBudget budget;
     private final Deque<DistributionMessage.FromPublisher> queue = new ArrayDeque<>();
-    /** Null before the first message. */
+    /** Null until the subscriber has introduced itself. */
     private SubscriberId id;
 
-    private int reads;
+    /** The highest format that the subscriber reads. */
+    private int highestFormat;
 
     private ConfigurationVersion inForce = ConfigurationVersion.NONE;
     private ConfigurationDigest digest = ConfigurationSnapshot.NONE.digest();
     private Durability durability = Durability.MEMORY_ONLY;
-    private long since;
+    private long inForceSince;
     private Refusal refusal;
-    /** The version that was sent and not answered; null where there is none. */
+    /** The version that was sent and not answered yet; null if there is none. */
     private ConfigurationVersion unanswered;
 
     private long unansweredSince;
-    /** The snapshot that is being sent; null where there is none. */
+    /** The snapshot that is being sent; null if there is none. */
     private SnapshotTransfer transfer;
-    /** It was told to retry later, and has not yet. */
-    boolean waiting;
+    /** Whether the subscriber was told to retry later and has not retried yet. */
+    boolean waitingToRetry;
 
     long lastHeard;
     long heartbeatAt;
@@ -40,47 +41,47 @@
         budget = new ByteBudget(settings.subscriberBytesPerSecond(), settings.subscriberBurstBytes(), now);
         lastHeard = now;
         heartbeatAt = now;
-        since = now;
+        inForceSince = now;
     }
 
-    boolean known() {
+    boolean introduced() {
         return id != null;
     }
 
-    void introduced(DistributionMessage.Hello hello, long now) {
+    void onHello(DistributionMessage.Hello hello, long now) {
         id = hello.from();
-        reads = hello.highestFormat();
-        inForce(hello.inForce(), hello.digest(), hello.durability(), now);
+        highestFormat = hello.highestFormat();
+        onInForce(hello.inForce(), hello.digest(), hello.durability(), now);
     }
 
-    void inForce(ConfigurationVersion version, ConfigurationDigest as, Durability on, long now) {
+    void onInForce(ConfigurationVersion version, ConfigurationDigest newDigest, Durability newDurability, long now) {
         if (!version.equals(inForce)) {
-            since = now;
+            inForceSince = now;
         }
         inForce = version;
-        digest = as;
-        durability = on;
+        digest = newDigest;
+        durability = newDurability;
         if (unanswered != null && !unanswered.newerThan(version)) {
             unanswered = null;
         }
     }
 
-    void refused(Refusal refused) {
+    void onRefused(Refusal refused) {
         refusal = refused;
         if (refused.version().equals(unanswered)) {
             unanswered = null;
         }
     }
 
-    /** The subscriber requests what is newer: whatever was sent before did not help. */
-    void asked(ConfigurationVersion version, ConfigurationDigest as, long now) {
-        inForce(version, as, durability, now);
+    /** Handles a request for a newer version: whatever was sent before had no effect. */
+    void onRequest(ConfigurationVersion version, ConfigurationDigest newDigest, long now) {
+        onInForce(version, newDigest, durability, now);
         unanswered = null;
     }
 
-    /** The highest format that the subscriber reads. */
-    int reads() {
-        return reads;
+    /** Returns the highest format that the subscriber reads. */
+    int highestFormat() {
+        return highestFormat;
     }
 
     ConfigurationVersion inForce() {
@@ -95,9 +96,9 @@
         return refusal != null && refusal.version().equals(version);
     }
 
-    /** Whether something is in flight to it. */
+    /** Returns whether an answer, a transfer or a retry of the subscriber is pending. */
     boolean busy() {
-        return unanswered != null || transfer != null || waiting;
+        return unanswered != null || transfer != null || waitingToRetry;
     }
 
     void sent(ConfigurationVersion version, long now) {
@@ -105,7 +106,7 @@
         unansweredSince = now;
     }
 
-    void begin(SnapshotTransfer snapshot) {
+    void startTransfer(SnapshotTransfer snapshot) {
         transfer = snapshot;
     }
 
@@ -121,11 +122,11 @@
         queue.addLast(message);
     }
 
-    boolean idle() {
+    boolean queueEmpty() {
         return queue.isEmpty();
     }
 
-    /** Takes the next message that the budget allows now; null where there is none. */
+    /** Removes and returns the next message that the budget allows now; null if there is none. */
     DistributionMessage.FromPublisher next(long now) {
         DistributionMessage.FromPublisher first = queue.peekFirst();
         if (first == null || !budget.allows(first.bytes(), now)) {
@@ -140,9 +141,9 @@
         boolean behind = latest.newerThan(inForce) && !hasRefused(latest);
         return new SubscriberState(
                 id,
-                reads,
+                highestFormat,
                 inForce,
-                since,
+                inForceSince,
                 durability,
                 late && behind,
                 inForce.newerThan(latest),
--- a/src/main/java/pepperdock/distribution/SubscriberSettings.java
+++ b/src/main/java/pepperdock/distribution/SubscriberSettings.java
@@ -1,37 +1,39 @@
 package pepperdock.distribution;
 
 /**
- * The timeouts and intervals of a subscriber, in milliseconds but for {@code reads}. Immutable.
+ * The timeouts and intervals of a subscriber, in milliseconds, and the highest format that it reads. Immutable.
  *
- * @param reads the highest format that this program version reads
- * @param connectMillis a connection that is not open by then is given up
- * @param silenceMillis a control machine that sends nothing for so long is left for another
- * @param staleMillis a control machine that has not been confirmed for so long is left for another
- * @param stayMillis after all were tried in vain, so long with one that is not confirmed before they are tried again
- * @param lagMillis without progress for so long, where something newer is known, it is requested again
- * @param aliveMillis between two heartbeats
- * @param saveAgainMillis between two attempts to save what could not be saved
- * @param backOffMillis the first backoff, at most; doubled with each attempt that fails
- * @param backOffMostMillis no backoff is longer
+ * @param highestFormat the highest format that this program version reads
+ * @param connectMillis the time after which a connection that is not open is given up
+ * @param silenceMillis the time without a message after which the subscriber switches to another control machine
+ * @param staleMillis the time after which the subscriber switches away from a control machine that has not been
+ *     confirmed
+ * @param stayMillis the time that the subscriber stays with an unconfirmed control machine when all others failed,
+ *     before it tries them again
+ * @param lagMillis the time without progress after which a newer version that is known to exist is requested again
+ * @param heartbeatMillis the interval between two heartbeats
+ * @param saveRetryMillis the interval between two attempts to save a configuration that could not be saved
+ * @param initialBackoffMillis the upper limit of the first backoff; doubled with each attempt that fails
+ * @param maxBackoffMillis the upper limit of every backoff
  */
 public record SubscriberSettings(
-        int reads,
+        int highestFormat,
         int connectMillis,
         int silenceMillis,
         int staleMillis,
         int stayMillis,
         int lagMillis,
-        int aliveMillis,
-        int saveAgainMillis,
-        int backOffMillis,
-        int backOffMostMillis) {
+        int heartbeatMillis,
+        int saveRetryMillis,
+        int initialBackoffMillis,
+        int maxBackoffMillis) {
 
-    /** For heartbeats once a second and a change in force within 11 s. */
+    /** Returns settings for one heartbeat per second from the publisher and a change in force within 11 s. */
     public static SubscriberSettings defaults() {
         return new SubscriberSettings(1, 1500, 3000, 4000, 30_000, 2000, 5000, 10_000, 200, 2000);
     }
 
-    /** The same for a program version that reads up to that format. */
+    /** Returns the same settings for a program version that reads up to this format. */
     public SubscriberSettings reading(int highestFormat) {
         return new SubscriberSettings(
                 highestFormat,
@@ -40,9 +42,9 @@
                 staleMillis,
                 stayMillis,
                 lagMillis,
-                aliveMillis,
-                saveAgainMillis,
-                backOffMillis,
-                backOffMostMillis);
+                heartbeatMillis,
+                saveRetryMillis,
+                initialBackoffMillis,
+                maxBackoffMillis);
     }
 }
--- a/src/main/java/pepperdock/distribution/SubscriberState.java
+++ b/src/main/java/pepperdock/distribution/SubscriberState.java
@@ -3,18 +3,18 @@
 import java.util.Optional;
 
 /**
- * What a publisher knows of one subscriber that is connected to it.
+ * The state of a connected subscriber, as its publisher knows it.
  *
- * @param reads the highest format that it reads
- * @param inForce the version in force there, as it said
- * @param sinceMillis when this publisher first heard so
- * @param lagging it has not put in force what it was offered, and has not refused it
- * @param ahead it has a newer version in force than this control machine holds
- * @param refusal the last version that it refused, if it did
+ * @param highestFormat the highest format that it reads
+ * @param inForce the version that it last reported in force
+ * @param sinceMillis when this publisher first received that report
+ * @param lagging whether it has neither put in force nor refused the version that was offered to it
+ * @param ahead whether it has a newer version in force than this control machine holds
+ * @param refusal its last refusal, if any
  */
 public record SubscriberState(
         SubscriberId id,
-        int reads,
+        int highestFormat,
         ConfigurationVersion inForce,
         long sinceMillis,
         Durability durability,
--- a/src/main/java/pepperdock/distribution/VersionSource.java
+++ b/src/main/java/pepperdock/distribution/VersionSource.java
@@ -2,12 +2,15 @@
 
 import java.util.List;
 
-/** The settled versions that a publisher sends: the committed log of its control machine. */
+/** The source of the committed versions that a publisher sends: the committed log of its control machine. */
 public interface VersionSource {
 
-    /** The configurations settled after that version and known to this machine, oldest first. */
+    /** Returns the configurations committed after this version that this machine knows, oldest first. */
     List<ConfigurationSnapshot> after(ConfigurationVersion version);
 
-    /** When this machine last knew that nothing newer than what it holds was settled; milliseconds of the caller's clock. */
+    /**
+     * Returns when this machine last knew that no version newer than its own was committed, in milliseconds of the
+     * caller's clock.
+     */
     long confirmedAtMillis();
 }
--- a/src/main/java/pepperdock/distribution/VersionStore.java
+++ b/src/main/java/pepperdock/distribution/VersionStore.java
@@ -1,26 +1,29 @@
 package pepperdock.distribution;
 
-/** A subscriber's disk. */
+/** Stores the configuration in force on a subscriber's disk. */
 public interface VersionStore {
 
     /**
-     * What a disk holds when a process starts.
+     * The content of a disk when a process starts.
      *
-     * @param configuration {@link ConfigurationSnapshot#NONE} where there is none that is complete
-     * @param floor nothing older than this may be put in force
+     * @param configuration the saved configuration; {@link ConfigurationSnapshot#NONE} if there is no complete one
+     * @param floor the oldest version that may be put in force
      */
     record Saved(ConfigurationSnapshot configuration, ConfigurationVersion floor) {
 
-        /** Of a new disk. */
+        /** The content of a new disk. */
         public static final Saved NOTHING = new Saved(ConfigurationSnapshot.NONE, ConfigurationVersion.NONE);
     }
 
-    /** What the disk holds. */
+    /** Returns the content of the disk. */
     Saved load();
 
-    /** Replaces the configuration, whole or not at all, and syncs it. False where that failed; the disk may be full. */
+    /**
+     * Replaces the saved configuration atomically and syncs it; returns false if that failed, for example on a full
+     * disk.
+     */
     boolean save(ConfigurationSnapshot configuration);
 
-    /** Overwrites the floor in its place, which needs no space, and syncs it. False where that failed. */
+    /** Overwrites the floor in place, which needs no disk space, and syncs it; returns false if that failed. */
     boolean saveFloor(ConfigurationVersion floor);
 }
--- a/src/main/java/pepperdock/distribution/wire/MalformedMessageException.java
+++ b/src/main/java/pepperdock/distribution/wire/MalformedMessageException.java
@@ -1,6 +1,9 @@
 package pepperdock.distribution.wire;
 
-/** Bytes that are not one whole message of the distribution protocol, or a message that the peer may not send. */
+/**
+ * Thrown when bytes are not exactly one complete message, or when the peer sends a message that only this side may
+ * send.
+ */
 public final class MalformedMessageException extends IllegalArgumentException {
 
     private static final long serialVersionUID = 1;
--- a/src/main/java/pepperdock/distribution/wire/PublisherServer.java
+++ b/src/main/java/pepperdock/distribution/wire/PublisherServer.java
@@ -14,7 +14,7 @@
 import pepperdock.transport.Connection;
 import pepperdock.transport.EventLoop;
 
-/** A publisher behind a listening address. All state belongs to the loop's thread. */
+/** Serves a {@link Publisher} on a listening address. Not thread-safe: used only by the event loop's thread. */
 public final class PublisherServer implements PublisherOutput, AutoCloseable {
 
     private static final System.Logger LOG = System.getLogger("pepperdock.distribution");
@@ -23,16 +23,16 @@
 
     private final EventLoop loop;
     private final Publisher publisher;
-    private final EventLoop.ServerSocketHandle listening;
+    private final EventLoop.ServerSocketHandle serverSocket;
     private final TreeMap<Long, Connection> connections = new TreeMap<>();
     private Clock.Timer timer;
     private long lastNumber;
     private boolean closed;
 
-    /** Listens from now on; {@code maxConnections} subscribers are served, and others closed unserved. */
+    /** Starts to listen; serves at most {@code maxConnections} subscribers and closes further connections at once. */
     public PublisherServer(
             EventLoop loop,
-            InetSocketAddress at,
+            InetSocketAddress address,
             int maxConnections,
             PublisherSettings settings,
             VersionSource source,
@@ -40,32 +40,32 @@
             throws IOException {
         this.loop = loop;
         publisher = new Publisher(settings, source, this, seed, now());
-        listening = loop.listen(
-                at, EventLoop.SocketScope.EXCLUSIVE, () -> connections.size() < maxConnections, this::accepted);
+        serverSocket = loop.listen(
+                address, EventLoop.SocketScope.EXCLUSIVE, () -> connections.size() < maxConnections, this::accepted);
         timer = loop.after(TICK_SECONDS, this::tick);
     }
 
-    /** Where it listens. */
+    /** Returns the address on which the server listens. */
     public InetSocketAddress address() {
-        return listening.address();
+        return serverSocket.address();
     }
 
-    /** The source has something newer. */
+    /** Tells the publisher that the source has a newer version. */
     public void settled() {
         publisher.settled(now());
     }
 
-    /** Every subscriber that is connected here. */
+    /** Returns the state of each connected subscriber that has introduced itself. */
     public List<SubscriberState> subscribers() {
         return publisher.subscribers(now());
     }
 
-    /** Ends all connections, and listens no more. */
+    /** Stops listening and closes all connections. */
     @Override
     public void close() {
         closed = true;
         timer.cancel();
-        listening.close();
+        serverSocket.close();
         connections.values().forEach(Connection::close);
         connections.clear();
     }
@@ -91,29 +91,31 @@
 
             @Override
             public void onClosed(Connection from) {
-                forget(number);
+                removeConnection(number);
             }
         });
     }
 
     private void decode(long number, Connection connection) {
         try {
-            DistributionMessageDecoder.take(connection, message -> {
+            DistributionMessageDecoder.decodeAvailable(connection, message -> {
                 if (!(message instanceof DistributionMessage.FromSubscriber received)) {
-                    throw new MalformedMessageException(
-                            "not a subscriber's: " + message.getClass().getSimpleName());
+                    throw new MalformedMessageException("expected a message that a subscriber sends, received "
+                            + message.getClass().getSimpleName());
                 }
                 publisher.received(number, received, now());
                 return connections.containsKey(number);
             });
         } catch (IllegalArgumentException e) {
-            LOG.log(System.Logger.Level.WARNING, () -> "subscriber at " + connection.peer() + ": " + e.getMessage());
+            LOG.log(
+                    System.Logger.Level.WARNING,
+                    () -> "closing the connection to the subscriber at " + connection.peer() + ": " + e.getMessage());
             connection.close();
-            forget(number);
+            removeConnection(number);
         }
     }
 
-    private void forget(long number) {
+    private void removeConnection(long number) {
         connections.remove(number);
         publisher.disconnected(number);
     }
--- a/src/main/java/pepperdock/distribution/wire/SubscriberClient.java
+++ b/src/main/java/pepperdock/distribution/wire/SubscriberClient.java
@@ -16,10 +16,13 @@
 import pepperdock.transport.Connection;
 import pepperdock.transport.EventLoop;
 
-/** A subscriber that dials its control machines. All state belongs to the loop's thread, also its construction. */
+/**
+ * Connects a {@link Subscriber} to its control machines. Not thread-safe: created and used only on the event loop's
+ * thread.
+ */
 public final class SubscriberClient implements SubscriberOutput, AutoCloseable {
 
-    /** Where a control machine is reached. */
+    /** A control machine and its address. */
     public record Reach(ControlMachine machine, InetSocketAddress address) {}
 
     private static final System.Logger LOG = System.getLogger("pepperdock.distribution");
@@ -27,45 +30,45 @@
     private static final double MILLIS_PER_SECOND = 1e3;
 
     private final EventLoop loop;
-    private final List<Reach> reaches;
+    private final List<Reach> addresses;
     private final SubscriberSettings settings;
     private final Consumer<ConfigurationSnapshot> inForce;
     private final Subscriber subscriber;
     private Clock.Timer timer;
-    /** Null while there is none. */
+    /** The open connection; null if there is none. */
     private Connection connection;
-    /** Numbers the attempts, so that the outcome of one that was given up is ignored. */
+    /** The number of the current attempt, by which the outcome of an abandoned attempt is recognized and ignored. */
     private long attempt;
 
     private long bytesIn;
     private long bytesOut;
     private boolean closed;
 
-    /** Begins to dial with the first tick; {@code inForce} gets each configuration that is put in force. */
+    /** Connects from the first tick on; {@code inForce} receives each configuration that is put in force. */
     public SubscriberClient(
             EventLoop loop,
             SubscriberIdentity self,
-            List<Reach> reaches,
+            List<Reach> addresses,
             SubscriberSettings settings,
             VersionStore store,
             ConfigurationValidator validator,
             Consumer<ConfigurationSnapshot> inForce,
             long seed) {
         this.loop = loop;
-        this.reaches = List.copyOf(reaches);
+        this.addresses = List.copyOf(addresses);
         this.settings = settings;
         this.inForce = inForce;
-        List<ControlMachine> machines = reaches.stream().map(Reach::machine).toList();
+        List<ControlMachine> machines = addresses.stream().map(Reach::machine).toList();
         subscriber = new Subscriber(self, machines, settings, store, validator, this, seed, now());
         timer = loop.after(TICK_SECONDS, this::tick);
     }
 
-    /** The subscriber, for its state. */
+    /** Returns the subscriber, which reports its state. */
     public Subscriber subscriber() {
         return subscriber;
     }
 
-    /** Bytes of frames received and sent so far. */
+    /** Returns the bytes of the frames received and sent so far. */
     public long bytes() {
         return bytesIn + bytesOut;
     }
@@ -74,7 +77,7 @@
     public void close() {
         closed = true;
         timer.cancel();
-        end();
+        closeConnection();
     }
 
     private void tick() {
@@ -89,18 +92,18 @@
     @Override
     public void connect(ControlMachine to) {
         long number = ++attempt;
-        InetSocketAddress address = reaches.stream()
-                .filter(reach -> reach.machine().equals(to))
+        InetSocketAddress address = addresses.stream()
+                .filter(entry -> entry.machine().equals(to))
                 .findFirst()
                 .orElseThrow()
                 .address();
         loop.connect(address, settings.connectMillis() / MILLIS_PER_SECOND, new EventLoop.ConnectListener() {
             @Override
-            public void onConnected(Connection made) {
+            public void onConnected(Connection opened) {
                 if (number == attempt && !closed) {
-                    opened(number, made);
+                    onOpened(number, opened);
                 } else {
-                    made.close();
+                    opened.close();
                 }
             }
 
@@ -122,8 +125,8 @@
         }
     }
 
-    /** Ends the connection, or the attempt. */
-    private void end() {
+    /** Closes the connection, or abandons the attempt. */
+    private void closeConnection() {
         attempt++;
         if (connection != null) {
             connection.close();
@@ -133,7 +136,7 @@
 
     @Override
     public void disconnect() {
-        end();
+        closeConnection();
     }
 
     @Override
@@ -143,10 +146,10 @@
 
     // ---- The connection ------------------------------------------------------------
 
-    private void opened(long number, Connection made) {
-        connection = made;
-        made.limitUnconsumedBytes(DistributionMessageCodec.LENGTH_BYTES + DistributionMessageCodec.MAX_FRAME_BYTES);
-        made.start(new Connection.Handler() {
+    private void onOpened(long number, Connection opened) {
+        connection = opened;
+        opened.limitUnconsumedBytes(DistributionMessageCodec.LENGTH_BYTES + DistributionMessageCodec.MAX_FRAME_BYTES);
+        opened.start(new Connection.Handler() {
             @Override
             public void onBytes(Connection from) {
                 if (number == attempt) {
@@ -167,18 +170,20 @@
 
     private void decode(long number, Connection from) {
         try {
-            DistributionMessageDecoder.take(from, message -> {
+            DistributionMessageDecoder.decodeAvailable(from, message -> {
                 if (!(message instanceof DistributionMessage.FromPublisher received)) {
-                    throw new MalformedMessageException(
-                            "not a publisher's: " + message.getClass().getSimpleName());
+                    throw new MalformedMessageException("expected a message that a publisher sends, received "
+                            + message.getClass().getSimpleName());
                 }
                 bytesIn += DistributionMessageCodec.LENGTH_BYTES + 1 + received.content();
                 subscriber.received(received, now());
                 return number == attempt;
             });
         } catch (IllegalArgumentException e) {
-            LOG.log(System.Logger.Level.WARNING, () -> "control machine at " + from.peer() + ": " + e.getMessage());
-            end();
+            LOG.log(
+                    System.Logger.Level.WARNING,
+                    () -> "closing the connection to the control machine at " + from.peer() + ": " + e.getMessage());
+            closeConnection();
             subscriber.disconnected(now());
         }
     }
--- a/src/test/java/pepperdock/distribution/ConfigurationSnapshotTest.java
+++ b/src/test/java/pepperdock/distribution/ConfigurationSnapshotTest.java
@@ -11,7 +11,7 @@
 import net.jqwik.api.Property;
 import net.jqwik.api.constraints.Size;
 
-/** Configurations, their encoding and the changes between them. */
+/** Tests configurations, their encoding and the changes between them. */
 class ConfigurationSnapshotTest {
 
     private static ConfigurationSnapshot of(long number, Map<Byte, byte[]> content) {
@@ -21,7 +21,7 @@
     }
 
     @Property(tries = 200)
-    void whatIsWrittenIsReadAgain(@ForAll @Size(max = 20) Map<Byte, byte[]> content) {
+    void encodedConfigurationIsDecodedUnchanged(@ForAll @Size(max = 20) Map<Byte, byte[]> content) {
         ConfigurationSnapshot configuration = of(3, content);
         ConfigurationSnapshot read = ConfigurationCodec.read(configuration.encoded());
         assertEquals(configuration.digest(), read.digest());
@@ -29,14 +29,14 @@
     }
 
     @Property(tries = 200)
-    void whatIsCutShortIsNotRead(@ForAll @Size(max = 20) Map<Byte, byte[]> content, @ForAll byte cut) {
+    void truncatedConfigurationIsRejected(@ForAll @Size(max = 20) Map<Byte, byte[]> content, @ForAll byte cut) {
         byte[] whole = of(3, content).encoded();
         byte[] part = Arrays.copyOf(whole, Math.floorMod(cut, whole.length));
         assertThrows(IllegalArgumentException.class, () -> ConfigurationCodec.read(part));
     }
 
     @Property(tries = 200)
-    void changesLeadFromOneToTheOther(
+    void changesTurnOneConfigurationIntoTheOther(
             @ForAll @Size(max = 20) Map<Byte, byte[]> before, @ForAll @Size(max = 20) Map<Byte, byte[]> after) {
         ConfigurationSnapshot from = of(3, before);
         ConfigurationSnapshot to = of(4, after);
@@ -46,7 +46,7 @@
     }
 
     @Property(tries = 200)
-    void deltasAddUpFromAnyVersionKept(
+    void combinedDeltaLeadsFromAnyKeptVersionToTheNewest(
             @ForAll @Size(min = 2, max = 8) List<@Size(max = 8) Map<Byte, byte[]>> contents) {
         RecentChanges recent = new RecentChanges(100, 1 << 20);
         List<ConfigurationSnapshot> all = new ArrayList<>();
--- a/src/test/java/pepperdock/distribution/PublisherSubscriberPair.java
+++ b/src/test/java/pepperdock/distribution/PublisherSubscriberPair.java
@@ -7,7 +7,7 @@
 import java.util.List;
 import java.util.Optional;
 
-/** A subscriber and the messages that it and a publisher have for each other, handed over one by one. */
+/** Test fixture that queues the messages between a subscriber and a publisher and delivers them one by one. */
 final class PublisherSubscriberPair implements SubscriberOutput, PublisherOutput, VersionStore, ConfigurationValidator {
 
     static final ControlMachine NEAR = new ControlMachine("c1", "r1");
@@ -22,15 +22,15 @@
     boolean closed;
     boolean diskFull;
     boolean diskFails;
-    String complaint;
+    String validationError;
     VersionStore.Saved saved = VersionStore.Saved.NOTHING;
     long confirmedAt;
 
     static ConfigurationSnapshot version(long number, String... keysAndValues) {
-        return formatted(number, 1, keysAndValues);
+        return versionWithFormat(number, 1, keysAndValues);
     }
 
-    static ConfigurationSnapshot formatted(long number, int format, String... keysAndValues) {
+    static ConfigurationSnapshot versionWithFormat(long number, int format, String... keysAndValues) {
         List<ConfigurationItem> items = new ArrayList<>();
         for (int i = 0; i < 40; i++) {
             items.add(new ConfigurationItem("filler" + i, new byte[100]));
@@ -69,7 +69,7 @@
         return new Publisher(settings, source, this, 1, now);
     }
 
-    /** Hands over all there is, both ways, until nothing is left. */
+    /** Delivers all queued messages in both directions until none is left. */
     void exchange(Subscriber subscriber, Publisher publisher, long now) {
         while (!toPublisher.isEmpty() || !toSubscriber.isEmpty()) {
             if (!toPublisher.isEmpty()) {
@@ -80,7 +80,7 @@
         }
     }
 
-    /** Both tick ten times a second for so long, and all is handed over at once. */
+    /** Ticks both sides every 100 ms from one time to the other, and delivers all messages immediately. */
     void run(Subscriber subscriber, Publisher publisher, long from, long to) {
         for (long now = from; now <= to; now += 100) {
             confirmedAt = now;
@@ -142,7 +142,7 @@
     }
 
     @Override
-    public Optional<String> complaint(ConfigurationSnapshot configuration) {
-        return Optional.ofNullable(complaint);
+    public Optional<String> validationError(ConfigurationSnapshot configuration) {
+        return Optional.ofNullable(validationError);
     }
 }
--- a/src/test/java/pepperdock/distribution/PublisherTest.java
+++ b/src/test/java/pepperdock/distribution/PublisherTest.java
@@ -10,7 +10,7 @@
 import java.util.TreeMap;
 import org.junit.jupiter.api.Test;
 
-/** What a publisher sends, to whom, and within which budgets. */
+/** Tests which messages a publisher sends to which subscriber, and within which budgets. */
 class PublisherTest {
 
     private final PublisherSubscriberPair pair = new PublisherSubscriberPair();
@@ -25,7 +25,7 @@
     }
 
     @Test
-    void whoHasARecentVersionGetsOneDeltaOverAllThatFollowed() {
+    void subscriberWithARecentVersionIsSentOneDeltaOverAllLaterVersions() {
         ConfigurationSnapshot one = PublisherSubscriberPair.version(1, "a", "1");
         ConfigurationSnapshot three = PublisherSubscriberPair.version(3, "a", "3", "c", "1");
         pair.settled.addAll(List.of(one, PublisherSubscriberPair.version(2, "a", "2", "b", "1"), three));
@@ -42,7 +42,7 @@
     }
 
     @Test
-    void whoHasAVersionThatIsNoLongerKeptOrAnotherContentGetsASnapshot() {
+    void subscriberWithADroppedVersionOrAnotherContentIsSentASnapshot() {
         for (int i = 1; i <= 9; i++) {
             pair.settled.add(PublisherSubscriberPair.version(i, "a", "" + i));
         }
@@ -53,25 +53,27 @@
             long now = i * 1000L;
             publisher.connected(i, now);
             publisher.received(i, hello("g" + i, held.get(i)), now);
-            assertInstanceOf(DistributionMessage.SnapshotPiece.class, pair.toSubscriber.peekFirst());
+            assertInstanceOf(DistributionMessage.SnapshotChunk.class, pair.toSubscriber.peekFirst());
             pair.toSubscriber.clear();
         }
         assertEquals(2, publisher.snapshotsUnderWay());
     }
 
     @Test
-    void aDeltaOfMoreThanItsShareOfTheSnapshotGivesWayToTheSnapshot() {
+    void snapshotIsSentInsteadOfADeltaAboveItsShareOfTheSnapshot() {
         ConfigurationSnapshot one = PublisherSubscriberPair.version(1);
         pair.settled.addAll(List.of(one, PublisherSubscriberPair.version(2, "a", "x".repeat(8000))));
         Publisher publisher = pair.publisher(settings(3), 0);
         publisher.connected(1, 0);
         publisher.received(1, hello("g1", one), 0);
-        assertInstanceOf(DistributionMessage.SnapshotPiece.class, pair.toSubscriber.peekFirst());
+        assertInstanceOf(DistributionMessage.SnapshotChunk.class, pair.toSubscriber.peekFirst());
     }
 
-    /** Found by an hour's cut with 720 changes: 28 to 30 KB in one second, where 15 KB are allowed. */
+    /**
+     * After a disconnection of one hour with 720 changes, 28 to 30 KB were sent in one second, where 15 KB are allowed.
+     */
     @Test
-    void aDeltaOfMoreThanMayBeSentAtOnceGivesWayToTheSnapshotInPieces() {
+    void snapshotIsSentInChunksInsteadOfADeltaLargerThanTheBurst() {
         ConfigurationSnapshot one = ConfigurationSnapshot.of(
                 new ConfigurationVersion(1, 1), 1, List.of(new ConfigurationItem("large", new byte[40_000])));
         Change added = new Change.Put(new ConfigurationItem("a", new byte[4000]));
@@ -79,11 +81,11 @@
         Publisher publisher = pair.publisher(settings(3), 0);
         publisher.connected(1, 0);
         publisher.received(1, hello("g1", one), 0);
-        assertInstanceOf(DistributionMessage.SnapshotPiece.class, pair.toSubscriber.peekFirst());
+        assertInstanceOf(DistributionMessage.SnapshotChunk.class, pair.toSubscriber.peekFirst());
     }
 
     @Test
-    void aLongAbsenceIsMadeUpInStepsThatMayEachBeSentAtOnceAndBeRead() {
+    void longLagIsClosedByDeltasWithinTheBurstAndOfReadableFormats() {
         ConfigurationItem large = new ConfigurationItem("large", new byte[40_000]);
         ConfigurationSnapshot one = ConfigurationSnapshot.of(new ConfigurationVersion(1, 1), 1, List.of(large));
         pair.settled.add(one);
@@ -102,13 +104,16 @@
         pair.run(subscriber, publisher, 300, 3000);
         List<Long> inForce =
                 pair.inForce.stream().map(c -> c.version().number()).toList();
-        assertEquals(List.of(1L, 2L, 4L, 6L, 8L, 10L, 11L), inForce, "two changes a step, and not the third version");
+        assertEquals(
+                List.of(1L, 2L, 4L, 6L, 8L, 10L, 11L),
+                inForce,
+                "two changes per delta, without version 3, whose format is not readable");
         assertEquals(0, publisher.snapshotsUnderWay());
     }
 
-    /** This control machine has come back with an old disk. It offers nothing to a subscriber that has a newer version. */
+    /** A control machine restarts with an old disk. It must offer nothing to a subscriber that has a newer version. */
     @Test
-    void aPublisherWithAnOldDiskOffersNothingToWhoIsAhead() {
+    void publisherWithAnOldDiskOffersNothingToASubscriberThatIsAhead() {
         pair.settled.add(PublisherSubscriberPair.version(4));
         Publisher publisher = pair.publisher(settings(1), 0);
         publisher.connected(1, 0);
@@ -119,9 +124,12 @@
         assertTrue(publisher.subscribers(100).get(0).ahead());
     }
 
-    /** A subscriber has a newer version than this control machine. It must not claim to be up to date, also to others. */
+    /**
+     * A subscriber has a newer version than the control machine, which then must not claim to any subscriber to be up
+     * to date.
+     */
     @Test
-    void aPublisherThatHasHeardOfANewerVersionDoesNotPassForConfirmed() {
+    void publisherThatKnowsOfANewerVersionReportsItselfUnconfirmed() {
         pair.settled.add(PublisherSubscriberPair.version(4));
         Publisher publisher = pair.publisher(settings(1), 0);
         publisher.connected(1, 0);
@@ -136,7 +144,7 @@
     }
 
     @Test
-    void moreSnapshotsThanAtOnceAreToldWhenToAskAgainLaterOnesLater() {
+    void subscribersAboveTheSnapshotLimitAreToldToRetryLaterOnesLater() {
         pair.settled.add(PublisherSubscriberPair.version(4));
         Publisher publisher = pair.publisher(settings(1), 0);
         List<Integer> after = new ArrayList<>();
@@ -154,31 +162,32 @@
         publisher.disconnected(0);
         publisher.received(
                 1,
-                new DistributionMessage.Ask(ConfigurationVersion.NONE, ConfigurationSnapshot.NONE.digest(), false),
+                new DistributionMessage.UpdateRequest(
+                        ConfigurationVersion.NONE, ConfigurationSnapshot.NONE.digest(), false),
                 1000);
         assertEquals(1, publisher.snapshotsUnderWay());
-        assertTrue(pair.toSubscriber.stream().anyMatch(DistributionMessage.SnapshotPiece.class::isInstance));
+        assertTrue(pair.toSubscriber.stream().anyMatch(DistributionMessage.SnapshotChunk.class::isInstance));
     }
 
     @Test
-    void noSubscriberAndNotAllTogetherAreSentMoreThanTheirBudgetsInAnySecond() {
+    void noSecondExceedsTheBudgetOfOneSubscriberOrOfAllTogether() {
         pair.settled.add(ConfigurationSnapshot.of(
                 new ConfigurationVersion(1, 1), 1, List.of(new ConfigurationItem("x", new byte[40_000]))));
-        TreeMap<Long, Long> sentAt = new TreeMap<>();
-        TreeMap<Long, Long> toFirstAt = new TreeMap<>();
+        TreeMap<Long, Long> bytesToAll = new TreeMap<>();
+        TreeMap<Long, Long> bytesToFirst = new TreeMap<>();
         long[] now = {0};
         PublisherOutput counting = new PublisherOutput() {
             @Override
             public void send(long connection, DistributionMessage.FromPublisher message) {
-                sentAt.merge(now[0], (long) message.bytes(), Long::sum);
+                bytesToAll.merge(now[0], (long) message.bytes(), Long::sum);
                 if (connection == 1) {
-                    toFirstAt.merge(now[0], (long) message.bytes(), Long::sum);
+                    bytesToFirst.merge(now[0], (long) message.bytes(), Long::sum);
                 }
             }
 
             @Override
             public void close(long connection) {
-                throw new AssertionError("closed");
+                throw new AssertionError("the publisher closed a connection");
             }
         };
         Publisher publisher = new Publisher(settings(3), pair.source, counting, 1, 0);
@@ -192,10 +201,10 @@
         assertEquals(0, publisher.snapshotsUnderWay());
         int heartbeats = 3 * 2 * (DistributionMessage.OVERHEAD + 36);
         for (long from = 0; from < 9000; from += 20) {
-            long all = sentAt.subMap(from, from + 1000).values().stream()
+            long all = bytesToAll.subMap(from, from + 1000).values().stream()
                     .mapToLong(Long::longValue)
                     .sum();
-            long first = toFirstAt.subMap(from, from + 1000).values().stream()
+            long first = bytesToFirst.subMap(from, from + 1000).values().stream()
                     .mapToLong(Long::longValue)
                     .sum();
             assertTrue(all <= 20_000 + 5000 + 1200 + heartbeats, from + ": " + all);
@@ -204,7 +213,7 @@
     }
 
     @Test
-    void twoChangesDuringASnapshotFollowAsOneDelta() {
+    void twoVersionsCommittedDuringASnapshotFollowAsOneDelta() {
         pair.settled.add(PublisherSubscriberPair.version(1));
         Publisher publisher = pair.publisher(settings(1), 0);
         Subscriber subscriber = pair.subscriber(0);
@@ -228,7 +237,7 @@
 
     /** One subscriber does not react to a delta, the other refuses it. Only the first one is reported as lagging. */
     @Test
-    void whoDoesNotPutInForceWhatWasSentLagsAndWhoRefusedDoesNot() {
+    void unansweredVersionIsReportedAsLaggingAndARefusedOneIsNot() {
         ConfigurationSnapshot one = PublisherSubscriberPair.version(1);
         pair.settled.addAll(List.of(one, PublisherSubscriberPair.version(2, "a", "2")));
         Publisher publisher = pair.publisher(settings(1), 0);
@@ -249,7 +258,7 @@
 
     /** A subscriber opens a connection and sends nothing. The connection is closed after the silence timeout. */
     @Test
-    void whoSaysNothingIsClosed() {
+    void silentConnectionIsClosed() {
         Publisher publisher = pair.publisher(settings(1), 0);
         publisher.connected(1, 0);
         publisher.tick(15_000);
@@ -259,7 +268,7 @@
     }
 
     @Test
-    void heartbeatsSayHowLongThisMachineHasNotBeenConfirmed() {
+    void heartbeatsReportHowLongAgoTheMachineWasConfirmed() {
         pair.settled.add(PublisherSubscriberPair.version(1));
         pair.confirmedAt = 2000;
         Publisher publisher = pair.publisher(settings(1), 0);
--- a/src/test/java/pepperdock/distribution/PureTest.java
+++ b/src/test/java/pepperdock/distribution/PureTest.java
@@ -11,7 +11,7 @@
 import java.util.stream.Stream;
 import org.junit.jupiter.api.Test;
 
-/** The machines use no other package of the program, no I/O, no clock and no thread. */
+/** Tests that the state machines use no other package of the program, no I/O, no clock and no thread. */
 class PureTest {
 
     private static final Pattern IMPURE = Pattern.compile(
@@ -19,7 +19,7 @@
                     + "|java\\.nio\\.channels|java\\.time\\.|java\\.util\\.concurrent|nanoTime|currentTimeMillis|Thread");
 
     @Test
-    void theMachinesArePure() throws Exception {
+    void stateMachinesArePure() throws Exception {
         List<String> found = new ArrayList<>();
         int files = 0;
         try (Stream<Path> all = Files.list(Path.of("src/main/java/pepperdock/distribution"))) {
@@ -31,6 +31,6 @@
             }
         }
         assertEquals(List.of(), found);
-        assertTrue(files > 20, "looked at " + files);
+        assertTrue(files > 20, "expected more than 20 source files, found " + files);
     }
 }
--- a/src/test/java/pepperdock/distribution/SubscriberTest.java
+++ b/src/test/java/pepperdock/distribution/SubscriberTest.java
@@ -9,7 +9,7 @@
 import java.util.Set;
 import org.junit.jupiter.api.Test;
 
-/** What a subscriber puts in force, keeps and says, told one message at a time. */
+/** Tests which versions a subscriber puts in force, saves and reports, with one message at a time. */
 class SubscriberTest {
 
     private final PublisherSubscriberPair pair = new PublisherSubscriberPair();
@@ -33,12 +33,12 @@
         subscriber.received(new DistributionMessage.Update(Delta.between(from, to)), now);
     }
 
-    private static DistributionMessage.Heartbeat heartbeat(ConfigurationSnapshot latest, int ago) {
-        return new DistributionMessage.Heartbeat(latest.version(), latest.digest(), ago);
+    private static DistributionMessage.Heartbeat heartbeat(ConfigurationSnapshot latest, int confirmedMillisAgo) {
+        return new DistributionMessage.Heartbeat(latest.version(), latest.digest(), confirmedMillisAgo);
     }
 
     @Test
-    void aSnapshotIsInForceOnceItIsWholeAndNotBefore() {
+    void snapshotIsPutInForceOnlyOnceComplete() {
         Subscriber subscriber = connected(0);
         ConfigurationSnapshot five = PublisherSubscriberPair.version(5, "a", "1");
         SnapshotTransfer transfer = new SnapshotTransfer(five, five.encoded(), 1000);
@@ -55,9 +55,9 @@
         assertEquals(five.digest(), pair.saved.configuration().digest());
     }
 
-    /** A chunk of a snapshot is lost on the way. What is left of it must not be put in force. */
+    /** A chunk of a snapshot is lost in transit. The incomplete snapshot must not be put in force. */
     @Test
-    void aSnapshotWithAPieceMissingIsNeverInForce() {
+    void snapshotWithMissingChunkIsNeverPutInForce() {
         Subscriber subscriber = connected(0);
         ConfigurationSnapshot five = PublisherSubscriberPair.version(5);
         SnapshotTransfer transfer = new SnapshotTransfer(five, five.encoded(), 1000);
@@ -69,9 +69,11 @@
         assertEquals(List.of(), pair.inForce);
     }
 
-    /** A delta comes for another content of the version in force. It must not be applied; a snapshot is requested. */
+    /**
+     * A delta is based on a different content of the version in force. It must not be applied; a snapshot is requested.
+     */
     @Test
-    void aDeltaThatDoesNotFitAsksForASnapshotAndChangesNothing() {
+    void deltaForAnotherBaseIsIgnoredAndASnapshotIsRequested() {
         Subscriber subscriber = connected(0);
         ConfigurationSnapshot five = PublisherSubscriberPair.version(5, "a", "1");
         snapshot(subscriber, five, 1000);
@@ -82,34 +84,36 @@
                 PublisherSubscriberPair.version(6, "a", "2"),
                 1000);
         assertEquals(
-                List.of(new DistributionMessage.Ask(five.version(), five.digest(), true)),
+                List.of(new DistributionMessage.UpdateRequest(five.version(), five.digest(), true)),
                 List.copyOf(pair.toPublisher));
         assertEquals(five.digest(), subscriber.inForce().digest());
     }
 
-    /** A delta has lost one of its changes. Its result is not what was settled, so a snapshot is requested. */
+    /** A delta lacks one of its changes. Its result is not what was committed, so a snapshot is requested. */
     @Test
-    void aDeltaWhoseResultHasAnotherDigestAsksForASnapshotAndChangesNothing() {
+    void deltaWithWrongResultDigestIsIgnoredAndASnapshotIsRequested() {
         Subscriber subscriber = connected(0);
         ConfigurationSnapshot five = PublisherSubscriberPair.version(5, "a", "1");
         snapshot(subscriber, five, 1000);
         pair.toPublisher.clear();
-        Delta good = Delta.between(five, PublisherSubscriberPair.version(6, "a", "2", "b", "3"));
-        Delta short1 = new Delta(
-                good.base(),
-                good.baseDigest(),
-                good.result(),
-                good.digest(),
+        Delta complete = Delta.between(five, PublisherSubscriberPair.version(6, "a", "2", "b", "3"));
+        Delta truncated = new Delta(
+                complete.base(),
+                complete.baseDigest(),
+                complete.result(),
+                complete.digest(),
                 1,
-                good.changes().subList(0, 1));
-        subscriber.received(new DistributionMessage.Update(short1), 1000);
-        assertInstanceOf(DistributionMessage.Ask.class, pair.toPublisher.removeFirst());
+                complete.changes().subList(0, 1));
+        subscriber.received(new DistributionMessage.Update(truncated), 1000);
+        assertInstanceOf(DistributionMessage.UpdateRequest.class, pair.toPublisher.removeFirst());
         assertEquals(five.digest(), subscriber.inForce().digest());
     }
 
-    /** A control machine that is behind sends an older version, before and after a restart. It is never put in force. */
+    /**
+     * A control machine that is behind sends an older version, before and after a restart. It must not be put in force.
+     */
     @Test
-    void anOlderVersionIsNotTakenAsDeltaNorAsSnapshotNorAfterARestart() {
+    void olderVersionIsIgnoredAsDeltaAsSnapshotAndAfterARestart() {
         Subscriber subscriber = connected(0);
         ConfigurationSnapshot five = PublisherSubscriberPair.version(5);
         ConfigurationSnapshot four = PublisherSubscriberPair.version(4);
@@ -124,17 +128,20 @@
     }
 
     @Test
-    void aNewEpochGoesBeforeAnyNumber() {
+    void higherEpochIsNewerThanAnyNumber() {
         Subscriber subscriber = connected(0);
         snapshot(subscriber, PublisherSubscriberPair.version(500), 1000);
-        ConfigurationSnapshot anew = ConfigurationSnapshot.of(new ConfigurationVersion(2, 3), 1, List.of());
-        snapshot(subscriber, anew, 1000);
-        assertEquals(anew.version(), subscriber.inForce().version());
+        ConfigurationSnapshot newEpoch = ConfigurationSnapshot.of(new ConfigurationVersion(2, 3), 1, List.of());
+        snapshot(subscriber, newEpoch, 1000);
+        assertEquals(newEpoch.version(), subscriber.inForce().version());
     }
 
-    /** The disk is full when version 6 comes. It is in force all the same, and after a restart version 5 must not come back. */
+    /**
+     * The disk is full when version 6 arrives. It is put in force, and version 5 must not be put in force after a
+     * restart.
+     */
     @Test
-    void withAFullDiskItGoesOnInMemorySaysSoAndIsHeldBackAfterARestart() {
+    void withAFullDiskAVersionIsInForceFromMemoryAndHeldBackAfterARestart() {
         Subscriber subscriber = connected(0);
         ConfigurationSnapshot five = PublisherSubscriberPair.version(5);
         snapshot(subscriber, five, 1000);
@@ -157,9 +164,9 @@
         assertEquals(six.digest(), subscriber.inForce().digest());
     }
 
-    /** The disk fails while a version comes, and works again later. The version is saved then, and that is reported. */
+    /** The disk fails when a version arrives, and recovers later. The version is then saved, and that is reported. */
     @Test
-    void onceTheDiskHasSpaceTheVersionInForceIsSavedAndSaidSo() {
+    void versionInForceIsSavedAndReportedOnceTheDiskRecovers() {
         pair.diskFails = true;
         Subscriber subscriber = connected(0);
         ConfigurationSnapshot five = PublisherSubscriberPair.version(5);
@@ -168,20 +175,23 @@
         pair.diskFails = false;
         pair.toPublisher.clear();
         subscriber.received(heartbeat(five, 0), 2000);
-        subscriber.tick(1000 + SubscriberSettings.defaults().saveAgainMillis());
+        subscriber.tick(1000 + SubscriberSettings.defaults().saveRetryMillis());
         assertTrue(pair.toPublisher.contains(
                 new DistributionMessage.InForce(five.version(), five.digest(), Durability.SAVED)));
         assertEquals(five.digest(), pair.saved.configuration().digest());
     }
 
-    /** A newer control machine sends a format that this program does not read. It is refused, and the next readable one taken. */
+    /**
+     * A newer control machine sends an unsupported format. It is refused, and the next version that is supported put in
+     * force.
+     */
     @Test
-    void aFormatThatItDoesNotReadIsRefusedByNameAndTheOldVersionStays() {
+    void unsupportedFormatIsRefusedAndThePreviousVersionStaysInForce() {
         Subscriber subscriber = connected(0);
         ConfigurationSnapshot five = PublisherSubscriberPair.version(5);
         snapshot(subscriber, five, 1000);
         pair.toPublisher.clear();
-        ConfigurationSnapshot six = PublisherSubscriberPair.formatted(6, 2);
+        ConfigurationSnapshot six = PublisherSubscriberPair.versionWithFormat(6, 2);
         delta(subscriber, five, six, 1000);
         Refusal refusal = new Refusal(six.version(), Refusal.Reason.FORMAT, "format 2, this reads up to 1");
         assertEquals(List.of(new DistributionMessage.Refused(refusal)), List.copyOf(pair.toPublisher));
@@ -190,16 +200,16 @@
         subscriber.received(heartbeat(six, 0), 1000);
         pair.toPublisher.clear();
         subscriber.tick(3500);
-        assertEquals(List.of(), List.copyOf(pair.toPublisher), "what was refused is not asked for");
+        assertEquals(List.of(), List.copyOf(pair.toPublisher), "a refused version is not requested");
         delta(subscriber, five, PublisherSubscriberPair.version(7), 3500);
         assertEquals(7, subscriber.inForce().version().number());
     }
 
-    /** A settled version turns out to be invalid here. It is refused, with the reason for the operator. */
+    /** The validator rejects a committed version. The version is refused, with the reason for the operator. */
     @Test
-    void whatTheValidatorComplainsOfIsRefused() {
+    void versionThatTheValidatorRejectsIsRefused() {
         Subscriber subscriber = connected(0);
-        pair.complaint = "no shares";
+        pair.validationError = "no shares";
         snapshot(subscriber, PublisherSubscriberPair.version(5), 1000);
         assertEquals(List.of(), pair.inForce);
         assertEquals(
@@ -208,9 +218,11 @@
                 List.copyOf(pair.toPublisher));
     }
 
-    /** Two control machines hold the same version with different contents. That is reported once, and nothing changes. */
+    /**
+     * Two control machines hold the same version with different contents. That is reported once, and nothing changes.
+     */
     @Test
-    void theSameVersionWithAnotherContentIsAConflictAndSaidOnce() {
+    void sameVersionWithAnotherContentIsReportedOnceAsAConflict() {
         Subscriber subscriber = connected(0);
         ConfigurationSnapshot five = PublisherSubscriberPair.version(5, "a", "1");
         snapshot(subscriber, five, 1000);
@@ -222,9 +234,9 @@
         assertEquals(five.digest(), subscriber.inForce().digest());
     }
 
-    /** A control machine stops sending while its connection stays open. Another one is tried. */
+    /** A control machine stops sending while its connection stays open. The subscriber tries another one. */
     @Test
-    void aSilentControlMachineIsLeftForAnother() {
+    void silentControlMachineIsReplacedByAnother() {
         Subscriber subscriber = connected(0);
         assertEquals(List.of(PublisherSubscriberPair.NEAR), pair.tried, "its own region first");
         subscriber.tick(4000);
@@ -235,9 +247,12 @@
         assertEquals(List.of(PublisherSubscriberPair.NEAR, PublisherSubscriberPair.FAR), pair.tried);
     }
 
-    /** A control machine is cut off from its majority. It is left, and used again only while all others fail. */
+    /**
+     * A control machine is cut off from its majority. The subscriber switches to another one, and stays with the first
+     * only while all others fail.
+     */
     @Test
-    void aControlMachineThatIsNotConfirmedIsLeftAndKeptOnlyWhereAllOthersFail() {
+    void unconfirmedControlMachineIsKeptOnlyWhileAllOthersFail() {
         Subscriber subscriber = connected(0);
         ConfigurationSnapshot five = PublisherSubscriberPair.version(5);
         snapshot(subscriber, five, 1000);
@@ -258,12 +273,15 @@
             subscriber.tick(now);
             assertFalse(pair.closed);
         }
-        assertEquals(36_000, subscriber.age(37_000).millis(), "known to be the newest at 1000");
+        assertEquals(36_000, subscriber.age(37_000).millis(), "last known to be the newest at 1000");
     }
 
-    /** A control machine comes back with an old disk, and offers less than is in force here. It is left. */
+    /**
+     * A control machine restarts with an old disk, and offers an older version than the one in force. Another one is
+     * tried.
+     */
     @Test
-    void aControlMachineWithAnOldDiskIsLeftForAnother() {
+    void controlMachineWithAnOldDiskIsReplacedByAnother() {
         Subscriber subscriber = connected(0);
         snapshot(subscriber, PublisherSubscriberPair.version(5), 1000);
         for (long now = 2000; now < 7000; now += 1000) {
@@ -274,9 +292,9 @@
         assertEquals(5, subscriber.inForce().version().number());
     }
 
-    /** A heartbeat names a newer version, but the version itself is lost. It is requested. */
+    /** A heartbeat announces a newer version, but the version itself is lost. The subscriber requests it. */
     @Test
-    void aHeartbeatOfANewerVersionIsFollowedByAQuestionOnceNothingComes() {
+    void announcedVersionIsRequestedIfItDoesNotArrive() {
         Subscriber subscriber = connected(0);
         ConfigurationSnapshot five = PublisherSubscriberPair.version(5);
         snapshot(subscriber, five, 1000);
@@ -286,13 +304,15 @@
         assertEquals(0, pair.toPublisher.size());
         subscriber.tick(3001);
         assertEquals(
-                List.of(new DistributionMessage.Ask(five.version(), five.digest(), false)),
+                List.of(new DistributionMessage.UpdateRequest(five.version(), five.digest(), false)),
                 List.copyOf(pair.toPublisher));
     }
 
-    /** A control machine sends heartbeats, but does not hear requests. After two of them it is left. */
+    /**
+     * A control machine sends heartbeats, but does not receive requests. After two requests the subscriber disconnects.
+     */
     @Test
-    void aControlMachineThatDoesNotAnswerTwoQuestionsIsLeft() {
+    void subscriberDisconnectsAfterTwoUnansweredRequests() {
         Subscriber subscriber = connected(0);
         for (long now = 2000; now <= 9000; now += 1000) {
             subscriber.received(heartbeat(PublisherSubscriberPair.version(6), 0), now);
@@ -301,13 +321,13 @@
         assertEquals(
                 2,
                 pair.toPublisher.stream()
-                        .filter(DistributionMessage.Ask.class::isInstance)
+                        .filter(DistributionMessage.UpdateRequest.class::isInstance)
                         .count());
         assertTrue(pair.closed);
     }
 
     @Test
-    void whoIsToldToAskAgainLaterDoesThenAndNotBefore() {
+    void subscriberRetriesAfterTheRequestedDelayAndNotBefore() {
         Subscriber subscriber = connected(0);
         subscriber.received(heartbeat(PublisherSubscriberPair.version(6), 0), 2000);
         subscriber.received(new DistributionMessage.RetryAfter(5000), 2000);
@@ -315,15 +335,15 @@
             subscriber.received(heartbeat(PublisherSubscriberPair.version(6), 0), now);
             subscriber.tick(now);
         }
-        assertFalse(pair.toPublisher.stream().anyMatch(DistributionMessage.Ask.class::isInstance));
+        assertFalse(pair.toPublisher.stream().anyMatch(DistributionMessage.UpdateRequest.class::isInstance));
         subscriber.tick(7001);
-        assertTrue(pair.toPublisher.stream().anyMatch(DistributionMessage.Ask.class::isInstance));
+        assertTrue(pair.toPublisher.stream().anyMatch(DistributionMessage.UpdateRequest.class::isInstance));
     }
 
     @Test
-    void backOffGrowsToItsMostAndIsDrawnByChance() {
+    void backoffGrowsToItsLimitAndIsRandom() {
         SubscriberSettings settings = SubscriberSettings.defaults();
-        ControlMachineSelector choice = new ControlMachineSelector(
+        ControlMachineSelector selector = new ControlMachineSelector(
                 List.of(PublisherSubscriberPair.NEAR, PublisherSubscriberPair.FAR),
                 "r1",
                 settings,
@@ -331,12 +351,12 @@
         Set<Integer> drawn = new java.util.TreeSet<>();
         int longest = 0;
         for (int i = 0; i < 100; i++) {
-            int backOff = choice.nextBackoffMillis();
-            assertTrue(backOff <= Math.min(settings.backOffMostMillis(), 200L << Math.min(i, 20)), i + ": " + backOff);
-            longest = Math.max(longest, backOff);
-            drawn.add(backOff);
+            int backoff = selector.nextBackoffMillis();
+            assertTrue(backoff <= Math.min(settings.maxBackoffMillis(), 200L << Math.min(i, 20)), i + ": " + backoff);
+            longest = Math.max(longest, backoff);
+            drawn.add(backoff);
         }
-        assertTrue(longest > settings.backOffMostMillis() / 2, "grew to " + longest);
+        assertTrue(longest > settings.maxBackoffMillis() / 2, "grew to " + longest);
         assertTrue(drawn.size() > 50, "drawn: " + drawn);
     }
 }
--- a/src/test/java/pepperdock/distribution/wire/DistributionMessageCodecTest.java
+++ b/src/test/java/pepperdock/distribution/wire/DistributionMessageCodecTest.java
@@ -21,7 +21,7 @@
 import pepperdock.distribution.Refusal;
 import pepperdock.distribution.SubscriberId;
 
-/** Every message as a frame and back. */
+/** Tests that every message is encoded as a frame and decoded unchanged. */
 class DistributionMessageCodecTest {
 
     private static final ConfigurationVersion OLD = new ConfigurationVersion(1, 7);
@@ -34,7 +34,7 @@
         return List.of(
                 new DistributionMessage.Hello(new SubscriberId(text), 3, OLD, DIGEST, Durability.FLOOR_ONLY),
                 new DistributionMessage.InForce(NEW, DIGEST, Durability.SAVED),
-                new DistributionMessage.Ask(OLD, OTHER, true),
+                new DistributionMessage.UpdateRequest(OLD, OTHER, true),
                 new DistributionMessage.Refused(new Refusal(NEW, Refusal.Reason.INVALID, text)),
                 new DistributionMessage.Heartbeat(NEW, OTHER, 1234),
                 new DistributionMessage.Update(new Delta(OLD, OTHER, NEW, DIGEST, 2, changes)),
@@ -42,7 +42,8 @@
     }
 
     @Property(tries = 100)
-    void everyMessageComesBackAndTakesUpWhatItSays(@ForAll @StringLength(max = 60) String text, @ForAll byte[] bytes) {
+    void messageIsDecodedUnchangedAndHasItsDeclaredSize(
+            @ForAll @StringLength(max = 60) String text, @ForAll byte[] bytes) {
         String wellFormed = new String(text.getBytes(StandardCharsets.UTF_8), StandardCharsets.UTF_8);
         for (DistributionMessage message : all(wellFormed, bytes)) {
             byte[] frame = DistributionMessageCodec.frame(message);
@@ -52,17 +53,17 @@
     }
 
     @Property(tries = 100)
-    void aPieceComesBack(@ForAll byte[] piece) {
+    void snapshotChunkIsDecodedUnchanged(@ForAll byte[] data) {
         byte[] frame =
-                DistributionMessageCodec.frame(new DistributionMessage.SnapshotPiece(NEW, DIGEST, 4, 99, 11, piece));
-        DistributionMessage.SnapshotPiece read =
-                (DistributionMessage.SnapshotPiece) DistributionMessageCodec.read(frame, 4, frame.length - 4);
-        assertArrayEquals(piece, read.chunk());
+                DistributionMessageCodec.frame(new DistributionMessage.SnapshotChunk(NEW, DIGEST, 4, 99, 11, data));
+        DistributionMessage.SnapshotChunk read =
+                (DistributionMessage.SnapshotChunk) DistributionMessageCodec.read(frame, 4, frame.length - 4);
+        assertArrayEquals(data, read.data());
         assertEquals(List.of(4, 99, 11), List.of(read.format(), read.total(), read.offset()));
     }
 
     @Example
-    void whatIsCutShortOrTooLongOrOfNoKindIsNoMessage() {
+    void truncatedTooLongAndUnknownMessagesAreRejected() {
         for (DistributionMessage message : all("text", new byte[9])) {
             byte[] frame = DistributionMessageCodec.frame(message);
             for (int length = 0; length < frame.length - 4; length++) {
@@ -70,7 +71,7 @@
                 assertThrows(
                         IllegalArgumentException.class,
                         () -> DistributionMessageCodec.read(frame, 4, cut),
-                        message + " cut to " + cut);
+                        message + " truncated to " + cut);
             }
             byte[] longer = Arrays.copyOf(frame, frame.length + 1);
             assertThrows(
--- a/src/test/java/pepperdock/distribution/wire/WireTest.java
+++ b/src/test/java/pepperdock/distribution/wire/WireTest.java
@@ -34,15 +34,17 @@
 import pepperdock.distribution.VersionStore;
 import pepperdock.transport.EventLoop;
 
-/** A subscriber and control machines over loopback; what crosses is forced by bytes that are held and ends that come. */
+/**
+ * Tests a subscriber and control machines over loopback, with peers that hold back bytes or close their connections.
+ */
 class WireTest {
 
-    /** Guards against a test that hangs; nothing is judged by it. */
-    private static final int HANGS_SECONDS = 30;
+    /** The timeout that ends a hanging test; no result depends on its value. */
+    private static final int TIMEOUT_SECONDS = 30;
 
     private static final ControlMachine NEAR = new ControlMachine("c1", "r1");
     private static final ControlMachine FAR = new ControlMachine("c2", "r2");
-    /** With a short patience, so that time-outs come soon. */
+    /** Settings with a silence timeout of 300 ms, so that the tests are fast. */
     private static final SubscriberSettings SETTINGS =
             new SubscriberSettings(1, 1000, 300, 10_000, 30_000, 5000, 5000, 10_000, 20, 100);
 
@@ -71,10 +73,10 @@
                 done.completeExceptionally(e);
             }
         });
-        return done.get(HANGS_SECONDS, TimeUnit.SECONDS);
+        return done.get(TIMEOUT_SECONDS, TimeUnit.SECONDS);
     }
 
-    private static InetSocketAddress any() {
+    private static InetSocketAddress anyPort() {
         return new InetSocketAddress(InetAddress.getLoopbackAddress(), 0);
     }
 
@@ -92,9 +94,9 @@
                 return (long) (loop.now() * 1e3);
             }
         };
-        PublisherSettings often = new PublisherSettings(
+        PublisherSettings frequentHeartbeats = new PublisherSettings(
                 50, 15_000, 4000, 100_000, 50_000, 2_000_000, 64 << 10, 192, 1024, 50, 1000, 1 << 20);
-        return onLoop(() -> new PublisherServer(loop, any(), 10, often, source, 1));
+        return onLoop(() -> new PublisherServer(loop, anyPort(), 10, frequentHeartbeats, source, 1));
     }
 
     private SubscriberClient client(InetSocketAddress near, InetSocketAddress far) throws Exception {
@@ -114,12 +116,12 @@
                 return true;
             }
         };
-        List<SubscriberClient.Reach> reaches =
+        List<SubscriberClient.Reach> addresses =
                 List.of(new SubscriberClient.Reach(NEAR, near), new SubscriberClient.Reach(FAR, far));
         return onLoop(() -> new SubscriberClient(
                 loop,
                 new SubscriberIdentity(new SubscriberId("g1"), "r1"),
-                reaches,
+                addresses,
                 SETTINGS,
                 store,
                 c -> Optional.empty(),
@@ -127,23 +129,23 @@
                 1));
     }
 
-    private ConfigurationSnapshot next() throws Exception {
-        ConfigurationSnapshot next = inForce.poll(HANGS_SECONDS, TimeUnit.SECONDS);
-        assertTrue(next != null, "nothing came in force");
+    private ConfigurationSnapshot nextInForce() throws Exception {
+        ConfigurationSnapshot next = inForce.poll(TIMEOUT_SECONDS, TimeUnit.SECONDS);
+        assertTrue(next != null, "no configuration was put in force in time");
         return next;
     }
 
-    private static void hello(InputStream from) throws Exception {
+    private static void assertReceivesHello(InputStream from) throws Exception {
         int length = java.nio.ByteBuffer.wrap(from.readNBytes(4)).getInt();
-        DistributionMessage said = DistributionMessageCodec.read(from.readNBytes(length), 0, length);
-        assertEquals("g1", ((DistributionMessage.Hello) said).from().name());
+        DistributionMessage message = DistributionMessageCodec.read(from.readNBytes(length), 0, length);
+        assertEquals("g1", ((DistributionMessage.Hello) message).from().name());
     }
 
     @Test
-    void aSnapshotAndThenADeltaComeInForce() throws Exception {
+    void snapshotAndThenADeltaArePutInForce() throws Exception {
         PublisherServer server = server();
         client(server.address(), server.address());
-        assertEquals(settled.get(0).digest(), next().digest());
+        assertEquals(settled.get(0).digest(), nextInForce().digest());
         ConfigurationSnapshot second = onLoop(() -> {
             ConfigurationSnapshot two = settled.get(0)
                     .with(
@@ -154,45 +156,54 @@
             server.settled();
             return two;
         });
-        assertEquals(second.digest(), next().digest());
+        assertEquals(second.digest(), nextInForce().digest());
     }
 
-    /** A control machine accepts the connection and all bytes, and never sends. The subscriber goes to the other one. */
+    /**
+     * A control machine accepts the connection and all bytes, and never sends. The subscriber switches to the other
+     * one.
+     */
     @Test
-    void aControlMachineThatTakesBytesAndPassesNoneOnIsLeftForAnother() throws Exception {
+    void controlMachineThatNeverSendsIsReplacedByAnother() throws Exception {
         PublisherServer server = server();
         try (ServerSocket silent = new ServerSocket(0, 5, InetAddress.getLoopbackAddress())) {
             client((InetSocketAddress) silent.getLocalSocketAddress(), server.address());
-            try (Socket taken = silent.accept()) {
-                hello(taken.getInputStream());
-                assertEquals(settled.get(0).digest(), next().digest(), "from the other one");
-                assertEquals(-1, taken.getInputStream().read(), "and this one was closed");
+            try (Socket accepted = silent.accept()) {
+                assertReceivesHello(accepted.getInputStream());
+                assertEquals(
+                        settled.get(0).digest(), nextInForce().digest(), "the snapshot comes from the other machine");
+                assertEquals(-1, accepted.getInputStream().read(), "the connection to the silent machine is closed");
             }
         }
     }
 
-    /** A control machine ends in the middle of a snapshot. Nothing of it is in force; the other machine is used. */
+    /** A control machine ends in the middle of a snapshot. It must not be put in force; the other machine is used. */
     @Test
-    void aSnapshotWithoutItsLastByteIsNotInForceAndTheEndOfTheConnectionLeadsToAnother() throws Exception {
+    void snapshotWithoutItsLastByteIsNotPutInForceAndTheOtherMachineIsUsed() throws Exception {
         ConfigurationSnapshot other = ConfigurationSnapshot.of(
                 new ConfigurationVersion(1, 5), 1, List.of(new ConfigurationItem("x", new byte[10])));
         byte[] whole = other.encoded();
         byte[] frame = DistributionMessageCodec.frame(
-                new DistributionMessage.SnapshotPiece(other.version(), other.digest(), 1, whole.length, 0, whole));
+                new DistributionMessage.SnapshotChunk(other.version(), other.digest(), 1, whole.length, 0, whole));
         PublisherServer server = server();
-        try (ServerSocket holds = new ServerSocket(0, 5, InetAddress.getLoopbackAddress())) {
-            client((InetSocketAddress) holds.getLocalSocketAddress(), server.address());
-            try (Socket taken = holds.accept()) {
-                hello(taken.getInputStream());
-                taken.getOutputStream().write(frame, 0, frame.length - 1);
+        try (ServerSocket partial = new ServerSocket(0, 5, InetAddress.getLoopbackAddress())) {
+            client((InetSocketAddress) partial.getLocalSocketAddress(), server.address());
+            try (Socket accepted = partial.accept()) {
+                assertReceivesHello(accepted.getInputStream());
+                accepted.getOutputStream().write(frame, 0, frame.length - 1);
             }
         }
-        assertEquals(new ConfigurationVersion(1, 1), next().version(), "from the other one, and nothing before");
+        assertEquals(
+                new ConfigurationVersion(1, 1),
+                nextInForce().version(),
+                "the first configuration in force comes from the other machine");
     }
 
-    /** Either side gets bytes that are no message. It closes the connection, and nothing else suffers. */
+    /**
+     * Either side receives bytes that are not a valid message. It closes this connection, and others are not affected.
+     */
     @Test
-    void bytesThatAreNoMessageEndTheConnectionOnEitherSide() throws Exception {
+    void malformedBytesCloseTheConnectionOnEitherSide() throws Exception {
         PublisherServer server = server();
         try (Socket raw =
                 new Socket(server.address().getAddress(), server.address().getPort())) {
@@ -201,21 +212,21 @@
         }
         try (ServerSocket wrong = new ServerSocket(0, 5, InetAddress.getLoopbackAddress())) {
             client((InetSocketAddress) wrong.getLocalSocketAddress(), server.address());
-            try (Socket taken = wrong.accept()) {
-                hello(taken.getInputStream());
-                taken.getOutputStream().write(new byte[] {0x7f, 0, 0, 0});
-                assertEquals(-1, taken.getInputStream().read());
+            try (Socket accepted = wrong.accept()) {
+                assertReceivesHello(accepted.getInputStream());
+                accepted.getOutputStream().write(new byte[] {0x7f, 0, 0, 0});
+                assertEquals(-1, accepted.getInputStream().read());
             }
         }
-        assertEquals(settled.get(0).digest(), next().digest());
+        assertEquals(settled.get(0).digest(), nextInForce().digest());
         assertNull(inForce.peek());
     }
 
     @Test
-    void theControlMachineKnowsWhatIsInForceWhere() throws Exception {
+    void controlMachineKnowsTheVersionInForceAtItsSubscriber() throws Exception {
         PublisherServer server = server();
         SubscriberClient client = client(server.address(), server.address());
-        next();
+        nextInForce();
         onLoop(() -> {
             client.send(new DistributionMessage.InForce(
                     new ConfigurationVersion(1, 1), settled.get(0).digest(), Durability.SAVED));
@@ -223,17 +234,17 @@
         });
         BlockingQueue<ConfigurationVersion> seen = new LinkedBlockingQueue<>();
         onLoop(() -> {
-            look(server, seen);
+            awaitVersion(server, seen);
             return null;
         });
-        assertEquals(new ConfigurationVersion(1, 1), seen.poll(HANGS_SECONDS, TimeUnit.SECONDS));
+        assertEquals(new ConfigurationVersion(1, 1), seen.poll(TIMEOUT_SECONDS, TimeUnit.SECONDS));
     }
 
-    /** Looks at each turn of the loop until the subscriber is known with a version. */
-    private void look(PublisherServer server, BlockingQueue<ConfigurationVersion> seen) {
+    /** Polls on the event loop until the server knows the subscriber's version in force. */
+    private void awaitVersion(PublisherServer server, BlockingQueue<ConfigurationVersion> seen) {
         server.subscribers().stream()
                 .filter(s -> s.inForce().newerThan(ConfigurationVersion.NONE))
                 .findFirst()
-                .ifPresentOrElse(s -> seen.add(s.inForce()), () -> loop.after(0.001, () -> look(server, seen)));
+                .ifPresentOrElse(s -> seen.add(s.inForce()), () -> loop.after(0.001, () -> awaitVersion(server, seen)));
     }
 }
