--- a/src/main/java/pepperdock/distribution/wire/SubscriberClient.java
+++ b/src/main/java/pepperdock/distribution/wire/SubscriberClient.java
@@ -23,14 +23,14 @@
 public final class SubscriberClient implements SubscriberOutput, AutoCloseable {
 
     /** A control machine and its address. */
-    public record Reach(ControlMachine machine, InetSocketAddress address) {}
+    public record ControlMachineAddress(ControlMachine machine, InetSocketAddress address) {}
 
     private static final System.Logger LOG = System.getLogger("pepperdock.distribution");
     private static final double TICK_SECONDS = 0.1;
     private static final double MILLIS_PER_SECOND = 1e3;
 
     private final EventLoop loop;
-    private final List<Reach> addresses;
+    private final List<ControlMachineAddress> addresses;
     private final SubscriberSettings settings;
     private final Consumer<ConfigurationSnapshot> inForce;
     private final Subscriber subscriber;
@@ -48,7 +48,7 @@
     public SubscriberClient(
             EventLoop loop,
             SubscriberIdentity self,
-            List<Reach> addresses,
+            List<ControlMachineAddress> addresses,
             SubscriberSettings settings,
             VersionStore store,
             ConfigurationValidator validator,
@@ -58,7 +58,8 @@
         this.addresses = List.copyOf(addresses);
         this.settings = settings;
         this.inForce = inForce;
-        List<ControlMachine> machines = addresses.stream().map(Reach::machine).toList();
+        List<ControlMachine> machines =
+                addresses.stream().map(ControlMachineAddress::machine).toList();
         subscriber = new Subscriber(self, machines, settings, store, validator, this, seed, now());
         timer = loop.after(TICK_SECONDS, this::tick);
     }
--- a/src/main/java/pepperdock/simulation/distribution/Streams.java
+++ b/src/main/java/pepperdock/simulation/distribution/Streams.java
@@ -165,10 +165,10 @@
     }
 
     private void start() throws IOException {
-        List<SubscriberClient.Reach> reaches = new ArrayList<>();
+        List<SubscriberClient.ControlMachineAddress> reaches = new ArrayList<>();
         for (int i = 0; i < controls.size(); i++) {
             Place place = Simulation.CONTROL_PLACES.get(i);
-            reaches.add(new SubscriberClient.Reach(
+            reaches.add(new SubscriberClient.ControlMachineAddress(
                     new ControlMachine(place.name(), place.region()),
                     controls.get(i).server.address()));
         }
--- a/src/test/java/pepperdock/distribution/wire/WireTest.java
+++ b/src/test/java/pepperdock/distribution/wire/WireTest.java
@@ -116,8 +116,9 @@
                 return true;
             }
         };
-        List<SubscriberClient.Reach> addresses =
-                List.of(new SubscriberClient.Reach(NEAR, near), new SubscriberClient.Reach(FAR, far));
+        List<SubscriberClient.ControlMachineAddress> addresses = List.of(
+                new SubscriberClient.ControlMachineAddress(NEAR, near),
+                new SubscriberClient.ControlMachineAddress(FAR, far));
         return onLoop(() -> new SubscriberClient(
                 loop,
                 new SubscriberIdentity(new SubscriberId("g1"), "r1"),
