--- a/src/main/java/pepperdock/distribution/Publisher.java
+++ b/src/main/java/pepperdock/distribution/Publisher.java
@@ -214,7 +214,7 @@
             session.enqueue(new DistributionMessage.Update(delta.get()));
             session.sent(delta.get().result(), now);
         } else if (admission.tryAdmit()) {
-            session.startTransfer(new SnapshotTransfer(latest, latestEncoded, settings.pieceBytes()));
+            session.startTransfer(new SnapshotTransfer(latest, latestEncoded, settings.chunkBytes()));
         } else {
             session.enqueue(new DistributionMessage.RetryAfter(admission.retryAfterMillis(snapshotMillis())));
             session.waitingToRetry = true;
@@ -274,7 +274,7 @@
     /** Sends chunks while the subscriber's budget lasts; returns false once the budget of all snapshots is spent. */
     private boolean sendChunks(SubscriberSession session, long now) {
         while (session.transfer() != null && session.queueEmpty()) {
-            if (!snapshotBudget.allows(settings.pieceBytes(), now)) {
+            if (!snapshotBudget.allows(settings.chunkBytes(), now)) {
                 return false;
             }
             SnapshotTransfer transfer = session.transfer();
--- a/src/main/java/pepperdock/distribution/PublisherSettings.java
+++ b/src/main/java/pepperdock/distribution/PublisherSettings.java
@@ -11,7 +11,7 @@
  * @param snapshotBytesPerSecond the rate limit of snapshots to all subscribers together
  * @param snapshotBurstBytes the burst of snapshots to all subscribers together
  * @param snapshotsAtOnce the largest number of subscribers to which snapshots are sent at the same time
- * @param pieceBytes the bytes of a snapshot in one message
+ * @param chunkBytes the bytes of a snapshot in one message
  * @param deltaPercent the largest size of a delta, in percent of the snapshot's bytes; otherwise the snapshot is sent
  * @param keptVersions the largest number of versions of which deltas are kept
  * @param keptBytes the limit for the bytes of all deltas that are kept
@@ -25,7 +25,7 @@
         int snapshotBytesPerSecond,
         int snapshotBurstBytes,
         int snapshotsAtOnce,
-        int pieceBytes,
+        int chunkBytes,
         int deltaPercent,
         int keptVersions,
         int keptBytes) {
--- a/src/main/java/pepperdock/distribution/SnapshotTransfer.java
+++ b/src/main/java/pepperdock/distribution/SnapshotTransfer.java
@@ -10,13 +10,13 @@
 
     private final ConfigurationSnapshot snapshot;
     private final byte[] bytes;
-    private final int pieceBytes;
+    private final int chunkBytes;
     private int offset;
 
-    SnapshotTransfer(ConfigurationSnapshot snapshot, byte[] bytes, int pieceBytes) {
+    SnapshotTransfer(ConfigurationSnapshot snapshot, byte[] bytes, int chunkBytes) {
         this.snapshot = snapshot;
         this.bytes = bytes;
-        this.pieceBytes = pieceBytes;
+        this.chunkBytes = chunkBytes;
     }
 
     ConfigurationVersion version() {
@@ -25,7 +25,7 @@
 
     /** Returns the next chunk. */
     DistributionMessage.SnapshotChunk next() {
-        int end = Math.min(bytes.length, offset + pieceBytes);
+        int end = Math.min(bytes.length, offset + chunkBytes);
         byte[] data = Arrays.copyOfRange(bytes, offset, end);
         DistributionMessage.SnapshotChunk message = new DistributionMessage.SnapshotChunk(
                 snapshot.version(), snapshot.digest(), snapshot.format(), bytes.length, offset, data);
--- a/src/test/java/pepperdock/simulation/distribution/SimulationTest.java
+++ b/src/test/java/pepperdock/simulation/distribution/SimulationTest.java
@@ -91,7 +91,7 @@
                 d.snapshotBytesPerSecond(),
                 d.snapshotBurstBytes(),
                 snapshotsAtOnce,
-                d.pieceBytes(),
+                d.chunkBytes(),
                 d.deltaPercent(),
                 d.keptVersions(),
                 d.keptBytes());
