--- a/src/main/java/pepperdock/distribution/Publisher.java
+++ b/src/main/java/pepperdock/distribution/Publisher.java
@@ -90,7 +90,7 @@
     }
 
     /** Loads newer versions from the source, if there are any, and offers them to the subscribers. */
-    public void settled(long now) {
+    public void onCommitted(long now) {
         if (loadNewVersions()) {
             sessions.values().forEach(session -> offer(session, false, now));
             send(now);
--- a/src/main/java/pepperdock/distribution/wire/PublisherServer.java
+++ b/src/main/java/pepperdock/distribution/wire/PublisherServer.java
@@ -51,8 +51,8 @@
     }
 
     /** Tells the publisher that the source has a newer version. */
-    public void settled() {
-        publisher.settled(now());
+    public void onCommitted() {
+        publisher.onCommitted(now());
     }
 
     /** Returns the state of each connected subscriber that has introduced itself. */
--- a/src/main/java/pepperdock/simulation/distribution/ControlNode.java
+++ b/src/main/java/pepperdock/simulation/distribution/ControlNode.java
@@ -243,7 +243,7 @@
             carryOut(output);
         }
         if (newest().version().newerThan(before) && oldDisk == null) {
-            publisher.settled(group.now());
+            publisher.onCommitted(group.now());
         }
     }
 
--- a/src/main/java/pepperdock/simulation/distribution/Streams.java
+++ b/src/main/java/pepperdock/simulation/distribution/Streams.java
@@ -216,7 +216,7 @@
         for (Control control : controls) {
             control.loop.execute(() -> {
                 control.settled.add(settled);
-                control.server.settled();
+                control.server.onCommitted();
             });
         }
         awaitAll();
--- a/src/test/java/pepperdock/distribution/PublisherTest.java
+++ b/src/test/java/pepperdock/distribution/PublisherTest.java
@@ -223,9 +223,9 @@
         pair.exchange(subscriber, publisher, 200);
         assertEquals(1, publisher.snapshotsUnderWay());
         pair.settled.add(PublisherSubscriberPair.version(2, "a", "2"));
-        publisher.settled(300);
+        publisher.onCommitted(300);
         pair.settled.add(PublisherSubscriberPair.version(3, "a", "3"));
-        publisher.settled(300);
+        publisher.onCommitted(300);
         pair.run(subscriber, publisher, 300, 3000);
         assertEquals(
                 List.of(1L, 3L),
--- a/src/test/java/pepperdock/distribution/wire/WireTest.java
+++ b/src/test/java/pepperdock/distribution/wire/WireTest.java
@@ -154,7 +154,7 @@
                             1,
                             List.of(new Change.Put(new ConfigurationItem("b", new byte[10]))));
             settled.add(two);
-            server.settled();
+            server.onCommitted();
             return two;
         });
         assertEquals(second.digest(), nextInForce().digest());
