--- a/src/main/java/pepperdock/cli/Cli.java
+++ b/src/main/java/pepperdock/cli/Cli.java
@@ -15,8 +15,8 @@
 import picocli.CommandLine.Spec;
 
 /**
- * The command line beyond {@code serve} and {@code drill}, which the program starts without it: nothing here, nor picocli,
- * is loaded by them. Exit status: 0 done, 1 failed, 2 faulty input or usage, 3 no solution.
+ * The commands other than {@code serve}, {@code drill} and {@code rehearse}, which {@code Main} starts without loading
+ * picocli or any class of this package. Exit status: 0 done, 1 failed, 2 faulty input or usage, 3 no solution.
  */
 @Command(
         name = "pepperdock",
@@ -35,38 +35,42 @@
         synopsisSubcommandLabel = "COMMAND")
 public final class Cli extends CommandGroup {
 
-    static final int FAULTY = 2;
+    static final int FAULTY_INPUT = 2;
     static final int NO_SOLUTION = 3;
 
-    /** What {@code Main} starts itself, without arguments, before any class of this package is loaded; here for the help. */
-    private static final String[][] PROGRAMS = {
-        {"serve", "Be one gatherer, by the file that EDGE_CONFIG names."},
-        {"drill", "Speak the simulator's wire over standard input and output."},
-        {"rehearse", "Live a short life against stand-ins, for the build's class archive."},
+    /**
+     * Commands that take no arguments and that {@code Main} starts before any class of this package is loaded; listed
+     * here for the help.
+     */
+    private static final String[][] COMMANDS_OF_MAIN = {
+        {"serve", "Run a gatherer with the configuration file that EDGE_CONFIG names."},
+        {"drill", "Speak the protocol of the simulator over standard input and output."},
+        {"rehearse", "Run briefly against stub servers, to train the class archive of the build."},
     };
 
     private Cli() {}
 
-    /** Runs what the arguments name, without ending the JVM; returns the exit status. */
+    /** Runs the command that the arguments name, without ending the JVM, and returns the exit status. */
     public static int run(String[] args, PrintWriter out, PrintWriter err) {
-        CommandLine line = new CommandLine(new Cli());
-        for (String[] program : PROGRAMS) {
+        CommandLine commandLine = new CommandLine(new Cli());
+        for (String[] command : COMMANDS_OF_MAIN) {
             CommandSpec help = CommandSpec.wrapWithoutInspection((Callable<Integer>) () -> {
-                err.println("pepperdock " + program[0] + " takes no arguments");
-                return FAULTY;
+                err.println("pepperdock " + command[0] + " takes no arguments");
+                return FAULTY_INPUT;
             });
             help.mixinStandardHelpOptions(true)
                     .versionProvider(new Version())
                     .usageMessage()
-                    .description(program[1]);
-            line.addSubcommand(program[0], help);
+                    .description(command[1]);
+            commandLine.addSubcommand(command[0], help);
         }
-        return line.setOut(out)
+        return commandLine
+                .setOut(out)
                 .setErr(err)
-                .setExecutionExceptionHandler((e, at, parsed) -> {
+                .setExecutionExceptionHandler((e, failedCommand, parseResult) -> {
                     if (e instanceof ConfigException) {
                         err.println(e.getMessage());
-                        return FAULTY;
+                        return FAULTY_INPUT;
                     }
                     err.println("failed: " + e);
                     return 1;
@@ -74,7 +78,7 @@
                 .execute(args);
     }
 
-    /** The version that the build wrote into the jar. */
+    /** Provides the version that the build wrote into the jar. */
     static final class Version implements CommandLine.IVersionProvider {
         @Override
         public String[] getVersion() {
@@ -83,24 +87,25 @@
         }
     }
 
-    /** Of configuration files. */
+    /** The group of commands for configuration files. */
     @Command(
             name = "config",
             mixinStandardHelpOptions = true,
             versionProvider = Version.class,
-            description = "Look at configuration files.",
+            description = "Work with configuration files.",
             subcommands = ConfigCommand.Check.class)
     static final class ConfigCommand extends CommandGroup {
 
-        /** Reads a file as {@code serve} would. */
+        /** Reads and checks a configuration file as {@code serve} does. */
         @Command(
                 name = "check",
                 mixinStandardHelpOptions = true,
                 versionProvider = Version.class,
-                description = "Read a file as serve" + " does; name the faulty key, or say that there is none.")
+                description =
+                        "Check a configuration file" + " as serve does, and print the faulty key if there is one.")
         static final class Check implements Callable<Integer> {
 
-            @Parameters(paramLabel = "FILE", description = "A configuration file, as EDGE_CONFIG names it.")
+            @Parameters(paramLabel = "FILE", description = "The configuration file, as in EDGE_CONFIG.")
             private String file;
 
             @Spec
@@ -108,15 +113,16 @@
 
             @Override
             public Integer call() {
-                ConfigReader all = Config.file(Map.of("EDGE_CONFIG", file));
-                StoreConfig store = Config.store(all);
-                if (all.has("settings") || store == null) {
-                    Config.read(all, Map.of());
-                    spec.commandLine().getOut().println(file + ": sound");
+                ConfigReader configuration = Config.file(Map.of("EDGE_CONFIG", file));
+                StoreConfig store = Config.store(configuration);
+                if (configuration.has("settings") || store == null) {
+                    Config.read(configuration, Map.of());
+                    spec.commandLine().getOut().println(file + ": valid");
                 } else {
                     spec.commandLine()
                             .getOut()
-                            .println(file + ": sound as far as it goes; its settings come from the store");
+                            .println(file
+                                    + ": valid without its settings, which come from the store and were not checked");
                 }
                 return 0;
             }
--- a/src/main/java/pepperdock/cli/CommandGroup.java
+++ b/src/main/java/pepperdock/cli/CommandGroup.java
@@ -4,7 +4,7 @@
 import picocli.CommandLine.Model.CommandSpec;
 import picocli.CommandLine.Spec;
 
-/** A command that only groups others: alone it is a usage error. */
+/** A command that only groups subcommands; to run it without one is a usage error. */
 abstract class CommandGroup implements Runnable {
 
     @Spec
@@ -12,6 +12,6 @@
 
     @Override
     public final void run() {
-        throw new CommandLine.ParameterException(spec.commandLine(), "a command is missing");
+        throw new CommandLine.ParameterException(spec.commandLine(), "no subcommand given");
     }
 }
--- a/src/main/java/pepperdock/cli/ExploreCommand.java
+++ b/src/main/java/pepperdock/cli/ExploreCommand.java
@@ -18,23 +18,24 @@
 import picocli.CommandLine.Option;
 import picocli.CommandLine.Spec;
 
-/** The store's consensus in simulated time. */
+/** Explores the consensus of the store in simulated time. */
 @Command(
         name = "explore",
         mixinStandardHelpOptions = true,
         versionProvider = Cli.Version.class,
         description =
-                "Take the store's consensus through losses, crashes and changes drawn by seeds, and check each step.")
+                "Run the consensus of the store in simulated time through random message losses, crashes and membership"
+                        + " changes drawn from seeds, and check each step.")
 final class ExploreCommand implements Callable<Integer> {
 
-    /** Small enough that snapshots, pieces and full windows come in every walk. */
+    /** Settings small enough that every walk has snapshots, snapshots sent in pieces and full windows. */
     static final RaftSettings SETTINGS = new RaftSettings(5, 1, 48, 4, 4096, 1);
 
     @Option(
             names = "--seeds",
             paramLabel = "N",
             defaultValue = "1000",
-            description = "How many walks. Default: ${DEFAULT-VALUE}")
+            description = "Number of random walks. Default: ${DEFAULT-VALUE}")
     private int seeds;
 
     @Option(
@@ -48,27 +49,34 @@
             names = "--steps",
             paramLabel = "N",
             defaultValue = "3000",
-            description = "Of each walk. Default: ${DEFAULT-VALUE}")
+            description = "Number of steps of each walk. Default: ${DEFAULT-VALUE}")
     private int steps;
 
-    @Option(names = "--processes", paramLabel = "N", defaultValue = "5", description = "Default: ${DEFAULT-VALUE}")
+    @Option(
+            names = "--processes",
+            paramLabel = "N",
+            defaultValue = "5",
+            description = "Number of processes. Default: ${DEFAULT-VALUE}")
     private int processes;
 
     @Option(
             names = "--voters",
             paramLabel = "N",
             defaultValue = "3",
-            description = "At the start. Default: ${DEFAULT-VALUE}")
+            description = "Number of voters at the start. Default: ${DEFAULT-VALUE}")
     private int voters;
 
     @Option(
             names = "--mix",
             paramLabel = "MIX",
             defaultValue = "ALL",
-            description = "Of what steps: ${COMPLETION-CANDIDATES}." + " Default: ${DEFAULT-VALUE}")
+            description = "The mix of steps: ${COMPLETION-CANDIDATES}." + " Default: ${DEFAULT-VALUE}")
     private Explorer.Mix mix;
 
-    @Option(names = "--script", paramLabel = "FILE", description = "Play these steps instead, with the seed of --from.")
+    @Option(
+            names = "--script",
+            paramLabel = "FILE",
+            description = "Play the steps of this file instead, with the seed of --from.")
     private Path script;
 
     @Spec
@@ -79,27 +87,27 @@
         PrintWriter out = spec.commandLine().getOut();
         Explorer explorer = new Explorer(seed -> new World(processes, voters, SETTINGS, seed), mix);
         if (script != null) {
-            List<Step> all = new ArrayList<>();
+            List<Step> scriptSteps = new ArrayList<>();
             for (String line : Files.readAllLines(script)) {
-                all.add(Step.read(line));
+                scriptSteps.add(Step.read(line));
             }
-            return tell(out, explorer.play(from, all));
+            return printVerdict(out, explorer.play(from, scriptSteps));
         }
-        AtomicLong[] sums = {new AtomicLong(), new AtomicLong(), new AtomicLong()};
+        AtomicLong[] totals = {new AtomicLong(), new AtomicLong(), new AtomicLong()};
         Explorer.Walk failing = LongStream.range(from, from + seeds)
                 .parallel()
                 .mapToObj(seed -> explorer.walk(seed, steps))
-                .peek(w -> {
-                    for (int i = 0; i < sums.length; i++) {
-                        sums[i].addAndGet(w.counts()[i]);
+                .peek(walk -> {
+                    for (int i = 0; i < totals.length; i++) {
+                        totals[i].addAndGet(walk.counts()[i]);
                     }
                 })
-                .filter(w -> !w.violations().isEmpty())
+                .filter(walk -> !walk.violations().isEmpty())
                 .findFirst()
                 .orElse(null);
         out.println(seeds + " walks of " + steps + " steps, " + mix + ", " + processes + " processes, " + voters
-                + " voters at first: "
-                + sums[0] + " leaders, " + sums[1] + " entries committed, " + sums[2] + " reads answered");
+                + " voters at the start: "
+                + totals[0] + " leaders, " + totals[1] + " entries committed, " + totals[2] + " reads answered");
         if (failing == null) {
             out.println("passed");
             return 0;
@@ -108,11 +116,11 @@
         out.println("seed " + failing.seed() + " fails; shortened to "
                 + shortened.steps().size() + " steps:");
         shortened.steps().forEach(out::println);
-        return tell(out, shortened);
+        return printVerdict(out, shortened);
     }
 
-    private static int tell(PrintWriter out, Explorer.Walk walk) {
-        walk.violations().forEach(f -> out.println("FOUND " + f));
+    private static int printVerdict(PrintWriter out, Explorer.Walk walk) {
+        walk.violations().forEach(violation -> out.println("FOUND " + violation));
         out.println(walk.violations().isEmpty() ? "passed" : "failed");
         return walk.violations().isEmpty() ? 0 : 1;
     }
--- a/src/main/java/pepperdock/cli/LabCommand.java
+++ b/src/main/java/pepperdock/cli/LabCommand.java
@@ -23,12 +23,13 @@
 import picocli.CommandLine.Parameters;
 import picocli.CommandLine.Spec;
 
-/** The laboratory on real processes (docs/rig.md). */
+/** The group of commands for fault injection, simulations and benchmarks (docs/rig.md). */
 @Command(
         name = "lab",
         mixinStandardHelpOptions = true,
         versionProvider = Cli.Version.class,
-        description = "Several processes of the program on loopback, and faults between them (docs/rig.md).",
+        description = "Fault injection between several processes of the program on loopback, simulations"
+                + " and benchmarks (docs/rig.md).",
         subcommands = {
             LabCommand.FleetCommand.class,
             LabCommand.SimCommand.class,
@@ -38,24 +39,24 @@
         })
 final class LabCommand extends CommandGroup {
 
-    /** What a run's exit status says where it does not count: the machine was late, not the program. */
+    /** Exit status of a run that does not count, as the machine was late, not the program. */
     static final int NOT_COUNTED = 4;
 
-    private static final List<String> MEMBER =
+    private static final List<String> GATHERER_JVM_FLAGS =
             List.of("-Xmx56m", "-Xss512k", "-XX:+UseSerialGC", "-XX:TieredStopAtLevel=1");
 
-    private static int tell(PrintWriter out, Outcome outcome, Path history) throws IOException {
+    private static int printOutcome(PrintWriter out, Outcome outcome, Path history) throws IOException {
         Report.text(history, outcome).forEach(out::println);
         out.println(outcome.verdict());
         return outcome.passed() ? 0 : outcome.counts() ? 1 : NOT_COUNTED;
     }
 
-    /** Plays a script. */
+    /** Plays a script of faults on a fleet of processes. */
     @Command(
             name = "fleet",
             mixinStandardHelpOptions = true,
             versionProvider = Cli.Version.class,
-            description = "Play a script of faults on a fleet of processes, and judge what happened.",
+            description = "Play a script of faults on a fleet of processes, and check what happened.",
             exitCodeListHeading = "Exit status:%n",
             exitCodeList = {"0:passed", "1:failed", "2:faulty input or usage", "4:does not count, the machine was late"
             })
@@ -67,11 +68,11 @@
         @Option(
                 names = "--folder",
                 paramLabel = "DIR",
-                description = "Where logs, history and report go; made by this, so"
-                        + " it must not exist. Default: rig-TIME below the folder for temporary files.")
+                description = "Folder for logs, history and report; it is created, so"
+                        + " it must not exist. Default: rig-TIME in the folder for temporary files.")
         private Path folder;
 
-        @Option(names = "--seed", paramLabel = "N", description = "Goes before the script's own seed.")
+        @Option(names = "--seed", paramLabel = "N", description = "Overrides the seed of the script.")
         private Long seed;
 
         @Spec
@@ -79,7 +80,7 @@
 
         @Override
         public Integer call() throws IOException, InterruptedException {
-            Path to = folder != null
+            Path runFolder = folder != null
                     ? folder
                     : Path.of(
                             System.getProperty("java.io.tmpdir"),
@@ -88,42 +89,42 @@
                                             .withZone(ZoneOffset.UTC)
                                             .format(Instant.now()));
             PrintWriter out = spec.commandLine().getOut();
-            out.println("playing in " + to);
-            Outcome outcome = FaultInjectionRun.run(file, seed, to, command());
-            Path history = to.resolve(FaultInjectionRun.HISTORY);
-            Files.writeString(to.resolve("report.html"), Report.html(history, outcome));
-            return tell(out, outcome, history);
+            out.println("playing the script in " + runFolder);
+            Outcome outcome = FaultInjectionRun.run(file, seed, runFolder, gathererCommand());
+            Path history = runFolder.resolve(FaultInjectionRun.HISTORY);
+            Files.writeString(runFolder.resolve("report.html"), Report.html(history, outcome));
+            return printOutcome(out, outcome, history);
         }
 
-        /** This very jar, as a gatherer: with the class archive beside it where there is one. */
-        private static List<String> command() {
+        /** Returns the command that runs this jar as a gatherer, with the class archive beside it if there is one. */
+        private static List<String> gathererCommand() {
             try {
                 Path jar = Path.of(FaultInjectionRun.class
                         .getProtectionDomain()
                         .getCodeSource()
                         .getLocation()
                         .toURI());
-                List<String> words = new ArrayList<>(List.of(
+                List<String> arguments = new ArrayList<>(List.of(
                         Path.of(System.getProperty("java.home"), "bin", "java").toString()));
-                words.addAll(MEMBER);
+                arguments.addAll(GATHERER_JVM_FLAGS);
                 Path archive = jar.resolveSibling(jar.getFileName().toString().replace(".jar", ".jsa"));
                 if (Files.isReadable(archive)) {
-                    words.addAll(List.of("-XX:SharedArchiveFile=" + archive, "-Xlog:disable"));
+                    arguments.addAll(List.of("-XX:SharedArchiveFile=" + archive, "-Xlog:disable"));
                 }
-                words.addAll(List.of("-jar", jar.toString(), "serve"));
-                return words;
+                arguments.addAll(List.of("-jar", jar.toString(), "serve"));
+                return arguments;
             } catch (URISyntaxException e) {
-                throw new ConfigException("lab", "can't tell where the jar is");
+                throw new ConfigException("lab", "can't determine the path of the program's jar");
             }
         }
     }
 
-    /** Plays a script in simulated time. */
+    /** Plays the membership of a script in simulated time. */
     @Command(
             name = "sim",
             mixinStandardHelpOptions = true,
             versionProvider = Cli.Version.class,
-            description = "Play a script's membership in simulated time, over many seeds.")
+            description = "Play the membership of a script in simulated time, with many seeds.")
     static final class SimCommand implements Callable<Integer> {
 
         @Parameters(paramLabel = "FILE", description = "The script, as JSON.")
@@ -133,28 +134,31 @@
                 names = "--seeds",
                 paramLabel = "N",
                 defaultValue = "100",
-                description = "How many. Default: ${DEFAULT-VALUE}")
+                description = "Number of seeds. Default: ${DEFAULT-VALUE}")
         private int seeds;
 
         @Option(
                 names = "--from",
                 paramLabel = "N",
                 defaultValue = "1",
-                description = "The first. Default: ${DEFAULT-VALUE}")
+                description = "The first seed. Default: ${DEFAULT-VALUE}")
         private long from;
 
-        @Option(names = "--members", paramLabel = "N", description = "Goes before the script's own count.")
+        @Option(names = "--members", paramLabel = "N", description = "Overrides the number of members in the script.")
         private int members;
 
         @Option(
                 names = "--arm",
                 paramLabel = "ARM",
                 defaultValue = "FULL",
-                description =
-                        "What is left out, to see its worth:" + " ${COMPLETION-CANDIDATES}. Default: ${DEFAULT-VALUE}")
+                description = "Which parts of the protocol are left out, to measure their effect:"
+                        + " ${COMPLETION-CANDIDATES}. Default: ${DEFAULT-VALUE}")
         private Seeds.Arm arm;
 
-        @Option(names = "--threads", paramLabel = "N", description = "Seeds played side by side. Default: one a core.")
+        @Option(
+                names = "--threads",
+                paramLabel = "N",
+                description = "Number of seeds played in parallel. Default: one per core.")
         private int threads = Runtime.getRuntime().availableProcessors();
 
         @Spec
@@ -165,27 +169,31 @@
             Outcome outcome = Seeds.run(file, from, seeds, members, arm, threads);
             PrintWriter out = spec.commandLine().getOut();
             outcome.metrics().forEach(out::println);
-            outcome.findings().stream().limit(20).forEach(f -> out.println("FOUND " + f));
+            outcome.findings().stream().limit(20).forEach(finding -> out.println("FOUND " + finding));
             out.println(outcome.verdict());
             return outcome.passed() ? 0 : 1;
         }
     }
 
-    /** Judges a history again. */
+    /** Checks the history of an earlier run again. */
     @Command(
             name = "check",
             mixinStandardHelpOptions = true,
             versionProvider = Cli.Version.class,
-            description = "Judge a history again, by its own checkers or others.")
+            description = "Check the history of an earlier run again, with the checkers of the run or others.")
     static final class CheckCommand implements Callable<Integer> {
 
-        @Parameters(paramLabel = "HISTORY", description = "A history.jsonl that a run left.")
+        @Parameters(paramLabel = "HISTORY", description = "The history.jsonl of a run.")
         private Path history;
 
-        @Option(names = "--checkers", split = ",", paramLabel = "NAME", description = "In place of the run's own.")
+        @Option(
+                names = "--checkers",
+                split = ",",
+                paramLabel = "NAME",
+                description = "Checkers to use instead of those of the run.")
         private List<String> checkers;
 
-        @Option(names = "--html", paramLabel = "FILE", description = "Write the page anew.")
+        @Option(names = "--html", paramLabel = "FILE", description = "Write the report to this file.")
         private Path html;
 
         @Spec
@@ -197,7 +205,7 @@
             if (html != null) {
                 Files.writeString(html, Report.html(history, outcome));
             }
-            return tell(spec.commandLine().getOut(), outcome, history);
+            return printOutcome(spec.commandLine().getOut(), outcome, history);
         }
     }
 }
--- a/src/main/java/pepperdock/cli/MembersCommand.java
+++ b/src/main/java/pepperdock/cli/MembersCommand.java
@@ -22,12 +22,15 @@
 import picocli.CommandLine.Parameters;
 import picocli.CommandLine.Spec;
 
-/** Prints the view of a running gatherer with its reasons, as {@code GET /members} answers it (docs/membership.md). */
+/**
+ * Prints the membership view of a running gatherer and the reasons for it, as {@code GET /members} returns them
+ * (docs/membership.md).
+ */
 @Command(
         name = "members",
         mixinStandardHelpOptions = true,
         versionProvider = Cli.Version.class,
-        description = "Print the members as a running gatherer sees them, and why.")
+        description = "Print the members as a running gatherer sees them, and the reasons.")
 final class MembersCommand implements Callable<Integer> {
 
     private static final Duration REQUEST_TIMEOUT = Duration.ofSeconds(5);
@@ -35,13 +38,15 @@
     private static final double MAX_WATCH_S = 3600;
     private static final String ROW = "%-20s %-9s %9s %5s %-12s %-12s %-22s %s%n";
 
-    @Parameters(paramLabel = "ADDRESS", description = "Where it may be asked: members.ask of its file, on loopback.")
+    @Parameters(
+            paramLabel = "ADDRESS",
+            description = "The gatherer's loopback address for this: members.ask in its configuration file.")
     private String address;
 
-    @Option(names = "--json", description = "Print what it answers as it is.")
+    @Option(names = "--json", description = "Print the response of the gatherer as JSON.")
     private boolean json;
 
-    @Option(names = "--watch", paramLabel = "S", description = "Ask again every so many seconds, until interrupted.")
+    @Option(names = "--watch", paramLabel = "S", description = "Repeat the request every S seconds, until interrupted.")
     private Double watch;
 
     @Spec
@@ -51,10 +56,10 @@
     public Integer call() throws InterruptedException {
         InetSocketAddress endpoint = Config.address("ADDRESS", address);
         if (!endpoint.getAddress().isLoopbackAddress()) {
-            throw new ConfigException("ADDRESS", "not a loopback address");
+            throw new ConfigException("ADDRESS", "must be a loopback address");
         }
         if (watch != null && !(watch >= MIN_WATCH_S && watch <= MAX_WATCH_S)) {
-            throw new ConfigException("--watch", "not between 0.1 and 3600");
+            throw new ConfigException("--watch", "must be from 0.1 to 3600");
         }
         HttpClient client =
                 HttpClient.newBuilder().connectTimeout(REQUEST_TIMEOUT).build();
@@ -68,7 +73,7 @@
         }
     }
 
-    /** Asks once, and prints the answer; false, and an error printed, where there is none. */
+    /** Sends one request and prints the view; prints an error and returns false if there is no response. */
     private boolean printView(HttpClient client, InetSocketAddress endpoint) throws InterruptedException {
         try {
             String answer = request(client, endpoint);
@@ -77,13 +82,16 @@
             if (json) {
                 out.println(new GsonBuilder().setPrettyPrinting().create().toJson(Config.parse(answer, "answer")));
             } else {
-                print(out, view);
+                printTable(out, view);
             }
             return true;
         } catch (ConnectException e) {
-            spec.commandLine().getErr().println("nobody answers on " + address + "; is members.ask set in its file?");
+            spec.commandLine()
+                    .getErr()
+                    .println("can't connect to " + address
+                            + "; is members.ask set to it in the gatherer's configuration file?");
         } catch (IOException e) {
-            spec.commandLine().getErr().println("no answer from " + address + ": " + e.getMessage());
+            spec.commandLine().getErr().println("no response from " + address + ": " + e.getMessage());
         }
         return false;
     }
@@ -97,7 +105,7 @@
                 .body();
     }
 
-    private static void print(PrintWriter out, ConfigReader view) {
+    private static void printTable(PrintWriter out, ConfigReader view) {
         out.printf(
                 Locale.ROOT,
                 "fleet %s as %s sees it, view %d: reaching %d of %d%s%n",
@@ -106,9 +114,10 @@
                 (long) view.number("number"),
                 (int) view.number("reached"),
                 (int) view.number("of"),
-                view.flag("sure", true) ? "" : ", may be the one cut off, calls nobody gone");
+                view.flag("sure", true) ? "" : ", may itself be cut off and declares no member gone");
         if (view.has("name_taken_by")) {
-            out.println("its name is used by another process too, at " + view.text("name_taken_by") + ": it stays out");
+            out.println("another process uses the same name, at " + view.text("name_taken_by")
+                    + ": this gatherer does not join");
         }
         out.printf(
                 Locale.ROOT,
@@ -126,9 +135,9 @@
 
     private static void printMember(PrintWriter out, ConfigReader member) {
         ConfigReader observations = member.within("said_by");
-        StringBuilder text = new StringBuilder();
+        StringBuilder saidBy = new StringBuilder();
         for (String observer : observations.names()) {
-            text.append(text.length() == 0 ? "" : ", ")
+            saidBy.append(saidBy.length() == 0 ? "" : ", ")
                     .append(observer)
                     .append(' ')
                     .append(observations.text(observer));
@@ -143,6 +152,6 @@
                 member.text("zone"),
                 member.text("machine"),
                 member.text("address"),
-                text);
+                saidBy);
     }
 }
--- a/src/main/java/pepperdock/cli/PlanCommand.java
+++ b/src/main/java/pepperdock/cli/PlanCommand.java
@@ -30,30 +30,35 @@
 import picocli.CommandLine.Parameters;
 import picocli.CommandLine.Spec;
 
-/** Shares for a problem from a file: as a table, as JSON, explained for a range, or against a plan in force. */
+/**
+ * Plans shares for a problem from a file; prints them as a table, as JSON, for one range with reasons, or as changes.
+ */
 @Command(
         name = "plan",
         mixinStandardHelpOptions = true,
         versionProvider = Cli.Version.class,
-        description = "Reckon shares for the problem in a file (docs/planning.md).")
+        description = "Compute shares for the problem in a file (docs/planning.md).")
 final class PlanCommand implements Callable<Integer> {
 
-    private static final double MICRO = 1e6;
-    /** Shares that differ by less are the same plan. */
-    private static final double SAME = 0.0005;
+    private static final double MICROS_PER_S = 1e6;
+    /** Smaller changes of a share are not reported. */
+    private static final double MIN_SHARE_CHANGE = 0.0005;
 
-    private static final int MOST_NAMED = 12;
+    private static final int MAX_NAMES = 12;
 
     @Parameters(paramLabel = "FILE", description = "The problem, as JSON.")
     private String file;
 
-    @Option(names = "--json", description = "Put the plan out as JSON; --against reads it.")
+    @Option(names = "--json", description = "Print the plan as JSON, which --against reads.")
     private boolean json;
 
-    @Option(names = "--explain", paramLabel = "RANGE", description = "Say where the work of one range goes, and why.")
+    @Option(names = "--explain", paramLabel = "RANGE", description = "Print where the work of one range goes, and why.")
     private Integer explain;
 
-    @Option(names = "--against", paramLabel = "FILE", description = "Compare with a plan in force, as --json wrote it.")
+    @Option(
+            names = "--against",
+            paramLabel = "FILE",
+            description = "Compare with the plan in force, a file written by --json.")
     private String against;
 
     @Spec
@@ -63,26 +68,27 @@
     public Integer call() {
         PrintWriter out = spec.commandLine().getOut();
         Problem problem = PlanFile.read(read(file));
-        Map<String, Double> inForce = against == null ? Map.of() : shares(read(against));
-        int range = explain == null ? -1 : place(problem, explain);
+        Map<String, Double> inForce = against == null ? Map.of() : readShares(read(against));
+        int range = explain == null ? -1 : rangeIndex(problem, explain);
         Plan plan = Planner.plan(problem);
         if (!plan.solved()) {
             if (json) {
-                out.println(new GsonBuilder().setPrettyPrinting().create().toJson(conflict(problem, plan.conflict())));
+                out.println(
+                        new GsonBuilder().setPrettyPrinting().create().toJson(conflictJson(problem, plan.conflict())));
             } else {
-                spec.commandLine().getErr().println(words(problem, plan.conflict()));
+                spec.commandLine().getErr().println(describe(problem, plan.conflict()));
             }
             return Cli.NO_SOLUTION;
         }
         if (json) {
-            out.println(new GsonBuilder().setPrettyPrinting().create().toJson(object(problem, plan)));
+            out.println(new GsonBuilder().setPrettyPrinting().create().toJson(planJson(problem, plan)));
         } else if (range >= 0) {
-            explain(out, problem, plan, range);
+            printRange(out, problem, plan, range);
         } else if (against == null) {
-            table(out, problem, plan);
+            printTable(out, problem, plan);
         }
         if (against != null && !json) {
-            difference(out, inForce, flat(problem, plan));
+            printChanges(out, inForce, sharesByLabel(problem, plan));
         }
         return 0;
     }
@@ -91,33 +97,33 @@
         try {
             return ConfigReader.of("", Config.parse(Files.readString(Path.of(file)), file));
         } catch (IOException e) {
-            throw new ConfigException(file, "can't be read");
+            throw new ConfigException(file, "file can't be read");
         }
     }
 
-    private static int place(Problem problem, int number) {
+    private static int rangeIndex(Problem problem, int number) {
         for (int r = 0; r < problem.ranges().size(); r++) {
             if (problem.ranges().get(r).number() == number) {
                 return r;
             }
         }
-        throw new ConfigException("--explain", "no range " + number);
+        throw new ConfigException("--explain", "the problem has no range " + number);
     }
 
-    // ---- Plans in words ------------------------------------------------------------
+    // ---- Plans as text ------------------------------------------------------------
 
-    private static void table(PrintWriter out, Problem p, Plan plan) {
+    private static void printTable(PrintWriter out, Problem problem, Plan plan) {
         out.printf(Locale.ROOT, "%-24s %-12s %12s %12s %10s%n", "node", "zone", "capacity s/s", "work s/s", "used");
-        for (int n = 0; n < p.nodes().size(); n++) {
-            Problem.Node node = p.nodes().get(n);
+        for (int n = 0; n < problem.nodes().size(); n++) {
+            Problem.Node node = problem.nodes().get(n);
             double used = node.inService() ? plan.utilisation().get(n).value() : 0;
             out.printf(
                     Locale.ROOT,
                     "%-24s %-12s %12.3f %12.3f %10s%n",
                     node.name(),
-                    p.zones().get(node.zone()),
-                    node.capacity() / MICRO,
-                    used * node.capacity() / MICRO,
+                    problem.zones().get(node.zone()),
+                    node.capacity() / MICROS_PER_S,
+                    used * node.capacity() / MICROS_PER_S,
                     node.inService() ? String.format(Locale.ROOT, "%.1f %%", 100 * used) : "away");
         }
         out.printf(
@@ -126,192 +132,208 @@
                 100 * plan.greatest().value(),
                 plan.crossings());
         out.printf(Locale.ROOT, "%-8s %-12s %10s  %s%n", "range", "from zone", "work s/s", "shares");
-        for (int r = 0; r < p.ranges().size(); r++) {
-            for (int z = 0; z < p.zones().size(); z++) {
+        for (int r = 0; r < problem.ranges().size(); r++) {
+            for (int z = 0; z < problem.zones().size(); z++) {
                 out.printf(
                         Locale.ROOT,
                         "%-8d %-12s %10.3f  %s%n",
-                        p.ranges().get(r).number(),
-                        p.zones().get(z),
-                        work(p, r, z),
-                        shares(p, plan, r, z));
+                        problem.ranges().get(r).number(),
+                        problem.zones().get(z),
+                        work(problem, r, z),
+                        shares(problem, plan, r, z));
             }
         }
     }
 
-    private static double work(Problem p, int r, int z) {
-        double rates = java.util.Arrays.stream(p.rates()).sum();
-        return p.ranges().get(r).work() * (p.rates()[z] / rates) / MICRO;
+    private static double work(Problem problem, int rangeIndex, int zoneIndex) {
+        double totalRate = java.util.Arrays.stream(problem.rates()).sum();
+        return problem.ranges().get(rangeIndex).work() * (problem.rates()[zoneIndex] / totalRate) / MICROS_PER_S;
     }
 
-    private static String shares(Problem p, Plan plan, int r, int z) {
-        List<String> words = new ArrayList<>();
-        for (int i = 0; i < p.ranges().get(r).holders().size(); i++) {
-            words.add(String.format(
+    private static String shares(Problem problem, Plan plan, int rangeIndex, int zoneIndex) {
+        List<String> texts = new ArrayList<>();
+        for (int i = 0; i < problem.ranges().get(rangeIndex).holders().size(); i++) {
+            texts.add(String.format(
                     Locale.ROOT,
                     "%s %.3f",
-                    p.nodes().get(p.ranges().get(r).holders().get(i)).name(),
-                    plan.shares().get(r).get(z)[i]));
+                    problem.nodes()
+                            .get(problem.ranges().get(rangeIndex).holders().get(i))
+                            .name(),
+                    plan.shares().get(rangeIndex).get(zoneIndex)[i]));
         }
-        return String.join(", ", words);
+        return String.join(", ", texts);
     }
 
-    private static void explain(PrintWriter out, Problem p, Plan plan, int r) {
+    private static void printRange(PrintWriter out, Problem problem, Plan plan, int rangeIndex) {
         out.printf(
                 Locale.ROOT,
                 "range %d, %.3f s of work a second%n",
-                p.ranges().get(r).number(),
-                p.ranges().get(r).work() / MICRO);
-        for (int z = 0; z < p.zones().size(); z++) {
+                problem.ranges().get(rangeIndex).number(),
+                problem.ranges().get(rangeIndex).work() / MICROS_PER_S);
+        for (int z = 0; z < problem.zones().size(); z++) {
             out.printf(
                     Locale.ROOT,
                     "from zone %s (%.3f s/s): %s%n",
-                    p.zones().get(z),
-                    work(p, r, z),
-                    shares(p, plan, r, z));
+                    problem.zones().get(z),
+                    work(problem, rangeIndex, z),
+                    shares(problem, plan, rangeIndex, z));
         }
-        for (int n : p.ranges().get(r).holders()) {
-            Problem.Node node = p.nodes().get(n);
+        for (int holderIndex : problem.ranges().get(rangeIndex).holders()) {
+            Problem.Node node = problem.nodes().get(holderIndex);
             if (!node.inService()) {
                 out.println("  " + node.name() + " is not in service: no share");
                 continue;
             }
-            long others =
-                    p.ranges().stream().filter(x -> x.holders().contains(n)).count() - 1;
-            long alone = p.ranges().stream()
-                    .filter(x -> x.work() > 0
-                            && x.holders().stream()
-                                    .allMatch(h -> h == n || !p.nodes().get(h).inService()))
+            long otherRanges = problem.ranges().stream()
+                            .filter(other -> other.holders().contains(holderIndex))
+                            .count()
+                    - 1;
+            long servedAlone = problem.ranges().stream()
+                    .filter(other -> other.work() > 0
+                            && other.holders().stream()
+                                    .allMatch(holder -> holder == holderIndex
+                                            || !problem.nodes().get(holder).inService()))
                     .count();
             out.printf(
                     Locale.ROOT,
                     "  %s is used to %.1f %% of %.3f s/s, holds %d other ranges, %d with work that it alone"
                             + " can serve%n",
                     node.name(),
-                    100 * plan.utilisation().get(n).value(),
-                    node.capacity() / MICRO,
-                    others,
-                    alone);
+                    100 * plan.utilisation().get(holderIndex).value(),
+                    node.capacity() / MICROS_PER_S,
+                    otherRanges,
+                    servedAlone);
         }
     }
 
-    private static String words(Problem p, Conflict c) {
-        StringBuilder words = new StringBuilder("no solution")
-                .append(c.away() == null ? "" : " with node " + c.away() + " away")
+    private static String describe(Problem problem, Conflict conflict) {
+        StringBuilder text = new StringBuilder("no solution")
+                .append(conflict.away() == null ? "" : " with node " + conflict.away() + " away")
                 .append(": ");
-        String work = named(c.work().stream()
-                .map(w -> "range " + p.ranges().get(w.range()).number()
-                        + (p.zones().size() > 1 ? " from zone " + p.zones().get(w.zone()) : "")
-                        + String.format(Locale.ROOT, " (%.3f s/s)", work(p, w.range(), w.zone())))
+        String work = joined(conflict.work().stream()
+                .map(piece -> "range " + problem.ranges().get(piece.range()).number()
+                        + (problem.zones().size() > 1
+                                ? " from zone " + problem.zones().get(piece.zone())
+                                : "")
+                        + String.format(Locale.ROOT, " (%.3f s/s)", work(problem, piece.range(), piece.zone())))
                 .toList());
-        if (c.nodes().isEmpty()) {
-            Conflict.Work w = c.work().get(0);
-            return words.append(work)
+        if (conflict.nodes().isEmpty()) {
+            Conflict.Work unplaced = conflict.work().get(0);
+            return text.append(work)
                     .append(" has no holder that may take it: ")
-                    .append(p.ranges().get(w.range()).holders().stream()
-                            .map(n -> p.nodes().get(n))
-                            .map(n -> n.name()
-                                    + (!n.inService() || n.name().equals(c.away())
+                    .append(problem.ranges().get(unplaced.range()).holders().stream()
+                            .map(holder -> problem.nodes().get(holder))
+                            .map(node -> node.name()
+                                    + (!node.inService() || node.name().equals(conflict.away())
                                             ? " is not in service"
-                                            : n.capacity() == 0 ? " has no capacity" : " may not be crossed to"))
+                                            : node.capacity() == 0 ? " has no capacity" : " may not be crossed to"))
                             .collect(Collectors.joining(", ")))
                     .toString();
         }
-        return words.append(work)
+        return text.append(work)
                 .append(" need more than ")
-                .append(named(c.nodes().stream()
-                        .map(n -> p.nodes().get(n).name()
+                .append(joined(conflict.nodes().stream()
+                        .map(node -> problem.nodes().get(node).name()
                                 + String.format(
                                         Locale.ROOT,
                                         " (%.3f s/s)",
-                                        p.nodes().get(n).capacity() / MICRO))
+                                        problem.nodes().get(node).capacity() / MICROS_PER_S))
                         .toList()))
                 .append(String.format(
-                        Locale.ROOT, " can do: %.1f %% of it", 100 * c.need().value()))
+                        Locale.ROOT,
+                        " can do: %.1f %% of it",
+                        100 * conflict.need().value()))
                 .toString();
     }
 
-    private static String named(List<String> all) {
-        return String.join(", ", all.subList(0, Math.min(MOST_NAMED, all.size())))
-                + (all.size() > MOST_NAMED ? " and " + (all.size() - MOST_NAMED) + " more" : "");
+    private static String joined(List<String> names) {
+        return String.join(", ", names.subList(0, Math.min(MAX_NAMES, names.size())))
+                + (names.size() > MAX_NAMES ? " and " + (names.size() - MAX_NAMES) + " more" : "");
     }
 
     // ---- Plans as JSON ------------------------------------------------------------
 
-    private static JsonObject object(Problem p, Plan plan) {
-        JsonObject all = new JsonObject();
-        all.addProperty("greatest_use", plan.greatest().value());
-        all.addProperty("crossings", plan.crossings());
+    private static JsonObject planJson(Problem problem, Plan plan) {
+        JsonObject json = new JsonObject();
+        json.addProperty("greatest_use", plan.greatest().value());
+        json.addProperty("crossings", plan.crossings());
         JsonArray nodes = new JsonArray();
-        for (int n = 0; n < p.nodes().size(); n++) {
+        for (int n = 0; n < problem.nodes().size(); n++) {
             JsonObject node = new JsonObject();
-            node.addProperty("name", p.nodes().get(n).name());
-            if (p.nodes().get(n).inService()) {
+            node.addProperty("name", problem.nodes().get(n).name());
+            if (problem.nodes().get(n).inService()) {
                 node.addProperty("use", plan.utilisation().get(n).value());
             }
             nodes.add(node);
         }
-        all.add("nodes", nodes);
+        json.add("nodes", nodes);
         JsonArray ranges = new JsonArray();
-        for (int r = 0; r < p.ranges().size(); r++) {
-            for (int z = 0; z < p.zones().size(); z++) {
-                JsonObject one = new JsonObject();
-                one.addProperty("range", p.ranges().get(r).number());
-                one.addProperty("zone", p.zones().get(z));
+        for (int r = 0; r < problem.ranges().size(); r++) {
+            for (int z = 0; z < problem.zones().size(); z++) {
+                JsonObject share = new JsonObject();
+                share.addProperty("range", problem.ranges().get(r).number());
+                share.addProperty("zone", problem.zones().get(z));
                 JsonObject to = new JsonObject();
-                for (int i = 0; i < p.ranges().get(r).holders().size(); i++) {
+                for (int i = 0; i < problem.ranges().get(r).holders().size(); i++) {
                     to.addProperty(
-                            p.nodes().get(p.ranges().get(r).holders().get(i)).name(),
+                            problem.nodes()
+                                    .get(problem.ranges().get(r).holders().get(i))
+                                    .name(),
                             plan.shares().get(r).get(z)[i]);
                 }
-                one.add("to", to);
-                ranges.add(one);
+                share.add("to", to);
+                ranges.add(share);
             }
         }
-        all.add("shares", ranges);
-        return all;
+        json.add("shares", ranges);
+        return json;
     }
 
-    private static JsonObject conflict(Problem p, Conflict c) {
-        JsonObject all = new JsonObject();
-        all.addProperty("no_solution", words(p, c));
+    private static JsonObject conflictJson(Problem problem, Conflict conflict) {
+        JsonObject json = new JsonObject();
+        json.addProperty("no_solution", describe(problem, conflict));
         JsonArray work = new JsonArray();
-        for (Conflict.Work w : c.work()) {
-            JsonObject one = new JsonObject();
-            one.addProperty("range", p.ranges().get(w.range()).number());
-            one.addProperty("zone", p.zones().get(w.zone()));
-            work.add(one);
+        for (Conflict.Work piece : conflict.work()) {
+            JsonObject range = new JsonObject();
+            range.addProperty("range", problem.ranges().get(piece.range()).number());
+            range.addProperty("zone", problem.zones().get(piece.zone()));
+            work.add(range);
         }
-        all.add("work", work);
+        json.add("work", work);
         JsonArray nodes = new JsonArray();
-        c.nodes().forEach(n -> nodes.add(new JsonPrimitive(p.nodes().get(n).name())));
-        all.add("nodes", nodes);
-        return all;
+        conflict.nodes()
+                .forEach(node ->
+                        nodes.add(new JsonPrimitive(problem.nodes().get(node).name())));
+        json.add("nodes", nodes);
+        return json;
     }
 
-    /** A plan put out earlier: share by range, zone and node. */
-    private static Map<String, Double> shares(ConfigReader all) {
+    /** Reads a plan printed as JSON earlier; returns the shares by the label of range, zone and node. */
+    private static Map<String, Double> readShares(ConfigReader plan) {
         Map<String, Double> shares = new TreeMap<>();
-        for (ConfigReader one : all.objects("shares")) {
-            ConfigReader to = one.needed("to");
+        for (ConfigReader range : plan.objects("shares")) {
+            ConfigReader to = range.needed("to");
             for (String node : to.names()) {
-                shares.put(label(one.whole("range", 0, 1 << 24), one.text("zone"), node), to.number(node));
+                shares.put(label(range.whole("range", 0, 1 << 24), range.text("zone"), node), to.number(node));
             }
         }
         return shares;
     }
 
-    private static Map<String, Double> flat(Problem p, Plan plan) {
+    private static Map<String, Double> sharesByLabel(Problem problem, Plan plan) {
         Map<String, Double> shares = new TreeMap<>();
-        for (int r = 0; r < p.ranges().size(); r++) {
-            for (int z = 0; z < p.zones().size(); z++) {
-                for (int i = 0; i < p.ranges().get(r).holders().size(); i++) {
+        for (int r = 0; r < problem.ranges().size(); r++) {
+            for (int z = 0; z < problem.zones().size(); z++) {
+                for (int i = 0; i < problem.ranges().get(r).holders().size(); i++) {
                     shares.put(
                             label(
-                                    p.ranges().get(r).number(),
-                                    p.zones().get(z),
-                                    p.nodes()
-                                            .get(p.ranges().get(r).holders().get(i))
+                                    problem.ranges().get(r).number(),
+                                    problem.zones().get(z),
+                                    problem.nodes()
+                                            .get(problem.ranges()
+                                                    .get(r)
+                                                    .holders()
+                                                    .get(i))
                                             .name()),
                             plan.shares().get(r).get(z)[i]);
                 }
@@ -324,16 +346,20 @@
         return String.format(Locale.ROOT, "range %d from %s to %s", range, zone, node);
     }
 
-    private static void difference(PrintWriter out, Map<String, Double> before, Map<String, Double> after) {
+    private static void printChanges(PrintWriter out, Map<String, Double> before, Map<String, Double> after) {
         Map<String, Double> changes = new TreeMap<>();
         after.forEach((label, share) -> changes.put(label, share - before.getOrDefault(label, 0.0)));
         before.forEach((label, share) -> changes.putIfAbsent(label, -share));
         List<String> changed = changes.keySet().stream()
-                .filter(l -> Math.abs(changes.get(l)) >= SAME)
-                .sorted(Comparator.comparingDouble(l -> -Math.abs(changes.get(l))))
+                .filter(label -> Math.abs(changes.get(label)) >= MIN_SHARE_CHANGE)
+                .sorted(Comparator.comparingDouble(label -> -Math.abs(changes.get(label))))
                 .toList();
         out.println(changed.isEmpty() ? "the plan in force stays" : changed.size() + " shares change:");
-        changed.forEach(l -> out.printf(
-                Locale.ROOT, "%-48s %.3f -> %.3f%n", l, before.getOrDefault(l, 0.0), after.getOrDefault(l, 0.0)));
+        changed.forEach(label -> out.printf(
+                Locale.ROOT,
+                "%-48s %.3f -> %.3f%n",
+                label,
+                before.getOrDefault(label, 0.0),
+                after.getOrDefault(label, 0.0)));
     }
 }
--- a/src/main/java/pepperdock/cli/ScaleCommand.java
+++ b/src/main/java/pepperdock/cli/ScaleCommand.java
@@ -17,7 +17,7 @@
 import picocli.CommandLine.Parameters;
 import picocli.CommandLine.Spec;
 
-/** How cost grows with the size of the deployment (docs/design/scale.md). */
+/** The group of commands that measure how cost grows with the size of the deployment (docs/design/scale.md). */
 @Command(
         name = "scale",
         mixinStandardHelpOptions = true,
@@ -30,16 +30,16 @@
             ScaleStreamsCommand.class
         })
 final class ScaleCommand extends CommandGroup {
-    /** Of the gatherer's data path. */
+    /** Measures the data path of a gatherer. */
     @Command(
             name = "data",
             mixinStandardHelpOptions = true,
             versionProvider = Cli.Version.class,
             description = "Measure a gatherer's processor time, allocation, memory and latency, by workers, fan-out and"
-                    + " load. Leaves results.json and report.html in the folder.")
+                    + " load. Writes results.json and report.html to the folder.")
     static final class DataCommand implements Callable<Integer> {
 
-        @Parameters(paramLabel = "WHAT", description = "One of ${COMPLETION-CANDIDATES}.")
+        @Parameters(paramLabel = "WHAT", description = "What to measure, one of ${COMPLETION-CANDIDATES}.")
         private DataPath.What what;
 
         @Mixin
@@ -50,7 +50,8 @@
                 split = ",",
                 paramLabel = "N",
                 defaultValue = "10,100,300,1000",
-                description = "Parts of a query; those above the workers are left out. Default: ${DEFAULT-VALUE}")
+                description = "Numbers of parts of a query; those above the number of workers are skipped."
+                        + " Default: ${DEFAULT-VALUE}")
         private List<Integer> fanOuts;
 
         @Option(
@@ -58,76 +59,89 @@
                 split = ",",
                 paramLabel = "N",
                 defaultValue = "10000",
-                description = "Loads; LOAD plays each, the others the first. Default: ${DEFAULT-VALUE}")
+                description = "Loads in parts per second; LOAD measures with each, the others with the first."
+                        + " Default: ${DEFAULT-VALUE}")
         private List<Integer> partsPerSecond;
 
         @Option(
                 names = "--holders",
                 paramLabel = "N",
                 defaultValue = "3",
-                description = "Workers that hold a shard. Default: ${DEFAULT-VALUE}")
+                description = "Number of workers that hold each shard. Default: ${DEFAULT-VALUE}")
         private int holders;
 
         @Option(
                 names = "--tick-ms",
                 paramLabel = "MS",
                 defaultValue = "1",
-                description = "The setting TickS. Default: ${DEFAULT-VALUE}")
+                description = "The setting TickS, in milliseconds. Default: ${DEFAULT-VALUE}")
         private double tickMs;
 
         @Option(
                 names = "--stragglers",
-                description = "One part in 10,000 takes 60 ms more, and may be sent a second time meanwhile.")
+                description = "Delay one part in 10,000 by 60 ms, and allow it to be sent a second time meanwhile.")
         private boolean stragglers;
 
         @Option(
                 names = "--patient",
-                description = "Aim and deadline far beyond the target's: all queries are served, however late.")
+                description = "Set objective and deadline far beyond the target's, so that all queries are served,"
+                        + " however late.")
         private boolean patient;
 
         @Option(
                 names = "--first-warm-up",
                 paramLabel = "S",
                 defaultValue = "8",
-                description = "Of each process, before its first load. Default: ${DEFAULT-VALUE}")
-        private double firstWarmS;
+                description = "Warm-up of each process before its first load, in seconds. Default: ${DEFAULT-VALUE}")
+        private double firstWarmUpS;
 
         @Option(
                 names = "--warm-up",
                 paramLabel = "S",
                 defaultValue = "1",
-                description = "Of each load. Default: ${DEFAULT-VALUE}")
-        private double warmS;
+                description = "Warm-up of each load, in seconds. Default: ${DEFAULT-VALUE}")
+        private double warmUpS;
 
         @Option(
                 names = "--seconds",
                 paramLabel = "S",
                 defaultValue = "4",
-                description = "Measured of each load. Default: ${DEFAULT-VALUE}")
-        private double measureS;
+                description = "Time measured of each load, in seconds. Default: ${DEFAULT-VALUE}")
+        private double measuredS;
 
-        @Option(names = "--profile", description = "Sample the loop's thread meanwhile; costs a little of its time.")
+        @Option(
+                names = "--profile",
+                description =
+                        "Sample the thread of the event loop during the measurement, which costs a little of its time.")
         private boolean profiled;
 
         @Option(
                 names = "--parts-a-connection",
                 paramLabel = "N",
                 defaultValue = "0",
-                description = "MEMORY is taken when about so many parts have gone over each connection."
+                description = "Measure MEMORY after about this many parts have gone over each connection."
                         + " Default: ${DEFAULT-VALUE}")
-        private int partsAConnection;
+        private int partsPerConnection;
 
         @Option(
                 names = "--jvm",
                 paramLabel = "FLAGS",
                 defaultValue = "-Xms512m -Xmx512m -XX:+UseSerialGC",
-                description = "Of the gatherer's process. Default: ${DEFAULT-VALUE}")
+                description = "JVM flags of the gatherer's process. Default: ${DEFAULT-VALUE}")
         private String jvm;
 
-        @Option(names = "--folder", paramLabel = "DIR", required = true, description = "Made by this; must not exist.")
+        @Option(
+                names = "--folder",
+                paramLabel = "DIR",
+                required = true,
+                description = "Folder for the results; it is created, so it must not exist.")
         private Path folder;
 
-        @Option(names = "--seed", paramLabel = "N", defaultValue = "1", description = "Default: ${DEFAULT-VALUE}")
+        @Option(
+                names = "--seed",
+                paramLabel = "N",
+                defaultValue = "1",
+                description = "Seed of the random generator. Default: ${DEFAULT-VALUE}")
         private long seed;
 
         @Spec
@@ -137,7 +151,8 @@
         public Integer call() throws IOException, InterruptedException {
             if (patient && stragglers) {
                 throw new CommandLine.ParameterException(
-                        spec.commandLine(), "--patient serves every part once: not with --stragglers");
+                        spec.commandLine(),
+                        "--patient can't be combined with --stragglers, as it serves every part once");
             }
             if (Files.exists(folder)) {
                 throw new CommandLine.ParameterException(spec.commandLine(), folder + " exists already");
@@ -152,20 +167,21 @@
                     tickMs / 1e3,
                     stragglers,
                     patient,
-                    firstWarmS,
-                    warmS,
-                    measureS,
+                    firstWarmUpS,
+                    warmUpS,
+                    measuredS,
                     profiled,
-                    partsAConnection,
+                    partsPerConnection,
                     Arrays.asList(jvm.trim().split("\\s+")),
                     folder,
                     seed);
             PrintWriter out = spec.commandLine().getOut();
             Results results = DataPath.run(plan, out::println);
-            String words = String.join(" ", spec.commandLine().getParseResult().originalArgs());
+            String arguments =
+                    String.join(" ", spec.commandLine().getParseResult().originalArgs());
             Files.writeString(
-                    folder.resolve("results.json"), results.json(words).toString());
-            Files.writeString(folder.resolve("report.html"), results.html(words));
+                    folder.resolve("results.json"), results.json(arguments).toString());
+            Files.writeString(folder.resolve("report.html"), results.html(arguments));
             return 0;
         }
     }
--- a/src/main/java/pepperdock/cli/ScaleListCommand.java
+++ b/src/main/java/pepperdock/cli/ScaleListCommand.java
@@ -9,20 +9,24 @@
 import picocli.CommandLine.Option;
 import picocli.CommandLine.Spec;
 
-/** Measures what the node list costs one gatherer, by its length. */
+/** Measures the cost of the endpoint list at one gatherer by the length of the list. */
 @Command(
         name = "list",
         mixinStandardHelpOptions = true,
         versionProvider = Cli.Version.class,
         description =
-                "Measure bytes, processor time and allocation of the node list at a gatherer, by its length; prints a"
-                        + " line of JSON each.")
+                "Measure bytes, processor time and allocation of the endpoint list at a gatherer, by the length of the"
+                        + " list, and print a line of JSON for each length.")
 final class ScaleListCommand implements Callable<Integer> {
 
     @Mixin
     private WorkerCountsOption workerCounts;
 
-    @Option(names = "--rounds", paramLabel = "N", defaultValue = "200", description = "Default: ${DEFAULT-VALUE}")
+    @Option(
+            names = "--rounds",
+            paramLabel = "N",
+            defaultValue = "200",
+            description = "Number of measurements of each length. Default: ${DEFAULT-VALUE}")
     private int rounds;
 
     @Spec
--- a/src/main/java/pepperdock/cli/ScaleStreamsCommand.java
+++ b/src/main/java/pepperdock/cli/ScaleStreamsCommand.java
@@ -14,14 +14,13 @@
 import picocli.CommandLine.Option;
 import picocli.CommandLine.Spec;
 
-/** Distribution of configuration over loopback, measured. */
+/** Measures the distribution of configuration over loopback. */
 @Command(
         name = "streams",
         mixinStandardHelpOptions = true,
         versionProvider = Cli.Version.class,
-        description =
-                "Distribute configuration to hollow subscribers in this process over loopback, and measure processor"
-                        + " time and memory (docs/design/distribution.md).")
+        description = "Distribute configuration over loopback to subscribers in this process that do nothing else, and"
+                + " measure processor time and memory (docs/design/distribution.md).")
 final class ScaleStreamsCommand implements Callable<Integer> {
 
     @Option(
@@ -29,14 +28,14 @@
             paramLabel = "N",
             split = ",",
             defaultValue = "50,100,200,500",
-            description = "How many; several, one after the other, with commas. Default: ${DEFAULT-VALUE}")
+            description = "Numbers of subscribers to measure with, separated by commas. Default: ${DEFAULT-VALUE}")
     private List<Integer> subscribers;
 
     @Option(
             names = "--seconds",
             paramLabel = "N",
             defaultValue = "10",
-            description = "Idle, and as many with a change each second. Default: ${DEFAULT-VALUE}")
+            description = "Time measured while idle, and again with a change each second. Default: ${DEFAULT-VALUE}")
     private int seconds;
 
     @Mixin
@@ -47,30 +46,31 @@
 
     @Override
     public Integer call() throws IOException, InterruptedException {
-        if (seconds < 1 || configurationSize.bytes() < 1 || subscribers.stream().anyMatch(n -> n < 1)) {
+        if (seconds < 1 || configurationSize.bytes() < 1 || subscribers.stream().anyMatch(count -> count < 1)) {
             throw new CommandLine.ParameterException(
-                    spec.commandLine(), "--subscribers, --seconds and --bytes are to be 1 or more");
+                    spec.commandLine(), "--subscribers, --seconds and --bytes must be 1 or more");
         }
         PrintWriter out = spec.commandLine().getOut();
-        out.println("subscribers | first version at all, ms | heap of a pair, bytes | a subscriber, % of a core: idle,"
-                + " changing | busiest control machine: idle, changing | bytes a second of a subscriber: idle, changing"
-                + " | a change at all, ms: median, worst");
+        out.println("subscribers | first version at all subscribers, ms | heap per subscriber and its session, bytes"
+                + " | CPU per subscriber, % of a core: idle, changing"
+                + " | busiest control machine, % of a core: idle, changing"
+                + " | bytes per second per subscriber: idle, changing | change at all subscribers, ms: median, worst");
         for (int count : subscribers) {
-            StreamFigures f = Streams.measure(count, configurationSize.bytes(), seconds);
+            StreamFigures figures = Streams.measure(count, configurationSize.bytes(), seconds);
             out.println(String.format(
                     Locale.ROOT,
                     "%d | %d | %d | %.4f %.4f | %.3f %.3f | %d %d | %d %d",
-                    f.subscribers(),
-                    f.firstVersionMillis(),
-                    f.pairBytes(),
-                    f.subscriberIdlePercent(),
-                    f.subscriberChangingPercent(),
-                    f.controlIdlePercent(),
-                    f.controlChangingPercent(),
-                    f.subscriberIdleBytes(),
-                    f.subscriberChangingBytes(),
-                    f.changeMedianMillis(),
-                    f.changeWorstMillis()));
+                    figures.subscribers(),
+                    figures.firstVersionMillis(),
+                    figures.pairBytes(),
+                    figures.subscriberIdlePercent(),
+                    figures.subscriberChangingPercent(),
+                    figures.controlIdlePercent(),
+                    figures.controlChangingPercent(),
+                    figures.subscriberIdleBytes(),
+                    figures.subscriberChangingBytes(),
+                    figures.changeMedianMillis(),
+                    figures.changeWorstMillis()));
             out.flush();
         }
         return 0;
--- a/src/main/java/pepperdock/cli/WorkerCountsOption.java
+++ b/src/main/java/pepperdock/cli/WorkerCountsOption.java
@@ -3,7 +3,7 @@
 import java.util.List;
 import picocli.CommandLine.Option;
 
-/** The numbers of workers to measure with, one after the other. */
+/** The option for the numbers of workers, shared by the commands that measure with one number after the other. */
 final class WorkerCountsOption {
 
     @Option(
@@ -11,10 +11,10 @@
             split = ",",
             paramLabel = "N",
             defaultValue = "100,300,1000,3700",
-            description = "Default: ${DEFAULT-VALUE}")
+            description = "Numbers of workers to measure with, separated by commas. Default: ${DEFAULT-VALUE}")
     private List<Integer> workers;
 
-    /** Numbers of workers, in the order in which they are measured. */
+    /** Returns the numbers of workers, in the order of measurement. */
     List<Integer> workers() {
         return workers;
     }
--- a/src/main/java/pepperdock/config/AddressTranslation.java
+++ b/src/main/java/pepperdock/config/AddressTranslation.java
@@ -6,15 +6,16 @@
 import java.util.Map;
 
 /**
- * Where other gatherers are reached from here, where that is not the host that they announce: through a network that translates
- * addresses, a tunnel, or a test relay. The file's key {@code reach}. Immutable.
+ * Maps hosts that other gatherers announce to the hosts to connect to instead, for gatherers that are reached through a
+ * network that translates addresses, a tunnel or a test relay. Read from the key {@code reach} of the file. Immutable.
  *
- * @param hosts from announced host to the host to connect to; ports stay, and hosts not named are as announced
+ * @param hosts the host to connect to by announced host; ports stay the same, and hosts without an entry are used as
+ *     announced
  */
 public record AddressTranslation(Map<InetAddress, InetAddress> hosts) {
 
     private static final String REACH = "reach";
-    /** Makes a host an address that {@link Config#address} reads; the port is not used. */
+    /** Completes a host to an address that {@link Config#address} parses; the port is not used. */
     private static final String ANY_PORT = ":1";
 
     static AddressTranslation read(ConfigReader file) {
@@ -30,7 +31,7 @@
         return new AddressTranslation(Map.copyOf(hosts));
     }
 
-    /** The address to connect to for one that is announced. */
+    /** Returns the address to connect to for an announced address. */
     public InetSocketAddress of(InetSocketAddress announced) {
         InetAddress host = hosts.get(announced.getAddress());
         return host == null ? announced : new InetSocketAddress(host, announced.getPort());
--- a/src/main/java/pepperdock/config/Config.java
+++ b/src/main/java/pepperdock/config/Config.java
@@ -10,18 +10,19 @@
 import java.util.Map;
 
 /**
- * The configuration of a gatherer, checked and with defaults. Immutable. Environment variables take precedence over the file.
+ * The validated configuration of a gatherer, with defaults filled in. Immutable. Environment variables take precedence
+ * over the file.
  *
- * @param name of this gatherer
- * @param listen where clients connect; null where only the OpenSearch-style front serves
- * @param discovery where the endpoint list is polled; null where it is fixed or comes from DNS
- * @param seed of the random generator
- * @param known the endpoint list to begin with
- * @param site the deployment's settings
- * @param openSearch null where the file has no such front
- * @param dnsSd null where the endpoint list does not come from DNS
- * @param plan null where shares are not planned
- * @param operator where operators connect; null for no such address
+ * @param name the name of this gatherer
+ * @param listen the address that clients connect to; null if only the OpenSearch-style front serves clients
+ * @param discovery the address that the endpoint list is polled from; null if the list is fixed or comes from DNS
+ * @param seed the seed of the random generator
+ * @param known the initial endpoint list
+ * @param site the settings of the deployment
+ * @param openSearch the OpenSearch-style front; null if the file has none
+ * @param dnsSd discovery by DNS; null if the endpoint list does not come from DNS
+ * @param plan the planner of shares; null if shares are not planned
+ * @param operator the address that operators connect to; null if operators are not served
  */
 public record Config(
         String name,
@@ -35,7 +36,7 @@
         PlanConfig plan,
         InetSocketAddress operator) {
 
-    /** Names the configuration file. */
+    /** The environment variable that holds the path of the configuration file. */
     private static final String FILE_VARIABLE = "EDGE_CONFIG";
 
     private static final String NAME_VARIABLE = "EDGE_NAME";
@@ -63,35 +64,40 @@
     private static final int MAX_SOCKETS = 1 << 24;
     private static final int DEFAULT_SOCKETS = 1024;
 
-    /** The file that {@code EDGE_CONFIG} names. */
+    /**
+     * Reads the configuration file that {@code EDGE_CONFIG} names; its values are not checked yet.
+     *
+     * @throws ConfigException if the variable is not set, or the file can't be read or is no JSON object
+     */
     public static ConfigReader file(Map<String, String> env) {
         String file = env.get(FILE_VARIABLE);
         if (file == null) {
-            throw new ConfigException(FILE_VARIABLE, "not set");
+            throw new ConfigException(
+                    FILE_VARIABLE, "environment variable not set; it must name the configuration file");
         }
         try {
             return ConfigReader.of("", parse(Files.readString(Path.of(file)), FILE_VARIABLE));
         } catch (IOException e) {
-            throw new ConfigException(FILE_VARIABLE, "can't read " + file);
+            throw new ConfigException(FILE_VARIABLE, "can't read the configuration file " + file);
         }
     }
 
-    /** The store's part of a file, which is needed before the rest; null where there is none. */
+    /** Reads the configuration of the store, which is needed before the rest of the file; null if the file has none. */
     public static StoreConfig store(ConfigReader file) {
         return file.has(STORE) ? StoreConfig.read(file.needed(STORE), AddressTranslation.read(file)) : null;
     }
 
-    /** Whether events are written, for tests that judge several gatherers together. */
+    /** Returns whether events are written, for tests that evaluate several gatherers together. */
     public static boolean events(ConfigReader file) {
         return file.flag(EVENTS, false);
     }
 
-    /** How many descriptors this process may have open. */
+    /** Returns how many file descriptors this process may have open. */
     public static int sockets(ConfigReader file) {
         return file.within(LIMITS).whole(SOCKETS, MIN_SOCKETS, MAX_SOCKETS, DEFAULT_SOCKETS);
     }
 
-    /** Reads and checks a whole file; the environment's variables take precedence over what stands in it. */
+    /** Reads and checks a whole file; environment variables take precedence over its values. */
     public static Config read(ConfigReader file, Map<String, String> env) {
         sockets(file);
         events(file);
@@ -117,21 +123,24 @@
                 addressOf(env, OPERATOR_VARIABLE, file, OPERATOR, file.has(OPERATOR)));
     }
 
-    /** The variable's address where it is set, else the file's where it is wanted, else null. */
+    /**
+     * Returns the address in the environment variable if it is set, else that in the file if {@code required}, else
+     * null.
+     */
     private static InetSocketAddress addressOf(
-            Map<String, String> env, String variable, ConfigReader file, String key, boolean wanted) {
+            Map<String, String> env, String variable, ConfigReader file, String key, boolean required) {
         if (env.containsKey(variable)) {
             return address(variable, env.get(variable));
         }
-        return wanted ? address(key, file.text(key)) : null;
+        return required ? address(key, file.text(key)) : null;
     }
 
-    /** Parses JSON; where it is none, the key is named as faulty. */
+    /** Parses JSON; a {@link ConfigException} names {@code key} if the text is not valid JSON. */
     public static JsonElement parse(String json, String key) {
         try {
             return JsonParser.parseString(json);
         } catch (JsonParseException e) {
-            throw new ConfigException(key, "not JSON");
+            throw new ConfigException(key, "not valid JSON");
         }
     }
 
@@ -142,28 +151,28 @@
         try {
             return Long.parseUnsignedLong(file.text(SEED), 16);
         } catch (NumberFormatException e) {
-            throw new ConfigException(file.key(SEED), "not 16 hex digits");
+            throw new ConfigException(file.key(SEED), "must be up to 16 hex digits");
         }
     }
 
-    /** An address as text, as {@link #address} reads it. */
+    /** Formats an address so that {@link #address} can parse it. */
     public static String text(InetSocketAddress address) {
         String host = address.getAddress().getHostAddress();
         return (host.indexOf(':') < 0 ? host : '[' + host + ']') + ':' + address.getPort();
     }
 
-    /** Parses an address and port in digits: no name is looked up. */
+    /** Parses a numeric IP address and port; host names are rejected, so none is looked up. */
     public static InetSocketAddress address(String key, String text) {
         int colon = text.lastIndexOf(':');
         try {
             int port = Integer.parseInt(text.substring(colon + 1));
             String host = text.substring(0, Math.max(0, colon));
             if (!host.matches("[0-9.]+|\\[?[0-9A-Fa-f:.]+]?")) {
-                throw new ConfigException(key, "not ADDRESS:PORT: " + text);
+                throw new ConfigException(key, "must be a numeric ADDRESS:PORT, but is " + text);
             }
             return new InetSocketAddress(host, port);
         } catch (IllegalArgumentException e) {
-            throw new ConfigException(key, "not ADDRESS:PORT: " + text);
+            throw new ConfigException(key, "must be a numeric ADDRESS:PORT, but is " + text);
         }
     }
 }
--- a/src/main/java/pepperdock/config/ConfigException.java
+++ b/src/main/java/pepperdock/config/ConfigException.java
@@ -1,6 +1,6 @@
 package pepperdock.config;
 
-/** Configuration that can't be used; the message begins with the faulty key. */
+/** Thrown when a configuration can't be used; the message begins with the faulty key. */
 public final class ConfigException extends IllegalArgumentException {
 
     private static final long serialVersionUID = 1;
@@ -8,16 +8,17 @@
     private final String key;
 
     /**
-     * Makes the message {@code KEY: COMPLAINT}.
+     * Creates an exception with the message {@code KEY: PROBLEM}.
      *
-     * @param key the whole key, from the top of the file
+     * @param key the full key, from the top level of the file
+     * @param problem what is wrong with its value, and what is expected
      */
-    public ConfigException(String key, String complaint) {
-        super(key + ": " + complaint);
+    public ConfigException(String key, String problem) {
+        super(key + ": " + problem);
         this.key = key;
     }
 
-    /** The faulty key, from the top of the file. */
+    /** Returns the faulty key in full, from the top level of the file. */
     public String key() {
         return key;
     }
--- a/src/main/java/pepperdock/config/ConfigReader.java
+++ b/src/main/java/pepperdock/config/ConfigReader.java
@@ -11,8 +11,8 @@
 import java.util.function.Consumer;
 
 /**
- * Reads the values of a JSON object, and knows where the object stands in the file, so that every {@link ConfigException} names
- * the whole key. Immutable but for the JSON object, which nobody changes.
+ * Reads values of a JSON object of a configuration file. It knows the path of the object in the file, so that every
+ * {@link ConfigException} names the full key. Immutable, as the JSON object is never changed.
  */
 public final class ConfigReader {
 
@@ -20,7 +20,7 @@
     private final JsonObject object;
     private final Consumer<String> defaultListener;
 
-    /** Of an object at a place; an empty path is the top of the file. */
+    /** Creates a reader of the object at the given path; an empty path is the top level of the file. */
     public ConfigReader(String path, JsonObject object) {
         this(path, object, defaultUsed -> {});
     }
@@ -31,41 +31,48 @@
         this.defaultListener = defaultListener;
     }
 
-    /** The same object; each default that is used of it, or of an object within, is reported as KEY=VALUE. */
+    /**
+     * Returns a reader of the same object that reports each default used, in this object or one nested in it, to the
+     * listener as KEY=VALUE.
+     */
     public ConfigReader reportingDefaultsTo(Consumer<String> defaultListener) {
         return new ConfigReader(path, object, defaultListener);
     }
 
-    /** Reports a default, and returns it. */
+    /** Reports that a default is used, and returns it. */
     private <T> T useDefault(String name, T defaultValue) {
         defaultListener.accept(key(name) + '=' + defaultValue);
         return defaultValue;
     }
 
-    /** Of an element that must be an object. */
+    /**
+     * Returns a reader of an element at the given path.
+     *
+     * @throws ConfigException if the element is absent or not an object
+     */
     public static ConfigReader of(String path, JsonElement element) {
         if (element == null || !element.isJsonObject()) {
-            throw new ConfigException(path.isEmpty() ? "configuration" : path, "not an object");
+            throw new ConfigException(path.isEmpty() ? "configuration" : path, "must be a JSON object");
         }
         return new ConfigReader(path, element.getAsJsonObject());
     }
 
-    /** The whole key of a name here. */
+    /** Returns the full key, from the top level of the file, of a name in this object. */
     public String key(String name) {
         return path.isEmpty() ? name : path + '.' + name;
     }
 
-    /** Whether a name stands here with a value other than null. */
+    /** Returns whether this object has a value other than null for the name. */
     public boolean has(String name) {
         return object.has(name) && !object.get(name).isJsonNull();
     }
 
-    /** The names that stand here. */
+    /** Returns the names in this object, those with the value null included. */
     public Set<String> names() {
         return object.keySet();
     }
 
-    /** Rejects any name that is not among these. */
+    /** Throws a {@link ConfigException} if this object has a name that is not among these. */
     public void only(String... names) {
         Set<String> known = Set.of(names);
         for (String name : object.keySet()) {
@@ -75,19 +82,19 @@
         }
     }
 
-    /** A copy with the value that another object has for a name. */
+    /** Returns a copy in which a name has the value that it has in another object. */
     public ConfigReader with(String name, ConfigReader other) {
         return with(name, other.need(name));
     }
 
-    /** A copy with a value for a name. */
+    /** Returns a copy in which a name has the given value. */
     public ConfigReader with(String name, JsonElement value) {
         JsonObject copy = object.deepCopy();
         copy.add(name, value);
         return new ConfigReader(path, copy);
     }
 
-    /** The names whose values differ between two objects, those that only one of them has included. */
+    /** Returns the names whose values differ between this object and the other, or that only one of them has. */
     public List<String> differingNames(ConfigReader other) {
         Set<String> names = new TreeSet<>(object.keySet());
         names.addAll(other.object.keySet());
@@ -96,39 +103,40 @@
     }
 
     /**
-     * The first key that stands here, or in an object within, and is missing there; null where none is. Of a list of objects,
-     * the keys that all of them have count: each object there must have them too.
+     * Returns the first key in this object, or in an object nested in it, that the other object lacks; null if there is
+     * none. In a list of objects only the keys that all of them have are compared: each object of the other list must
+     * have them too.
      */
-    public String firstMissingKey(ConfigReader there) {
-        return firstMissingKey(path, object, there.object);
+    public String firstMissingKey(ConfigReader other) {
+        return firstMissingKey(path, object, other.object);
     }
 
-    private static String firstMissingKey(String path, JsonObject here, JsonObject there) {
-        for (String name : here.keySet()) {
+    private static String firstMissingKey(String path, JsonObject current, JsonObject other) {
+        for (String name : current.keySet()) {
             String key = path.isEmpty() ? name : path + '.' + name;
-            JsonElement old = here.get(name);
-            JsonElement now = there.get(name);
-            if (old.isJsonNull()) {
+            JsonElement currentValue = current.get(name);
+            JsonElement otherValue = other.get(name);
+            if (currentValue.isJsonNull()) {
                 continue;
             }
-            if (now == null || now.isJsonNull()) {
+            if (otherValue == null || otherValue.isJsonNull()) {
                 return key;
             }
-            String within = old.isJsonObject() && now.isJsonObject()
-                    ? firstMissingKey(key, old.getAsJsonObject(), now.getAsJsonObject())
-                    : old.isJsonArray() && now.isJsonArray()
-                            ? firstMissingKey(key, old.getAsJsonArray(), now.getAsJsonArray())
+            String missing = currentValue.isJsonObject() && otherValue.isJsonObject()
+                    ? firstMissingKey(key, currentValue.getAsJsonObject(), otherValue.getAsJsonObject())
+                    : currentValue.isJsonArray() && otherValue.isJsonArray()
+                            ? firstMissingKey(key, currentValue.getAsJsonArray(), otherValue.getAsJsonArray())
                             : null;
-            if (within != null) {
-                return within;
+            if (missing != null) {
+                return missing;
             }
         }
         return null;
     }
 
-    private static String firstMissingKey(String key, JsonArray here, JsonArray there) {
+    private static String firstMissingKey(String key, JsonArray current, JsonArray other) {
         Set<String> common = null;
-        for (JsonElement element : here) {
+        for (JsonElement element : current) {
             if (!element.isJsonObject()) {
                 return null;
             }
@@ -138,10 +146,10 @@
                 common.retainAll(element.getAsJsonObject().keySet());
             }
         }
-        for (int i = 0; common != null && i < there.size(); i++) {
+        for (int i = 0; common != null && i < other.size(); i++) {
             for (String name : common) {
-                if (there.get(i).isJsonObject()
-                        && !there.get(i).getAsJsonObject().has(name)) {
+                if (other.get(i).isJsonObject()
+                        && !other.get(i).getAsJsonObject().has(name)) {
                     return key + '[' + i + "]." + name;
                 }
             }
@@ -149,7 +157,7 @@
         return null;
     }
 
-    /** A value as JSON text. */
+    /** Returns a value, which must be present, as JSON text. */
     public String json(String name) {
         return need(name).toString();
     }
@@ -161,95 +169,96 @@
         return object.get(name);
     }
 
-    /** An object within; an empty one where it is absent. */
+    /** Returns a reader of a nested object, or of an empty object if it is absent. */
     public ConfigReader within(String name) {
         return has(name)
                 ? of(key(name), object.get(name)).reportingDefaultsTo(defaultListener)
                 : new ConfigReader(key(name), new JsonObject(), defaultListener);
     }
 
-    /** An object within, which must be there. */
+    /** Returns a reader of a nested object, which must be present. */
     public ConfigReader needed(String name) {
         return of(key(name), need(name)).reportingDefaultsTo(defaultListener);
     }
 
-    /** A string, which must be there. */
+    /** Returns a string, which must be present. */
     public String text(String name) {
         JsonElement element = need(name);
         if (!element.isJsonPrimitive() || !element.getAsJsonPrimitive().isString()) {
-            throw new ConfigException(key(name), "not a text");
+            throw new ConfigException(key(name), "must be a string");
         }
         return element.getAsString();
     }
 
-    /** A string, or the default. */
+    /** Returns a string, or the default if it is absent. */
     public String text(String name, String defaultValue) {
         return has(name) ? text(name) : useDefault(name, defaultValue);
     }
 
-    /** A finite number, which must be there. */
+    /** Returns a finite number, which must be present. */
     public double number(String name) {
         return number(key(name), need(name));
     }
 
-    /** A finite number, or the default. */
+    /** Returns a finite number, or the default if it is absent. */
     public double number(String name, double defaultValue) {
         return has(name) ? number(name) : useDefault(name, defaultValue);
     }
 
-    /** An integer within bounds, which must be there. */
-    public int whole(String name, int least, int most) {
+    /** Returns an integer within the bounds, both included, which must be present. */
+    public int whole(String name, int min, int max) {
         double value = number(name);
-        if (value != Math.rint(value) || value < least || value > most) {
-            throw new ConfigException(key(name), "not a whole number from " + least + " to " + most);
+        if (value != Math.rint(value) || value < min || value > max) {
+            throw new ConfigException(
+                    key(name), "must be a whole number from " + min + " to " + max + ", but is " + value);
         }
         return (int) value;
     }
 
-    /** An integer within bounds, or the default. */
-    public int whole(String name, int least, int most, int defaultValue) {
-        return has(name) ? whole(name, least, most) : useDefault(name, defaultValue);
+    /** Returns an integer within the bounds, both included, or the default if it is absent. */
+    public int whole(String name, int min, int max, int defaultValue) {
+        return has(name) ? whole(name, min, max) : useDefault(name, defaultValue);
     }
 
-    /** A boolean, or the default. */
+    /** Returns a boolean, or the default if it is absent. */
     public boolean flag(String name, boolean defaultValue) {
         if (!has(name)) {
             return useDefault(name, defaultValue);
         }
         JsonElement element = object.get(name);
         if (!element.isJsonPrimitive() || !element.getAsJsonPrimitive().isBoolean()) {
-            throw new ConfigException(key(name), "neither true nor false");
+            throw new ConfigException(key(name), "must be true or false");
         }
         return element.getAsBoolean();
     }
 
-    /** A list of objects; empty where it is absent. */
+    /** Returns a reader of each object of a list; an absent list is empty. */
     public List<ConfigReader> objects(String name) {
-        List<ConfigReader> all = new ArrayList<>();
+        List<ConfigReader> readers = new ArrayList<>();
         for (JsonElement element : array(name)) {
-            all.add(of(key(name) + '[' + all.size() + ']', element).reportingDefaultsTo(defaultListener));
+            readers.add(of(key(name) + '[' + readers.size() + ']', element).reportingDefaultsTo(defaultListener));
         }
-        return all;
+        return readers;
     }
 
-    /** A list of strings; empty where it is absent. */
+    /** Returns a list of strings; an absent list is empty. */
     public List<String> texts(String name) {
-        List<String> all = new ArrayList<>();
+        List<String> values = new ArrayList<>();
         for (JsonElement element : array(name)) {
             if (!element.isJsonPrimitive()) {
-                throw new ConfigException(key(name), "not a list of texts");
+                throw new ConfigException(key(name), "must be a list of strings");
             }
-            all.add(element.getAsString());
+            values.add(element.getAsString());
         }
-        return all;
+        return values;
     }
 
-    /** A number of a list, or the default where the list is absent or too short. */
-    public double numberAt(String name, int at, double defaultValue) {
-        JsonArray all = array(name);
-        return at < all.size()
-                ? number(key(name) + '[' + at + ']', all.get(at))
-                : useDefault(name + '[' + at + ']', defaultValue);
+    /** Returns the number at an index of a list, or the default if the list is absent or too short. */
+    public double numberAt(String name, int index, double defaultValue) {
+        JsonArray values = array(name);
+        return index < values.size()
+                ? number(key(name) + '[' + index + ']', values.get(index))
+                : useDefault(name + '[' + index + ']', defaultValue);
     }
 
     private JsonArray array(String name) {
@@ -257,23 +266,23 @@
             return new JsonArray();
         }
         if (!object.get(name).isJsonArray()) {
-            throw new ConfigException(key(name), "not a list");
+            throw new ConfigException(key(name), "must be a list");
         }
         return object.getAsJsonArray(name);
     }
 
     private static double number(String key, JsonElement element) {
         if (!element.isJsonPrimitive() || !element.getAsJsonPrimitive().isNumber()) {
-            throw new ConfigException(key, "not a number");
+            throw new ConfigException(key, "must be a number");
         }
         try {
             double value = element.getAsDouble();
             if (!Double.isFinite(value)) {
-                throw new ConfigException(key, "out of range");
+                throw new ConfigException(key, "must be a finite number");
             }
             return value;
-        } catch (NumberFormatException wrong) {
-            throw new ConfigException(key, "not a number");
+        } catch (NumberFormatException e) {
+            throw new ConfigException(key, "must be a number");
         }
     }
 }
--- a/src/main/java/pepperdock/config/DeploymentSettings.java
+++ b/src/main/java/pepperdock/config/DeploymentSettings.java
@@ -7,17 +7,17 @@
 import pepperdock.scheduler.SchedulerSettings;
 
 /**
- * A deployment's settings: the scheduler's, and those of the connections to workers. Immutable. They are read by
- * {@link DeploymentSettingsReader}.
+ * The settings of a deployment: those of the scheduler and those of the connections to workers. Immutable.
+ * {@link DeploymentSettingsReader} reads them.
  *
- * @param scheduler the scheduler's settings
- * @param classes names of the query classes, in their order
- * @param zones names of the zones, in their order
- * @param kinds names of the kinds of workers, in their order
- * @param connectTimeoutS connect timeout, in seconds
- * @param idleTimeoutS when a worker closes an idle connection, in seconds
+ * @param scheduler the settings of the scheduler
+ * @param classes the names of the query classes, by index
+ * @param zones the names of the zones, by index
+ * @param kinds the names of the kinds of workers, by index
+ * @param connectTimeoutS the connect timeout, in seconds
+ * @param idleTimeoutS how long a connection is idle before its worker closes it, in seconds
  * @param partsPerConnection how many parts one connection carries at a time
- * @param defaultsUsed each key that is absent, with the default that is used, as KEY=VALUE
+ * @param defaultsUsed the absent keys, each with the default used for it, as KEY=VALUE
  */
 public record DeploymentSettings(
         SchedulerSettings scheduler,
@@ -30,8 +30,8 @@
         List<String> defaultsUsed) {
 
     /**
-     * The same settings without idempotency keys: where workers don't drop a repeat by its key, a part that may have been
-     * executed must not be sent again.
+     * Returns these settings with every class that relies on idempotency keys changed to not idempotent: workers that
+     * don't drop a repeat by its key must not be sent a part again that may have been executed.
      */
     public DeploymentSettings withoutIdempotencyKeys() {
         SchedulerSettings current = scheduler;
@@ -73,8 +73,9 @@
     }
 
     /**
-     * These settings with what another file says of query classes, limits and rules, which can change while the program runs;
-     * layout, instances, how the endpoint list comes and the connections' limits stay.
+     * Returns these settings with the query classes, limits and rules of other settings, which can change while the
+     * program runs. The layout, the instances, the way the endpoint list is obtained and the limits of connections
+     * stay.
      */
     public DeploymentSettings withReloadable(DeploymentSettings changedSettings) {
         SchedulerSettings current = scheduler;
--- a/src/main/java/pepperdock/config/DeploymentSettingsReader.java
+++ b/src/main/java/pepperdock/config/DeploymentSettingsReader.java
@@ -13,13 +13,14 @@
 import pepperdock.scheduler.SchedulerSettings;
 
 /**
- * Reads the settings of a deployment as the platform writes them: the one class that knows their keys, defaults and bounds, and
- * which of the scheduler's terms each of them stands for. Keys that end in {@code S} are in seconds. Each default that is used
- * is recorded in {@link DeploymentSettings#defaultsUsed}. Stateless but for one reading; a {@link ConfigException} names the faulty key.
+ * Reads the settings of a deployment in the platform's format. Only this class knows their keys, defaults and bounds,
+ * and which term of the scheduler each key stands for. Keys that end in {@code S} are in seconds. Each default that is
+ * used is recorded in {@link DeploymentSettings#defaultsUsed}. An instance serves one call of {@link #read}; a {@link
+ * ConfigException} names the faulty key.
  */
 public final class DeploymentSettingsReader {
 
-    // ---- Keys of the whole ------------------------------------------------------------
+    // ---- Top-level keys ------------------------------------------------------------
 
     private static final String TICK_S = "TickS";
     private static final String INSTANCES = "Instances";
@@ -57,7 +58,7 @@
     private static final String PARTIAL_ANSWER_WEIGHT = "ShortWorth";
     private static final String SECOND_STAGE_PARTS = "SecondStep";
 
-    // ---- Keys of limits ------------------------------------------------------------
+    // ---- Keys of the limits ------------------------------------------------------------
 
     private static final String LIMITS = "Limits";
     private static final String CANCELLATION = "Cancel";
@@ -118,9 +119,9 @@
     }
 
     /**
-     * Reads and checks the settings.
+     * Reads and checks the settings of a deployment.
      *
-     * @throws ConfigException where a key is missing or its value can't be used
+     * @throws ConfigException if a key is missing or its value can't be used
      */
     public static DeploymentSettings read(ConfigReader settings) {
         Set<String> defaultsUsed = new LinkedHashSet<>();
@@ -138,7 +139,10 @@
                 List.copyOf(defaultsUsed));
     }
 
-    /** Of two files' settings, the keys that differ and that {@link DeploymentSettings#withReloadable} leaves for a restart. */
+    /**
+     * Returns the keys that differ between two settings and take effect only after a restart, as
+     * {@link DeploymentSettings#withReloadable} does not apply them.
+     */
     public static List<String> keysForRestart(ConfigReader from, ConfigReader to) {
         List<String> keys = new ArrayList<>();
         for (String section : from.differingNames(to)) {
@@ -161,9 +165,13 @@
     private static List<String> readClassNames(ConfigReader settings) {
         List<String> names = new ArrayList<>();
         for (ConfigReader queryClass : settings.objects(QUERY_CLASSES)) {
-            // The simulator speaks of classes by their number alone; a front's clients by name.
+            // The simulator identifies classes by number only, clients of a front by name.
             String name = queryClass.text(CLASS_NAME, "class-" + names.size());
-            check(queryClass, CLASS_NAME, !names.contains(name) && !name.isEmpty(), "empty, or of another class");
+            check(
+                    queryClass,
+                    CLASS_NAME,
+                    !names.contains(name) && !name.isEmpty(),
+                    "must not be empty or the name of another class");
             names.add(name);
         }
         check(settings, QUERY_CLASSES, !names.isEmpty(), "none");
@@ -176,7 +184,7 @@
             classes.add(readQueryClass(queryClass, classes.size()));
         }
         int cells = layout.whole(CELLS, 1, MAX_CELLS);
-        check(settings, TICK_S, settings.number(TICK_S) > 0, "not above 0");
+        check(settings, TICK_S, settings.number(TICK_S) > 0, "must be above 0");
         checkRules();
         List<Double> tenantRates = settings.objects(TENANTS).stream()
                 .map(tenant -> tenant.number(TENANT_RATE_PER_S, 0))
@@ -197,32 +205,36 @@
                     readLimits(),
                     readRules(pollsEndpointList));
         } catch (ConfigException e) {
-            // Names its key already; it must not be taken for the scheduler's own complaint below.
+            // Names its key already, unlike an exception of the scheduler, which is handled below.
             throw e;
         } catch (IllegalArgumentException e) {
             throw new ConfigException("settings", String.valueOf(e.getMessage()).replace("settings: ", ""));
         }
     }
 
-    /** One class; checked here by the platform's keys, as the scheduler's own checks know other names. */
+    /** Reads one class. Checks it here by the platform's keys, as the checks of the scheduler use other names. */
     private QueryClass readQueryClass(ConfigReader queryClass, int index) {
         RetrySafety retrySafety = RETRY_SAFETIES.get(queryClass.text(RETRY_SAFETY));
-        check(queryClass, RETRY_SAFETY, retrySafety != null, "unknown effect " + queryClass.text(RETRY_SAFETY));
+        check(
+                queryClass,
+                RETRY_SAFETY,
+                retrySafety != null,
+                "must be read_like, idempotency_key or non_idempotent, but is " + queryClass.text(RETRY_SAFETY));
         double objectiveS = queryClass.number(LATENCY_OBJECTIVE_S);
         double deadlineS = queryClass.number(DEADLINE_S);
-        check(queryClass, DEADLINE_S, deadlineS > 0, "not above 0");
+        check(queryClass, DEADLINE_S, deadlineS > 0, "must be above 0");
         check(
                 queryClass,
                 LATENCY_OBJECTIVE_S,
                 objectiveS > 0 && objectiveS <= deadlineS,
-                "not above 0, or past DeadlineS");
-        // How long workers recognise a repeat by its key decides whether one may be sent: so there is no default.
+                "must be above 0 and at most DeadlineS");
+        // No default: how long workers recognise a repeat by its key decides whether a repeat may be sent.
         double windowS = retrySafety == RetrySafety.IDEMPOTENCY_KEY ? queryClass.number(IDEMPOTENCY_WINDOW_S) : 0;
-        check(queryClass, IDEMPOTENCY_WINDOW_S, windowS >= 0, "below 0");
+        check(queryClass, IDEMPOTENCY_WINDOW_S, windowS >= 0, "must be 0 or above");
         double priorityWeight = queryClass.number(PRIORITY_WEIGHT, 1);
         double lateAnswerWeight = queryClass.number(LATE_ANSWER_WEIGHT, 0);
-        check(queryClass, PRIORITY_WEIGHT, priorityWeight >= 0, "below 0");
-        check(queryClass, LATE_ANSWER_WEIGHT, lateAnswerWeight >= 0, "below 0");
+        check(queryClass, PRIORITY_WEIGHT, priorityWeight >= 0, "must be 0 or above");
+        check(queryClass, LATE_ANSWER_WEIGHT, lateAnswerWeight >= 0, "must be 0 or above");
         double completeCoverage = layout.numberAt(COMPLETE_COVERAGE, index, 1);
         double minimumCoverage = layout.numberAt(MINIMUM_COVERAGE, index, 1);
         double partialAnswerWeight = layout.numberAt(PARTIAL_ANSWER_WEIGHT, index, 1);
@@ -243,24 +255,24 @@
 
     private void checkCoverage(int index, double complete, double minimum, double partialWeight, double secondParts) {
         String at = "[" + index + ']';
-        check(layout, COMPLETE_COVERAGE + at, complete > 0 && complete <= 1, "not above 0 and up to 1");
+        check(layout, COMPLETE_COVERAGE + at, complete > 0 && complete <= 1, "must be above 0 and at most 1");
         check(
                 layout,
                 MINIMUM_COVERAGE + at,
                 minimum > 0 && minimum <= complete,
-                "not above 0 and up to what is needed");
-        check(layout, PARTIAL_ANSWER_WEIGHT + at, partialWeight >= 0, "below 0");
+                "must be above 0 and at most NeedByClass");
+        check(layout, PARTIAL_ANSWER_WEIGHT + at, partialWeight >= 0, "must be 0 or above");
         check(
                 layout,
                 SECOND_STAGE_PARTS + at,
                 secondParts >= 0 && secondParts == Math.rint(secondParts),
-                "not a whole number from 0");
+                "must be a whole number, 0 or above");
     }
 
     private void checkRules() {
         double initialShare = rules.number(WARM_UP_INITIAL_SHARE, 1);
-        check(rules, WARM_UP_INITIAL_SHARE, initialShare > 0 && initialShare <= 1, "not above 0 and up to 1");
-        check(rules, WARM_UP_OVERLOAD_MULTIPLE, rules.number(WARM_UP_OVERLOAD_MULTIPLE, 1) > 0, "not above 0");
+        check(rules, WARM_UP_INITIAL_SHARE, initialShare > 0 && initialShare <= 1, "must be above 0 and at most 1");
+        check(rules, WARM_UP_OVERLOAD_MULTIPLE, rules.number(WARM_UP_OVERLOAD_MULTIPLE, 1) > 0, "must be above 0");
         for (String key : List.of(
                 ANSWER_SLACK_S,
                 DRAIN_GRACE_S,
@@ -270,7 +282,7 @@
                 RETRY_BUDGET_SHARE,
                 RETRY_BUDGET_WINDOW_S,
                 LIST_POLL_INTERVAL_S)) {
-            check(rules, key, rules.number(key, 0) >= 0, "below 0");
+            check(rules, key, rules.number(key, 0) >= 0, "must be 0 or above");
         }
     }
 
@@ -308,13 +320,13 @@
 
     private static double readPositive(ConfigReader keys, String name, double defaultValue) {
         double value = keys.number(name, defaultValue);
-        check(keys, name, value > 0, "not above 0");
+        check(keys, name, value > 0, "must be above 0");
         return value;
     }
 
-    private static void check(ConfigReader keys, String name, boolean valid, String complaint) {
+    private static void check(ConfigReader keys, String name, boolean valid, String problem) {
         if (!valid) {
-            throw new ConfigException(keys.key(name), complaint);
+            throw new ConfigException(keys.key(name), problem);
         }
     }
 }
--- a/src/main/java/pepperdock/config/DnsSdConfig.java
+++ b/src/main/java/pepperdock/config/DnsSdConfig.java
@@ -4,13 +4,13 @@
 import java.util.Locale;
 
 /**
- * Discovery of workers by DNS service records, the file's key {@code dnssd}. Immutable.
+ * The configuration of worker discovery by DNS service records, read from the key {@code dnssd} of the file. Immutable.
  *
- * @param server of the DNS
- * @param service such as {@code _ledger._tcp}
- * @param domain in which the service is browsed
- * @param timeoutS of one DNS query, in seconds
- * @param leastS between two polls, at least, in seconds
+ * @param server the address of the DNS server
+ * @param service the service type, such as {@code _ledger._tcp}
+ * @param domain the domain in which the service is browsed
+ * @param timeoutS the timeout of one DNS query, in seconds
+ * @param leastS the minimum time between two polls, in seconds
  */
 public record DnsSdConfig(InetSocketAddress server, String service, String domain, double timeoutS, double leastS) {
 
@@ -27,19 +27,20 @@
     static DnsSdConfig read(ConfigReader keys) {
         String service = keys.text(SERVICE);
         if (!service.toLowerCase(Locale.ROOT).matches(SERVICE_PATTERN)) {
-            throw new ConfigException(keys.key(SERVICE), "not of the form _name._tcp");
+            throw new ConfigException(
+                    keys.key(SERVICE), "must have the form _name._tcp or _name._udp, but is " + service);
         }
         String domain = keys.text(DOMAIN);
         if (!domain.matches(DOMAIN_PATTERN)) {
-            throw new ConfigException(keys.key(DOMAIN), "not a domain name");
+            throw new ConfigException(keys.key(DOMAIN), "must be a domain name, but is " + domain);
         }
         double timeoutS = keys.number(TIMEOUT_S, DEFAULT_TIMEOUT_S);
         double leastS = keys.number(LEAST_S, DEFAULT_LEAST_S);
         if (!(timeoutS > 0)) {
-            throw new ConfigException(keys.key(TIMEOUT_S), "not above 0");
+            throw new ConfigException(keys.key(TIMEOUT_S), "must be above 0");
         }
         if (!(leastS > 0)) {
-            throw new ConfigException(keys.key(LEAST_S), "not above 0");
+            throw new ConfigException(keys.key(LEAST_S), "must be above 0");
         }
         return new DnsSdConfig(Config.address(keys.key(SERVER), keys.text(SERVER)), service, domain, timeoutS, leastS);
     }
--- a/src/main/java/pepperdock/config/EndpointListJson.java
+++ b/src/main/java/pepperdock/config/EndpointListJson.java
@@ -12,11 +12,11 @@
 import pepperdock.scheduler.EndpointState;
 
 /**
- * An endpoint list in the form of discovery: the one class that knows its JSON keys. Immutable.
+ * An endpoint list in the JSON format of discovery. Only this class knows the JSON keys. Immutable.
  *
- * @param seq its version
- * @param whole whether it is the complete list, rather than a change of one
- * @param hosts its entries
+ * @param seq the version of the list
+ * @param whole whether this is the complete list rather than a change to one
+ * @param hosts the entries
  */
 public record EndpointListJson(long seq, boolean whole, List<WorkerEndpoint> hosts) {
 
@@ -43,15 +43,15 @@
             EndpointState.REMOVED);
 
     /**
-     * Decodes the body of discovery's response.
+     * Parses the body of a response of discovery.
      *
-     * @throws ConfigException where it is no endpoint list
+     * @throws ConfigException if the body is not an endpoint list
      */
     public static EndpointListJson parse(String json, DeploymentSettings site) {
         try {
             return read(ConfigReader.of("list", JsonParser.parseString(json)), site);
         } catch (JsonParseException e) {
-            throw new ConfigException("list", "not JSON");
+            throw new ConfigException("list", "not valid JSON");
         }
     }
 
@@ -61,7 +61,8 @@
         for (ConfigReader entry : list.objects(ENTRIES)) {
             EndpointState state = STATES.get(entry.text(STATE));
             if (state == null) {
-                throw new ConfigException(entry.key(STATE), "unknown state " + entry.text(STATE));
+                throw new ConfigException(
+                        entry.key(STATE), "must be in_service, terminating or terminated, but is " + entry.text(STATE));
             }
             hosts.add(new WorkerEndpoint(
                     entry.text(ID),
@@ -76,12 +77,12 @@
         return new EndpointListJson((long) list.number(SEQ, 0), list.flag(COMPLETE, false), List.copyOf(hosts));
     }
 
-    /** The empty list: what is known before the first one has come. */
+    /** Returns the empty list, which is used until the first list has arrived. */
     public static EndpointListJson none() {
         return read(new ConfigReader("known", new JsonObject()), null);
     }
 
-    /** Writes a complete list in the same form, for the store; {@link #parse} reads it. */
+    /** Returns a complete list in the same format, for the store; {@link #parse} reads it. */
     public static String write(Collection<WorkerEndpoint> hosts, DeploymentSettings site) {
         JsonArray entries = new JsonArray();
         for (WorkerEndpoint host : hosts) {
--- a/src/main/java/pepperdock/config/MembersConfig.java
+++ b/src/main/java/pepperdock/config/MembersConfig.java
@@ -7,10 +7,17 @@
 import pepperdock.membership.MembershipSettings.Key;
 
 /**
- * The {@code members} of a gatherer's file: which fleet, where this member is reached, which seeds, and the settings of
- * membership. Immutable.
+ * The configuration of membership, read from the key {@code members} of a gatherer's file. Immutable.
  *
- * @param ask the loopback address of the endpoint for {@code pepperdock members}, null for none
+ * @param fleet the name of the fleet that this member belongs to
+ * @param name the name of this member
+ * @param address the address that this member announces to the others
+ * @param seeds the addresses of the members to contact first
+ * @param zone the zone of this member, {@code -} if the file has none
+ * @param machine the machine of this member, {@code -} if the file has none
+ * @param settings the timings and bounds of the membership protocol
+ * @param reach where members are reached whose announced hosts can't be connected to from here
+ * @param ask the loopback address of the endpoint for {@code pepperdock members}; null if there is none
  */
 public record MembersConfig(
         String fleet,
@@ -26,7 +33,7 @@
     private static final double MAX_SECONDS = 86_400;
     private static final double MIN_PROBE_INTERVAL_S = 0.02;
     private static final double MIN_SLOW_THRESHOLD_S = 0.001;
-    /** Suspicion timeouts in probe intervals, at least: one lost datagram must not put a member in doubt. */
+    /** The least suspicion timeout in probe intervals: one lost datagram must not raise a suspicion. */
     private static final int MIN_SUSPICION_PROBES = 3;
 
     private static final int MAX_OBSERVERS = 32;
@@ -35,19 +42,19 @@
     private static final int MAX_BYTES_PER_S = 1 << 30;
     private static final int MAX_MAX_MEMBERS = 100_000;
 
-    /** Reads and checks {@code members}; null where the file has none. */
+    /** Reads and checks {@code members}; null if the file has none. */
     public static MembersConfig read(ConfigReader file) {
         if (!file.has("members")) {
             return null;
         }
         ConfigReader keys = file.needed("members");
         checkKeys(keys);
-        InetSocketAddress address = address(keys);
+        InetSocketAddress address = readAddress(keys);
         List<String> seeds = keys.texts("seeds");
         for (String seed : seeds) {
             Config.address(keys.key("seeds"), seed);
         }
-        InetSocketAddress ask = endpoint(keys);
+        InetSocketAddress ask = readEndpoint(keys);
         return new MembersConfig(
                 checkedName(keys, "fleet", keys.text("fleet")),
                 checkedName(file, "name", file.text("name")),
@@ -83,106 +90,113 @@
                 Key.MAX_MEMBERS);
     }
 
-    private static InetSocketAddress address(ConfigReader keys) {
+    private static InetSocketAddress readAddress(ConfigReader keys) {
         InetSocketAddress address = Config.address(keys.key("address"), keys.text("address"));
         if (address.getAddress().isAnyLocalAddress() || address.getPort() == 0) {
             throw new ConfigException(
-                    keys.key("address"), "announced to others, so it has to be one host's, with its port");
+                    keys.key("address"),
+                    "must be the address and port of one host, as it is announced to other members");
         }
         return address;
     }
 
-    private static InetSocketAddress endpoint(ConfigReader keys) {
+    private static InetSocketAddress readEndpoint(ConfigReader keys) {
         InetSocketAddress ask = keys.has("ask") ? Config.address(keys.key("ask"), keys.text("ask")) : null;
         if (ask != null && !ask.getAddress().isLoopbackAddress()) {
             throw new ConfigException(
-                    keys.key("ask"), "not a loopback address; whoever can ask there is not asked who it is");
+                    keys.key("ask"), "must be a loopback address, as the endpoint does not authenticate its clients");
         }
         return ask;
     }
 
-    /** Reads and checks the timings and bounds alone. */
+    /** Reads and checks only the timings and bounds. */
     public static MembershipSettings timings(ConfigReader keys) {
         MembershipSettings defaults = MembershipSettings.defaults();
-        double probe = seconds(keys, Key.PROBE_INTERVAL, defaults.probeIntervalS(), MIN_PROBE_INTERVAL_S);
-        double suspicion = suspicionTimeout(keys, probe);
+        double probeIntervalS = readSeconds(keys, Key.PROBE_INTERVAL, defaults.probeIntervalS(), MIN_PROBE_INTERVAL_S);
+        double suspicionTimeoutS = readSuspicionTimeout(keys, probeIntervalS);
         double highWatermark = keys.number(Key.HIGH_WATERMARK, defaults.highWatermark());
         if (!(highWatermark > 0.5 && highWatermark <= 1)) {
-            throw new ConfigException(keys.key(Key.HIGH_WATERMARK), "not above 0.5 and at most 1");
+            throw new ConfigException(
+                    keys.key(Key.HIGH_WATERMARK), "must be above 0.5 and at most 1, but is " + highWatermark);
         }
         int observers = keys.whole(Key.OBSERVERS, 1, MAX_OBSERVERS, defaults.observers());
         int lowWatermark = keys.whole(Key.LOW_WATERMARK, 1, observers, Math.min(observers, defaults.lowWatermark()));
-        int datagrams = datagramRate(keys, observers, probe);
-        int bytes = byteRate(keys, observers, probe);
+        int datagramsPerS = readDatagramRate(keys, observers, probeIntervalS);
+        int bytesPerS = readByteRate(keys, observers, probeIntervalS);
         return new MembershipSettings(
-                probe,
-                suspicion,
-                seconds(keys, Key.CONFIRMATION, suspicion, 2 * probe),
+                probeIntervalS,
+                suspicionTimeoutS,
+                readSeconds(keys, Key.CONFIRMATION, suspicionTimeoutS, 2 * probeIntervalS),
                 observers,
                 highWatermark,
                 lowWatermark,
                 keys.whole(Key.INDIRECT_PROBES, 0, MAX_INDIRECT_PROBES, defaults.indirectProbes()),
-                seconds(keys, Key.SLOW_THRESHOLD, probe, MIN_SLOW_THRESHOLD_S),
-                seconds(keys, Key.SYNC_INTERVAL, MembershipSettings.SYNC_PROBES * probe, probe),
-                seconds(keys, Key.RETENTION, defaults.retentionS(), 10 * suspicion),
-                datagrams,
-                bytes,
+                readSeconds(keys, Key.SLOW_THRESHOLD, probeIntervalS, MIN_SLOW_THRESHOLD_S),
+                readSeconds(keys, Key.SYNC_INTERVAL, MembershipSettings.SYNC_PROBES * probeIntervalS, probeIntervalS),
+                readSeconds(keys, Key.RETENTION, defaults.retentionS(), 10 * suspicionTimeoutS),
+                datagramsPerS,
+                bytesPerS,
                 keys.whole(Key.MAX_MEMBERS, 2, MAX_MAX_MEMBERS, defaults.maxMembers()),
                 true);
     }
 
-    private static double suspicionTimeout(ConfigReader keys, double probe) {
-        double suspicion = seconds(keys, Key.SUSPICION_TIMEOUT, MembershipSettings.SUSPICION_PROBES * probe, probe);
-        if (suspicion < MIN_SUSPICION_PROBES * probe) {
+    private static double readSuspicionTimeout(ConfigReader keys, double probeIntervalS) {
+        double suspicionTimeoutS = readSeconds(
+                keys, Key.SUSPICION_TIMEOUT, MembershipSettings.SUSPICION_PROBES * probeIntervalS, probeIntervalS);
+        if (suspicionTimeoutS < MIN_SUSPICION_PROBES * probeIntervalS) {
             throw new ConfigException(
                     keys.key(Key.SUSPICION_TIMEOUT),
-                    "less than three times probe_s: one lost datagram would be a doubt");
+                    "must be at least three times probe_s, or one lost datagram would raise a suspicion");
         }
-        return suspicion;
+        return suspicionTimeoutS;
     }
 
-    private static int datagramRate(ConfigReader keys, int observers, double probe) {
-        int datagrams = keys.whole(
+    private static int readDatagramRate(ConfigReader keys, int observers, double probeIntervalS) {
+        int datagramsPerS = keys.whole(
                 Key.DATAGRAM_RATE,
                 1,
                 MAX_DATAGRAMS_PER_S,
                 MembershipSettings.defaults().datagramsPerS());
-        double needed = MembershipSettings.DATAGRAMS_PER_PROBE * observers / probe;
-        if (datagrams < needed) {
+        double needed = MembershipSettings.DATAGRAMS_PER_PROBE * observers / probeIntervalS;
+        if (datagramsPerS < needed) {
             throw new ConfigException(
                     keys.key(Key.DATAGRAM_RATE),
-                    "less than three times observers / probe_s, which probes, their answers and help need: "
+                    "must be at least three times observers / probe_s, for pings, acknowledgements and indirect pings: "
                             + Math.ceil(needed));
         }
-        return datagrams;
+        return datagramsPerS;
     }
 
-    private static int byteRate(ConfigReader keys, int observers, double probe) {
+    private static int readByteRate(ConfigReader keys, int observers, double probeIntervalS) {
         int bytesPerDatagram = MembershipSettings.TYPICAL_DATAGRAM_BYTES;
-        double needed = Math.ceil(bytesPerDatagram * MembershipSettings.DATAGRAMS_PER_PROBE * observers / probe);
-        int otherwise = (int) Math.max(MembershipSettings.defaults().bytesPerS(), needed);
-        int bytes = keys.whole(Key.BYTE_RATE, 1, MAX_BYTES_PER_S, otherwise);
-        if (bytes < needed) {
+        double needed =
+                Math.ceil(bytesPerDatagram * MembershipSettings.DATAGRAMS_PER_PROBE * observers / probeIntervalS);
+        int defaultBytes = (int) Math.max(MembershipSettings.defaults().bytesPerS(), needed);
+        int bytesPerS = keys.whole(Key.BYTE_RATE, 1, MAX_BYTES_PER_S, defaultBytes);
+        if (bytesPerS < needed) {
             throw new ConfigException(
                     keys.key(Key.BYTE_RATE),
-                    "less than " + bytesPerDatagram + " bytes for each of those datagrams, which is " + needed);
+                    "must be at least " + bytesPerDatagram + " for each datagram needed per second, which is "
+                            + needed);
         }
-        return bytes;
+        return bytesPerS;
     }
 
-    private static double seconds(ConfigReader keys, String name, double otherwise, double least) {
-        double seconds = keys.number(name, otherwise);
-        if (!(seconds >= least && seconds <= MAX_SECONDS)) {
-            throw new ConfigException(keys.key(name), "not a number of seconds from " + least + " to " + MAX_SECONDS);
+    private static double readSeconds(ConfigReader keys, String name, double defaultValue, double min) {
+        double seconds = keys.number(name, defaultValue);
+        if (!(seconds >= min && seconds <= MAX_SECONDS)) {
+            throw new ConfigException(
+                    keys.key(name),
+                    "must be a number of seconds from " + min + " to " + MAX_SECONDS + ", but is " + seconds);
         }
         return seconds;
     }
 
-    private static String checkedName(ConfigReader keys, String key, String given) {
-        if (!given.matches(MemberRecord.NAME_PATTERN)) {
+    private static String checkedName(ConfigReader keys, String key, String name) {
+        if (!name.matches(MemberRecord.NAME_PATTERN)) {
             throw new ConfigException(
-                    keys.key(key), "not 1 to 64 of letters, digits, dot, line and underscore: " + given);
+                    keys.key(key), "must be 1 to 64 letters, digits, dots, hyphens and underscores, but is " + name);
         }
-        return given;
+        return name;
     }
 }
--- a/src/main/java/pepperdock/config/OpenSearchConfig.java
+++ b/src/main/java/pepperdock/config/OpenSearchConfig.java
@@ -6,14 +6,14 @@
 import java.util.Map;
 
 /**
- * The OpenSearch-style front, the file's key {@code opensearch}. Immutable.
+ * The configuration of the OpenSearch-style front, read from the key {@code opensearch} of the file. Immutable.
  *
- * @param listen where clients connect
+ * @param listen the address that clients connect to
  * @param indices the number of the query class that each index name stands for
- * @param backend whether the workers speak the same API, rather than the platform's frames
- * @param connectionsPerWorker at most
- * @param scrollContexts open at a time, at most
- * @param scrollMostS the longest time that a client may ask to keep a scroll context, in seconds
+ * @param backend whether the workers speak the same API rather than the platform's frames
+ * @param connectionsPerWorker the maximum number of connections to one worker
+ * @param scrollContexts the maximum number of scroll contexts open at a time
+ * @param scrollMostS the longest time for which a client may keep a scroll context, in seconds
  */
 public record OpenSearchConfig(
         InetSocketAddress listen,
@@ -45,7 +45,7 @@
         Map<String, Integer> indices = readIndices(keys, site);
         String backend = keys.text(BACKEND, BACKEND_OPENSEARCH);
         if (!List.of(BACKEND_OPENSEARCH, BACKEND_FRAMES).contains(backend)) {
-            throw new ConfigException(keys.key(BACKEND), "neither opensearch nor frames");
+            throw new ConfigException(keys.key(BACKEND), "must be opensearch or frames, but is " + backend);
         }
         return new OpenSearchConfig(
                 Config.address(keys.key(LISTEN), keys.text(LISTEN)),
@@ -61,15 +61,18 @@
         for (ConfigReader index : keys.objects(INDICES)) {
             int queryClass = site.classes().indexOf(index.text(INDEX_CLASS));
             if (queryClass < 0) {
-                throw new ConfigException(index.key(INDEX_CLASS), "unknown class " + index.text(INDEX_CLASS));
+                throw new ConfigException(
+                        index.key(INDEX_CLASS), "must be the name of a query class, but is " + index.text(INDEX_CLASS));
             }
             if (!index.text(INDEX_NAME).matches(INDEX_NAME_PATTERN)) {
-                throw new ConfigException(index.key(INDEX_NAME), "not an index name");
+                throw new ConfigException(
+                        index.key(INDEX_NAME),
+                        "must be an index name: lower-case letters, digits, dots, hyphens and underscores");
             }
             indices.put(index.text(INDEX_NAME), queryClass);
         }
         if (indices.isEmpty()) {
-            throw new ConfigException(keys.key(INDICES), "missing or empty");
+            throw new ConfigException(keys.key(INDICES), "must have at least one index");
         }
         return indices;
     }
--- a/src/main/java/pepperdock/config/PlanConfig.java
+++ b/src/main/java/pepperdock/config/PlanConfig.java
@@ -1,11 +1,12 @@
 package pepperdock.config;
 
 /**
- * The planner of shares, the file's key {@code plan}. Immutable.
+ * The configuration of the planner of shares, read from the key {@code plan} of the file. Immutable.
  *
- * @param everyS how often speeds are looked at, in seconds; a changed endpoint list is planned for at once
- * @param leastChange a change of one worker's speed by this share makes a new plan
- * @param shareLeast the least share of a range that a replica in service gets, whatever is planned
+ * @param everyS the interval at which the speeds of workers are checked, in seconds; a changed endpoint list is planned
+ *     for at once
+ * @param leastChange the relative change of one worker's speed that triggers a new plan
+ * @param shareLeast the minimum share of a range that each replica in service gets, whatever the plan
  */
 public record PlanConfig(double everyS, double leastChange, double shareLeast) {
 
@@ -19,15 +20,15 @@
     static PlanConfig read(ConfigReader keys) {
         keys.only(EVERY_S, LEAST_CHANGE, SHARE_LEAST);
         return new PlanConfig(
-                within(keys, EVERY_S, 0.1, 3600, DEFAULT_EVERY_S),
-                within(keys, LEAST_CHANGE, 0.01, 1, DEFAULT_LEAST_CHANGE),
-                within(keys, SHARE_LEAST, 0.01, 0.5, DEFAULT_SHARE_LEAST));
+                readBounded(keys, EVERY_S, 0.1, 3600, DEFAULT_EVERY_S),
+                readBounded(keys, LEAST_CHANGE, 0.01, 1, DEFAULT_LEAST_CHANGE),
+                readBounded(keys, SHARE_LEAST, 0.01, 0.5, DEFAULT_SHARE_LEAST));
     }
 
-    private static double within(ConfigReader keys, String name, double least, double most, double defaultValue) {
+    private static double readBounded(ConfigReader keys, String name, double min, double max, double defaultValue) {
         double value = keys.number(name, defaultValue);
-        if (!(value >= least && value <= most)) {
-            throw new ConfigException(keys.key(name), "not from " + least + " to " + most);
+        if (!(value >= min && value <= max)) {
+            throw new ConfigException(keys.key(name), "must be from " + min + " to " + max + ", but is " + value);
         }
         return value;
     }
--- a/src/main/java/pepperdock/config/StoreConfig.java
+++ b/src/main/java/pepperdock/config/StoreConfig.java
@@ -6,14 +6,14 @@
 import java.util.Map;
 
 /**
- * The replicated store, the file's key {@code store}. Immutable.
+ * The configuration of the replicated store, read from the key {@code store} of the file. Immutable.
  *
- * @param self this member's name
+ * @param self the name of this member
  * @param leader the name of the member that takes writes
- * @param members all members' addresses, by name
- * @param folder where this member's log lies; null for a copy in memory only
- * @param retryS between two attempts to reach the leader, and the connect timeout of each, in seconds
- * @param snapshotEvery the log is compacted when it has twice as many entries
+ * @param members the addresses of all members, by name
+ * @param folder the folder that holds this member's log; null for a copy in memory only
+ * @param retryS the time between two attempts to reach the leader and the connect timeout of each, in seconds
+ * @param snapshotEvery half the number of entries at which the log is compacted
  */
 public record StoreConfig(
         String self,
@@ -23,7 +23,7 @@
         double retryS,
         int snapshotEvery) {
 
-    /** Entries, where the file does not say otherwise. */
+    /** The default of {@link #snapshotEvery}, in entries. */
     public static final int DEFAULT_SNAPSHOT_EVERY = 1000;
 
     private static final String MEMBERS = "members";
@@ -42,14 +42,14 @@
         members.replaceAll((name, announced) -> name.equals(self) ? announced : reach.of(announced));
         String leader = keys.text(LEADER);
         if (!members.containsKey(self)) {
-            throw new ConfigException(keys.key(SELF), "not among the members");
+            throw new ConfigException(keys.key(SELF), "must be the name of a member, but is " + self);
         }
         if (!members.containsKey(leader)) {
-            throw new ConfigException(keys.key(LEADER), "not among the members");
+            throw new ConfigException(keys.key(LEADER), "must be the name of a member, but is " + leader);
         }
         double retryS = keys.number(RETRY_S, DEFAULT_RETRY_S);
         if (!(retryS > 0)) {
-            throw new ConfigException(keys.key(RETRY_S), "not above 0");
+            throw new ConfigException(keys.key(RETRY_S), "must be above 0, but is " + retryS);
         }
         return new StoreConfig(
                 self,
@@ -66,13 +66,14 @@
             String name = member.text(MEMBER_NAME);
             InetSocketAddress address = Config.address(member.key(MEMBER_ADDRESS), member.text(MEMBER_ADDRESS));
             if (members.put(name, address) != null) {
-                throw new ConfigException(member.key(MEMBER_NAME), "given twice");
+                throw new ConfigException(
+                        member.key(MEMBER_NAME), "must be unique, but is also the name of an earlier member: " + name);
             }
         }
         return members;
     }
 
-    /** Whether this member takes writes. */
+    /** Returns whether this member takes writes. */
     public boolean leads() {
         return self.equals(leader);
     }
--- a/src/test/java/pepperdock/cli/CliTest.java
+++ b/src/test/java/pepperdock/cli/CliTest.java
@@ -12,7 +12,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** The command line on the examples under deploy/, and on files made faulty key by key. */
+/** Runs commands on the examples under deploy/ and on copies of them with one faulty key each. */
 class CliTest {
 
     private static final String RING = "deploy/plan/ring.json";
@@ -20,13 +20,13 @@
     @TempDir
     private Path folder;
 
-    private record Ran(int status, String out, String err) {}
+    private record RunResult(int status, String out, String err) {}
 
-    private static Ran run(String... args) {
+    private static RunResult run(String... args) {
         StringWriter out = new StringWriter();
         StringWriter err = new StringWriter();
         int status = Cli.run(args, new PrintWriter(out, true), new PrintWriter(err, true));
-        return new Ran(status, out.toString(), err.toString());
+        return new RunResult(status, out.toString(), err.toString());
     }
 
     private String changed(String from, String to) throws IOException {
@@ -38,77 +38,95 @@
     }
 
     @Test
-    void aProblemThatIsSolvedIsPutOutAsATable() {
-        Ran ran = run("plan", RING);
-        assertEquals(0, ran.status(), ran.err());
-        assertTrue(ran.out().contains("greatest use 48.7 %"), ran.out());
+    void planPrintsSharesAsTable() {
+        RunResult result = run("plan", RING);
+        assertEquals(0, result.status(), result.err());
+        assertTrue(result.out().contains("greatest use 48.7 %"), result.out());
         assertTrue(
-                ran.out().lines().anyMatch(l -> l.startsWith("1 ") && l.endsWith("ledger-1 1.000, ledger-2 0.000")),
-                ran.out());
+                result.out()
+                        .lines()
+                        .anyMatch(line -> line.startsWith("1 ") && line.endsWith("ledger-1 1.000, ledger-2 0.000")),
+                result.out());
     }
 
     @Test
-    void oneWithoutASolutionEndsWithThreeAndNamesWhatCannotHold() {
-        Ran ran = run("plan", "deploy/plan/too-much.json");
-        assertEquals(3, ran.status());
+    void planWithoutSolutionExitsWithThreeAndNamesConflict() {
+        RunResult result = run("plan", "deploy/plan/too-much.json");
+        assertEquals(3, result.status());
         assertEquals(
                 "no solution: range 2 (0.500 s/s), range 4 (0.600 s/s) need more than ledger-3 (0.900 s/s) can do:"
                         + " 122.2 % of it",
-                ran.err().strip());
-        Ran json = run("plan", "--json", "deploy/plan/too-much.json");
+                result.err().strip());
+        RunResult json = run("plan", "--json", "deploy/plan/too-much.json");
         assertEquals(3, json.status());
         assertTrue(json.out().contains("\"no_solution\""), json.out());
     }
 
     @Test
-    void aPlanInForceIsComparedWith() throws IOException {
+    void planAgainstPrintsChangedShares() throws IOException {
         Path inForce = folder.resolve("in-force.json");
         Files.writeString(inForce, run("plan", "--json", RING).out());
         assertEquals(
                 "the plan in force stays",
                 run("plan", "--against", inForce.toString(), RING).out().strip());
-        Ran ran = run("plan", "--against", inForce.toString(), changed("\"capacity\": 1.5", "\"capacity\": 1.0"));
-        assertTrue(ran.out().startsWith("6 shares change:"), ran.out());
+        RunResult result =
+                run("plan", "--against", inForce.toString(), changed("\"capacity\": 1.5", "\"capacity\": 1.0"));
+        assertTrue(result.out().startsWith("6 shares change:"), result.out());
     }
 
     @Test
-    void aRangeIsExplained() {
-        Ran ran = run("plan", "--explain", "1", RING);
-        assertTrue(ran.out().contains("ledger-2 is not in service: no share"), ran.out());
+    void planExplainPrintsReasonsForRange() {
+        RunResult result = run("plan", "--explain", "1", RING);
+        assertTrue(result.out().contains("ledger-2 is not in service: no share"), result.out());
         assertEquals(2, run("plan", "--explain", "77", RING).status());
     }
 
     @Test
-    void faultyInputNamesItsKeyAndEndsWithTwo() throws IOException {
+    void faultyProblemExitsWithTwoAndNamesKey() throws IOException {
         String[][] cases = {
             {"\"capacity\": 1.5", "\"capacty\": 1.5", "nodes[3].capacty: unknown"},
-            {"\"capacity\": 1.5", "\"capacity\": -1", "nodes[3].capacity: not from 0 to 1000000"},
-            {"\"slow\": 1.4", "\"slow\": 0", "nodes[1].slow: not a factor from 0.01 to 1000"},
+            {"\"capacity\": 1.5", "\"capacity\": -1", "nodes[3].capacity: must be from 0 to 1000000, but is -1.0"},
+            {"\"slow\": 1.4", "\"slow\": 0", "nodes[1].slow: must be a factor from 0.01 to 1000, but is 0.0"},
             {
                 "\"state\": \"draining\"",
                 "\"state\": \"tired\"",
-                "nodes[2].state: none of in_service, draining, gone: tired"
+                "nodes[2].state: must be in_service, draining or gone, but is tired"
             },
-            {"\"range\": 3", "\"range\": 2", "ranges[3].range: a second 2"},
-            {"\"name\": \"ledger-3\"", "\"name\": \"ledger-0\"", "nodes[3].name: a second ledger-0"},
-            {"[\"ledger-3\", \"ledger-0\"]", "[\"ledger-9\"]", "ranges[3].holders: no such node: ledger-9"},
-            {"[\"ledger-3\", \"ledger-0\"]", "[]", "ranges[3].holders: empty or missing"},
-            {"\"zone\": \"schaarbeek-room\", \"rate\": 1", "\"zone\": \"moon\"", "gatherers[1].zone: no such zone: moon"
+            {
+                "\"range\": 3",
+                "\"range\": 2",
+                "ranges[3].range: must be unique, but is also the number of an earlier range: 2"
+            },
+            {
+                "\"name\": \"ledger-3\"",
+                "\"name\": \"ledger-0\"",
+                "nodes[3].name: must be unique, but is also the name of an earlier node: ledger-0"
+            },
+            {
+                "[\"ledger-3\", \"ledger-0\"]",
+                "[\"ledger-9\"]",
+                "ranges[3].holders: must name only nodes of the problem, but names ledger-9"
+            },
+            {"[\"ledger-3\", \"ledger-0\"]", "[]", "ranges[3].holders: must have at least one node"},
+            {
+                "\"zone\": \"schaarbeek-room\", \"rate\": 1",
+                "\"zone\": \"moon\"",
+                "gatherers[1].zone: must be one of the zones, but is moon"
             },
-            {"\"rate\": 2", "\"rate\": 2.5", "gatherers[0].rate: not a whole number from 0 to 1000"},
-            {"\"cost\": 2}]", "\"cost\": -2}]", "crossings[1].cost: not from 0 to 1000000"},
+            {"\"rate\": 2", "\"rate\": 2.5", "gatherers[0].rate: must be a whole number from 0 to 1000, but is 2.5"},
+            {"\"cost\": 2}]", "\"cost\": -2}]", "crossings[1].cost: must be from 0 to 1000000, but is -2.0"},
         };
-        for (String[] c : cases) {
-            Ran ran = run("plan", changed(c[0], c[1]));
-            assertEquals(2, ran.status(), c[2]);
-            assertEquals(c[2], ran.err().strip());
+        for (String[] faulty : cases) {
+            RunResult result = run("plan", changed(faulty[0], faulty[1]));
+            assertEquals(2, result.status(), faulty[2]);
+            assertEquals(faulty[2], result.err().strip());
         }
     }
 
     @Test
-    void configurationIsCheckedAndUsageIsHeldTo() {
+    void configCheckAcceptsFilesUnderDeployAndFaultyUsageExitsWithTwo() {
         assertEquals(
-                "deploy/opensearch.json: sound",
+                "deploy/opensearch.json: valid",
                 run("config", "check", "deploy/opensearch.json").out().strip());
         for (String member : List.of("anderlecht-1", "anderlecht-2", "anderlecht-3", "halle-1", "halle-2")) {
             assertEquals(
--- a/src/test/java/pepperdock/cli/ScaleCommandsTest.java
+++ b/src/test/java/pepperdock/cli/ScaleCommandsTest.java
@@ -8,7 +8,7 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** The commands that play and measure the distribution of configuration. */
+/** Runs the commands that simulate and measure the distribution of configuration. */
 class ScaleCommandsTest {
 
     private final StringWriter out = new StringWriter();
@@ -19,7 +19,7 @@
     }
 
     @Test
-    void aCourseIsToldAsARowAndAsALineOfJson() {
+    void configPrintsRowsAndLinesOfJson() {
         assertEquals(0, run("lab", "scale", "config", "--gatherers", "9", "--case", "CALM,CROSSING"), err.toString());
         List<String> lines = out.toString().lines().toList();
         assertEquals(4, lines.size(), out.toString());
@@ -33,7 +33,7 @@
     }
 
     @Test
-    void aCourseThatFailsACheckSaysSoAndEndsWithOne() {
+    void configPrintsFindingsAndExitsWithOneIfCheckFails() {
         String[] tooLarge = {"lab", "scale", "config", "--gatherers", "9", "--case", "ALL_NEW", "--bytes", "200000"};
         assertEquals(1, run(tooLarge));
         assertTrue(out.toString().contains("FOUND ALL_NEW, 9 gatherers, seed 1: WITHIN_TIME"), out.toString());
@@ -41,7 +41,7 @@
     }
 
     @Test
-    void aRunOfNothingDoesNotPass() {
+    void optionsThatMeasureNothingAreUsageErrors() {
         for (String option : List.of("--gatherers", "--seeds", "--cut", "--bytes")) {
             assertEquals(2, run("lab", "scale", "config", option, "0"), option);
         }
@@ -52,7 +52,7 @@
     }
 
     @Test
-    void streamsAreMeasuredOverLoopback() {
+    void streamsPrintsRowOfMeasurements() {
         assertEquals(0, run("lab", "scale", "streams", "--subscribers", "3", "--seconds", "1"), err.toString());
         assertEquals(2, out.toString().lines().count());
         assertTrue(out.toString().lines().toList().get(1).startsWith("3 | "), out.toString());
--- a/src/test/java/pepperdock/config/ConfigTest.java
+++ b/src/test/java/pepperdock/config/ConfigTest.java
@@ -21,12 +21,12 @@
 class ConfigTest {
 
     private static JsonObject file() {
-        JsonObject o = JsonParser.parseString("""
+        JsonObject file = JsonParser.parseString("""
                 {"name":"n3","listen":"127.0.0.4:8000","discovery":"127.0.0.1:8500","seed":"ffffffffffffffff",
                  "limits":{"sockets":4096},"known":{"seq":41,"whole":true,"hosts":[{"host":"s","dial":"127.0.0.9:1",
                  "site":"room","class":"std","block":3,"health":"terminating","share":1.0,"born_ms":1500}]}}""").getAsJsonObject();
-        o.add("settings", JsonParser.parseString(TestDeploymentSettings.SETTINGS));
-        return o;
+        file.add("settings", JsonParser.parseString(TestDeploymentSettings.SETTINGS));
+        return file;
     }
 
     private static Config read(JsonObject file) {
@@ -34,24 +34,30 @@
     }
 
     @Test
-    void aPlatformFileIsReadWithItsDefaults() {
-        Config c = read(file());
+    void readsFileOfPlatformWithDefaults() {
+        Config config = read(file());
         assertEquals(
                 "n3 8000 8500 -1",
-                c.name() + ' ' + c.listen().getPort() + ' ' + c.discovery().getPort() + ' ' + c.seed());
+                config.name()
+                        + ' '
+                        + config.listen().getPort()
+                        + ' '
+                        + config.discovery().getPort()
+                        + ' '
+                        + config.seed());
         assertEquals(
                 List.of(new WorkerEndpoint("s", "127.0.0.9:1", 0, 0, 3, EndpointState.DRAINING, 1, 1.5)),
-                c.known().hosts());
-        assertNull(c.openSearch());
-        assertNull(c.dnsSd());
-        assertEquals(40, c.site().scheduler().limits().maxQueriesAndParts());
+                config.known().hosts());
+        assertNull(config.openSearch());
+        assertNull(config.dnsSd());
+        assertEquals(40, config.site().scheduler().limits().maxQueriesAndParts());
         assertEquals(
                 "n9",
                 Config.read(new ConfigReader("", file()), Map.of("EDGE_NAME", "n9"))
                         .name());
     }
 
-    /** Each line: where to put which value, and the key that the message must name. */
+    /** Each row: a top-level key, its faulty value, and the full key that the message must name. */
     @ParameterizedTest
     @CsvSource(
             delimiter = '|',
@@ -70,60 +76,61 @@
                 "plan|{\"often\":1}|plan.often",
                 "opensearch|{\"indices\":[]}|opensearch.indices"
             })
-    void aFaultyKeyIsNamed(String key, String value, String named) {
+    void errorNamesFaultyKey(String key, String value, String faultyKey) {
         JsonObject file = file();
         file.add(key, JsonParser.parseString(value));
         ConfigException e = assertThrows(ConfigException.class, () -> read(file));
-        assertTrue(e.getMessage().startsWith(named + ":"), e.getMessage());
+        assertTrue(e.getMessage().startsWith(faultyKey + ":"), e.getMessage());
     }
 
-    /** Each line: a setting's place, the value put there (none: taken out), and the message. */
+    /** Each row: the path of a setting, its faulty value (none if the setting is removed), and the expected message. */
     @ParameterizedTest
     @CsvSource(
             delimiter = '|',
             value = {
-                "RequestClasses.0.GoalTimeS|4|GoalTimeS: not above 0, or past DeadlineS",
-                "RequestClasses.0.GoalTimeS|1e999|GoalTimeS: out of range",
-                "RequestClasses.1.DeadlineS|0|DeadlineS: not above 0",
+                "RequestClasses.0.GoalTimeS|4|GoalTimeS: must be above 0 and at most DeadlineS",
+                "RequestClasses.0.GoalTimeS|1e999|GoalTimeS: must be a finite number",
+                "RequestClasses.1.DeadlineS|0|DeadlineS: must be above 0",
                 "RequestClasses.2.WindowS||WindowS: missing",
-                "RequestClasses.2.WindowS|-1|WindowS: below 0",
-                "RequestClasses.1.Name|\"\"|Name: empty, or of another class",
-                "RequestClasses.2.Name|\"payout-report\"|Name: empty, or of another class",
-                "RequestClasses.0.Effect|\"safe\"|Effect: unknown effect safe",
-                "RequestClasses.0.Worth|-1|Worth: below 0",
-                "FamilyInfo.FloorByClass|[0.6,1.5,1]|FloorByClass[1]: not above 0 and up to what is needed",
-                "FamilyInfo.SecondStep|[0,0.5,0]|SecondStep[1]: not a whole number from 0",
-                "FamilyInfo.Span|5|Span: not a whole number from 1 to 4",
+                "RequestClasses.2.WindowS|-1|WindowS: must be 0 or above",
+                "RequestClasses.1.Name|\"\"|Name: must not be empty or the name of another class",
+                "RequestClasses.2.Name|\"payout-report\"|Name: must not be empty or the name of another class",
+                "RequestClasses.0.Effect|\"safe\"|Effect: must be read_like, idempotency_key or non_idempotent,"
+                        + " but is safe",
+                "RequestClasses.0.Worth|-1|Worth: must be 0 or above",
+                "FamilyInfo.FloorByClass|[0.6,1.5,1]|FloorByClass[1]: must be above 0 and at most NeedByClass",
+                "FamilyInfo.SecondStep|[0,0.5,0]|SecondStep[1]: must be a whole number, 0 or above",
+                "FamilyInfo.Span|5|Span: must be a whole number from 1 to 4, but is 5.0",
                 "FamilyInfo.Slices||Slices: missing",
-                "Limits.MaxAttempts|0|MaxAttempts: not a whole number from 1 to 65536",
-                "Limits.Multiplex|0.5|Multiplex: not a whole number",
-                "Rules.ColdFrom|0|ColdFrom: not above 0 and up to 1",
-                "Rules.WarmUpS|-1|WarmUpS: below 0",
-                "TickS|0|TickS: not above 0",
+                "Limits.MaxAttempts|0|MaxAttempts: must be a whole number from 1 to 65536, but is 0.0",
+                "Limits.Multiplex|0.5|Multiplex: must be a whole number from 1 to 2147483647, but is 0.5",
+                "Rules.ColdFrom|0|ColdFrom: must be above 0 and at most 1",
+                "Rules.WarmUpS|-1|WarmUpS: must be 0 or above",
+                "TickS|0|TickS: must be above 0",
                 "RequestClasses|[]|RequestClasses: none",
-                "Limits.Cancel|1|Cancel: neither true nor false"
+                "Limits.Cancel|1|Cancel: must be true or false"
             })
-    void aFaultySettingIsNamed(String place, String value, String message) {
+    void errorNamesFaultySetting(String path, String value, String message) {
         JsonObject file = file();
-        String[] way = place.split("\\.");
-        com.google.gson.JsonElement at = file.get("settings");
-        for (int i = 0; i < way.length - 1; i++) {
-            at = at.isJsonArray()
-                    ? at.getAsJsonArray().get(Integer.parseInt(way[i]))
-                    : at.getAsJsonObject().get(way[i]);
+        String[] names = path.split("\\.");
+        com.google.gson.JsonElement element = file.get("settings");
+        for (int i = 0; i < names.length - 1; i++) {
+            element = element.isJsonArray()
+                    ? element.getAsJsonArray().get(Integer.parseInt(names[i]))
+                    : element.getAsJsonObject().get(names[i]);
         }
         if (value == null) {
-            at.getAsJsonObject().remove(way[way.length - 1]);
+            element.getAsJsonObject().remove(names[names.length - 1]);
         } else {
-            at.getAsJsonObject().add(way[way.length - 1], JsonParser.parseString(value));
+            element.getAsJsonObject().add(names[names.length - 1], JsonParser.parseString(value));
         }
-        String said = assertThrows(ConfigException.class, () -> read(file)).getMessage();
-        String where = ("settings." + place).replaceAll("\\.([0-9])", "[$1]");
-        assertTrue(said.startsWith(where.substring(0, where.lastIndexOf('.') + 1) + message), said);
+        String error = assertThrows(ConfigException.class, () -> read(file)).getMessage();
+        String key = ("settings." + path).replaceAll("\\.([0-9])", "[$1]");
+        assertTrue(error.startsWith(key.substring(0, key.lastIndexOf('.') + 1) + message), error);
     }
 
     @Test
-    void whatStandsInForAnAbsentSettingIsTold() {
+    void reportsDefaultsUsedForAbsentSettings() {
         JsonObject file = file();
         file.getAsJsonObject("settings").getAsJsonObject("Limits").remove("DialTimeoutS");
         file.getAsJsonObject("settings")
@@ -136,19 +143,21 @@
                 .get(0)
                 .getAsJsonObject()
                 .remove("Name");
-        List<String> told = read(file).site().defaultsUsed();
+        List<String> defaultsUsed = read(file).site().defaultsUsed();
         assertTrue(
-                told.containsAll(List.of(
+                defaultsUsed.containsAll(List.of(
                         "settings.Limits.DialTimeoutS=0.25",
                         "settings.RequestClasses[1].LateWorth=0.0",
                         "settings.RequestClasses[0].Name=class-0")),
-                told::toString);
-        assertTrue(told.stream().noneMatch(t -> t.contains("Multiplex")), "given, so not told");
+                defaultsUsed::toString);
+        assertTrue(
+                defaultsUsed.stream().noneMatch(used -> used.contains("Multiplex")),
+                "a default is reported for a setting that is present");
     }
 
     @ParameterizedTest
     @ValueSource(strings = {"TickS", "FamilyInfo", "Limits", "Rules"})
-    void aMissingSettingIsNamed(String name) {
+    void errorNamesMissingSetting(String name) {
         JsonObject file = file();
         file.getAsJsonObject("settings").remove(name);
         ConfigException e = assertThrows(ConfigException.class, () -> read(file));
@@ -156,22 +165,23 @@
     }
 
     @Test
-    void aListThatWasWrittenIsReadTheSame() {
-        Config c = read(file());
+    void parsesEndpointListAsWritten() {
+        Config config = read(file());
         assertEquals(
-                c.known().hosts(),
-                EndpointListJson.parse(EndpointListJson.write(c.known().hosts(), c.site()), c.site())
+                config.known().hosts(),
+                EndpointListJson.parse(EndpointListJson.write(config.known().hosts(), config.site()), config.site())
                         .hosts());
     }
 
-    /** The operator's files must stay usable: read here as the program reads them. */
+    /** Reads the files under deploy/ as the program does, so that operators can rely on them. */
     @Test
-    void theFilesUnderDeployAreSound() {
-        Config c = Config.read(Config.file(Map.of("EDGE_CONFIG", "deploy/opensearch.json")), Map.of());
+    void readsFilesUnderDeploy() {
+        Config config = Config.read(Config.file(Map.of("EDGE_CONFIG", "deploy/opensearch.json")), Map.of());
         assertEquals(
-                Map.of("history", 0, "payouts", 1, "wallets", 2), c.openSearch().indices());
-        assertTrue(
-                c.site().scheduler().classes().stream().noneMatch(k -> k.retrySafety() == RetrySafety.IDEMPOTENCY_KEY));
+                Map.of("history", 0, "payouts", 1, "wallets", 2),
+                config.openSearch().indices());
+        assertTrue(config.site().scheduler().classes().stream()
+                .noneMatch(queryClass -> queryClass.retrySafety() == RetrySafety.IDEMPOTENCY_KEY));
         ConfigReader daily = Config.file(Map.of("EDGE_CONFIG", "deploy/daily.json"));
         assertEquals(9600, Config.read(daily, Map.of()).operator().getPort());
         assertEquals(
@@ -179,38 +189,38 @@
                 Config.read(daily, Map.of("EDGE_OPERATOR", "127.0.0.1:1"))
                         .operator()
                         .getPort());
-        assertEquals(null, c.operator());
-        ConfigReader second = Config.file(Map.of("EDGE_CONFIG", "deploy/dnssd-and-store.json"));
-        assertEquals(Path.of("state/b"), Config.store(second).folder());
-        Config d =
-                Config.read(second.with("settings", JsonParser.parseString(TestDeploymentSettings.SETTINGS)), Map.of());
-        assertEquals("_ledger._tcp", d.dnsSd().service());
-        assertTrue(
-                d.site().scheduler().classes().stream().noneMatch(k -> k.retrySafety() == RetrySafety.IDEMPOTENCY_KEY));
+        assertEquals(null, config.operator());
+        ConfigReader dnsSdFile = Config.file(Map.of("EDGE_CONFIG", "deploy/dnssd-and-store.json"));
+        assertEquals(Path.of("state/b"), Config.store(dnsSdFile).folder());
+        Config dnsSdConfig = Config.read(
+                dnsSdFile.with("settings", JsonParser.parseString(TestDeploymentSettings.SETTINGS)), Map.of());
+        assertEquals("_ledger._tcp", dnsSdConfig.dnsSd().service());
+        assertTrue(dnsSdConfig.site().scheduler().classes().stream()
+                .noneMatch(queryClass -> queryClass.retrySafety() == RetrySafety.IDEMPOTENCY_KEY));
     }
 
     @Test
-    void eachFaultyKeyOfMembersIsNamed() {
-        String sound = "'fleet':'f','address':'127.0.0.1:7400'";
-        assertEquals(6 * 0.5, members(sound).settings().suspicionTimeoutS());
-        for (String[] bad : new String[][] {
+    void errorNamesFaultyKeyOfMembers() {
+        String valid = "'fleet':'f','address':'127.0.0.1:7400'";
+        assertEquals(6 * 0.5, members(valid).settings().suspicionTimeoutS());
+        for (String[] faulty : new String[][] {
             {"members.fleet", "'fleet':'a fleet','address':'127.0.0.1:7400'"},
             {"members.address", "'fleet':'f'"},
             {"members.address", "'fleet':'f','address':'127.0.0.1:0'"},
             {"members.address", "'fleet':'f','address':'0.0.0.0:1'"},
-            {"members.seeds", sound + ",'seeds':['host:1']"},
-            {"members.ask", sound + ",'ask':'10.0.0.1:1'"},
-            {"members.doubt_s", sound + ",'probe_s':1,'doubt_s':2"},
-            {"members.agree", sound + ",'agree':0.5"},
-            {"members.datagrams_per_s", sound + ",'datagrams_per_s':10"},
-            {"members.bytes_per_s", sound + ",'bytes_per_s':8000"},
-            {"members.most", sound + ",'most':1"},
-            {"members.zone", sound + ",'zone':''"},
-            {"members.seed", sound + ",'seed':1"}
+            {"members.seeds", valid + ",'seeds':['host:1']"},
+            {"members.ask", valid + ",'ask':'10.0.0.1:1'"},
+            {"members.doubt_s", valid + ",'probe_s':1,'doubt_s':2"},
+            {"members.agree", valid + ",'agree':0.5"},
+            {"members.datagrams_per_s", valid + ",'datagrams_per_s':10"},
+            {"members.bytes_per_s", valid + ",'bytes_per_s':8000"},
+            {"members.most", valid + ",'most':1"},
+            {"members.zone", valid + ",'zone':''"},
+            {"members.seed", valid + ",'seed':1"}
         }) {
-            String said =
-                    assertThrows(ConfigException.class, () -> members(bad[1])).getMessage();
-            assertTrue(said.startsWith(bad[0] + ":"), said);
+            String error = assertThrows(ConfigException.class, () -> members(faulty[1]))
+                    .getMessage();
+            assertTrue(error.startsWith(faulty[0] + ":"), error);
         }
     }
 
--- a/src/test/java/pepperdock/config/TestDeploymentSettings.java
+++ b/src/test/java/pepperdock/config/TestDeploymentSettings.java
@@ -2,7 +2,10 @@
 
 import com.google.gson.JsonParser;
 
-/** A small site for tests: four cells, twelve shards, each held by two cells; the brief's three classes. */
+/**
+ * Small deployment settings for tests: four cells, twelve shards on two cells each, and the brief's three query
+ * classes.
+ */
 public final class TestDeploymentSettings {
 
     public static final String SETTINGS = """
