--- a/src/main/java/pepperdock/config/ConfigReader.java
+++ b/src/main/java/pepperdock/config/ConfigReader.java
@@ -73,7 +73,7 @@
     }
 
     /** Throws a {@link ConfigException} if this object has a name that is not among these. */
-    public void only(String... names) {
+    public void rejectUnknownKeys(String... names) {
         Set<String> known = Set.of(names);
         for (String name : object.keySet()) {
             if (!known.contains(name)) {
--- a/src/main/java/pepperdock/config/MembersConfig.java
+++ b/src/main/java/pepperdock/config/MembersConfig.java
@@ -68,7 +68,7 @@
     }
 
     private static void checkKeys(ConfigReader keys) {
-        keys.only(
+        keys.rejectUnknownKeys(
                 "fleet",
                 "address",
                 "seeds",
--- a/src/main/java/pepperdock/config/PlanConfig.java
+++ b/src/main/java/pepperdock/config/PlanConfig.java
@@ -18,7 +18,7 @@
     private static final double DEFAULT_SHARE_LEAST = 0.1;
 
     static PlanConfig read(ConfigReader keys) {
-        keys.only(EVERY_S, LEAST_CHANGE, SHARE_LEAST);
+        keys.rejectUnknownKeys(EVERY_S, LEAST_CHANGE, SHARE_LEAST);
         return new PlanConfig(
                 readBounded(keys, EVERY_S, 0.1, 3600, DEFAULT_EVERY_S),
                 readBounded(keys, LEAST_CHANGE, 0.01, 1, DEFAULT_LEAST_CHANGE),
--- a/src/main/java/pepperdock/config/PlanFile.java
+++ b/src/main/java/pepperdock/config/PlanFile.java
@@ -28,7 +28,7 @@
      * @throws ConfigException if a key is missing or unknown, or its value can't be used
      */
     public static Problem read(ConfigReader problem) {
-        problem.only("zones", "crossings", "gatherers", "nodes", "ranges", "spare_node");
+        problem.rejectUnknownKeys("zones", "crossings", "gatherers", "nodes", "ranges", "spare_node");
         List<String> zones = problem.has("zones") ? readDistinct(problem, "zones") : List.of("all");
         if (zones.isEmpty()) {
             throw new ConfigException(problem.key("zones"), "must have at least one zone");
@@ -36,7 +36,7 @@
         Map<String, Integer> nodeIndexes = new HashMap<>();
         List<Problem.Node> nodes = new ArrayList<>();
         for (ConfigReader node : problem.objects("nodes")) {
-            node.only("name", "zone", "capacity", "slow", "state");
+            node.rejectUnknownKeys("name", "zone", "capacity", "slow", "state");
             String name = node.text("name");
             if (nodeIndexes.putIfAbsent(name, nodes.size()) != null) {
                 throw new ConfigException(
@@ -72,7 +72,7 @@
         List<Problem.Range> ranges = new ArrayList<>();
         Set<Integer> numbers = new HashSet<>();
         for (ConfigReader range : problem.objects("ranges")) {
-            range.only("range", "work", "holders");
+            range.rejectUnknownKeys("range", "work", "holders");
             int number = range.whole("range", 0, 1 << 24);
             if (!numbers.add(number)) {
                 throw new ConfigException(
@@ -105,7 +105,7 @@
             cost[from][from] = 0;
         }
         for (ConfigReader crossing : problem.objects("crossings")) {
-            crossing.only("from", "to", "cost", "barred");
+            crossing.rejectUnknownKeys("from", "to", "cost", "barred");
             double value = crossing.number("cost", 1);
             if (value < 0 || value > MAX_SECONDS) {
                 throw new ConfigException(
@@ -120,7 +120,7 @@
     private static long[] readRates(ConfigReader problem, List<String> zones) {
         long[] rates = new long[zones.size()];
         for (ConfigReader gatherer : problem.objects("gatherers")) {
-            gatherer.only("name", "zone", "rate");
+            gatherer.rejectUnknownKeys("name", "zone", "rate");
             rates[readZone(gatherer, zones)] += gatherer.whole("rate", 0, MAX_RATE, 1);
         }
         if (Arrays.stream(rates).sum() == 0) {
--- a/src/main/java/pepperdock/faultinjection/ActReader.java
+++ b/src/main/java/pepperdock/faultinjection/ActReader.java
@@ -36,7 +36,7 @@
 
     Action read() {
         if (keys.has("await")) {
-            keys.only("await", "members");
+            keys.rejectUnknownKeys("await", "members");
             return new Await(keys.text("await"), whom("members"));
         }
         double at = seconds("at", 0);
@@ -48,7 +48,7 @@
             case "partition" -> partition(at, last);
             case "reset" -> reset(at);
             case "heal" -> {
-                keys.only("at", "fault");
+                keys.rejectUnknownKeys("at", "fault");
                 yield new Heal(at);
             }
             case "stop", "continue", "kill", "term", "start" -> onProcesses(fault, at, last);
@@ -60,7 +60,7 @@
     }
 
     private Action onLinks(String fault, double at, double last, double flip) {
-        keys.only("at", "for", "flip_s", "fault", "from", "to", "both", "share", "by_s", "spread_s", "bytes_per_s");
+        keys.rejectUnknownKeys("at", "for", "flip_s", "fault", "from", "to", "both", "share", "by_s", "spread_s", "bytes_per_s");
         LinkFaults.Kind kind = LinkFaults.Kind.valueOf(fault.toUpperCase(Locale.ROOT));
         double amount = switch (kind) {
             case LOSS, DUPLICATE, REORDER -> share();
@@ -84,12 +84,12 @@
     }
 
     private Action reset(double at) {
-        keys.only("at", "fault", "from", "to", "both");
+        keys.rejectUnknownKeys("at", "fault", "from", "to", "both");
         return new Reset(at, whom("from"), whom("to"), keys.flag("both", false));
     }
 
     private Action onProcesses(String fault, double at, double last) {
-        keys.only("at", "for", "fault", "members", "apart_s", "folder", "ports");
+        keys.rejectUnknownKeys("at", "for", "fault", "members", "apart_s", "folder", "ports");
         return new OnProcesses(
                 at,
                 What.valueOf(fault.toUpperCase(Locale.ROOT)),
@@ -101,7 +101,7 @@
     }
 
     private Action onDisks(double at, double last) {
-        keys.only("at", "for", "fault", "is", "by_s", "members");
+        keys.rejectUnknownKeys("at", "for", "fault", "is", "by_s", "members");
         String is = keys.text("is");
         if (!DISKS.contains(is)) {
             throw new ConfigException(keys.key("is"), "none of " + DISKS);
@@ -110,12 +110,12 @@
     }
 
     private Action onClocks(double at) {
-        keys.only("at", "fault", "by_s", "members");
+        keys.rejectUnknownKeys("at", "fault", "by_s", "members");
         return new OnClocks(at, whom("members"), ScriptReader.seconds(keys, "by_s", 3600, Double.MAX_VALUE));
     }
 
     private Action draw(double at, double last) {
-        keys.only("at", "for", "fault", "every_s", "kinds", "least_s", "most_s", "most_members");
+        keys.rejectUnknownKeys("at", "for", "fault", "every_s", "kinds", "least_s", "most_s", "most_members");
         if (Double.isInfinite(last)) {
             throw new ConfigException(keys.key("for"), "missing");
         }
@@ -139,11 +139,11 @@
     }
 
     private Action partition(double at, double last) {
-        keys.only("at", "for", "fault", "groups", "into", "share", "move_s");
+        keys.rejectUnknownKeys("at", "for", "fault", "groups", "into", "share", "move_s");
         List<List<String>> groups = new ArrayList<>();
         if (keys.has("groups")) {
             for (ConfigReader g : keys.objects("groups")) {
-                g.only("members");
+                g.rejectUnknownKeys("members");
                 groups.add(known(g, "members"));
             }
         }
--- a/src/main/java/pepperdock/faultinjection/ScriptReader.java
+++ b/src/main/java/pepperdock/faultinjection/ScriptReader.java
@@ -54,7 +54,7 @@
 
     /** {@code folder} is where the file lies: its {@code base} is found from there. */
     static Script read(ConfigReader k, Path folder) {
-        k.only(KEYS);
+        k.rejectUnknownKeys(KEYS);
         int n = k.whole("members", 1, Script.MEMBERS_MOST);
         List<String> names = IntStream.rangeClosed(1, n).mapToObj(i -> "g" + i).toList();
         JsonObject config = config(k, folder);
@@ -111,7 +111,7 @@
     }
 
     private static Port port(ConfigReader p) {
-        p.only("name", "for");
+        p.rejectUnknownKeys("name", "for");
         String kind = p.text("for");
         if (!List.of("streams", "datagrams", "both").contains(kind)) {
             throw new ConfigException(p.key("for"), "neither streams, datagrams nor both");
