--- a/src/main/java/pepperdock/cli/PlanCommand.java
+++ b/src/main/java/pepperdock/cli/PlanCommand.java
@@ -312,7 +312,7 @@
     private static Map<String, Double> readShares(ConfigReader plan) {
         Map<String, Double> shares = new TreeMap<>();
         for (ConfigReader range : plan.objects("shares")) {
-            ConfigReader to = range.needed("to");
+            ConfigReader to = range.requiredObject("to");
             for (String node : to.names()) {
                 shares.put(label(range.whole("range", 0, 1 << 24), range.text("zone"), node), to.number(node));
             }
--- a/src/main/java/pepperdock/config/Config.java
+++ b/src/main/java/pepperdock/config/Config.java
@@ -84,7 +84,7 @@
 
     /** Reads the configuration of the store, which is needed before the rest of the file; null if the file has none. */
     public static StoreConfig store(ConfigReader file) {
-        return file.has(STORE) ? StoreConfig.read(file.needed(STORE), AddressTranslation.read(file)) : null;
+        return file.has(STORE) ? StoreConfig.read(file.requiredObject(STORE), AddressTranslation.read(file)) : null;
     }
 
     /** Returns whether events are written, for tests that evaluate several gatherers together. */
@@ -104,11 +104,11 @@
         if (file.has(MEMBERS)) {
             MembersConfig.read(file);
         }
-        DeploymentSettings site = DeploymentSettingsReader.read(file.needed(SETTINGS));
+        DeploymentSettings site = DeploymentSettingsReader.read(file.requiredObject(SETTINGS));
         EndpointListJson known =
-                file.has(KNOWN) ? EndpointListJson.read(file.needed(KNOWN), site) : EndpointListJson.none();
+                file.has(KNOWN) ? EndpointListJson.read(file.requiredObject(KNOWN), site) : EndpointListJson.none();
         OpenSearchConfig openSearch =
-                file.has(OPEN_SEARCH) ? OpenSearchConfig.read(file.needed(OPEN_SEARCH), site) : null;
+                file.has(OPEN_SEARCH) ? OpenSearchConfig.read(file.requiredObject(OPEN_SEARCH), site) : null;
         boolean listens = openSearch == null || file.has(LISTEN);
         return new Config(
                 env.getOrDefault(NAME_VARIABLE, file.text(NAME, DEFAULT_NAME)),
@@ -118,8 +118,8 @@
                 known,
                 openSearch != null && openSearch.backend() ? site.withoutIdempotencyKeys() : site,
                 openSearch,
-                file.has(DNS_SD) ? DnsSdConfig.read(file.needed(DNS_SD)) : null,
-                file.has(PLAN) ? PlanConfig.read(file.needed(PLAN)) : null,
+                file.has(DNS_SD) ? DnsSdConfig.read(file.requiredObject(DNS_SD)) : null,
+                file.has(PLAN) ? PlanConfig.read(file.requiredObject(PLAN)) : null,
                 addressOf(env, OPERATOR_VARIABLE, file, OPERATOR, file.has(OPERATOR)));
     }
 
--- a/src/main/java/pepperdock/config/ConfigReader.java
+++ b/src/main/java/pepperdock/config/ConfigReader.java
@@ -177,7 +177,7 @@
     }
 
     /** Returns a reader of a nested object, which must be present. */
-    public ConfigReader needed(String name) {
+    public ConfigReader requiredObject(String name) {
         return of(key(name), need(name)).reportingDefaultsTo(defaultListener);
     }
 
--- a/src/main/java/pepperdock/config/DeploymentSettingsReader.java
+++ b/src/main/java/pepperdock/config/DeploymentSettingsReader.java
@@ -113,9 +113,9 @@
 
     private DeploymentSettingsReader(ConfigReader settings) {
         this.settings = settings;
-        layout = settings.needed(LAYOUT);
-        limits = settings.needed(LIMITS);
-        rules = settings.needed(RULES);
+        layout = settings.requiredObject(LAYOUT);
+        limits = settings.requiredObject(LIMITS);
+        rules = settings.requiredObject(RULES);
     }
 
     /**
@@ -126,7 +126,7 @@
     public static DeploymentSettings read(ConfigReader settings) {
         Set<String> defaultsUsed = new LinkedHashSet<>();
         ConfigReader recorded = settings.reportingDefaultsTo(defaultsUsed::add);
-        ConfigReader limits = recorded.needed(LIMITS);
+        ConfigReader limits = recorded.requiredObject(LIMITS);
         List<String> classNames = readClassNames(recorded);
         return new DeploymentSettings(
                 new DeploymentSettingsReader(recorded).readSchedulerSettings(),
--- a/src/main/java/pepperdock/config/MembersConfig.java
+++ b/src/main/java/pepperdock/config/MembersConfig.java
@@ -47,7 +47,7 @@
         if (!file.has("members")) {
             return null;
         }
-        ConfigReader keys = file.needed("members");
+        ConfigReader keys = file.requiredObject("members");
         checkKeys(keys);
         InetSocketAddress address = readAddress(keys);
         List<String> seeds = keys.texts("seeds");
--- a/src/main/java/pepperdock/faultinjection/Seeds.java
+++ b/src/main/java/pepperdock/faultinjection/Seeds.java
@@ -58,7 +58,7 @@
             throws IOException, InterruptedException {
         Script script = ScriptReader.read(file, members);
         MembershipSettings settings =
-                arm.of(MembersConfig.timings(new ConfigReader("config", script.config()).needed("members")));
+                arm.of(MembersConfig.timings(new ConfigReader("config", script.config()).requiredObject("members")));
         ExecutorService pool = Executors.newFixedThreadPool(threads);
         try {
             List<Future<Run>> runs = new ArrayList<>();
--- a/src/main/java/pepperdock/service/ConfigReloader.java
+++ b/src/main/java/pepperdock/service/ConfigReloader.java
@@ -117,7 +117,7 @@
             }
         }
         String lost =
-                current.has("settings") ? current.needed("settings").firstMissingKey(file.needed("settings")) : null;
+                current.has("settings") ? current.requiredObject("settings").firstMissingKey(file.requiredObject("settings")) : null;
         if (lost != null) {
             throw new ConfigException(lost, "missing, but in the file in use");
         }
@@ -131,7 +131,7 @@
                 changes.add(change);
                 if (key.equals("settings")) {
                     keysForRestart.addAll(
-                            DeploymentSettingsReader.keysForRestart(current.needed(key), file.needed(key)));
+                            DeploymentSettingsReader.keysForRestart(current.requiredObject(key), file.requiredObject(key)));
                 }
             } else if (!IGNORED.contains(key)) {
                 keysForRestart.add(key);
--- a/tools/ListCalls.java
+++ b/tools/ListCalls.java
@@ -181,7 +181,7 @@
         try (InputStream in = Files.newInputStream(Path.of("src/main/resources/pepperdock/rehearsal.json"))) {
             whole = ConfigReader.of("", Config.parse(new String(in.readAllBytes(), StandardCharsets.UTF_8), "rehearsal"));
         }
-        DeploymentSettings site = DeploymentSettingsReader.read(whole.needed("settings"));
+        DeploymentSettings site = DeploymentSettingsReader.read(whole.requiredObject("settings"));
         for (Down how : Down.values()) {
             List<Round> all = new ArrayList<>();
             for (int i = 0; i < rounds; i++) {
