--- a/src/main/java/pepperdock/cli/MembersCommand.java
+++ b/src/main/java/pepperdock/cli/MembersCommand.java
@@ -134,7 +134,7 @@
     }
 
     private static void printMember(PrintWriter out, ConfigReader member) {
-        ConfigReader observations = member.within("said_by");
+        ConfigReader observations = member.optionalObject("said_by");
         StringBuilder saidBy = new StringBuilder();
         for (String observer : observations.names()) {
             saidBy.append(saidBy.length() == 0 ? "" : ", ")
--- a/src/main/java/pepperdock/config/AddressTranslation.java
+++ b/src/main/java/pepperdock/config/AddressTranslation.java
@@ -20,7 +20,7 @@
 
     static AddressTranslation read(ConfigReader file) {
         Map<InetAddress, InetAddress> hosts = new HashMap<>();
-        ConfigReader reach = file.within(REACH);
+        ConfigReader reach = file.optionalObject(REACH);
         for (String announced : reach.names()) {
             InetAddress from =
                     Config.address(reach.key(announced), announced + ANY_PORT).getAddress();
--- a/src/main/java/pepperdock/config/ConfigReader.java
+++ b/src/main/java/pepperdock/config/ConfigReader.java
@@ -170,7 +170,7 @@
     }
 
     /** Returns a reader of a nested object, or of an empty object if it is absent. */
-    public ConfigReader within(String name) {
+    public ConfigReader optionalObject(String name) {
         return has(name)
                 ? of(key(name), object.get(name)).reportingDefaultsTo(defaultListener)
                 : new ConfigReader(key(name), new JsonObject(), defaultListener);
--- a/src/main/java/pepperdock/config/DeploymentSettingsReader.java
+++ b/src/main/java/pepperdock/config/DeploymentSettingsReader.java
@@ -148,8 +148,8 @@
         for (String section : from.differingNames(to)) {
             switch (section) {
                 case QUERY_CLASSES, RULES -> {}
-                case LIMITS -> addDiffering(keys, from.within(section), to.within(section), RELOADABLE_LIMITS);
-                case LAYOUT -> addDiffering(keys, from.within(section), to.within(section), RELOADABLE_LAYOUT);
+                case LIMITS -> addDiffering(keys, from.optionalObject(section), to.optionalObject(section), RELOADABLE_LIMITS);
+                case LAYOUT -> addDiffering(keys, from.optionalObject(section), to.optionalObject(section), RELOADABLE_LAYOUT);
                 default -> keys.add(from.key(section));
             }
         }
@@ -189,7 +189,7 @@
         List<Double> tenantRates = settings.objects(TENANTS).stream()
                 .map(tenant -> tenant.number(TENANT_RATE_PER_S, 0))
                 .toList();
-        List<String> reportNames = settings.within(REPORT).texts(REPORT_NAMES);
+        List<String> reportNames = settings.optionalObject(REPORT).texts(REPORT_NAMES);
         boolean pollsEndpointList = settings.text(DISCOVERY, "").equals(DISCOVERY_POLLED);
         try {
             return new SchedulerSettings(
--- a/src/main/java/pepperdock/faultinjection/ScriptReader.java
+++ b/src/main/java/pepperdock/faultinjection/ScriptReader.java
@@ -100,12 +100,12 @@
     }
 
     private static JsonObject own(ConfigReader k, List<String> names) {
-        ConfigReader own = k.within("own");
+        ConfigReader own = k.optionalObject("own");
         for (String name : own.names()) {
             if (!names.contains(name)) {
                 throw new ConfigException(own.key(name), "no such member");
             }
-            own.within(name);
+            own.optionalObject(name);
         }
         return k.has("own") ? Config.parse(k.json("own"), k.key("own")).getAsJsonObject() : new JsonObject();
     }
