--- a/src/main/java/pepperdock/cli/PlanCommand.java
+++ b/src/main/java/pepperdock/cli/PlanCommand.java
@@ -314,7 +314,7 @@
         for (ConfigReader range : plan.objects("shares")) {
             ConfigReader to = range.requiredObject("to");
             for (String node : to.names()) {
-                shares.put(label(range.whole("range", 0, 1 << 24), range.text("zone"), node), to.number(node));
+                shares.put(label(range.integer("range", 0, 1 << 24), range.text("zone"), node), to.number(node));
             }
         }
         return shares;
--- a/src/main/java/pepperdock/config/Config.java
+++ b/src/main/java/pepperdock/config/Config.java
@@ -94,7 +94,7 @@
 
     /** Returns how many file descriptors this process may have open. */
     public static int sockets(ConfigReader file) {
-        return file.optionalObject(LIMITS).whole(SOCKETS, MIN_SOCKETS, MAX_SOCKETS, DEFAULT_SOCKETS);
+        return file.optionalObject(LIMITS).integer(SOCKETS, MIN_SOCKETS, MAX_SOCKETS, DEFAULT_SOCKETS);
     }
 
     /** Reads and checks a whole file; environment variables take precedence over its values. */
--- a/src/main/java/pepperdock/config/ConfigReader.java
+++ b/src/main/java/pepperdock/config/ConfigReader.java
@@ -206,7 +206,7 @@
     }
 
     /** Returns an integer within the bounds, both included, which must be present. */
-    public int whole(String name, int min, int max) {
+    public int integer(String name, int min, int max) {
         double value = number(name);
         if (value != Math.rint(value) || value < min || value > max) {
             throw new ConfigException(
@@ -216,8 +216,8 @@
     }
 
     /** Returns an integer within the bounds, both included, or the default if it is absent. */
-    public int whole(String name, int min, int max, int defaultValue) {
-        return has(name) ? whole(name, min, max) : useDefault(name, defaultValue);
+    public int integer(String name, int min, int max, int defaultValue) {
+        return has(name) ? integer(name, min, max) : useDefault(name, defaultValue);
     }
 
     /** Returns a boolean, or the default if it is absent. */
--- a/src/main/java/pepperdock/config/DeploymentSettingsReader.java
+++ b/src/main/java/pepperdock/config/DeploymentSettingsReader.java
@@ -135,7 +135,7 @@
                 recorded.texts(KIND_NAMES),
                 readPositive(limits, CONNECT_TIMEOUT_S, DEFAULT_CONNECT_TIMEOUT_S),
                 readPositive(limits, IDLE_TIMEOUT_S, DEFAULT_IDLE_TIMEOUT_S),
-                limits.whole(PARTS_PER_CONNECTION, 1, Integer.MAX_VALUE, DEFAULT_PARTS_PER_CONNECTION),
+                limits.integer(PARTS_PER_CONNECTION, 1, Integer.MAX_VALUE, DEFAULT_PARTS_PER_CONNECTION),
                 List.copyOf(defaultsUsed));
     }
 
@@ -183,7 +183,7 @@
         for (ConfigReader queryClass : settings.objects(QUERY_CLASSES)) {
             classes.add(readQueryClass(queryClass, classes.size()));
         }
-        int cells = layout.whole(CELLS, 1, MAX_CELLS);
+        int cells = layout.integer(CELLS, 1, MAX_CELLS);
         check(settings, TICK_S, settings.number(TICK_S) > 0, "must be above 0");
         checkRules();
         List<Double> tenantRates = settings.objects(TENANTS).stream()
@@ -193,8 +193,8 @@
         boolean pollsEndpointList = settings.text(DISCOVERY, "").equals(DISCOVERY_POLLED);
         try {
             return new SchedulerSettings(
-                    settings.whole(INSTANCES, 1, MAX_INSTANCES, 1),
-                    settings.whole(ZONE, 0, MAX_INSTANCES, 0),
+                    settings.integer(INSTANCES, 1, MAX_INSTANCES, 1),
+                    settings.integer(ZONE, 0, MAX_INSTANCES, 0),
                     settings.number(TICK_S),
                     pollsEndpointList,
                     classes,
@@ -288,10 +288,10 @@
 
     private ReplicaLayout readReplicaLayout(int cells) {
         return new ReplicaLayout(
-                layout.whole(SHARDS, 1, MAX_CELLS),
+                layout.integer(SHARDS, 1, MAX_CELLS),
                 cells,
-                layout.whole(REPLICAS_PER_SHARD, 1, cells),
-                layout.whole(MAX_PARTS_PER_CALL, 1, 1 << 16, 1));
+                layout.integer(REPLICAS_PER_SHARD, 1, cells),
+                layout.integer(MAX_PARTS_PER_CALL, 1, 1 << 16, 1));
     }
 
     private SchedulerLimits readLimits() {
@@ -299,8 +299,8 @@
                 limits.flag(CANCELLATION, false),
                 limits.flag(HEDGING, false),
                 limits.flag(HEALTH_CHECKS, false),
-                limits.whole(MAX_ATTEMPTS, 1, MAX_ATTEMPTS_BOUND),
-                limits.whole(MAX_IN_FLIGHT, 1, Integer.MAX_VALUE, Integer.MAX_VALUE),
+                limits.integer(MAX_ATTEMPTS, 1, MAX_ATTEMPTS_BOUND),
+                limits.integer(MAX_IN_FLIGHT, 1, Integer.MAX_VALUE, Integer.MAX_VALUE),
                 limits.flag(RETRY_AFTER, false) ? limits.number(MAX_RETRY_AFTER_S, 0) : 0);
     }
 
--- a/src/main/java/pepperdock/config/EndpointListJson.java
+++ b/src/main/java/pepperdock/config/EndpointListJson.java
@@ -69,7 +69,7 @@
                     entry.text(ADDRESS, ""),
                     index(site.zones(), entry.text(ZONE_NAME, "")),
                     index(site.kinds(), entry.text(KIND_NAME, "")),
-                    entry.whole(CELL, 0, MAX_CELL),
+                    entry.integer(CELL, 0, MAX_CELL),
                     state,
                     entry.number(WEIGHT, 1),
                     entry.number(STARTED_AT_MS, 0) / MS_PER_S));
--- a/src/main/java/pepperdock/config/MembersConfig.java
+++ b/src/main/java/pepperdock/config/MembersConfig.java
@@ -119,8 +119,8 @@
             throw new ConfigException(
                     keys.key(Key.HIGH_WATERMARK), "must be above 0.5 and at most 1, but is " + highWatermark);
         }
-        int observers = keys.whole(Key.OBSERVERS, 1, MAX_OBSERVERS, defaults.observers());
-        int lowWatermark = keys.whole(Key.LOW_WATERMARK, 1, observers, Math.min(observers, defaults.lowWatermark()));
+        int observers = keys.integer(Key.OBSERVERS, 1, MAX_OBSERVERS, defaults.observers());
+        int lowWatermark = keys.integer(Key.LOW_WATERMARK, 1, observers, Math.min(observers, defaults.lowWatermark()));
         int datagramsPerS = readDatagramRate(keys, observers, probeIntervalS);
         int bytesPerS = readByteRate(keys, observers, probeIntervalS);
         return new MembershipSettings(
@@ -130,13 +130,13 @@
                 observers,
                 highWatermark,
                 lowWatermark,
-                keys.whole(Key.INDIRECT_PROBES, 0, MAX_INDIRECT_PROBES, defaults.indirectProbes()),
+                keys.integer(Key.INDIRECT_PROBES, 0, MAX_INDIRECT_PROBES, defaults.indirectProbes()),
                 readSeconds(keys, Key.SLOW_THRESHOLD, probeIntervalS, MIN_SLOW_THRESHOLD_S),
                 readSeconds(keys, Key.SYNC_INTERVAL, MembershipSettings.SYNC_PROBES * probeIntervalS, probeIntervalS),
                 readSeconds(keys, Key.RETENTION, defaults.retentionS(), 10 * suspicionTimeoutS),
                 datagramsPerS,
                 bytesPerS,
-                keys.whole(Key.MAX_MEMBERS, 2, MAX_MAX_MEMBERS, defaults.maxMembers()),
+                keys.integer(Key.MAX_MEMBERS, 2, MAX_MAX_MEMBERS, defaults.maxMembers()),
                 true);
     }
 
@@ -152,7 +152,7 @@
     }
 
     private static int readDatagramRate(ConfigReader keys, int observers, double probeIntervalS) {
-        int datagramsPerS = keys.whole(
+        int datagramsPerS = keys.integer(
                 Key.DATAGRAM_RATE,
                 1,
                 MAX_DATAGRAMS_PER_S,
@@ -172,7 +172,7 @@
         double needed =
                 Math.ceil(bytesPerDatagram * MembershipSettings.DATAGRAMS_PER_PROBE * observers / probeIntervalS);
         int defaultBytes = (int) Math.max(MembershipSettings.defaults().bytesPerS(), needed);
-        int bytesPerS = keys.whole(Key.BYTE_RATE, 1, MAX_BYTES_PER_S, defaultBytes);
+        int bytesPerS = keys.integer(Key.BYTE_RATE, 1, MAX_BYTES_PER_S, defaultBytes);
         if (bytesPerS < needed) {
             throw new ConfigException(
                     keys.key(Key.BYTE_RATE),
--- a/src/main/java/pepperdock/config/OpenSearchConfig.java
+++ b/src/main/java/pepperdock/config/OpenSearchConfig.java
@@ -51,9 +51,9 @@
                 Config.address(keys.key(LISTEN), keys.text(LISTEN)),
                 indices,
                 backend.equals(BACKEND_OPENSEARCH),
-                keys.whole(CONNECTIONS_PER_WORKER, 1, MAX_CONNECTIONS_PER_WORKER, DEFAULT_CONNECTIONS_PER_WORKER),
-                keys.whole(SCROLL_CONTEXTS, 1, MAX_SCROLL_CONTEXTS, DEFAULT_SCROLL_CONTEXTS),
-                keys.whole(SCROLL_MOST_S, 1, MAX_SCROLL_MOST_S, DEFAULT_SCROLL_MOST_S));
+                keys.integer(CONNECTIONS_PER_WORKER, 1, MAX_CONNECTIONS_PER_WORKER, DEFAULT_CONNECTIONS_PER_WORKER),
+                keys.integer(SCROLL_CONTEXTS, 1, MAX_SCROLL_CONTEXTS, DEFAULT_SCROLL_CONTEXTS),
+                keys.integer(SCROLL_MOST_S, 1, MAX_SCROLL_MOST_S, DEFAULT_SCROLL_MOST_S));
     }
 
     private static Map<String, Integer> readIndices(ConfigReader keys, DeploymentSettings site) {
--- a/src/main/java/pepperdock/config/PlanFile.java
+++ b/src/main/java/pepperdock/config/PlanFile.java
@@ -73,7 +73,7 @@
         Set<Integer> numbers = new HashSet<>();
         for (ConfigReader range : problem.objects("ranges")) {
             range.rejectUnknownKeys("range", "work", "holders");
-            int number = range.whole("range", 0, 1 << 24);
+            int number = range.integer("range", 0, 1 << 24);
             if (!numbers.add(number)) {
                 throw new ConfigException(
                         range.key("range"), "must be unique, but is also the number of an earlier range: " + number);
@@ -121,7 +121,7 @@
         long[] rates = new long[zones.size()];
         for (ConfigReader gatherer : problem.objects("gatherers")) {
             gatherer.rejectUnknownKeys("name", "zone", "rate");
-            rates[readZone(gatherer, zones)] += gatherer.whole("rate", 0, MAX_RATE, 1);
+            rates[readZone(gatherer, zones)] += gatherer.integer("rate", 0, MAX_RATE, 1);
         }
         if (Arrays.stream(rates).sum() == 0) {
             if (problem.has("gatherers")) {
--- a/src/main/java/pepperdock/config/StoreConfig.java
+++ b/src/main/java/pepperdock/config/StoreConfig.java
@@ -57,7 +57,7 @@
                 members,
                 keys.has(FOLDER) ? Path.of(keys.text(FOLDER)) : null,
                 retryS,
-                keys.whole(SNAPSHOT_EVERY, 1, Integer.MAX_VALUE, DEFAULT_SNAPSHOT_EVERY));
+                keys.integer(SNAPSHOT_EVERY, 1, Integer.MAX_VALUE, DEFAULT_SNAPSHOT_EVERY));
     }
 
     private static Map<String, InetSocketAddress> readMembers(ConfigReader keys) {
--- a/src/main/java/pepperdock/faultinjection/ActReader.java
+++ b/src/main/java/pepperdock/faultinjection/ActReader.java
@@ -65,7 +65,7 @@
         double amount = switch (kind) {
             case LOSS, DUPLICATE, REORDER -> share();
             case DELAY -> seconds("by_s", 0);
-            case THROTTLE -> keys.whole("bytes_per_s", 1, 1 << 30);
+            case THROTTLE -> keys.integer("bytes_per_s", 1, 1 << 30);
             case CUT, STALL -> 0;
         };
         if (flip > 0 && Double.isInfinite(last)) {
@@ -135,7 +135,7 @@
                 keys.has("kinds") ? List.copyOf(keys.texts("kinds")) : Timetable.DRAWN,
                 seconds("least_s", 1),
                 seconds("most_s", 10),
-                keys.whole("most_members", 1, Script.MEMBERS_MOST, 1));
+                keys.integer("most_members", 1, Script.MEMBERS_MOST, 1));
     }
 
     private Action partition(double at, double last) {
@@ -162,7 +162,7 @@
         if (move > 0 && (Double.isInfinite(last) || !groups.isEmpty())) {
             throw new ConfigException(keys.key("move_s"), "needs into and for");
         }
-        return new Partition(at, groups, groups.isEmpty() ? keys.whole("into", 2, names.size()) : 0, last, move);
+        return new Partition(at, groups, groups.isEmpty() ? keys.integer("into", 2, names.size()) : 0, last, move);
     }
 
     /** A list of names, a number of members to draw, or nothing for all. */
@@ -176,7 +176,7 @@
         double share = keys.number(name);
         return new Targets(
                 List.of(),
-                share > 0 && share < 1 ? (int) Math.ceil(share * names.size()) : keys.whole(name, 1, names.size()));
+                share > 0 && share < 1 ? (int) Math.ceil(share * names.size()) : keys.integer(name, 1, names.size()));
     }
 
     private List<String> known(ConfigReader k, String name) {
--- a/src/main/java/pepperdock/faultinjection/ScriptReader.java
+++ b/src/main/java/pepperdock/faultinjection/ScriptReader.java
@@ -55,7 +55,7 @@
     /** {@code folder} is where the file lies: its {@code base} is found from there. */
     static Script read(ConfigReader k, Path folder) {
         k.rejectUnknownKeys(KEYS);
-        int n = k.whole("members", 1, Script.MEMBERS_MOST);
+        int n = k.integer("members", 1, Script.MEMBERS_MOST);
         List<String> names = IntStream.rangeClosed(1, n).mapToObj(i -> "g" + i).toList();
         JsonObject config = config(k, folder);
         JsonObject own = own(k, names);
@@ -65,7 +65,7 @@
                 (long) k.number("seed", 1),
                 names,
                 k.has("zones") ? List.copyOf(k.texts("zones")) : List.of("z"),
-                k.whole("machines", 1, Script.MEMBERS_MOST, n),
+                k.integer("machines", 1, Script.MEMBERS_MOST, n),
                 config,
                 own,
                 ports,
--- a/src/main/java/pepperdock/operator/BanFile.java
+++ b/src/main/java/pepperdock/operator/BanFile.java
@@ -123,7 +123,7 @@
     private static Set<String> parse(String text) {
         ConfigReader keys = ConfigReader.of("bans", Config.parse(text, "bans"));
         keys.rejectUnknownKeys(VERSION_KEY, DISABLED_KEY);
-        keys.whole(VERSION_KEY, VERSION, VERSION);
+        keys.integer(VERSION_KEY, VERSION, VERSION);
         if (!keys.has(DISABLED_KEY)) {
             throw new ConfigException(keys.key(DISABLED_KEY), "missing");
         }
