--- a/src/main/java/pepperdock/cli/Cli.java
+++ b/src/main/java/pepperdock/cli/Cli.java
@@ -113,7 +113,7 @@
 
             @Override
             public Integer call() {
-                ConfigReader configuration = Config.file(Map.of("EDGE_CONFIG", file));
+                ConfigReader configuration = Config.readFile(Map.of("EDGE_CONFIG", file));
                 StoreConfig store = Config.store(configuration);
                 if (configuration.has("settings") || store == null) {
                     Config.read(configuration, Map.of());
--- a/src/main/java/pepperdock/config/Config.java
+++ b/src/main/java/pepperdock/config/Config.java
@@ -69,7 +69,7 @@
      *
      * @throws ConfigException if the variable is not set, or the file can't be read or is no JSON object
      */
-    public static ConfigReader file(Map<String, String> env) {
+    public static ConfigReader readFile(Map<String, String> env) {
         String file = env.get(FILE_VARIABLE);
         if (file == null) {
             throw new ConfigException(
--- a/src/main/java/pepperdock/service/ConfigReloader.java
+++ b/src/main/java/pepperdock/service/ConfigReloader.java
@@ -81,7 +81,7 @@
     /** Reloads the file; whatever is wrong with it, the program goes on with the one in use. */
     void reload() {
         try {
-            ConfigReader read = Config.file(env);
+            ConfigReader read = Config.readFile(env);
             ConfigReader file = read.has("settings") || !stored ? read : read.with("settings", current);
             checkComplete(file);
             Config config = Config.read(file, env);
--- a/src/main/java/pepperdock/service/Startup.java
+++ b/src/main/java/pepperdock/service/Startup.java
@@ -45,7 +45,7 @@
      * @throws pepperdock.config.ConfigException where the file can't be used
      */
     public static void open(Map<String, String> env) throws IOException {
-        ConfigReader file = Config.file(env);
+        ConfigReader file = Config.readFile(env);
         StoreConfig members = Config.store(file);
         if (file.has("settings")) {
             Config.read(file, env);
--- a/src/test/java/pepperdock/config/ConfigTest.java
+++ b/src/test/java/pepperdock/config/ConfigTest.java
@@ -176,13 +176,13 @@
     /** Reads the files under deploy/ as the program does, so that operators can rely on them. */
     @Test
     void readsFilesUnderDeploy() {
-        Config config = Config.read(Config.file(Map.of("EDGE_CONFIG", "deploy/opensearch.json")), Map.of());
+        Config config = Config.read(Config.readFile(Map.of("EDGE_CONFIG", "deploy/opensearch.json")), Map.of());
         assertEquals(
                 Map.of("history", 0, "payouts", 1, "wallets", 2),
                 config.openSearch().indices());
         assertTrue(config.site().scheduler().classes().stream()
                 .noneMatch(queryClass -> queryClass.retrySafety() == RetrySafety.IDEMPOTENCY_KEY));
-        ConfigReader daily = Config.file(Map.of("EDGE_CONFIG", "deploy/daily.json"));
+        ConfigReader daily = Config.readFile(Map.of("EDGE_CONFIG", "deploy/daily.json"));
         assertEquals(9600, Config.read(daily, Map.of()).operator().getPort());
         assertEquals(
                 1,
@@ -190,7 +190,7 @@
                         .operator()
                         .getPort());
         assertEquals(null, config.operator());
-        ConfigReader dnsSdFile = Config.file(Map.of("EDGE_CONFIG", "deploy/dnssd-and-store.json"));
+        ConfigReader dnsSdFile = Config.readFile(Map.of("EDGE_CONFIG", "deploy/dnssd-and-store.json"));
         assertEquals(Path.of("state/b"), Config.store(dnsSdFile).folder());
         Config dnsSdConfig = Config.read(
                 dnsSdFile.with("settings", JsonParser.parseString(TestDeploymentSettings.SETTINGS)), Map.of());
--- a/src/test/java/pepperdock/service/ConfigReloaderTest.java
+++ b/src/test/java/pepperdock/service/ConfigReloaderTest.java
@@ -33,7 +33,7 @@
         Map<String, String> env = Map.of("EDGE_CONFIG", write(text).toString(), "EDGE_DISCOVERY", "127.0.0.1:1");
         return new ConfigReloader(
                 env,
-                Config.file(env),
+                Config.readFile(env),
                 false,
                 Runnable::run,
                 new ConfigReloader.Live(
