--- a/src/main/java/pepperdock/config/Config.java
+++ b/src/main/java/pepperdock/config/Config.java
@@ -156,7 +156,7 @@
     }
 
     /** Formats an address so that {@link #address} can parse it. */
-    public static String text(InetSocketAddress address) {
+    public static String formatAddress(InetSocketAddress address) {
         String host = address.getAddress().getHostAddress();
         return (host.indexOf(':') < 0 ? host : '[' + host + ']') + ':' + address.getPort();
     }
--- a/src/main/java/pepperdock/membership/transport/MembershipService.java
+++ b/src/main/java/pepperdock/membership/transport/MembershipService.java
@@ -76,7 +76,7 @@
                 random.nextLong(),
                 0,
                 RecordStatus.ALIVE,
-                Config.text(config.address()),
+                Config.formatAddress(config.address()),
                 config.zone(),
                 config.machine());
         membership =
