--- a/src/main/java/pepperdock/cli/MembersCommand.java
+++ b/src/main/java/pepperdock/cli/MembersCommand.java
@@ -54,7 +54,7 @@
 
     @Override
     public Integer call() throws InterruptedException {
-        InetSocketAddress endpoint = Config.address("ADDRESS", address);
+        InetSocketAddress endpoint = Config.parseAddress("ADDRESS", address);
         if (!endpoint.getAddress().isLoopbackAddress()) {
             throw new ConfigException("ADDRESS", "must be a loopback address");
         }
--- a/src/main/java/pepperdock/config/AddressTranslation.java
+++ b/src/main/java/pepperdock/config/AddressTranslation.java
@@ -15,7 +15,7 @@
 public record AddressTranslation(Map<InetAddress, InetAddress> hosts) {
 
     private static final String REACH = "reach";
-    /** Completes a host to an address that {@link Config#address} parses; the port is not used. */
+    /** Completes a host to an address that {@link Config#parseAddress} parses; the port is not used. */
     private static final String ANY_PORT = ":1";
 
     static AddressTranslation read(ConfigReader file) {
@@ -23,8 +23,8 @@
         ConfigReader reach = file.optionalObject(REACH);
         for (String announced : reach.names()) {
             InetAddress from =
-                    Config.address(reach.key(announced), announced + ANY_PORT).getAddress();
-            InetAddress to = Config.address(reach.key(announced), reach.text(announced) + ANY_PORT)
+                    Config.parseAddress(reach.key(announced), announced + ANY_PORT).getAddress();
+            InetAddress to = Config.parseAddress(reach.key(announced), reach.text(announced) + ANY_PORT)
                     .getAddress();
             hosts.put(from, to);
         }
--- a/src/main/java/pepperdock/config/Config.java
+++ b/src/main/java/pepperdock/config/Config.java
@@ -130,9 +130,9 @@
     private static InetSocketAddress addressOf(
             Map<String, String> env, String variable, ConfigReader file, String key, boolean required) {
         if (env.containsKey(variable)) {
-            return address(variable, env.get(variable));
+            return parseAddress(variable, env.get(variable));
         }
-        return required ? address(key, file.text(key)) : null;
+        return required ? parseAddress(key, file.text(key)) : null;
     }
 
     /** Parses JSON; a {@link ConfigException} names {@code key} if the text is not valid JSON. */
@@ -155,14 +155,14 @@
         }
     }
 
-    /** Formats an address so that {@link #address} can parse it. */
+    /** Formats an address so that {@link #parseAddress} can parse it. */
     public static String formatAddress(InetSocketAddress address) {
         String host = address.getAddress().getHostAddress();
         return (host.indexOf(':') < 0 ? host : '[' + host + ']') + ':' + address.getPort();
     }
 
     /** Parses a numeric IP address and port; host names are rejected, so none is looked up. */
-    public static InetSocketAddress address(String key, String text) {
+    public static InetSocketAddress parseAddress(String key, String text) {
         int colon = text.lastIndexOf(':');
         try {
             int port = Integer.parseInt(text.substring(colon + 1));
--- a/src/main/java/pepperdock/config/MembersConfig.java
+++ b/src/main/java/pepperdock/config/MembersConfig.java
@@ -52,7 +52,7 @@
         InetSocketAddress address = readAddress(keys);
         List<String> seeds = keys.texts("seeds");
         for (String seed : seeds) {
-            Config.address(keys.key("seeds"), seed);
+            Config.parseAddress(keys.key("seeds"), seed);
         }
         InetSocketAddress ask = readEndpoint(keys);
         return new MembersConfig(
@@ -91,7 +91,7 @@
     }
 
     private static InetSocketAddress readAddress(ConfigReader keys) {
-        InetSocketAddress address = Config.address(keys.key("address"), keys.text("address"));
+        InetSocketAddress address = Config.parseAddress(keys.key("address"), keys.text("address"));
         if (address.getAddress().isAnyLocalAddress() || address.getPort() == 0) {
             throw new ConfigException(
                     keys.key("address"),
@@ -101,7 +101,7 @@
     }
 
     private static InetSocketAddress readEndpoint(ConfigReader keys) {
-        InetSocketAddress ask = keys.has("ask") ? Config.address(keys.key("ask"), keys.text("ask")) : null;
+        InetSocketAddress ask = keys.has("ask") ? Config.parseAddress(keys.key("ask"), keys.text("ask")) : null;
         if (ask != null && !ask.getAddress().isLoopbackAddress()) {
             throw new ConfigException(
                     keys.key("ask"), "must be a loopback address, as the endpoint does not authenticate its clients");
--- a/src/main/java/pepperdock/config/OpenSearchConfig.java
+++ b/src/main/java/pepperdock/config/OpenSearchConfig.java
@@ -48,7 +48,7 @@
             throw new ConfigException(keys.key(BACKEND), "must be opensearch or frames, but is " + backend);
         }
         return new OpenSearchConfig(
-                Config.address(keys.key(LISTEN), keys.text(LISTEN)),
+                Config.parseAddress(keys.key(LISTEN), keys.text(LISTEN)),
                 indices,
                 backend.equals(BACKEND_OPENSEARCH),
                 keys.integer(CONNECTIONS_PER_WORKER, 1, MAX_CONNECTIONS_PER_WORKER, DEFAULT_CONNECTIONS_PER_WORKER),
--- a/src/main/java/pepperdock/config/StoreConfig.java
+++ b/src/main/java/pepperdock/config/StoreConfig.java
@@ -64,7 +64,7 @@
         Map<String, InetSocketAddress> members = new LinkedHashMap<>();
         for (ConfigReader member : keys.objects(MEMBERS)) {
             String name = member.text(MEMBER_NAME);
-            InetSocketAddress address = Config.address(member.key(MEMBER_ADDRESS), member.text(MEMBER_ADDRESS));
+            InetSocketAddress address = Config.parseAddress(member.key(MEMBER_ADDRESS), member.text(MEMBER_ADDRESS));
             if (members.put(name, address) != null) {
                 throw new ConfigException(
                         member.key(MEMBER_NAME), "must be unique, but is also the name of an earlier member: " + name);
--- a/src/main/java/pepperdock/opensearch/SearchWorker.java
+++ b/src/main/java/pepperdock/opensearch/SearchWorker.java
@@ -319,7 +319,7 @@
         }
         try {
             ConnectionSlot made = new ConnectionSlot(
-                    new HttpClient(loop, Config.address("dial", address), site.connectTimeoutS(), MAX_RESPONSE_BYTES));
+                    new HttpClient(loop, Config.parseAddress("dial", address), site.connectTimeoutS(), MAX_RESPONSE_BYTES));
             slots.add(made);
             return made;
         } catch (ConfigException e) {
--- a/src/main/java/pepperdock/platform/WorkerConnectionPool.java
+++ b/src/main/java/pepperdock/platform/WorkerConnectionPool.java
@@ -120,7 +120,7 @@
         try {
             context.loop()
                     .connect(
-                            Config.address("dial", address),
+                            Config.parseAddress("dial", address),
                             context.site().connectTimeoutS(),
                             new EventLoop.ConnectListener() {
                                 @Override
