--- a/src/main/java/pepperdock/config/AddressTranslation.java
+++ b/src/main/java/pepperdock/config/AddressTranslation.java
@@ -32,7 +32,7 @@
     }
 
     /** Returns the address to connect to for an announced address. */
-    public InetSocketAddress of(InetSocketAddress announced) {
+    public InetSocketAddress translate(InetSocketAddress announced) {
         InetAddress host = hosts.get(announced.getAddress());
         return host == null ? announced : new InetSocketAddress(host, announced.getPort());
     }
--- a/src/main/java/pepperdock/config/StoreConfig.java
+++ b/src/main/java/pepperdock/config/StoreConfig.java
@@ -39,7 +39,7 @@
     static StoreConfig read(ConfigReader keys, AddressTranslation reach) {
         Map<String, InetSocketAddress> members = readMembers(keys);
         String self = keys.text(SELF);
-        members.replaceAll((name, announced) -> name.equals(self) ? announced : reach.of(announced));
+        members.replaceAll((name, announced) -> name.equals(self) ? announced : reach.translate(announced));
         String leader = keys.text(LEADER);
         if (!members.containsKey(self)) {
             throw new ConfigException(keys.key(SELF), "must be the name of a member, but is " + self);
--- a/src/main/java/pepperdock/membership/transport/MembershipService.java
+++ b/src/main/java/pepperdock/membership/transport/MembershipService.java
@@ -163,7 +163,7 @@
     }
 
     private InetSocketAddress resolve(String announced) {
-        return config.reach().of(Config.parseAddress("address", announced));
+        return config.reach().translate(Config.parseAddress("address", announced));
     }
 
     // ---- Sockets ------------------------------------------------------------
