--- a/src/main/java/pepperdock/cli/MembersCommand.java
+++ b/src/main/java/pepperdock/cli/MembersCommand.java
@@ -98,7 +98,8 @@
 
     private static String request(HttpClient client, InetSocketAddress endpoint)
             throws IOException, InterruptedException {
-        HttpRequest request = HttpRequest.newBuilder(URI.create("http://" + Config.formatAddress(endpoint) + "/members"))
+        HttpRequest request = HttpRequest.newBuilder(
+                        URI.create("http://" + Config.formatAddress(endpoint) + "/members"))
                 .timeout(REQUEST_TIMEOUT)
                 .build();
         return client.send(request, HttpResponse.BodyHandlers.ofString(StandardCharsets.UTF_8))
--- a/src/main/java/pepperdock/config/AddressTranslation.java
+++ b/src/main/java/pepperdock/config/AddressTranslation.java
@@ -22,8 +22,8 @@
         Map<InetAddress, InetAddress> hosts = new HashMap<>();
         ConfigReader reach = file.optionalObject(REACH);
         for (String announced : reach.names()) {
-            InetAddress from =
-                    Config.parseAddress(reach.key(announced), announced + ANY_PORT).getAddress();
+            InetAddress from = Config.parseAddress(reach.key(announced), announced + ANY_PORT)
+                    .getAddress();
             InetAddress to = Config.parseAddress(reach.key(announced), reach.text(announced) + ANY_PORT)
                     .getAddress();
             hosts.put(from, to);
--- a/src/main/java/pepperdock/config/DeploymentSettingsReader.java
+++ b/src/main/java/pepperdock/config/DeploymentSettingsReader.java
@@ -148,8 +148,10 @@
         for (String section : from.differingNames(to)) {
             switch (section) {
                 case QUERY_CLASSES, RULES -> {}
-                case LIMITS -> addDiffering(keys, from.optionalObject(section), to.optionalObject(section), RELOADABLE_LIMITS);
-                case LAYOUT -> addDiffering(keys, from.optionalObject(section), to.optionalObject(section), RELOADABLE_LAYOUT);
+                case LIMITS ->
+                    addDiffering(keys, from.optionalObject(section), to.optionalObject(section), RELOADABLE_LIMITS);
+                case LAYOUT ->
+                    addDiffering(keys, from.optionalObject(section), to.optionalObject(section), RELOADABLE_LAYOUT);
                 default -> keys.add(from.key(section));
             }
         }
--- a/src/main/java/pepperdock/config/DnsSdConfig.java
+++ b/src/main/java/pepperdock/config/DnsSdConfig.java
@@ -42,6 +42,7 @@
         if (!(leastS > 0)) {
             throw new ConfigException(keys.key(LEAST_S), "must be above 0");
         }
-        return new DnsSdConfig(Config.parseAddress(keys.key(SERVER), keys.text(SERVER)), service, domain, timeoutS, leastS);
+        return new DnsSdConfig(
+                Config.parseAddress(keys.key(SERVER), keys.text(SERVER)), service, domain, timeoutS, leastS);
     }
 }
--- a/src/main/java/pepperdock/faultinjection/ActReader.java
+++ b/src/main/java/pepperdock/faultinjection/ActReader.java
@@ -60,7 +60,8 @@
     }
 
     private Action onLinks(String fault, double at, double last, double flip) {
-        keys.rejectUnknownKeys("at", "for", "flip_s", "fault", "from", "to", "both", "share", "by_s", "spread_s", "bytes_per_s");
+        keys.rejectUnknownKeys(
+                "at", "for", "flip_s", "fault", "from", "to", "both", "share", "by_s", "spread_s", "bytes_per_s");
         LinkFaults.Kind kind = LinkFaults.Kind.valueOf(fault.toUpperCase(Locale.ROOT));
         double amount = switch (kind) {
             case LOSS, DUPLICATE, REORDER -> share();
--- a/src/main/java/pepperdock/opensearch/SearchWorker.java
+++ b/src/main/java/pepperdock/opensearch/SearchWorker.java
@@ -318,8 +318,8 @@
             return null;
         }
         try {
-            ConnectionSlot made = new ConnectionSlot(
-                    new HttpClient(loop, Config.parseAddress("dial", address), site.connectTimeoutS(), MAX_RESPONSE_BYTES));
+            ConnectionSlot made = new ConnectionSlot(new HttpClient(
+                    loop, Config.parseAddress("dial", address), site.connectTimeoutS(), MAX_RESPONSE_BYTES));
             slots.add(made);
             return made;
         } catch (ConfigException e) {
--- a/src/main/java/pepperdock/service/ConfigReloader.java
+++ b/src/main/java/pepperdock/service/ConfigReloader.java
@@ -116,8 +116,9 @@
                 throw new ConfigException(key, "missing");
             }
         }
-        String lost =
-                current.has("settings") ? current.requiredObject("settings").firstMissingKey(file.requiredObject("settings")) : null;
+        String lost = current.has("settings")
+                ? current.requiredObject("settings").firstMissingKey(file.requiredObject("settings"))
+                : null;
         if (lost != null) {
             throw new ConfigException(lost, "missing, but in the file in use");
         }
@@ -130,8 +131,8 @@
             if (change != null) {
                 changes.add(change);
                 if (key.equals("settings")) {
-                    keysForRestart.addAll(
-                            DeploymentSettingsReader.keysForRestart(current.requiredObject(key), file.requiredObject(key)));
+                    keysForRestart.addAll(DeploymentSettingsReader.keysForRestart(
+                            current.requiredObject(key), file.requiredObject(key)));
                 }
             } else if (!IGNORED.contains(key)) {
                 keysForRestart.add(key);
