--- a/src/main/java/pepperdock/faultinjection/ActReader.java
+++ b/src/main/java/pepperdock/faultinjection/ActReader.java
@@ -36,7 +36,7 @@
 
     Action read() {
         if (keys.has("await")) {
-            keys.only("await", "members");
+            keys.rejectUnknownKeys("await", "members");
             return new Await(keys.text("await"), whom("members"));
         }
         double at = seconds("at", 0);
@@ -48,7 +48,7 @@
             case "partition" -> partition(at, last);
             case "reset" -> reset(at);
             case "heal" -> {
-                keys.only("at", "fault");
+                keys.rejectUnknownKeys("at", "fault");
                 yield new Heal(at);
             }
             case "stop", "continue", "kill", "term", "start" -> onProcesses(fault, at, last);
@@ -60,12 +60,13 @@
     }
 
     private Action onLinks(String fault, double at, double last, double flip) {
-        keys.only("at", "for", "flip_s", "fault", "from", "to", "both", "share", "by_s", "spread_s", "bytes_per_s");
+        keys.rejectUnknownKeys(
+                "at", "for", "flip_s", "fault", "from", "to", "both", "share", "by_s", "spread_s", "bytes_per_s");
         LinkFaults.Kind kind = LinkFaults.Kind.valueOf(fault.toUpperCase(Locale.ROOT));
         double amount = switch (kind) {
             case LOSS, DUPLICATE, REORDER -> share();
             case DELAY -> seconds("by_s", 0);
-            case THROTTLE -> keys.whole("bytes_per_s", 1, 1 << 30);
+            case THROTTLE -> keys.integer("bytes_per_s", 1, 1 << 30);
             case CUT, STALL -> 0;
         };
         if (flip > 0 && Double.isInfinite(last)) {
@@ -84,12 +85,12 @@
     }
 
     private Action reset(double at) {
-        keys.only("at", "fault", "from", "to", "both");
+        keys.rejectUnknownKeys("at", "fault", "from", "to", "both");
         return new Reset(at, whom("from"), whom("to"), keys.flag("both", false));
     }
 
     private Action onProcesses(String fault, double at, double last) {
-        keys.only("at", "for", "fault", "members", "apart_s", "folder", "ports");
+        keys.rejectUnknownKeys("at", "for", "fault", "members", "apart_s", "folder", "ports");
         return new OnProcesses(
                 at,
                 What.valueOf(fault.toUpperCase(Locale.ROOT)),
@@ -101,7 +102,7 @@
     }
 
     private Action onDisks(double at, double last) {
-        keys.only("at", "for", "fault", "is", "by_s", "members");
+        keys.rejectUnknownKeys("at", "for", "fault", "is", "by_s", "members");
         String is = keys.text("is");
         if (!DISKS.contains(is)) {
             throw new ConfigException(keys.key("is"), "none of " + DISKS);
@@ -110,12 +111,12 @@
     }
 
     private Action onClocks(double at) {
-        keys.only("at", "fault", "by_s", "members");
+        keys.rejectUnknownKeys("at", "fault", "by_s", "members");
         return new OnClocks(at, whom("members"), ScriptReader.seconds(keys, "by_s", 3600, Double.MAX_VALUE));
     }
 
     private Action draw(double at, double last) {
-        keys.only("at", "for", "fault", "every_s", "kinds", "least_s", "most_s", "most_members");
+        keys.rejectUnknownKeys("at", "for", "fault", "every_s", "kinds", "least_s", "most_s", "most_members");
         if (Double.isInfinite(last)) {
             throw new ConfigException(keys.key("for"), "missing");
         }
@@ -135,15 +136,15 @@
                 keys.has("kinds") ? List.copyOf(keys.texts("kinds")) : Timetable.DRAWN,
                 seconds("least_s", 1),
                 seconds("most_s", 10),
-                keys.whole("most_members", 1, Script.MEMBERS_MOST, 1));
+                keys.integer("most_members", 1, Script.MEMBERS_MOST, 1));
     }
 
     private Action partition(double at, double last) {
-        keys.only("at", "for", "fault", "groups", "into", "share", "move_s");
+        keys.rejectUnknownKeys("at", "for", "fault", "groups", "into", "share", "move_s");
         List<List<String>> groups = new ArrayList<>();
         if (keys.has("groups")) {
             for (ConfigReader g : keys.objects("groups")) {
-                g.only("members");
+                g.rejectUnknownKeys("members");
                 groups.add(known(g, "members"));
             }
         }
@@ -162,7 +163,7 @@
         if (move > 0 && (Double.isInfinite(last) || !groups.isEmpty())) {
             throw new ConfigException(keys.key("move_s"), "needs into and for");
         }
-        return new Partition(at, groups, groups.isEmpty() ? keys.whole("into", 2, names.size()) : 0, last, move);
+        return new Partition(at, groups, groups.isEmpty() ? keys.integer("into", 2, names.size()) : 0, last, move);
     }
 
     /** A list of names, a number of members to draw, or nothing for all. */
@@ -176,7 +177,7 @@
         double share = keys.number(name);
         return new Targets(
                 List.of(),
-                share > 0 && share < 1 ? (int) Math.ceil(share * names.size()) : keys.whole(name, 1, names.size()));
+                share > 0 && share < 1 ? (int) Math.ceil(share * names.size()) : keys.integer(name, 1, names.size()));
     }
 
     private List<String> known(ConfigReader k, String name) {
--- a/src/main/java/pepperdock/faultinjection/ScriptReader.java
+++ b/src/main/java/pepperdock/faultinjection/ScriptReader.java
@@ -54,8 +54,8 @@
 
     /** {@code folder} is where the file lies: its {@code base} is found from there. */
     static Script read(ConfigReader k, Path folder) {
-        k.only(KEYS);
-        int n = k.whole("members", 1, Script.MEMBERS_MOST);
+        k.rejectUnknownKeys(KEYS);
+        int n = k.integer("members", 1, Script.MEMBERS_MOST);
         List<String> names = IntStream.rangeClosed(1, n).mapToObj(i -> "g" + i).toList();
         JsonObject config = config(k, folder);
         JsonObject own = own(k, names);
@@ -65,7 +65,7 @@
                 (long) k.number("seed", 1),
                 names,
                 k.has("zones") ? List.copyOf(k.texts("zones")) : List.of("z"),
-                k.whole("machines", 1, Script.MEMBERS_MOST, n),
+                k.integer("machines", 1, Script.MEMBERS_MOST, n),
                 config,
                 own,
                 ports,
@@ -100,18 +100,18 @@
     }
 
     private static JsonObject own(ConfigReader k, List<String> names) {
-        ConfigReader own = k.within("own");
+        ConfigReader own = k.optionalObject("own");
         for (String name : own.names()) {
             if (!names.contains(name)) {
                 throw new ConfigException(own.key(name), "no such member");
             }
-            own.within(name);
+            own.optionalObject(name);
         }
         return k.has("own") ? Config.parse(k.json("own"), k.key("own")).getAsJsonObject() : new JsonObject();
     }
 
     private static Port port(ConfigReader p) {
-        p.only("name", "for");
+        p.rejectUnknownKeys("name", "for");
         String kind = p.text("for");
         if (!List.of("streams", "datagrams", "both").contains(kind)) {
             throw new ConfigException(p.key("for"), "neither streams, datagrams nor both");
--- a/src/main/java/pepperdock/membership/transport/MembershipService.java
+++ b/src/main/java/pepperdock/membership/transport/MembershipService.java
@@ -78,7 +78,7 @@
                 random.nextLong(),
                 0,
                 RecordStatus.ALIVE,
-                Config.text(config.address()),
+                Config.formatAddress(config.address()),
                 config.zone(),
                 config.machine());
         membership =
@@ -168,7 +168,7 @@
     }
 
     private InetSocketAddress resolve(String announced) {
-        return config.reach().of(Config.address("address", announced));
+        return config.reach().translate(Config.parseAddress("address", announced));
     }
 
     // ---- Sockets ------------------------------------------------------------
--- a/src/main/java/pepperdock/opensearch/SearchWorker.java
+++ b/src/main/java/pepperdock/opensearch/SearchWorker.java
@@ -323,7 +323,7 @@
         }
         try {
             ConnectionSlot added = new ConnectionSlot(new HttpClient(
-                    loop, Config.address("dial", address), settings.connectTimeoutS(), MAX_RESPONSE_BYTES));
+                    loop, Config.parseAddress("dial", address), settings.connectTimeoutS(), MAX_RESPONSE_BYTES));
             slots.add(added);
             return added;
         } catch (ConfigException e) {
--- a/src/main/java/pepperdock/platform/WorkerConnectionPool.java
+++ b/src/main/java/pepperdock/platform/WorkerConnectionPool.java
@@ -127,7 +127,7 @@
         try {
             context.loop()
                     .connect(
-                            Config.address("dial", address),
+                            Config.parseAddress("dial", address),
                             context.settings().connectTimeoutS(),
                             new EventLoop.ConnectListener() {
                                 @Override
--- a/src/main/java/pepperdock/service/ConfigReloader.java
+++ b/src/main/java/pepperdock/service/ConfigReloader.java
@@ -86,7 +86,7 @@
     /** Reloads the file. If it has any fault, the program keeps the file in use. */
     void reload() {
         try {
-            ConfigReader newFile = Config.file(env);
+            ConfigReader newFile = Config.readFile(env);
             ConfigReader file = newFile.has("settings") || !stored ? newFile : newFile.with("settings", current);
             checkComplete(file);
             Config config = Config.read(file, env);
@@ -125,7 +125,7 @@
             }
         }
         String missingKey =
-                current.has("settings") ? current.needed("settings").firstMissingKey(file.needed("settings")) : null;
+                current.has("settings") ? current.requiredObject("settings").firstMissingKey(file.requiredObject("settings")) : null;
         if (missingKey != null) {
             throw new ConfigException(missingKey, "missing, but present in the file in use");
         }
@@ -138,8 +138,8 @@
             if (change != null) {
                 changes.add(change);
                 if (key.equals("settings")) {
-                    keysForRestart.addAll(
-                            DeploymentSettingsReader.keysForRestart(current.needed(key), file.needed(key)));
+                    keysForRestart.addAll(DeploymentSettingsReader.keysForRestart(
+                            current.requiredObject(key), file.requiredObject(key)));
                 }
             } else if (!IGNORED.contains(key)) {
                 keysForRestart.add(key);
