--- a/src/main/java/pepperdock/service/ConfigReloader.java
+++ b/src/main/java/pepperdock/service/ConfigReloader.java
@@ -124,8 +124,9 @@
                 throw new ConfigException(key, "missing");
             }
         }
-        String missingKey =
-                current.has("settings") ? current.requiredObject("settings").firstMissingKey(file.requiredObject("settings")) : null;
+        String missingKey = current.has("settings")
+                ? current.requiredObject("settings").firstMissingKey(file.requiredObject("settings"))
+                : null;
         if (missingKey != null) {
             throw new ConfigException(missingKey, "missing, but present in the file in use");
         }
