--- a/src/main/java/pepperdock/membership/transport/MembershipEndpoint.java
+++ b/src/main/java/pepperdock/membership/transport/MembershipEndpoint.java
@@ -33,10 +33,10 @@
     @Override
     public Runnable serve(HttpMessage request, HttpResponseSender reply) throws HttpException {
         if (!request.path().equals(PATH)) {
-            throw new HttpException(404, "no such path, expected /members");
+            throw new HttpException(404, "only /members is here");
         }
         if (!request.method().equals("GET") && !request.method().equals("HEAD")) {
-            throw new HttpException(405, "method not allowed, expected GET or HEAD");
+            throw new HttpException(405, "only GET");
         }
         reply.send(200, JSON, "", json().toString().getBytes(StandardCharsets.UTF_8));
         return () -> {};
--- a/src/main/java/pepperdock/operator/OperatorEndpoint.java
+++ b/src/main/java/pepperdock/operator/OperatorEndpoint.java
@@ -76,7 +76,7 @@
         String worker =
                 parseWorkerId(path.substring(WORKERS.length(), Math.max(WORKERS.length(), path.lastIndexOf('/'))));
         if (!operations.knows(worker)) {
-            throw new HttpException(404, "no worker with this id was ever listed");
+            throw new HttpException(404, "no worker of that id was ever listed");
         }
         operations.ban(worker, banned, failure -> {
             if (failure == null) {
@@ -91,23 +91,22 @@
         try {
             String id = URLDecoder.decode(segment.replace("+", "%2B"), StandardCharsets.UTF_8);
             if (id.isEmpty() || id.length() > MAX_ID_LENGTH || id.chars().anyMatch(Character::isISOControl)) {
-                throw new HttpException(
-                        400, "worker id: expected 1 to " + MAX_ID_LENGTH + " characters, no control characters");
+                throw new HttpException(400, "worker id: empty, too long or with control characters");
             }
             return id;
         } catch (IllegalArgumentException e) {
-            throw new HttpException(400, "worker id: invalid percent-encoding");
+            throw new HttpException(400, "worker id: not percent-encoded");
         }
     }
 
     /** Returns whether the request has this method; responds with 405 if not. Rejects a request with a body. */
     private boolean requireMethod(HttpMessage request, String method, HttpResponseSender reply) throws HttpException {
         if (!request.method().equals(method)) {
-            respond(reply, 405, "Allow: " + method + "\r\n", "error", "method not allowed, expected " + method);
+            respond(reply, 405, "Allow: " + method + "\r\n", "error", "only " + method);
             return false;
         }
         if (request.body().length > 0) {
-            throw new HttpException(400, "body: must be empty");
+            throw new HttpException(400, "body: none is taken here");
         }
         return true;
     }
--- a/src/main/java/pepperdock/operator/OperatorService.java
+++ b/src/main/java/pepperdock/operator/OperatorService.java
@@ -272,8 +272,8 @@
     public void ban(String worker, boolean banned, Consumer<String> then) {
         if (banned && !bans.inForce().contains(worker) && bans.inForce().size() >= Bans.MAX_BANS
                 || bans.pendingCount() >= MAX_PENDING_BANS) {
-            then.accept("change not applied: " + bans.inForce().size() + " workers are disabled, " + bans.pendingCount()
-                    + " changes wait for the disk");
+            then.accept("not done: " + bans.inForce().size() + " workers are disabled, " + bans.pendingCount()
+                    + " calls wait for the disk");
             return;
         }
         long changeNumber = bans.request(worker, banned);
@@ -291,7 +291,7 @@
                 state = file.change(worker, banned);
                 lastSeenBans = state;
             } catch (IOException | RuntimeException e) {
-                failure = "in force, but not saved, so it is lost when this process ends: " + e;
+                failure = "in force, but not written down, so lost with this process: " + e;
                 LOG.log(System.Logger.Level.ERROR, "cannot write the ban file: {0}", String.valueOf(e));
             }
             Set<String> newState = state;
