--- a/src/main/java/pepperdock/store/raft/CommittedEntryConflictException.java
+++ b/src/main/java/pepperdock/store/raft/CommittedEntryConflictException.java
@@ -1,8 +1,9 @@
 package pepperdock.store.raft;
 
 /**
- * A leader has sent another entry for an index that is committed here. The protocol rules that out (thesis, 3.6.3, leader
- * completeness), so a disk or a peer has broken a promise; the server must not go on.
+ * Thrown when a leader sends a different entry for an index that is already committed on this server. The protocol
+ * rules this out (thesis, 3.6.3, leader completeness), so a disk or a peer has violated its guarantees, and the server
+ * must not continue.
  */
 public final class CommittedEntryConflictException extends IllegalStateException {
 
@@ -11,11 +12,11 @@
     private final long index;
 
     CommittedEntryConflictException(long index) {
-        super("entry " + index + " is committed, and another is sent for it");
+        super("leader sent another entry for index " + index + ", which is already committed on this server");
         this.index = index;
     }
 
-    /** The index that is committed with another entry. */
+    /** Returns the index at which a different entry is already committed. */
     public long index() {
         return index;
     }
--- a/src/main/java/pepperdock/store/raft/ElectionTimer.java
+++ b/src/main/java/pepperdock/store/raft/ElectionTimer.java
@@ -3,8 +3,9 @@
 import java.util.Random;
 
 /**
- * Counts the ticks without a sign of a leader. The timeout is drawn anew with every change of role, from one to two election
- * timeouts, so that candidates seldom split the vote (thesis, 3.4). Owned by the thread that calls {@link RaftServer}.
+ * Counts the ticks since the last sign of a leader. At each change of role the timeout is drawn again at random,
+ * between one and two election timeouts, so that candidates seldom split the vote (thesis, 3.4). Used only on the
+ * thread that calls {@link RaftServer}.
  */
 final class ElectionTimer {
 
@@ -22,12 +23,12 @@
         ticks++;
     }
 
-    /** A leader was heard from, or a vote was given. */
+    /** Resets the count because a leader was heard from or a vote was granted. */
     void reset() {
         ticks = 0;
     }
 
-    /** Begins anew with a timeout of its own. */
+    /** Resets the count and draws a new timeout. */
     void restart() {
         ticks = 0;
         timeoutTicks = minimumTicks + random.nextInt(minimumTicks);
@@ -37,7 +38,10 @@
         return ticks >= timeoutTicks;
     }
 
-    /** Whether less than the minimum election timeout has passed since the last sign of a leader (thesis, 4.2.3). */
+    /**
+     * Returns whether less than the minimum election timeout has passed since the last sign of a leader (thesis,
+     * 4.2.3).
+     */
     boolean withinMinimum() {
         return ticks < minimumTicks;
     }
--- a/src/main/java/pepperdock/store/raft/FollowerRole.java
+++ b/src/main/java/pepperdock/store/raft/FollowerRole.java
@@ -1,8 +1,8 @@
 package pepperdock.store.raft;
 
 /**
- * Follows a leader, or waits for one (thesis, 3.4). When the election timeout passes without a sign of a leader, a voter
- * begins a pre-vote; a learner goes on waiting.
+ * Follows a leader, or waits for one (thesis, 3.4). When the election timeout passes without a sign of a leader, a
+ * voter starts a pre-vote and a learner continues to wait.
  */
 final class FollowerRole extends RaftRole {
 
--- a/src/main/java/pepperdock/store/raft/LeaderElection.java
+++ b/src/main/java/pepperdock/store/raft/LeaderElection.java
@@ -4,8 +4,8 @@
 import java.util.Map;
 
 /**
- * Runs an election (thesis, 3.4): first a pre-vote (9.6), so that a server that is partitioned, or the only one not to hear
- * from the leader, does not disrupt the others with ever newer terms; then a vote in a term of its own.
+ * Runs an election (thesis, 3.4): first a pre-vote (9.6), so that a server that is partitioned, or is the only one that
+ * does not hear from the leader, does not disrupt the others with ever higher terms; then a vote in a new term.
  */
 final class LeaderElection extends RaftRole {
 
@@ -14,10 +14,11 @@
     private final Map<Long, Boolean> votes = new HashMap<>();
 
     /**
-     * Begins with the next change of role.
+     * Creates an election that starts when it becomes the server's role.
      *
      * @param preVote whether this is a pre-vote
-     * @param leadershipTransfer whether the leader asked for this election, to transfer its leadership (thesis, 3.10)
+     * @param leadershipTransfer whether the leader requested this election in order to transfer its leadership (thesis,
+     *     3.10)
      */
     LeaderElection(RaftServer raft, boolean preVote, boolean leadershipTransfer) {
         super(raft);
@@ -44,7 +45,7 @@
                                 raft.id, term, raft.log.lastIndex(), raft.log.lastTerm(), preVote, leadershipTransfer));
             }
         }
-        // The vote for itself counts like all others: once it is on disk.
+        // The server's own vote counts once it is on disk, like every other vote.
         raft.onceSynced(() -> {
             if (raft.isCurrent(this)) {
                 countVote(raft.id, true);
--- a/src/main/java/pepperdock/store/raft/LeaderRequestHandler.java
+++ b/src/main/java/pepperdock/store/raft/LeaderRequestHandler.java
@@ -1,8 +1,8 @@
 package pepperdock.store.raft;
 
 /**
- * Handles what the leader of the current term sends: entries and snapshots (thesis, 3.5 and 5.1). Every answer waits until
- * what it speaks of is synced. Owned by the thread that calls {@link RaftServer}.
+ * Handles the requests of the current term's leader: entries and snapshots (thesis, 3.5 and 5.1). Each response is sent
+ * only once the state that it reports is synced. Used only on the thread that calls {@link RaftServer}.
  */
 final class LeaderRequestHandler {
 
@@ -16,7 +16,7 @@
     void onAppendEntries(RaftMessage.AppendEntries request) {
         RaftLog log = raft.log;
         if (request.prevIndex() < log.commitIndex() && request.prevIndex() < log.firstIndex() - 1) {
-            // Older than what is held: all of that is committed, so it is the same (thesis, 3.6.3).
+            // The previous entry is no longer in memory. Such entries are committed, so they match (thesis, 3.6.3).
             accept(request.from(), log.commitIndex(), request.round());
             return;
         }
@@ -30,7 +30,10 @@
         accept(request.from(), lastCommonIndex, request.round());
     }
 
-    /** The consistency check has failed; the hint lets the leader skip a term's entries at a time (thesis, 3.5). */
+    /**
+     * Rejects entries whose consistency check failed. The hint lets the leader skip a whole term's entries at a time
+     * (thesis, 3.5).
+     */
     private void rejectMismatch(RaftMessage.AppendEntries request) {
         RaftLog log = raft.log;
         long hint = log.lastIndexNotAfterTerm(Math.min(request.prevIndex() - 1, log.lastIndex()), request.prevTerm());
@@ -61,7 +64,7 @@
         accept(request.from(), snapshot.index(), request.round());
     }
 
-    /** Confirms that this log is the leader's up to an index. */
+    /** Responds that this log matches the leader's up to an index. */
     private void accept(long leader, long index, long round) {
         raft.sendOnceSynced(leader, new RaftMessage.AppendResponse(raft.id, raft.term(), true, index, 0, 0, round));
     }
--- a/src/main/java/pepperdock/store/raft/LeaderRole.java
+++ b/src/main/java/pepperdock/store/raft/LeaderRole.java
@@ -4,10 +4,10 @@
 import java.util.TreeMap;
 
 /**
- * The leader of a term: appends entries, has a {@link LogAppender} a follower send them, and commits what a majority has on
- * disk (thesis, 3.5 and 3.6.2). Its own disk is one among others: what the rest has committed does not wait for it (10.2.1). It
- * steps down when it hears from no majority for an election timeout (6.2), and when it is no voter any more and that is
- * committed (4.2.2).
+ * The leader of a term: appends entries, sends them to each follower through its own {@link LogAppender}, and commits
+ * what a majority has on disk (thesis, 3.5 and 3.6.2). Its own disk is only one of these: entries that the other
+ * servers have committed do not wait for it (10.2.1). It steps down when it has not heard from a majority for an
+ * election timeout (6.2), and when its own removal from the voters is committed (4.2.2).
  */
 final class LeaderRole extends RaftRole {
 
@@ -15,9 +15,12 @@
     private final PendingReads reads;
     private final LeadershipTransfer leadershipTransfer = new LeadershipTransfer();
 
-    /** Counts the heartbeat rounds: a follower that answers one has followed this leader since it began. */
+    /**
+     * Number of the current heartbeat round. A follower that answers a round has followed this leader since the round
+     * began.
+     */
     private long round;
-    /** A read has come since the last round began. */
+    /** Whether a read was requested since the last round began. */
     private boolean readRoundDue;
 
     private boolean heartbeatDue;
@@ -38,7 +41,7 @@
     void onStart() {
         raft.setLeaderToSelf();
         updateAppenders();
-        // An entry of the new term lets those before it be committed (thesis, 3.6.2 and 6.4).
+        // Entries of earlier terms can be committed only with an entry of the new term (thesis, 3.6.2 and 6.4).
         append(RaftLogEntry.EMPTY, null);
         heartbeatDue = true;
     }
@@ -56,7 +59,7 @@
         return appender == null ? -1 : appender.progress().matchIndex;
     }
 
-    /** One appender for each other member of the newest configuration, voter or learner. */
+    /** Keeps one appender for each other member of the newest configuration, voter or learner. */
     private void updateAppenders() {
         appenders.keySet().removeIf(id -> raft.log.configuration().peer(id) == null);
         for (RaftPeer peer : raft.log.configuration().peers()) {
@@ -81,7 +84,7 @@
         return leadershipTransfer.inProgress() || full ? 0 : append(data, configuration);
     }
 
-    // ---- Time ------------------------------------------------------------
+    // ---- Ticks ------------------------------------------------------------
 
     @Override
     void tick() {
@@ -104,7 +107,7 @@
         return voter == raft.id || appenders.get(voter).progress().recentlyActive;
     }
 
-    // ---- Answers ------------------------------------------------------------
+    // ---- Responses ------------------------------------------------------------
 
     @Override
     void onMessage(RaftMessage message) {
@@ -145,7 +148,7 @@
         }
     }
 
-    /** Steps down after its own removal; a voter that holds all committed entries is told to start an election. */
+    /** Steps down after its own removal, and tells a voter that holds all committed entries to start an election. */
     private void stepDown() {
         flush();
         raft.log.configuration().voters().stream()
@@ -172,7 +175,7 @@
                 readRound -> raft.log.configuration().hasMajority(voter -> confirmedRound(voter) >= readRound));
     }
 
-    /** The newest round that a voter has taken part in. */
+    /** Returns the newest round that a voter has answered; for this server itself, the current round. */
     private long confirmedRound(long voter) {
         return voter == raft.id ? round : appenders.get(voter).progress().confirmedRound;
     }
--- a/src/main/java/pepperdock/store/raft/LeadershipTransfer.java
+++ b/src/main/java/pepperdock/store/raft/LeadershipTransfer.java
@@ -1,9 +1,9 @@
 package pepperdock.store.raft;
 
 /**
- * A leadership transfer that is under way, if any (thesis, 3.10): the leader takes no new entries, brings the target up to date
- * and tells it to start an election at once. It is abandoned after an election timeout. Owned by the thread that calls
- * {@link RaftServer}.
+ * The leadership transfer in progress, if any (thesis, 3.10): the leader accepts no new entries, brings the target up
+ * to date and tells it to start an election at once. The transfer is abandoned after an election timeout. Used only on
+ * the thread that calls {@link RaftServer}.
  */
 final class LeadershipTransfer {
 
@@ -21,7 +21,7 @@
         return target != ServerState.NO_SERVER;
     }
 
-    /** The server that is to lead; 0 for none. */
+    /** Returns the id of the server that is to become leader; 0 for none. */
     long target() {
         return target;
     }
@@ -32,7 +32,7 @@
         }
     }
 
-    /** Whether the target is still to be told to start its election. */
+    /** Returns whether the target still has to be told to start its election. */
     boolean requestDue() {
         return inProgress() && !requested;
     }
--- a/src/main/java/pepperdock/store/raft/LogAppender.java
+++ b/src/main/java/pepperdock/store/raft/LogAppender.java
@@ -4,8 +4,8 @@
 import java.util.List;
 
 /**
- * Brings one follower's log up to the leader's (thesis, 3.5): sends entries, or a snapshot in chunks where the entries are
- * compacted (5.1), and takes in the answers. Owned by the thread that calls {@link RaftServer}.
+ * Brings one follower's log up to date with the leader's (thesis, 3.5): sends entries, or a snapshot in chunks if the
+ * entries are compacted (5.1), and handles the responses. Used only on the thread that calls {@link RaftServer}.
  */
 final class LogAppender {
 
@@ -19,14 +19,17 @@
         progress = new FollowerInfo(raft.log.lastIndex() + 1);
     }
 
-    /** What the leader knows of the follower. */
+    /** Returns what the leader knows of the follower. */
     FollowerInfo progress() {
         return progress;
     }
 
-    // ---- Answers ------------------------------------------------------------
+    // ---- Responses ------------------------------------------------------------
 
-    /** The follower's log is not the leader's at the index before the entries that were sent. */
+    /**
+     * Handles the response that the follower's log does not match the leader's at the index before the entries that
+     * were sent.
+     */
     void onMismatch(RaftMessage.AppendResponse response) {
         if (progress.mode == FollowerInfo.Mode.REPLICATE) {
             if (response.index() > progress.matchIndex) {
@@ -35,28 +38,28 @@
         } else if (progress.mode == FollowerInfo.Mode.PROBE && progress.nextIndex - 1 == response.index()) {
             long lastCommonIndex = raft.log.lastIndexNotAfterTerm(response.hint(), response.hintTerm());
             progress.nextIndex = Math.max(progress.matchIndex, Math.min(response.index() - 1, lastCommonIndex)) + 1;
-            progress.waiting = false;
+            progress.awaitingResponse = false;
         }
     }
 
-    /** The follower holds so much of the snapshot that is being sent. */
+    /** Records how many bytes the follower has received of the snapshot that is being sent. */
     void onInstallResponse(RaftMessage.InstallResponse response) {
         if (progress.mode == FollowerInfo.Mode.SNAPSHOT && progress.snapshot.index() == response.index()) {
-            progress.offset = (int) Math.min(response.receivedBytes(), progress.snapshot.state().length);
-            progress.waiting = false;
+            progress.nextChunkOffset = (int) Math.min(response.receivedBytes(), progress.snapshot.state().length);
+            progress.awaitingResponse = false;
         }
     }
 
     // ---- Sending ------------------------------------------------------------
 
     /**
-     * Sends what the follower lacks, as far as it may be sent now; where nothing is sent, a heartbeat with the round or the
-     * commit index that the follower has not been told of yet.
+     * Sends the entries or the part of a snapshot that the follower lacks, as far as the limits allow now. If no
+     * entries are sent, sends a heartbeat when the follower has not been told the current round or commit index yet.
      */
     void send(long round, boolean heartbeatDue) {
         if (heartbeatDue) {
-            // What was in flight may be lost.
-            progress.waiting = false;
+            // The message in flight may be lost.
+            progress.awaitingResponse = false;
         }
         if (progress.mode != FollowerInfo.Mode.SNAPSHOT && progress.nextIndex < raft.log.firstIndex()) {
             progress.startSnapshot(raft.log.snapshot());
@@ -74,7 +77,7 @@
 
     private boolean sendMissingEntries(long round) {
         boolean sent = false;
-        while (!progress.waiting
+        while (!progress.awaitingResponse
                 && progress.inFlight.size() < raft.settings.maxInFlight()
                 && progress.nextIndex <= raft.log.lastIndex()) {
             List<RaftLogEntry> entries = raft.log.entriesFrom(progress.nextIndex, raft.settings.maxMessageBytes());
@@ -84,7 +87,7 @@
                 progress.nextIndex += entries.size();
                 progress.inFlight.add(progress.nextIndex - 1);
             } else {
-                progress.waiting = true;
+                progress.awaitingResponse = true;
             }
         }
         return sent;
@@ -106,12 +109,12 @@
     }
 
     private void sendSnapshot(long round) {
-        if (progress.waiting && progress.roundSent == round) {
+        if (progress.awaitingResponse && progress.roundSent == round) {
             return;
         }
         RaftSnapshot snapshot = progress.snapshot;
         byte[] state = snapshot.state();
-        int end = Math.min(state.length, progress.offset + raft.settings.maxMessageBytes());
+        int end = Math.min(state.length, progress.nextChunkOffset + raft.settings.maxMessageBytes());
         raft.send(
                 follower,
                 new RaftMessage.InstallSnapshot(
@@ -121,10 +124,10 @@
                         snapshot.term(),
                         snapshot.configuration(),
                         state.length,
-                        progress.offset,
-                        Arrays.copyOfRange(state, progress.offset, end),
+                        progress.nextChunkOffset,
+                        Arrays.copyOfRange(state, progress.nextChunkOffset, end),
                         round));
-        progress.waiting = true;
+        progress.awaitingResponse = true;
         progress.roundSent = round;
     }
 }
--- a/src/main/java/pepperdock/store/raft/PendingReads.java
+++ b/src/main/java/pepperdock/store/raft/PendingReads.java
@@ -6,13 +6,13 @@
 import java.util.function.LongPredicate;
 
 /**
- * The linearizable reads that a leader has not answered yet (thesis, 6.4). A read waits for the first entry of the leader's
- * term to be committed, as the commit index is not known before, and then for a majority to answer a heartbeat round that
- * began after it came. Owned by the thread that calls {@link RaftServer}.
+ * The linearizable reads that a leader has not answered yet (thesis, 6.4). A read first waits until the first entry of
+ * the leader's term is committed, as the commit index is not known earlier, and then until a majority has answered a
+ * heartbeat round that began after the read was requested. Used only on the thread that calls {@link RaftServer}.
  */
 final class PendingReads {
 
-    /** A read at a commit index, to be confirmed by a heartbeat round. */
+    /** A read at a commit index, which a heartbeat round has to confirm. */
     private record PendingRead(long token, long readIndex, long round) {}
 
     private final RaftServer raft;
@@ -27,19 +27,19 @@
         beforeFirstCommit.add(token);
     }
 
-    /** The reads that waited for the first commit, in the order in which they came; they wait no longer. */
+    /** Removes and returns the reads that waited for the first commit, in the order of their requests. */
     List<Long> takeBeforeFirstCommit() {
         List<Long> tokens = List.copyOf(beforeFirstCommit);
         beforeFirstCommit.clear();
         return tokens;
     }
 
-    /** Adds a read at the current commit index, to be confirmed by a round. */
+    /** Adds a read at the current commit index, which the given round has to confirm. */
     void add(long token, long round) {
         confirming.add(new PendingRead(token, raft.log.commitIndex(), round));
     }
 
-    /** Answers the reads whose round a majority has confirmed: no other server led when they came. */
+    /** Answers the reads whose round a majority has confirmed: no other server was leader when they were requested. */
     void answerConfirmed(LongPredicate roundConfirmed) {
         while (!confirming.isEmpty() && roundConfirmed.test(confirming.peek().round())) {
             PendingRead read = confirming.poll();
@@ -47,7 +47,7 @@
         }
     }
 
-    /** The leader has stepped down. */
+    /** Rejects all reads because the leader has stepped down. */
     void rejectAll() {
         confirming.forEach(read -> raft.output(new RaftOutput.ReadRejected(read.token())));
         beforeFirstCommit.forEach(token -> raft.output(new RaftOutput.ReadRejected(token)));
--- a/src/main/java/pepperdock/store/raft/PersistedState.java
+++ b/src/main/java/pepperdock/store/raft/PersistedState.java
@@ -3,11 +3,11 @@
 import java.util.List;
 
 /**
- * What a disk holds when a process starts: the last of each that was written and synced (thesis, 3.8). The entries are
- * contiguous, and begin no later than right after the snapshot.
+ * The state on disk when a process starts: the last hard state, snapshot and entries that were written and synced
+ * (thesis, 3.8). The entries are contiguous and begin no later than directly after the snapshot.
  */
 public record PersistedState(HardState hardState, RaftSnapshot snapshot, List<RaftLogEntry> entries) {
 
-    /** Of a new disk. */
+    /** The state of a new disk. */
     public static final PersistedState NOTHING = new PersistedState(new HardState(0, 0), RaftSnapshot.NONE, List.of());
 }
--- a/src/main/java/pepperdock/store/raft/RaftLog.java
+++ b/src/main/java/pepperdock/store/raft/RaftLog.java
@@ -6,13 +6,14 @@
 import java.util.TreeMap;
 
 /**
- * The log in memory, from a little before the snapshot on; how much of it is on disk, committed and applied; and the members as
- * of each index. What was handed to the disk and not confirmed yet is remembered by its write, since a later write may replace
- * it. Owned by the thread that calls {@link RaftServer}.
+ * The log in memory, starting shortly before the snapshot's index. Tracks how much of it is on disk, committed and
+ * applied, and the members as of each index. Entries that were handed to the disk and are not confirmed yet are tracked
+ * by the number of their write, since a later write may replace them. Used only on the thread that calls
+ * {@link RaftServer}.
  */
 final class RaftLog {
 
-    /** Entries up to {@code to} that were handed to the disk with a write. */
+    /** A write that was handed to the disk, with entries up to index {@code to}. */
     private static final class PendingWrite {
         private final long write;
         private long to;
@@ -23,10 +24,12 @@
         }
     }
 
-    /** The index of the entry before the first one in memory, and its term. */
-    private long base;
+    /** The index of the entry before the first one in memory. */
+    private long baseIndex;
 
+    /** The term of the entry at {@code baseIndex}. */
     private long baseTerm;
+
     private final List<RaftLogEntry> entries = new ArrayList<>();
     private final TreeMap<Long, VoterConfiguration> configurations = new TreeMap<>();
     private RaftSnapshot snapshot;
@@ -34,12 +37,14 @@
     private long appliedIndex;
     private long durableIndex;
     private final List<PendingWrite> pendingWrites = new ArrayList<>();
-    /** The first entry that was not handed to the disk; and from where it has to truncate first, 0 for nowhere. */
+    /** The index of the first entry that was not handed to the disk yet. */
     private long firstUnwritten;
 
+    /** The index from which the disk has to truncate its log before the next entries; 0 for no truncation. */
     private long truncateFrom;
+
     private boolean snapshotUnwritten;
-    /** Estimated bytes of the uncommitted entries. */
+    /** Estimated size of the uncommitted entries in bytes. */
     private int uncommittedBytes;
 
     RaftLog(RaftSnapshot snapshot, List<RaftLogEntry> saved) {
@@ -47,13 +52,14 @@
         configurations.put(snapshot.index(), snapshot.configuration());
         boolean contiguous = saved.isEmpty() || saved.get(0).index() <= snapshot.index() + 1;
         if (!contiguous) {
-            throw new IllegalArgumentException(
-                    "entries from " + saved.get(0).index() + " on, after a snapshot of " + snapshot.index());
+            throw new IllegalArgumentException("saved entries begin at index "
+                    + saved.get(0).index() + ", expected at most the one after the snapshot's, " + snapshot.index());
         }
-        base = snapshot.index();
+        baseIndex = snapshot.index();
         baseTerm = snapshot.term();
         for (RaftLogEntry entry : saved) {
-            // A crash between writing a snapshot and truncating the log leaves older entries behind.
+            // After a crash between writing a snapshot and truncating the log, the log still has entries that the
+            // snapshot covers; they are skipped.
             if (entry.index() == lastIndex() + 1) {
                 add(entry);
             }
@@ -65,27 +71,27 @@
     }
 
     long lastIndex() {
-        return base + entries.size();
+        return baseIndex + entries.size();
     }
 
     long lastTerm() {
         return entries.isEmpty() ? baseTerm : entries.get(entries.size() - 1).term();
     }
 
-    /** The first index whose entry is in memory. */
+    /** Returns the first index whose entry is in memory. */
     long firstIndex() {
-        return base + 1;
+        return baseIndex + 1;
     }
 
-    /** The term at an index; -1 where it is compacted or beyond the end. */
+    /** Returns the term at an index; -1 if the index is compacted or beyond the end. */
     long term(long index) {
-        return index == base
+        return index == baseIndex
                 ? baseTerm
-                : index < base || index > lastIndex() ? -1 : get(index).term();
+                : index < baseIndex || index > lastIndex() ? -1 : get(index).term();
     }
 
     RaftLogEntry get(long index) {
-        return entries.get((int) (index - base - 1));
+        return entries.get((int) (index - baseIndex - 1));
     }
 
     long commitIndex() {
@@ -104,17 +110,17 @@
         return snapshot;
     }
 
-    /** The members by the newest entry that names any, committed or not (thesis, 4.1). */
+    /** Returns the members as of the newest entry that has a configuration, committed or not (thesis, 4.1). */
     VoterConfiguration configuration() {
         return configurations.lastEntry().getValue();
     }
 
-    /** The index of that entry. */
+    /** Returns the index of the entry that {@link #configuration} is from. */
     long configurationIndex() {
         return configurations.lastKey();
     }
 
-    /** The members as of an index. */
+    /** Returns the members as of an index. */
     private VoterConfiguration configurationAt(long index) {
         Map.Entry<Long, VoterConfiguration> entry = configurations.floorEntry(index);
         return entry == null ? VoterConfiguration.NONE : entry.getValue();
@@ -128,40 +134,41 @@
         }
     }
 
-    /** The largest index up to {@code from} whose term is no later than that one. */
+    /** Returns the largest index up to {@code from} whose term is not later than {@code term}. */
     long lastIndexNotAfterTerm(long from, long term) {
         long index = Math.min(from, lastIndex());
-        while (index > base && term(index) > term) {
+        while (index > baseIndex && term(index) > term) {
             index--;
         }
         return index;
     }
 
     /**
-     * Merges a leader's entries, which follow one in this log (thesis, 3.5). Those that are here already stay, with all that
-     * follows them, as the message may be an old one; from the first that differs on, the rest is replaced.
+     * Merges a leader's entries, which follow an entry of this log (thesis, 3.5). Entries that are already here stay,
+     * with all entries after them, as the message may be an old one. From the first entry that differs on, the rest of
+     * the log is replaced.
      */
-    void merge(List<RaftLogEntry> all) {
-        for (RaftLogEntry entry : all) {
-            if (entry.index() <= base || term(entry.index()) == entry.term()) {
+    void merge(List<RaftLogEntry> leaderEntries) {
+        for (RaftLogEntry entry : leaderEntries) {
+            if (entry.index() <= baseIndex || term(entry.index()) == entry.term()) {
                 continue;
             }
             if (entry.index() <= lastIndex()) {
                 if (entry.index() <= commitIndex) {
                     throw new CommittedEntryConflictException(entry.index());
                 }
-                List<RaftLogEntry> rest = entries.subList((int) (entry.index() - base - 1), entries.size());
+                List<RaftLogEntry> rest = entries.subList((int) (entry.index() - baseIndex - 1), entries.size());
                 rest.forEach(dropped -> uncommittedBytes -= dropped.size());
                 rest.clear();
                 configurations.tailMap(entry.index(), true).clear();
-                replacedFrom(entry.index());
+                invalidateFrom(entry.index());
             }
             add(entry);
         }
     }
 
-    /** Entries from this index on were dropped: what the disk has of them is void. */
-    private void replacedFrom(long from) {
+    /** Marks the entries from an index on, which were dropped from memory, as invalid on disk. */
+    private void invalidateFrom(long from) {
         durableIndex = Math.min(durableIndex, from - 1);
         pendingWrites.forEach(pending -> pending.to = Math.min(pending.to, from - 1));
         if (from < firstUnwritten) {
@@ -170,14 +177,14 @@
         }
     }
 
-    /** Entries from an index on, of so many bytes at most, but one at least where there is one. */
-    List<RaftLogEntry> entriesFrom(long index, int bytes) {
+    /** Returns entries from an index on, up to the given number of bytes, but at least one if there is any. */
+    List<RaftLogEntry> entriesFrom(long index, int maxBytes) {
         List<RaftLogEntry> selected = new ArrayList<>();
-        int sum = 0;
+        int totalBytes = 0;
         for (long i = index; i <= lastIndex(); i++) {
             RaftLogEntry entry = get(i);
-            sum += entry.size();
-            if (sum > bytes && !selected.isEmpty()) {
+            totalBytes += entry.size();
+            if (totalBytes > maxBytes && !selected.isEmpty()) {
                 break;
             }
             selected.add(entry);
@@ -189,7 +196,7 @@
         return uncommittedBytes;
     }
 
-    /** Advances the commit index, which never goes back; returns whether it has advanced. */
+    /** Advances the commit index, which never decreases; returns whether it has advanced. */
     boolean commitTo(long index) {
         long to = Math.min(index, lastIndex());
         if (to <= commitIndex) {
@@ -202,13 +209,14 @@
         return true;
     }
 
-    /** The entries to apply now: committed, on this disk, and not applied before. */
+    /** Returns the entries to apply now, which are committed, on this disk, and not applied before. */
     List<RaftLogEntry> toApply() {
         long to = Math.min(commitIndex, durableIndex);
         if (to <= appliedIndex) {
             return List.of();
         }
-        List<RaftLogEntry> selected = List.copyOf(entries.subList((int) (appliedIndex - base), (int) (to - base)));
+        List<RaftLogEntry> selected =
+                List.copyOf(entries.subList((int) (appliedIndex - baseIndex), (int) (to - baseIndex)));
         appliedIndex = to;
         return selected;
     }
@@ -219,12 +227,12 @@
         return firstUnwritten <= lastIndex() || truncateFrom > 0 || snapshotUnwritten;
     }
 
-    /** All that was not handed to the disk yet, as one write. */
+    /** Returns everything that was not handed to the disk yet, as one write. */
     RaftOutput.Write nextWrite(long write, HardState hardState) {
         List<RaftLogEntry> selected = firstUnwritten > lastIndex()
                 ? List.of()
-                : List.copyOf(entries.subList((int) (firstUnwritten - base - 1), entries.size()));
-        RaftOutput.Write all =
+                : List.copyOf(entries.subList((int) (firstUnwritten - baseIndex - 1), entries.size()));
+        RaftOutput.Write next =
                 new RaftOutput.Write(write, hardState, snapshotUnwritten ? snapshot : null, truncateFrom, selected);
         if (!selected.isEmpty() || snapshotUnwritten) {
             pendingWrites.add(new PendingWrite(write, lastIndex()));
@@ -232,10 +240,10 @@
         firstUnwritten = lastIndex() + 1;
         truncateFrom = 0;
         snapshotUnwritten = false;
-        return all;
+        return next;
     }
 
-    /** All writes up to this one are synced. */
+    /** Records that all writes up to this one are synced. */
     void written(long write) {
         while (!pendingWrites.isEmpty() && pendingWrites.get(0).write <= write) {
             durableIndex = Math.max(durableIndex, pendingWrites.remove(0).to);
@@ -244,19 +252,23 @@
 
     // ---- Snapshots ------------------------------------------------------------
 
-    /** Takes a snapshot of the applied entries (thesis, 5.1); entries well before its index are dropped from memory. */
+    /**
+     * Takes a snapshot of the applied entries up to an index (thesis, 5.1). Entries at least {@code retained} before
+     * the index are dropped from memory.
+     */
     void compact(long index, byte[] state, int retained) {
         if (index <= snapshot.index() || index > appliedIndex) {
             throw new IllegalArgumentException(
-                    "snapshot of " + index + ", with " + snapshot.index() + " held and " + appliedIndex + " applied");
+                    "can't compact to index " + index + ": expected one after the last snapshot's, " + snapshot.index()
+                            + ", and not after " + appliedIndex + ", the last applied");
         }
         snapshot = new RaftSnapshot(index, term(index), configurationAt(index), state);
         snapshotUnwritten = true;
         long lastDropped = index - retained;
-        if (lastDropped > base) {
+        if (lastDropped > baseIndex) {
             long term = term(lastDropped);
-            entries.subList(0, (int) (lastDropped - base)).clear();
-            base = lastDropped;
+            entries.subList(0, (int) (lastDropped - baseIndex)).clear();
+            baseIndex = lastDropped;
             baseTerm = term;
         }
         VoterConfiguration current = configurationAt(index);
@@ -269,7 +281,7 @@
         entries.clear();
         configurations.clear();
         configurations.put(leaderSnapshot.index(), leaderSnapshot.configuration());
-        base = leaderSnapshot.index();
+        baseIndex = leaderSnapshot.index();
         baseTerm = leaderSnapshot.term();
         snapshot = leaderSnapshot;
         commitIndex = leaderSnapshot.index();
--- a/src/main/java/pepperdock/store/raft/RaftPeer.java
+++ b/src/main/java/pepperdock/store/raft/RaftPeer.java
@@ -1,10 +1,10 @@
 package pepperdock.store.raft;
 
 /**
- * A member of the group, identified by its disk. The id was drawn when the disk was new: a process that comes back without its
- * disk is another member, which has not promised anything.
+ * A member of the group, identified by its disk. The id is drawn when the disk is new. A process that restarts without
+ * its disk is therefore another member, which has granted no votes and acknowledged no entries.
  *
- * @param name of the gatherer that has the disk
- * @param votes false for a learner: it receives the log, and does not count for majorities (4.2.1)
+ * @param name name of the gatherer that has the disk
+ * @param votes false for a learner, which receives the log and does not count for majorities (4.2.1)
  */
 public record RaftPeer(long id, String name, String address, boolean votes) {}
--- a/src/main/java/pepperdock/store/raft/RaftPeerState.java
+++ b/src/main/java/pepperdock/store/raft/RaftPeerState.java
@@ -1,15 +1,15 @@
 package pepperdock.store.raft;
 
-/** The roles of a server (thesis, 3.3), with the pre-vote (9.6) and the failed disk told apart. */
+/** The roles of a server (thesis, 3.3), with separate values for the pre-vote (9.6) and for a failed disk. */
 public enum RaftPeerState {
     /** Follows a leader, or waits for one. */
     FOLLOWER,
-    /** Asks whether it would get a majority's votes, before it opens a new term. */
+    /** Asks whether a majority would vote for it, before it starts a new term. */
     PRE_CANDIDATE,
-    /** Asks for votes in a term of its own. */
+    /** Asks for votes in the term that it has started. */
     CANDIDATE,
     /** Replicates its log to the others. */
     LEADER,
-    /** Its disk has failed: it promises nothing any more. */
+    /** Its disk has failed: it grants no votes and acknowledges no entries any more. */
     STORAGE_FAILED
 }
--- a/src/main/java/pepperdock/store/raft/RaftRole.java
+++ b/src/main/java/pepperdock/store/raft/RaftRole.java
@@ -1,8 +1,9 @@
 package pepperdock.store.raft;
 
 /**
- * What a server does differently by its role (thesis, 3.3); what it does in every role is in {@link RaftServer}. A role object lasts
- * from one change of role to the next, and belongs to the thread that calls {@link RaftServer}.
+ * The behaviour of a server that depends on its role (thesis, 3.3); behaviour common to all roles is in
+ * {@link RaftServer}. A role object lasts from one change of role to the next. Used only on the thread that calls
+ * {@link RaftServer}.
  */
 abstract class RaftRole {
 
@@ -12,7 +13,7 @@
         this.raft = raft;
     }
 
-    /** The role's name, for the caller. */
+    /** Returns the role's name, for the caller. */
     abstract RaftPeerState state();
 
     /** Called once, when the server takes on this role. */
@@ -21,29 +22,29 @@
     /** Called once, when the server leaves this role. */
     void onStop() {}
 
-    /** A tick of the caller's clock has passed. */
+    /** Handles a tick of the caller's clock. */
     abstract void tick();
 
-    /** A response in the current term, or a granted pre-vote in the next one, has come. */
+    /** Handles a response in the current term, or a granted pre-vote in the next one. */
     void onMessage(RaftMessage message) {}
 
-    /** More is synced than before. */
+    /** Called after further writes are synced. */
     void onWritten() {}
 
-    /** Called before outputs are taken, to send what has gathered since the last time in as few messages as possible. */
+    /** Called before the outputs are taken, to send everything that is due in as few messages as possible. */
     void flush() {}
 
-    /** Appends an entry; returns its index, or 0 where this server may not. */
+    /** Appends an entry; returns its index, or 0 if this server must not append one. */
     long propose(byte[] data, VoterConfiguration configuration) {
         return 0;
     }
 
-    /** Begins a linearizable read. */
+    /** Starts a linearizable read. */
     void read(long token) {
         raft.output(new RaftOutput.ReadRejected(token));
     }
 
-    /** Begins a leadership transfer; false where that can't be. */
+    /** Starts a leadership transfer; returns false if that is not possible. */
     boolean transfer(long to) {
         return false;
     }
--- a/src/main/java/pepperdock/store/raft/RaftServer.java
+++ b/src/main/java/pepperdock/store/raft/RaftServer.java
@@ -5,24 +5,26 @@
 import java.util.Random;
 
 /**
- * One server of a Raft group, as a pure state machine (Ongaro, "Consensus: Bridging Theory and Practice", 2014; "thesis"
- * below). Messages, ticks, finished disk writes and clients' requests come in, and {@link RaftOutput} goes out. It has no clock,
- * sockets, files or threads, and random numbers come from a seed alone: the same inputs give the same outputs.
+ * One server of a Raft group, as a pure state machine (Ongaro, "Consensus: Bridging Theory and Practice", 2014;
+ * "thesis" below). Its inputs are messages, ticks, finished disk writes and clients' requests; its output is
+ * {@link RaftOutput}. It has no clock, sockets, files or threads, and random numbers come only from a seed: the same
+ * inputs give the same outputs.
  *
- * <p>All of its state belongs to one thread, the caller's; no method may be called from another. The caller passes every
- * message to {@link #received}, calls {@link #tick} at even intervals (a late one counts once), and after each call carries out
- * what {@link #takeOutputs} returns, in its order. Writes go to the disk in the order of their numbers, and {@link #written}
- * says which are synced; it may be called much later. A write or sync that failed is reported by {@link #failed}, after which
- * this server promises nothing any more.
+ * <p>All state belongs to one thread, the caller's; no method may be called from another thread. The caller passes
+ * every message to {@link #received}, calls {@link #tick} at even intervals (a late tick counts once), and after each
+ * call carries out the actions that {@link #takeOutputs} returns, in order. Writes go to the disk in the order of their
+ * numbers, and {@link #written} reports which are synced; it may be called much later. A write or sync that failed is
+ * reported by {@link #failed}, after which this server grants no votes and acknowledges no entries any more.
  *
- * <p>Guaranteed under loss, delay and duplication of messages, as long as no disk forgets what it has synced (thesis, figure
- * 3.2): one leader a term; a committed entry stays, at its index, on every server; it is applied once and in order by each
- * process; a read is answered no older than what was committed when it was requested (6.4). A term, a vote or an entry is sent
- * to others only once it is synced here. No entry of an older term is committed by counting replicas (3.6.2). Membership
- * changes by one voter at a time (4.1). A leader that hears from no majority for an election timeout steps down (6.2).
+ * <p>These guarantees hold under loss, delay and duplication of messages, as long as no disk loses what it has synced
+ * (thesis, figure 3.2): there is one leader per term; a committed entry stays at its index on every server; each
+ * process applies it once and in order; a read returns no state older than what was committed when it was requested
+ * (6.4). A term, a vote or an entry is sent to others only once it is synced here. No entry of an earlier term is
+ * committed by counting replicas (3.6.2). Membership changes by one voter at a time (4.1). A leader that hears from no
+ * majority for an election timeout steps down (6.2).
  *
- * <p>What all roles have in common stands here; what only one role does is in {@link FollowerRole}, {@link LeaderElection} and
- * {@link LeaderRole}.
+ * <p>This class has the behaviour common to all roles; {@link FollowerRole}, {@link LeaderElection} and
+ * {@link LeaderRole} have that of a single role.
  */
 public class RaftServer {
 
@@ -41,13 +43,13 @@
     /**
      * Starts as a follower.
      *
-     * @param id of this server's disk; not 0
-     * @param saved what that disk holds
-     * @param seed of the election timeouts
+     * @param id id of this server's disk; not 0
+     * @param saved the state on that disk
+     * @param seed seed for the election timeouts
      */
     public RaftServer(long id, RaftSettings settings, PersistedState saved, long seed) {
         if (id == ServerState.NO_SERVER) {
-            throw new IllegalArgumentException("0 is nobody's id");
+            throw new IllegalArgumentException("server id is 0, which stands for no server; expected any other id");
         }
         this.id = id;
         this.settings = settings;
@@ -60,77 +62,82 @@
         become(new FollowerRole(this));
     }
 
-    // ---- State, for the caller ------------------------------------------------------------
+    // ---- State for the caller ------------------------------------------------------------
 
-    /** This server's id. */
+    /** Returns this server's id. */
     public long id() {
         return id;
     }
 
-    /** The role that it has now. */
+    /** Returns the current role. */
     public RaftPeerState state() {
         return role.state();
     }
 
-    /** The current term. */
+    /** Returns the current term. */
     public long term() {
         return serverState.term();
     }
 
-    /** The leader's id; 0 where none is known. */
+    /** Returns the leader's id; 0 if none is known. */
     public long leader() {
         return serverState.leader();
     }
 
-    /** The members as of the newest entry in this log that names them, committed or not (thesis, 4.1). */
+    /**
+     * Returns the members as of the newest entry in this log that has a configuration, committed or not (thesis, 4.1).
+     */
     public VoterConfiguration configuration() {
         return log.configuration();
     }
 
-    /** Whether the entry that names the members is committed. */
+    /** Returns whether the entry with the newest configuration is committed. */
     public boolean configurationCommitted() {
         return log.configurationIndex() <= log.commitIndex();
     }
 
-    /** The index of the newest entry known to be committed. */
+    /** Returns the index of the newest entry known to be committed. */
     public long commitIndex() {
         return log.commitIndex();
     }
 
-    /** The index of the newest entry handed out to be applied. */
+    /** Returns the index of the newest entry handed out to be applied. */
     public long appliedIndex() {
         return log.appliedIndex();
     }
 
-    /** The index of the last entry of the log. */
+    /** Returns the index of the last entry of the log. */
     public long lastIndex() {
         return log.lastIndex();
     }
 
-    /** The term of the last entry of the log. */
+    /** Returns the term of the last entry of the log. */
     public long lastTerm() {
         return log.lastTerm();
     }
 
-    /** The term of an entry in memory; -1 where the index is compacted or beyond the end of the log. */
+    /** Returns the term of an entry in memory; -1 if the index is compacted or beyond the end of the log. */
     public long termAt(long index) {
         return log.term(index);
     }
 
-    /** The highest index known to be replicated to a peer; -1 where this server does not lead or does not know the peer. */
+    /**
+     * Returns the highest index known to be replicated to a peer; -1 if this server is not the leader or does not know
+     * the peer.
+     */
     public long matchIndex(long peer) {
         return role instanceof LeaderRole leader ? leader.matchIndex(peer) : -1;
     }
 
     // ---- Inputs ------------------------------------------------------------
 
-    /** A tick of the caller's clock has passed. */
+    /** Handles a tick of the caller's clock. */
     public void tick() {
         electionTimer.tick();
         role.tick();
     }
 
-    /** A message has come from a peer. */
+    /** Handles a message from a peer. */
     public void received(RaftMessage message) {
         if (role.state() == RaftPeerState.STORAGE_FAILED) {
             return;
@@ -153,7 +160,9 @@
         return message instanceof RaftMessage.AppendEntries || message instanceof RaftMessage.InstallSnapshot;
     }
 
-    /** Whether the message's term is only the one that a pre-vote would lead to (thesis, 9.6). */
+    /**
+     * Returns whether the message's term is only the one that an election after a pre-vote would have (thesis, 9.6).
+     */
     private static boolean isHypothetical(RaftMessage message) {
         return message instanceof RaftMessage.RequestVote request && request.preVote()
                 || message instanceof RaftMessage.VoteResponse response && response.preVote() && response.granted();
@@ -161,7 +170,7 @@
 
     private void rejectOlderTerm(RaftMessage message) {
         if (isFromLeader(message)) {
-            // A leader that was away steps down when it hears of the newer term.
+            // A leader of an older term steps down when it receives the newer term.
             sendOnceSynced(message.from(), new RaftMessage.AppendResponse(id, term(), false, 0, 0, 0, 0));
         } else if (message instanceof RaftMessage.RequestVote request && request.preVote()) {
             sendOnceSynced(message.from(), new RaftMessage.VoteResponse(id, term(), true, false));
@@ -186,7 +195,7 @@
         }
     }
 
-    /** A server has sent a request as the current term's leader. */
+    /** Follows a server that has sent a request as the current term's leader. */
     private void followLeader(long from) {
         if (role.state() != RaftPeerState.FOLLOWER) {
             become(new FollowerRole(this));
@@ -195,7 +204,7 @@
         resetElectionTimer();
     }
 
-    /** All writes up to this one are synced. */
+    /** Records that all writes up to this one are synced. */
     public void written(long number) {
         if (role.state() == RaftPeerState.STORAGE_FAILED || number <= syncQueue.lastSynced()) {
             return;
@@ -205,44 +214,55 @@
         role.onWritten();
     }
 
-    /** A write or a sync failed: what the disk holds is not known, so nothing is promised from here on. */
+    /**
+     * Handles a failed write or sync: the contents of the disk are unknown, so this server grants no votes and
+     * acknowledges no entries from here on.
+     */
     public void failed() {
         syncQueue.clear();
         clearLeader();
         become(new StorageFailedRole(this));
     }
 
-    /** Appends an entry; returns its index, or 0 where this server does not lead or has too many uncommitted bytes. */
+    /**
+     * Appends an entry; returns its index, or 0 if this server is not the leader, is transferring its leadership, or
+     * has too many uncommitted bytes.
+     */
     public long propose(byte[] data) {
         return role.propose(data, null);
     }
 
     /**
-     * Changes the members; returns the entry's index, or 0 where this server does not lead, the change before is not committed
-     * yet, or more than one voter would change (thesis, 4.1).
+     * Changes the members; returns the entry's index, or 0 if this server is not the leader or can't append an entry
+     * now, the previous change is not committed yet, or more than one voter would change (thesis, 4.1).
      */
     public long change(VoterConfiguration to) {
         return mayChangeTo(to) ? role.propose(RaftLogEntry.EMPTY, to) : 0;
     }
 
-    /** Requests a linearizable read (thesis, 6.4), answered by {@link Output.ReadReady} or {@link Output.ReadRejected}. */
+    /**
+     * Requests a linearizable read (thesis, 6.4), answered by {@link RaftOutput.ReadReady} or
+     * {@link RaftOutput.ReadRejected}.
+     */
     public void read(long token) {
         role.read(token);
     }
 
-    /** Transfers leadership to another voter once it is caught up (thesis, 3.10); false where that can't be. */
+    /**
+     * Transfers leadership to another voter once it is caught up (thesis, 3.10); returns false if that is not possible.
+     */
     public boolean transfer(long to) {
         return role.transfer(to);
     }
 
-    /** Replaces the applied entries up to an index by the state that they led to (thesis, 5.1). */
+    /** Replaces the applied entries up to an index by the state that they resulted in (thesis, 5.1). */
     public void compact(long index, byte[] state) {
         if (role.state() != RaftPeerState.STORAGE_FAILED) {
             log.compact(index, state, settings.retainedEntries());
         }
     }
 
-    /** What is to be done since the last call, in order. */
+    /** Returns the actions that have become due since the last call, in order. */
     public List<RaftOutput> takeOutputs() {
         do {
             role.flush();
@@ -266,7 +286,7 @@
         return taken;
     }
 
-    // ---- For the roles ------------------------------------------------------------
+    // ---- Methods for the roles ------------------------------------------------------------
 
     final void become(RaftRole next) {
         if (role != null) {
@@ -277,14 +297,14 @@
         next.onStart();
     }
 
-    /** Becomes a follower in a newer term, or in the current one. */
+    /** Becomes a follower in a newer term or in the current one. */
     final void becomeFollower(long newTerm, long newLeader) {
         serverState.advanceTo(newTerm);
         serverState.setLeader(newLeader);
         become(new FollowerRole(this));
     }
 
-    /** Opens a new term with a vote for itself. */
+    /** Starts a new term with a vote for itself. */
     final void startNewTerm() {
         serverState.startElection(id);
     }
@@ -309,12 +329,12 @@
         electionTimer.reset();
     }
 
-    /** Sends at once: the message speaks of nothing that this disk has to hold. */
+    /** Sends at once; only for messages that do not depend on anything that has to be on this disk. */
     final void send(long to, RaftMessage message) {
         outputs.add(new RaftOutput.Send(to, message));
     }
 
-    /** Sends once all that holds now is synced. */
+    /** Sends once all of the current state is synced. */
     final void sendOnceSynced(long to, RaftMessage message) {
         onceSynced(() -> send(to, message));
     }
@@ -327,20 +347,21 @@
         outputs.add(output);
     }
 
-    // ---- Safety rules; tests plant faults by overriding them
-    // ------------------------------------------------------------
+    // ---- Safety rules; tests inject faults by overriding them
+    // ---------------------------------------------------------
 
     /**
-     * Whether a leader may commit an index that is replicated to a majority: only one of its own term, which commits those
-     * before it with it (thesis, 3.6.2).
+     * Returns whether a leader may commit an index that is replicated to a majority. It may commit only an entry of its
+     * own term, which also commits the entries before it (thesis, 3.6.2).
      */
     protected boolean mayCommit(long index) {
         return log.term(index) == term();
     }
 
     /**
-     * Whether the members may be changed to these now: one voter at a time, after the change before is committed (thesis, 4.1),
-     * and not before an entry of the current term is (Ongaro's correction of 2015 to the same section).
+     * Returns whether the members may be changed to these now: one voter at a time, after the previous change is
+     * committed (thesis, 4.1), and not before an entry of the current term is committed (Ongaro's correction of 2015 to
+     * the same section).
      */
     protected boolean mayChangeTo(VoterConfiguration to) {
         return configurationCommitted()
@@ -350,8 +371,8 @@
     }
 
     /**
-     * Whether this log holds all that a snapshot stands for: then the entries that follow it stay (thesis, 5.1), as they may
-     * be newer than the snapshot, and acknowledged.
+     * Returns whether this log holds all entries that a snapshot covers. If so, the entries that follow stay in the log
+     * (thesis, 5.1), as they may be newer than the snapshot and already acknowledged.
      */
     protected boolean coversSnapshot(long index, long indexTerm) {
         return index <= log.commitIndex() || log.term(index) == indexTerm;
--- a/src/main/java/pepperdock/store/raft/ServerState.java
+++ b/src/main/java/pepperdock/store/raft/ServerState.java
@@ -1,8 +1,8 @@
 package pepperdock.store.raft;
 
 /**
- * The term, the vote and the known leader of one server, and whether the term and the vote still have to be written to disk
- * (thesis, figure 3.1, "persistent state on all servers"). Owned by the thread that calls {@link RaftServer}.
+ * The term, the vote and the known leader of one server, and whether the term and the vote still have to be written to
+ * disk (thesis, figure 3.1, "persistent state on all servers"). Used only on the thread that calls {@link RaftServer}.
  */
 final class ServerState {
 
@@ -35,12 +35,15 @@
         return leader != NO_SERVER;
     }
 
-    /** Whether this server may still vote for the candidate in the current term: one vote a term (thesis, 3.4). */
+    /**
+     * Returns whether this server may vote for the candidate in the current term; it has one vote per term (thesis,
+     * 3.4).
+     */
     boolean mayVoteFor(long candidate) {
         return votedFor == candidate || votedFor == NO_SERVER && !leaderKnown();
     }
 
-    /** Records a vote in the current term; a vote already given stays. */
+    /** Records a vote in the current term; a vote already granted is kept. */
     void voteFor(long candidate) {
         if (votedFor == NO_SERVER) {
             votedFor = candidate;
@@ -48,7 +51,7 @@
         }
     }
 
-    /** Takes on a newer term, in which no vote has been given yet; an older or equal one changes nothing. */
+    /** Advances to a newer term, in which this server has not voted yet; does nothing if the term is older or equal. */
     void advanceTo(long newTerm) {
         if (newTerm > term) {
             term = newTerm;
@@ -57,7 +60,7 @@
         }
     }
 
-    /** Opens the next term as a candidate, which votes for itself (thesis, 3.4). */
+    /** Starts the next term as a candidate that votes for itself (thesis, 3.4). */
     void startElection(long self) {
         term++;
         votedFor = self;
@@ -69,7 +72,7 @@
         return hardStateUnwritten;
     }
 
-    /** The term and the vote for the next write to disk; null where neither has changed since the last. */
+    /** Returns the term and the vote to be written to disk; null if neither has changed since the last call. */
     HardState takeUnwrittenHardState() {
         HardState unwritten = hardStateUnwritten ? new HardState(term, votedFor) : null;
         hardStateUnwritten = false;
--- a/src/main/java/pepperdock/store/raft/SnapshotReceiver.java
+++ b/src/main/java/pepperdock/store/raft/SnapshotReceiver.java
@@ -1,8 +1,8 @@
 package pepperdock.store.raft;
 
 /**
- * Assembles a snapshot from its chunks (thesis, 5.1); a chunk of another one begins anew. Owned by the thread that calls
- * {@link RaftServer}.
+ * Assembles a snapshot from its chunks (thesis, 5.1); a chunk of a different snapshot discards the earlier ones. Used
+ * only on the thread that calls {@link RaftServer}.
  */
 final class SnapshotReceiver {
 
@@ -10,7 +10,7 @@
     private byte[] bytes;
     private int received;
 
-    /** Takes a chunk; returns the snapshot where that was the last one missing, else null. */
+    /** Adds a chunk; returns the snapshot if it is now complete, else null. */
     RaftSnapshot receive(RaftMessage.InstallSnapshot chunk) {
         if (!continues(chunk)) {
             incoming = chunk;
@@ -37,12 +37,12 @@
                 && incoming.term() == chunk.term();
     }
 
-    /** Bytes of the snapshot received so far, without a gap. */
+    /** Returns the number of contiguous bytes of the snapshot received so far. */
     int received() {
         return received;
     }
 
-    /** Discards what was received. */
+    /** Discards the chunks received so far. */
     void clear() {
         incoming = null;
         bytes = null;
--- a/src/main/java/pepperdock/store/raft/StorageFailedRole.java
+++ b/src/main/java/pepperdock/store/raft/StorageFailedRole.java
@@ -1,6 +1,6 @@
 package pepperdock.store.raft;
 
-/** The role of a server whose disk has failed: it neither sends nor accepts anything any more. */
+/** The role of a server whose disk has failed; the server neither sends nor accepts anything any more. */
 final class StorageFailedRole extends RaftRole {
 
     StorageFailedRole(RaftServer raft) {
--- a/src/main/java/pepperdock/store/raft/SyncQueue.java
+++ b/src/main/java/pepperdock/store/raft/SyncQueue.java
@@ -6,22 +6,22 @@
 import java.util.List;
 
 /**
- * Actions that must wait until the state that they speak of is synced (thesis, 3.8), by the number of the write that holds it.
- * Owned by the thread that calls {@link RaftServer}.
+ * Actions that must wait until the state that they depend on is synced (thesis, 3.8), queued by the number of the write
+ * that has this state. Used only on the thread that calls {@link RaftServer}.
  */
 final class SyncQueue {
 
-    /** An action, and the write that it waits for. */
+    /** An action and the number of the write that it waits for. */
     private record AfterSync(long write, Runnable then) {}
 
     private long lastWrite;
     private long lastSynced;
-    /** Wait for the next write, or for none where nothing is to be written. */
+    /** Actions that wait for the next write, or run at once if nothing has to be written. */
     private final List<Runnable> deferred = new ArrayList<>();
 
     private final Deque<AfterSync> awaitingSync = new ArrayDeque<>();
 
-    /** Numbers the next write. */
+    /** Returns the number for the next write. */
     long nextWrite() {
         return ++lastWrite;
     }
@@ -30,7 +30,7 @@
         return lastSynced;
     }
 
-    /** Has an action run once all that holds now is synced. */
+    /** Defers an action until all of the current state is synced. */
     void defer(Runnable then) {
         deferred.add(then);
     }
@@ -39,11 +39,14 @@
         return !deferred.isEmpty();
     }
 
-    /** The write that the deferred actions wait for is handed out: they run once it is synced, at once where it is. */
+    /**
+     * Called once the write that the deferred actions wait for is handed out. The actions run once it is synced, or at
+     * once if it already is.
+     */
     void release() {
-        List<Runnable> now = List.copyOf(deferred);
+        List<Runnable> released = List.copyOf(deferred);
         deferred.clear();
-        for (Runnable action : now) {
+        for (Runnable action : released) {
             if (lastWrite <= lastSynced) {
                 action.run();
             } else {
@@ -52,7 +55,7 @@
         }
     }
 
-    /** All writes up to this one are synced. */
+    /** Records that all writes up to this one are synced, and runs the actions that waited for them. */
     void synced(long write) {
         lastSynced = write;
         while (!awaitingSync.isEmpty() && awaitingSync.peek().write() <= lastSynced) {
@@ -60,7 +63,7 @@
         }
     }
 
-    /** A write failed: none of the waiting actions ever runs. */
+    /** Discards all waiting actions because a write failed. */
     void clear() {
         awaitingSync.clear();
         deferred.clear();
--- a/src/main/java/pepperdock/store/raft/VoteRequestHandler.java
+++ b/src/main/java/pepperdock/store/raft/VoteRequestHandler.java
@@ -1,8 +1,8 @@
 package pepperdock.store.raft;
 
 /**
- * Grants or denies votes and pre-votes (thesis, 3.4, 3.6.1 and 9.6). An answer is sent once the vote is synced. Owned by the
- * thread that calls {@link RaftServer}.
+ * Grants or denies votes and pre-votes (thesis, 3.4, 3.6.1 and 9.6). A response is sent only once the vote is synced.
+ * Used only on the thread that calls {@link RaftServer}.
  */
 final class VoteRequestHandler {
 
@@ -16,7 +16,10 @@
         this.electionTimer = electionTimer;
     }
 
-    /** Whoever hears from a leader ignores requests of other candidates, but not one that the leader asked to run (4.2.3). */
+    /**
+     * Returns whether a vote request is ignored: a server that hears from a leader ignores candidates, unless the
+     * leader requested the election (4.2.3).
+     */
     boolean ignores(RaftMessage.RequestVote request) {
         return !request.leadershipTransfer() && state.leaderKnown() && electionTimer.withinMinimum();
     }
@@ -32,7 +35,9 @@
         raft.sendOnceSynced(request.from(), new RaftMessage.VoteResponse(raft.id, term, request.preVote(), granted));
     }
 
-    /** The election restriction: the candidate's log is at least as up to date as this one (thesis, 3.6.1). */
+    /**
+     * Checks the election restriction: the candidate's log must be at least as up to date as this one (thesis, 3.6.1).
+     */
     private boolean isUpToDate(RaftMessage.RequestVote request) {
         RaftLog log = raft.log;
         return request.lastTerm() > log.lastTerm()
