--- a/src/main/java/pepperdock/simulation/raft/World.java
+++ b/src/main/java/pepperdock/simulation/raft/World.java
@@ -156,7 +156,7 @@
                 node.id = idAfterLoss(node.id, nextId++);
             }
             case FAIL -> {
-                raft.failed();
+                raft.onStorageFailure();
                 node.disk.open.clear();
             }
             case TRANSFER -> raft.transfer(nodes.get(Math.floorMod(s.b(), nodes.size())).id);
--- a/src/main/java/pepperdock/store/raft/RaftServer.java
+++ b/src/main/java/pepperdock/store/raft/RaftServer.java
@@ -14,7 +14,7 @@
  * every message to {@link #received}, calls {@link #tick} at even intervals (a late tick counts once), and after each
  * call carries out the actions that {@link #takeOutputs} returns, in order. Writes go to the disk in the order of their
  * numbers, and {@link #written} reports which are synced; it may be called much later. A write or sync that failed is
- * reported by {@link #failed}, after which this server grants no votes and acknowledges no entries any more.
+ * reported by {@link #onStorageFailure}, after which this server grants no votes and acknowledges no entries any more.
  *
  * <p>These guarantees hold under loss, delay and duplication of messages, as long as no disk loses what it has synced
  * (thesis, figure 3.2): there is one leader per term; a committed entry stays at its index on every server; each
@@ -218,7 +218,7 @@
      * Handles a failed write or sync: the contents of the disk are unknown, so this server grants no votes and
      * acknowledges no entries from here on.
      */
-    public void failed() {
+    public void onStorageFailure() {
         syncQueue.clear();
         clearLeader();
         become(new StorageFailedRole(this));
