--- a/src/main/java/pepperdock/cli/ExploreCommand.java
+++ b/src/main/java/pepperdock/cli/ExploreCommand.java
@@ -24,8 +24,8 @@
         mixinStandardHelpOptions = true,
         versionProvider = Cli.Version.class,
         description =
-                "Run the consensus of the store in simulated time through random message losses, crashes and membership"
-                        + " changes drawn from seeds, and check each step.")
+                "Run the consensus of the store in simulated time through losses, crashes and changes drawn from seeds,"
+                        + " and check each step.")
 final class ExploreCommand implements Callable<Integer> {
 
     /** Settings small enough that every walk has snapshots, snapshots sent in pieces and full windows. */
--- a/src/main/java/pepperdock/config/MembersConfig.java
+++ b/src/main/java/pepperdock/config/MembersConfig.java
@@ -176,7 +176,7 @@
         if (bytesPerS < needed) {
             throw new ConfigException(
                     keys.key(Key.BYTE_RATE),
-                    "must be at least " + bytesPerDatagram + " for each datagram needed per second, which is "
+                    "must be at least " + bytesPerDatagram + " bytes for each datagram needed per second, which is "
                             + needed);
         }
         return bytesPerS;
