--- a/src/main/java/pepperdock/codec/frame/FrameParser.java
+++ b/src/main/java/pepperdock/codec/frame/FrameParser.java
@@ -22,7 +22,10 @@
         this.types = types;
     }
 
-    /** Consumes the bytes of one complete frame, which {@link #take} then returns, or none; returns how many. */
+    /**
+     * Consumes one complete frame, which {@link #take} then returns, and returns its size in bytes. Consumes nothing
+     * and returns 0 if no frame is complete yet.
+     */
     public int feed(byte[] bytes, int from, int to) throws FrameException {
         int available = to - from;
         if (available < FrameEncoder.LENGTH_BYTES) {
@@ -54,7 +57,9 @@
                 | bytes[from + 3] & 0xff;
     }
 
-    /** Returns the frame that the last call of {@link #feed} completed, once; null if there is none. */
+    /**
+     * Returns the frame that the last call of {@link #feed} completed; null if there is none or it was taken already.
+     */
     public Frame take() {
         Frame taken = frame;
         frame = null;
--- a/src/main/java/pepperdock/codec/http/HttpParser.java
+++ b/src/main/java/pepperdock/codec/http/HttpParser.java
@@ -16,8 +16,8 @@
     private static final int MAX_LINE_BYTES = 8192;
     private static final int MAX_HEAD_BYTES = 16384;
     /**
-     * Empty lines accepted before a message. No client habitually sends more; endless ones are a head that never
-     * begins.
+     * Maximum number of empty lines accepted before a message. Clients do not normally send more, and without a limit a
+     * peer could send empty lines forever without beginning a message.
      */
     private static final int MAX_EMPTY_LINES = 4;
 
@@ -55,11 +55,11 @@
         this.parsingResponses = parsingResponses;
         this.maxBodyBytes = maxBodyBytes;
     }
-    /** Parses requests with bodies of at most {@code maxBodyBytes} bytes. */
+    /** Returns a parser of requests with bodies of at most {@code maxBodyBytes} bytes. */
     public static HttpParser ofRequests(int maxBodyBytes) {
         return new HttpParser(false, maxBodyBytes);
     }
-    /** Parses responses with bodies of at most {@code maxBodyBytes} bytes. */
+    /** Returns a parser of responses with bodies of at most {@code maxBodyBytes} bytes. */
     public static HttpParser ofResponses(int maxBodyBytes) {
         return new HttpParser(true, maxBodyBytes);
     }
@@ -122,7 +122,9 @@
         return state == State.START && headBytes == 0;
     }
 
-    /** Handles the close by the other side, which completes a response whose length is marked by the close. */
+    /**
+     * Handles the end of the input. This completes a response whose body extends until the peer closes the connection.
+     */
     public void onEndOfInput() {
         if (state == State.BODY_UNTIL_CLOSE) {
             state = State.DONE;
@@ -220,7 +222,8 @@
             throw new HttpException(400, "bad header");
         }
         String value = text.substring(colon + 1).strip();
-        // Joined as the standard requires: a second coding, length or id is then invalid instead of being ignored.
+        // Repeated headers are joined, as the standard requires: a second coding, length or id is then invalid instead
+        // of being ignored.
         if (headers.merge(name, value, (first, second) -> first + ", " + second).length() > value.length()
                 && name.equals("content-length")) {
             throw new HttpException(400, "two lengths");
--- a/src/main/java/pepperdock/codec/http/HttpWriter.java
+++ b/src/main/java/pepperdock/codec/http/HttpWriter.java
@@ -23,7 +23,7 @@
 
     private HttpWriter() {}
 
-    /** Encodes a response; {@code extraHeaders} is further header lines, each with its line end, or empty. */
+    /** Encodes a response; {@code extraHeaders} holds further header lines, each with its line end, or empty. */
     public static byte[] response(int status, String contentType, String extraHeaders, byte[] body, boolean keepAlive) {
         return join(
                 "HTTP/1.1 " + status + ' ' + REASONS.getOrDefault(status, "Status") + "\r\nContent-Type: " + contentType
@@ -31,7 +31,7 @@
                 body);
     }
 
-    /** Encodes a request; {@code extraHeaders} is further header lines, each with its line end, or empty. */
+    /** Encodes a request; {@code extraHeaders} holds further header lines, each with its line end, or empty. */
     public static byte[] request(String method, String target, String host, String extraHeaders, byte[] body) {
         return join(method + ' ' + target + " HTTP/1.1\r\nHost: " + host + "\r\n" + extraHeaders, body);
     }
--- a/src/main/java/pepperdock/dnssd/DnsSdDiscovery.java
+++ b/src/main/java/pepperdock/dnssd/DnsSdDiscovery.java
@@ -134,7 +134,7 @@
         clock.after(Math.max(config.leastS(), delayS), this::browse);
     }
 
-    /** Resolves one instance; null if its records are gone, or do not suffice for sending to it. */
+    /** Resolves one instance; the result is null if its records are gone, or are not sufficient to send calls to it. */
     private CompletableFuture<WorkerEndpoint> resolve(Name instance) {
         return lookup(instance, Type.SRV).thenCompose(srvRecords -> {
             SRVRecord srv = srvRecords.stream()
@@ -182,7 +182,7 @@
             InetSocketAddress socketAddress = new InetSocketAddress(address, srv.getPort());
             String hostAndPort = socketAddress.getAddress().getHostAddress() + ':' + socketAddress.getPort();
             if (!attributes.containsKey("block")) {
-                throw new IllegalArgumentException("its TXT record has no key block");
+                throw new IllegalArgumentException("its TXT record has no key named block");
             }
             return new WorkerEndpoint(
                     id,
--- a/src/main/java/pepperdock/opensearch/ApiException.java
+++ b/src/main/java/pepperdock/opensearch/ApiException.java
@@ -1,6 +1,6 @@
 package pepperdock.opensearch;
 
-/** Signals a request that the API rejects, with the status, type and reason of its error shape. */
+/** Signals a request that the API rejects, with the status, type and reason of the error response. */
 final class ApiException extends Exception {
 
     private static final long serialVersionUID = 1;
--- a/src/main/java/pepperdock/opensearch/ApiResponses.java
+++ b/src/main/java/pepperdock/opensearch/ApiResponses.java
@@ -7,7 +7,7 @@
 import java.util.List;
 import pepperdock.transport.HttpResponseSender;
 
-/** Builds and sends the API's JSON shapes for answers and errors. */
+/** Builds and sends the API's JSON responses for answers and errors. */
 final class ApiResponses {
 
     private static final String JSON = "application/json; charset=UTF-8";
@@ -17,7 +17,7 @@
     /** A shard that is missing from the answer, and why. */
     record ShardFailure(int shard, String type, String reason) {}
 
-    static void sendError(HttpResponseSender reply, int status, String type, String reason, String extra) {
+    static void sendError(HttpResponseSender reply, int status, String type, String reason, String extraHeaders) {
         JsonObject cause = new JsonObject();
         cause.addProperty("type", type);
         cause.addProperty("reason", reason);
@@ -30,7 +30,7 @@
         JsonObject body = new JsonObject();
         body.add("error", error);
         body.addProperty("status", status);
-        reply.send(status, JSON, extra, bytes(body));
+        reply.send(status, JSON, extraHeaders, bytes(body));
     }
 
     static void sendOk(HttpResponseSender reply, JsonObject body) {
--- a/src/main/java/pepperdock/opensearch/ConnectionSlot.java
+++ b/src/main/java/pepperdock/opensearch/ConnectionSlot.java
@@ -8,7 +8,7 @@
 
     final HttpClient http;
 
-    /** The attempt that it serves; null while idle, and for requests that are no attempt. */
+    /** The attempt that the slot's request belongs to; null while idle, and for requests that belong to no attempt. */
     Attempt attempt;
 
     /** Whether its request is abandoned once the worker accepts no calls. */
--- a/src/main/java/pepperdock/opensearch/PartFailures.java
+++ b/src/main/java/pepperdock/opensearch/PartFailures.java
@@ -9,7 +9,7 @@
 
     private PartFailures() {}
 
-    /** Whether a part was sent and got no answer in time. */
+    /** Returns whether a part was sent and got no answer in time. */
     static boolean timedOut(Part part) {
         AttemptOutcome last = part.lastOutcome();
         return part.isSent() && (last == null || last == AttemptOutcome.TIMEOUT || last == AttemptOutcome.CANCELLED);
--- a/src/main/java/pepperdock/opensearch/QueryErrors.java
+++ b/src/main/java/pepperdock/opensearch/QueryErrors.java
@@ -2,7 +2,7 @@
 
 import pepperdock.transport.HttpResponseSender;
 
-/** Sends the responses to queries that end without an answer, in the API's error shape. */
+/** Sends the responses to queries that end without an answer, in the API's error format. */
 final class QueryErrors {
 
     private QueryErrors() {}
--- a/src/main/java/pepperdock/opensearch/RequestReader.java
+++ b/src/main/java/pepperdock/opensearch/RequestReader.java
@@ -26,7 +26,7 @@
 import pepperdock.scheduler.QueryClass;
 import pepperdock.scheduler.RetrySafety;
 
-/** Reads searches and updates into query requests for the core. */
+/** Parses searches and updates of clients into query requests for the core. */
 final class RequestReader {
 
     private static final TypeAdapter<JsonElement> JSON_ADAPTER = new Gson().getAdapter(JsonElement.class);
--- a/src/main/java/pepperdock/opensearch/ScrollHandler.java
+++ b/src/main/java/pepperdock/opensearch/ScrollHandler.java
@@ -75,7 +75,7 @@
         scroll.reading = true;
         double startedAt = clock.now();
         List<ScrollRegistry.ScrollShard> shards = scroll.shards.stream()
-                .filter(shard -> shard.context != null && shard.buffer.size() < scroll.request.size())
+                .filter(shard -> shard.contextId != null && shard.buffer.size() < scroll.request.size())
                 .toList();
         int[] pendingShards = {shards.size()};
         for (ScrollRegistry.ScrollShard shard : shards) {
@@ -117,7 +117,7 @@
         backend.nextPage(
                 shard.worker,
                 shard.number,
-                shard.context,
+                shard.contextId,
                 scroll.keepAliveS,
                 scroll.queryClass.latencyObjectiveS(),
                 stillWanted,
@@ -138,15 +138,15 @@
             scrolls.release(shard);
         } else {
             shard.buffer.addAll(page.hits());
-            shard.context = page.scrollId() != null ? page.scrollId() : shard.context;
+            shard.contextId = page.scrollId() != null ? page.scrollId() : shard.contextId;
         }
     }
 
     /** Answers with the next page, once all shards have been read. */
     private void sendPage(ScrollRegistry.Scroll scroll, double startedAt, HttpResponseSender reply) {
         if (scrolls.get(scroll.id) == null) {
-            // The scroll was closed, expired or abandoned meanwhile: contexts that the last answers renamed are
-            // released too.
+            // The scroll was closed, expired or abandoned meanwhile: contexts to which the last answers gave new ids
+            // are released too.
             scroll.shards.forEach(scrolls::release);
             ApiResponses.sendError(reply, 404, "search_context_missing_exception", "no search context found", "");
             return;
--- a/src/main/java/pepperdock/opensearch/ScrollRegistry.java
+++ b/src/main/java/pepperdock/opensearch/ScrollRegistry.java
@@ -27,7 +27,7 @@
         final double weight;
         final String worker;
         final ArrayDeque<Hit> buffer = new ArrayDeque<>();
-        String context;
+        String contextId;
         boolean timedOut;
         ShardFailure failure;
 
@@ -142,9 +142,9 @@
     }
 
     void release(ScrollShard shard) {
-        if (shard.context != null) {
-            contextReleaser.release(shard.worker, shard.context);
-            shard.context = null;
+        if (shard.contextId != null) {
+            contextReleaser.release(shard.worker, shard.contextId);
+            shard.contextId = null;
         }
     }
 
--- a/src/main/java/pepperdock/opensearch/SearchBackend.java
+++ b/src/main/java/pepperdock/opensearch/SearchBackend.java
@@ -48,8 +48,8 @@
 
     /**
      * Requests the next page of a shard's scroll from the one worker that holds its context; the listener receives null
-     * if there is no such page. The request is sent only while {@code stillWanted}, which is asked again if the request
-     * has waited for a connection.
+     * if there is no such page. The request is sent only if {@code stillWanted} returns true; it is called again if the
+     * request has waited for a connection.
      */
     void nextPage(
             String worker,
--- a/src/main/java/pepperdock/opensearch/SearchFront.java
+++ b/src/main/java/pepperdock/opensearch/SearchFront.java
@@ -50,7 +50,7 @@
         reader = new RequestReader(settings, config);
     }
 
-    /** Number of open scrolls. */
+    /** Returns the number of open scrolls. */
     public int openScrolls() {
         return scrolls.size();
     }
@@ -136,7 +136,7 @@
         }
     }
 
-    /** Sends the core's one final answer to a search in the API's shape. */
+    /** Sends the core's one final answer to a search in the API's format. */
     private final class SearchListener implements QueryListener {
         private final HttpResponseSender reply;
         private final SearchRequest request;
@@ -152,8 +152,8 @@
         }
 
         /**
-         * Marks the search as no longer about to open a scroll, once, however it ended; returns whether this was the
-         * first time.
+         * Records that the search has ended, however it ended, so that it no longer counts as about to open a scroll.
+         * Returns whether this was the first call.
          */
         private boolean markEnded() {
             boolean first = !ended;
@@ -212,7 +212,7 @@
             ScrollRegistry.ScrollShard shard =
                     new ScrollRegistry.ScrollShard(part.shard(), part.weight(), part.servedBy());
             shard.buffer.addAll(answer.hits());
-            shard.context = answer.scrollId();
+            shard.contextId = answer.scrollId();
             return shard;
         }
 
--- a/src/main/java/pepperdock/opensearch/SearchRequest.java
+++ b/src/main/java/pepperdock/opensearch/SearchRequest.java
@@ -4,7 +4,7 @@
 import java.util.Comparator;
 
 /**
- * One query as the API has it; the core passes it from the front to the backend without looking into it.
+ * One query in the terms of the API; the core passes it from the front to the backend without reading it.
  *
  * @param docId the document of an update; null for a search
  * @param body the body that is sent to each shard, without {@code from}
--- a/src/main/java/pepperdock/opensearch/SearchWorker.java
+++ b/src/main/java/pepperdock/opensearch/SearchWorker.java
@@ -27,7 +27,7 @@
 
     private static final int MAX_RESPONSE_BYTES = 4 << 20;
     private static final double IDLE_TIMEOUT_SHARE = 0.8;
-    /** How long a search that is no longer awaited may still take to return the scroll context that is then freed. */
+    /** Time limit for a search that is no longer awaited to return its scroll context, and for freeing the context. */
     private static final double RELEASE_TIMEOUT_S = 5;
 
     private static final double HEALTH_CHECK_TIMEOUT_S = 0.25;
@@ -81,7 +81,8 @@
                     queue.stream().filter(QueuedRequest::onlyWhileAccepting).toList();
             queue.removeAll(abandoned);
             abandoned.forEach(queued -> queued.listener().onFailure(null));
-            // They would be written once their connections are established, which may be after the time to stop.
+            // Requests that wait for a new connection end too: they would be written once it is established, which may
+            // be after the time to stop.
             List.copyOf(slots).stream()
                     .filter(slot -> slot.http.isConnecting() && slot.onlyWhileAccepting)
                     .forEach(slot -> {
@@ -113,7 +114,7 @@
     }
 
     private void send(Attempt attempt) {
-        byte[] request = requests.search(attempt, loop.now());
+        byte[] request = requests.attempt(attempt, loop.now());
         enqueue(
                 request,
                 attempt.deadline(),
@@ -164,7 +165,7 @@
             } catch (RuntimeException e) {
                 unusableAnswerLog.log(
                         System.Logger.Level.INFO,
-                        () -> "worker " + id + ", unusable answer for shard "
+                        () -> "worker " + id + " returned an unusable answer for shard "
                                 + attempt.part().shard() + ": " + e.getMessage());
             }
         }
@@ -226,7 +227,7 @@
                         } catch (RuntimeException e) {
                             unusableAnswerLog.log(
                                     System.Logger.Level.INFO,
-                                    () -> "worker " + id + ", unusable page of a scroll: " + e.getMessage());
+                                    () -> "worker " + id + " returned an unusable page of a scroll: " + e.getMessage());
                         }
                         listener.accept(page);
                     }
@@ -375,7 +376,7 @@
 
     /**
      * Starts queued requests while there are free connections. Asking whether a request is still wanted may cancel
-     * others, which calls this method again: the connection is therefore taken afterwards.
+     * others, which calls this method again: a free connection is therefore looked up again afterwards.
      */
     private void startQueued() {
         while (!queue.isEmpty() && freeSlot() != null) {
--- a/src/main/java/pepperdock/opensearch/UpdateListener.java
+++ b/src/main/java/pepperdock/opensearch/UpdateListener.java
@@ -6,7 +6,7 @@
 import pepperdock.core.QueryListener;
 import pepperdock.transport.HttpResponseSender;
 
-/** Sends the one final answer to an update: the worker's own JSON unchanged, or its text in the API's shape. */
+/** Sends the one final answer to an update: the worker's own JSON unchanged, or its text in the API's format. */
 record UpdateListener(HttpResponseSender reply) implements QueryListener {
 
     @Override
--- a/src/main/java/pepperdock/opensearch/WorkerRequests.java
+++ b/src/main/java/pepperdock/opensearch/WorkerRequests.java
@@ -39,7 +39,7 @@
      * Encodes one attempt at a part: a search of its shard, or an update of a document there; {@code now} is in
      * seconds.
      */
-    byte[] search(Attempt attempt, double now) {
+    byte[] attempt(Attempt attempt, double now) {
         QueryRequest request = attempt.part().query().request();
         int shard = attempt.part().shard();
         long timeoutMs = Math.max(1, (long) ((attempt.deadline() - now) * 1e3));
--- a/src/main/java/pepperdock/platform/DiscoveryProtocol.java
+++ b/src/main/java/pepperdock/platform/DiscoveryProtocol.java
@@ -32,7 +32,7 @@
     /** Parses the answer to either request; throws {@link ConfigException} if it is an error or malformed. */
     static EndpointListJson parseList(HttpMessage response, DeploymentSettings settings) {
         if (response.status() != 200) {
-            throw new ConfigException("answer", "status " + response.status());
+            throw new ConfigException("answer", "HTTP status " + response.status() + ", expected 200");
         }
         return EndpointListJson.parse(new String(response.body(), StandardCharsets.UTF_8), settings);
     }
--- a/src/main/java/pepperdock/platform/EndpointWatch.java
+++ b/src/main/java/pepperdock/platform/EndpointWatch.java
@@ -31,24 +31,27 @@
     private static final System.Logger LOG = System.getLogger("pepperdock.platform");
     /**
      * Milliseconds for which discovery may hold the first poll, and the first one after a failure. Close to zero, so
-     * that the loss of such a poll is noticed early. It returns the changes since the current version.
+     * that the loss of such a poll is noticed early. Such a poll returns the changes since the current version.
      */
-    static final int FIRST_POLL_MS = 1;
+    static final int FIRST_POLL_WAIT_MS = 1;
     /**
      * Milliseconds for which discovery may hold a long poll; events in that time count as delivered 2 s after its end.
      */
-    static final int LONG_POLL_MS = 8000;
+    static final int LONG_POLL_WAIT_MS = 8000;
     /**
      * Seconds until a poll that is not held is overdue. Discovery serves polls in order and ends those that have waited
-     * for some seconds: when overloaded, it answers just before that limit.
+     * for some seconds. When overloaded, it answers just before that limit, so this timeout must be longer.
      */
     private static final double FIRST_POLL_TIMEOUT_S = 3;
-    /** The same after an address change, when events count as delivered after 4 s: this leaves time for two polls. */
+    /**
+     * Seconds until a poll after an address change is overdue. Events then count as delivered after 4 s, which
+     * leaves time for two polls.
+     */
     static final double ADDRESS_CHANGE_TIMEOUT_S = 2.3;
     /**
      * Seconds after the end of its wait until a long poll is overdue. Events that it misses count as delivered 2 s
      * after the wait, or 6 s after discovery became unreachable, whichever is later. Waits between 4 s and
-     * {@link #LONG_POLL_MS} would gain nothing, and would cost discovery more polls.
+     * {@link #LONG_POLL_WAIT_MS} would gain nothing, and would cost discovery more polls.
      */
     private static final double LONG_POLL_MARGIN_S = 0.5;
     /**
@@ -60,8 +63,8 @@
     /** Seconds until an attempt to connect times out. */
     private static final double CONNECT_TIMEOUT_S = 1;
     /**
-     * The same for the retry of an overdue poll: if the network path is lost, there must be time for one more
-     * connection.
+     * Seconds until an attempt to connect times out for the retry of an overdue poll: if the network path is lost,
+     * there must be time for one more connection.
      */
     private static final double RETRY_CONNECT_TIMEOUT_S = 0.5;
     /**
@@ -126,7 +129,7 @@
         closeAll();
         useNewClient(newAddress, CONNECT_TIMEOUT_S);
         addressChanged = true;
-        poll(FIRST_POLL_MS);
+        poll(FIRST_POLL_WAIT_MS);
     }
 
     /**
@@ -143,13 +146,13 @@
     @Override
     public void watch() {
         if (!client.isBusy()) {
-            poll(firstPoll ? FIRST_POLL_MS : LONG_POLL_MS);
+            poll(firstPoll ? FIRST_POLL_WAIT_MS : LONG_POLL_WAIT_MS);
         }
     }
 
     /** Returns the seconds until a poll that discovery may hold for {@code waitMs} is overdue. */
     static double pollTimeoutS(int waitMs) {
-        return waitMs <= FIRST_POLL_MS ? FIRST_POLL_TIMEOUT_S : waitMs / 1e3 + LONG_POLL_MARGIN_S;
+        return waitMs <= FIRST_POLL_WAIT_MS ? FIRST_POLL_TIMEOUT_S : waitMs / 1e3 + LONG_POLL_MARGIN_S;
     }
 
     /** Sends a poll for changes, or for the complete list if no version of it is known at this address. */
@@ -204,7 +207,7 @@
     private void pollOnNewConnection() {
         overdueTimer.cancel();
         useNewClient(address, RETRY_CONNECT_TIMEOUT_S);
-        poll(FIRST_POLL_MS);
+        poll(FIRST_POLL_WAIT_MS);
     }
 
     private void closeAll() {
@@ -250,7 +253,7 @@
         addressChanged = false;
         agentBackoffS = MIN_AGENT_BACKOFF_S;
         // Poll before the list is applied: a poll that arrives late would begin a new watch.
-        poll(LONG_POLL_MS);
+        poll(LONG_POLL_WAIT_MS);
         EndpointListKind kind = list.whole() ? EndpointListKind.COMPLETE : EndpointListKind.CHANGES;
         core.onEndpointList(kind, list.hosts());
     }
--- a/src/main/java/pepperdock/platform/InFlightAttempts.java
+++ b/src/main/java/pepperdock/platform/InFlightAttempts.java
@@ -15,15 +15,18 @@
  */
 final class InFlightAttempts {
 
-    /** Ended ids remembered per connection: many times the number that end on one while a late result is in transit. */
+    /**
+     * Maximum number of ended ids to remember for each connection: many times the number of attempts that end on a
+     * connection while a late result is in transit.
+     */
     private static final int MAX_ENDED_IDS = 512;
 
     /**
      * An attempt whose call has been written to the connection.
      *
-     * @param frameEnd the number of bytes queued on the connection up to the end of the call's frame
+     * @param frameEndOffset the number of bytes queued on the connection up to the end of the call's frame
      */
-    record InFlight(Attempt attempt, long frameEnd) {
+    record InFlight(Attempt attempt, long frameEndOffset) {
 
         private long querySequenceNumber() {
             return attempt.part().query().sequenceNumber();
--- a/src/main/java/pepperdock/platform/WorkerConnection.java
+++ b/src/main/java/pepperdock/platform/WorkerConnection.java
@@ -77,7 +77,7 @@
     }
 
     /** Returns the number of parts that are in flight, or pending until they can be written. */
-    int inFlight() {
+    int unfinishedPartCount() {
         return inFlight.size() + pendingCalls.stream().mapToInt(List::size).sum();
     }
 
@@ -131,9 +131,9 @@
             lastProgressAt = context.loop().now();
         }
         byte[] frame = WorkerProtocol.encodeCall(parts);
-        long frameEnd = connection.bytesQueued() + frame.length;
+        long frameEndOffset = connection.bytesQueued() + frame.length;
         for (Attempt attempt : call) {
-            InFlight entry = new InFlight(attempt, frameEnd);
+            InFlight entry = new InFlight(attempt, frameEndOffset);
             inFlight.add(entry);
             unflushed.add(entry);
         }
@@ -154,7 +154,7 @@
 
     /** Reports the attempts whose frame has been completely passed to the kernel. */
     private void reportWritten() {
-        while (!unflushed.isEmpty() && unflushed.peekFirst().frameEnd() <= connection.bytesWritten()) {
+        while (!unflushed.isEmpty() && unflushed.peekFirst().frameEndOffset() <= connection.bytesWritten()) {
             context.core().onAttemptWritten(unflushed.removeFirst().attempt());
         }
     }
@@ -325,7 +325,7 @@
         healthChecks.onConnectionReset();
         endPendingCalls(AttemptOutcome.CONNECT_FAILED);
         for (InFlight entry : broken) {
-            boolean written = source.bytesWritten() >= entry.frameEnd();
+            boolean written = source.bytesWritten() >= entry.frameEndOffset();
             AttemptOutcome outcome = written ? AttemptOutcome.RESET : AttemptOutcome.CONNECT_FAILED;
             context.core().onAttemptEnded(entry.attempt(), outcome, LoadReport.NONE, null);
         }
--- a/src/main/java/pepperdock/platform/WorkerConnectionPool.java
+++ b/src/main/java/pepperdock/platform/WorkerConnectionPool.java
@@ -21,10 +21,10 @@
 final class WorkerConnectionPool implements PooledBackend.PooledWorker {
 
     /**
-     * An unresponsive connection is replaced only while there are fewer connections than this: the worker may have
-     * stalled.
+     * While a worker has this many connections, no further one is opened only because one of them is unresponsive or
+     * has a conflicting id: the worker may have stalled.
      */
-    private static final int MAX_CONNECTIONS = 3;
+    private static final int REPLACEMENT_LIMIT = 3;
 
     private final WorkerContext context;
     private final String address;
@@ -99,7 +99,8 @@
         for (WorkerConnection connection : connections) {
             if (connection.hasIdConflict(call)) {
                 idConflict = true;
-            } else if (connection.inFlight() + call.size() <= context.settings().partsPerConnection()) {
+            } else if (connection.unfinishedPartCount() + call.size()
+                    <= context.settings().partsPerConnection()) {
                 if (!connection.isUnresponsive()) {
                     connection.send(call);
                     return;
@@ -107,10 +108,10 @@
                 unresponsive = connection;
             }
         }
-        boolean full = connections.size() >= MAX_CONNECTIONS;
-        if (full && unresponsive != null) {
+        boolean atReplacementLimit = connections.size() >= REPLACEMENT_LIMIT;
+        if (atReplacementLimit && unresponsive != null) {
             unresponsive.send(call);
-        } else if (full && idConflict) {
+        } else if (atReplacementLimit && idConflict) {
             // A result could not be distinguished from that of an earlier query with the same id.
             context.endAttempts(call, AttemptOutcome.NOT_SENT);
         } else {
--- a/src/main/java/pepperdock/platform/WorkerProtocol.java
+++ b/src/main/java/pepperdock/platform/WorkerProtocol.java
@@ -44,7 +44,7 @@
     /** The maximum size of a result header: an id, two words and a load report fit well within it. */
     private static final int MAX_RESULT_HEADER_BYTES = 1024;
 
-    /** The fields of a result's header: id, outcome, score, load report. */
+    /** The number of fields in a result's header: id, outcome, score, load report. */
     private static final int RESULT_HEADER_FIELDS = 4;
 
     private static final String HEALTHY = "good";
--- a/src/main/java/pepperdock/transport/Connection.java
+++ b/src/main/java/pepperdock/transport/Connection.java
@@ -36,8 +36,11 @@
 
     /** Bounds the reads in one turn of the loop, so that a peer that sends at full speed does not starve the others. */
     private static final int MAX_READS_PER_TURN = 16;
-    /** Input that is discarded after the last write: enough for data in flight, not for all that a peer may send. */
-    private static final int MAX_LINGER_BYTES = 1 << 20;
+    /**
+     * Maximum number of input bytes to discard, after the last write or beyond the limit on unconsumed bytes: enough
+     * for data in flight, not for all that a peer may send.
+     */
+    private static final int MAX_DISCARDED_BYTES = 1 << 20;
 
     private final EventLoop loop;
     private final StreamConnection channel;
@@ -82,16 +85,16 @@
         maxUnconsumedBytes = maxBytes;
     }
     /**
-     * The buffer, with input from {@link #readStart} to {@link #readEnd}. Each callback may replace it by another one.
+     * Returns the buffer, with input from {@link #readStart} to {@link #readEnd}. Each callback may replace the buffer.
      */
     public byte[] bytes() {
         return buffer.bytes();
     }
-    /** Index of the first input byte that is not consumed yet. */
+    /** Returns the index of the first input byte that is not consumed yet. */
     public int readStart() {
         return buffer.readStart();
     }
-    /** Index after the last input byte. */
+    /** Returns the index after the last input byte. */
     public int readEnd() {
         return buffer.readEnd();
     }
@@ -103,45 +106,47 @@
         }
     }
 
-    /** Whether input was discarded: later input may then begin in the middle of a message. */
+    /** Returns whether input was discarded: later input may then begin in the middle of a message. */
     public boolean hasDiscardedInput() {
         return hasDiscardedInput;
     }
 
-    /** Whether the connection ended by an error, such as a reset, rather than by an orderly close of the peer. */
+    /**
+     * Returns whether the connection ended by an error, such as a reset, rather than by an orderly close of the peer.
+     */
     public boolean endedByError() {
         return endedByError;
     }
 
-    /** Bytes given to {@link #write} so far. */
+    /** Returns the number of bytes given to {@link #write} so far. */
     public long bytesQueued() {
         return bytesQueued;
     }
 
-    /** Bytes that the kernel has taken so far. */
+    /** Returns the number of bytes that the kernel has taken so far. */
     public long bytesWritten() {
         return bytesWritten;
     }
 
-    /** Whether something given to {@link #write} has not been taken by the kernel yet. */
+    /** Returns whether something given to {@link #write} has not been taken by the kernel yet. */
     public boolean hasUnwrittenBytes() {
         return !closed && !buffer.nothingToWrite();
     }
-    /** Whether the connection has been closed, by either side. */
+    /** Returns whether the connection has been closed, by either side. */
     public boolean isClosed() {
         return closed;
     }
 
     /**
-     * Reads the input that has arrived by now, without waiting for a read event. To be called before a connection is
-     * closed as idle: the kernel of this machine has already accepted the unread input, and the close would lose it.
+     * Reads the input that has arrived by now, without waiting for a read event. Call this before closing an idle
+     * connection: the kernel of this machine has already accepted the unread input, and the close would lose it.
      */
     public void readNow() {
         if (!closed && handler != null) {
             guarded(this::read);
         }
     }
-    /** The address of the peer. */
+    /** Returns the address of the peer. */
     public InetSocketAddress peer() {
         return channel.getPeerAddress(InetSocketAddress.class);
     }
@@ -178,8 +183,9 @@
 
     /**
      * Closes the outgoing side once all output is written, and the connection when the peer closes too or has sent too
-     * much. This guards against the reset that a close with unread input sends: it overtakes a response that the peer
-     * has not read yet. The owner bounds the time by calling {@link #close}; the handler is not called any more.
+     * much. This guards against the reset that a close with unread input sends: the reset can overtake a response that
+     * the peer has not read yet, which is then lost. The owner bounds the time by calling {@link #close}; the handler
+     * is not called any more.
      */
     public void closeAfterWrites() {
         lingering = true;
@@ -248,7 +254,7 @@
         }
         hasDiscardedInput |= count > 0;
         bytesDiscarded += count;
-        if (bytesDiscarded > MAX_LINGER_BYTES && !inputOverflowReported) {
+        if (bytesDiscarded > MAX_DISCARDED_BYTES && !inputOverflowReported) {
             inputOverflowReported = true;
             bytesDiscarded = 0;
             handler.onInputOverflow(this);
@@ -260,7 +266,7 @@
         ByteBuffer space = loop.discardBuffer();
         int count = source.read(space);
         bytesDiscarded += Math.max(0, count);
-        if (count < 0 || bytesDiscarded > MAX_LINGER_BYTES) {
+        if (count < 0 || bytesDiscarded > MAX_DISCARDED_BYTES) {
             close();
         }
     }
--- a/src/main/java/pepperdock/transport/ConnectionBuffer.java
+++ b/src/main/java/pepperdock/transport/ConnectionBuffer.java
@@ -10,7 +10,7 @@
 final class ConnectionBuffer {
 
     static final int MIN_CAPACITY = 2048;
-    /** Least free space for a read, in bytes. */
+    /** Minimum free space for a read, in bytes. */
     private static final int MIN_READ_SPACE = 512;
 
     private final int maxCapacity;
--- a/src/main/java/pepperdock/transport/DatagramSocket.java
+++ b/src/main/java/pepperdock/transport/DatagramSocket.java
@@ -45,11 +45,11 @@
         });
         channel.resumeReads();
     }
-    /** The local address. */
+    /** Returns the local address. */
     public InetSocketAddress address() {
         return channel.getLocalAddress(InetSocketAddress.class);
     }
-    /** Sends a datagram, or drops it if the socket takes none now. */
+    /** Sends a datagram, or drops it if the socket cannot take it now. */
     public void send(InetSocketAddress address, byte[] bytes) {
         try {
             channel.sendTo(address, ByteBuffer.wrap(bytes));
--- a/src/main/java/pepperdock/transport/EventLoop.java
+++ b/src/main/java/pepperdock/transport/EventLoop.java
@@ -34,7 +34,9 @@
     private final XnioIoThread thread;
     private final int bufferCap;
     private int socketCap;
-    /** The cap while no other process has a part of it, and an upper bound on this process's part while one has. */
+    /**
+     * The cap while it is not shared with an upgrade peer. While it is shared, an upper bound on this process's part.
+     */
     private int unsharedSocketCap;
 
     private int sharedCap = Integer.MAX_VALUE;
@@ -43,7 +45,7 @@
     private final long startedNanos = System.nanoTime();
     private final ByteBuffer discardBuffer = ByteBuffer.allocateDirect(1 << 16);
     private final LogRateLimiter rejectedClientLog = new LogRateLimiter(LOG, this, "clients rejected");
-    private int connecting;
+    private int connectingCount;
 
     /**
      * Starts a loop; {@code socketCap} bounds connections of all kinds together, {@code bufferCap} the buffer of each.
@@ -85,7 +87,8 @@
             XnioExecutor.Key key = thread.executeAfter(
                     () -> guarded(unlessCancelled), (long) (seconds * 1e6) + 1, TimeUnit.MICROSECONDS);
             return () -> {
-                // Timers that expire in the same turn leave the queue together, and remove no longer finds them there.
+                // Removing the key is not enough: timers that expire in the same turn leave the queue together, and
+                // remove no longer finds them there.
                 cancelled[0] = true;
                 key.remove();
             };
@@ -103,7 +106,7 @@
         }
     }
 
-    /** The cap on connections of all kinds. */
+    /** Returns the cap on connections of all kinds. */
     public int socketCap() {
         return socketCap;
     }
@@ -114,7 +117,7 @@
         socketCap = Math.min(unsharedSocketCap, sharedCap);
     }
 
-    /** The cap that {@link #setSocketCap} has set, whether or not another process has a part of it now. */
+    /** Returns the cap that {@link #setSocketCap} has set, whether or not it is shared with an upgrade peer now. */
     public int unsharedSocketCap() {
         return unsharedSocketCap;
     }
@@ -133,12 +136,12 @@
         return discardBuffer.clear();
     }
 
-    /** Number of sockets that count under the cap now. */
+    /** Returns the number of sockets that count under the cap now. */
     public int socketsInUse() {
-        return open.size() + connecting;
+        return open.size() + connectingCount;
     }
 
-    /** Number of sockets that are still free under the cap. */
+    /** Returns the number of sockets that are still free under the cap. */
     public int spareSockets() {
         return socketCap - socketsInUse();
     }
@@ -158,7 +161,7 @@
 
     /** A listening socket that can be closed. */
     public interface ServerSocketHandle extends AutoCloseable {
-        /** The local address. */
+        /** Returns the local address. */
         InetSocketAddress address();
 
         @Override
@@ -230,7 +233,7 @@
                     System.Logger.Level.WARNING, () -> "client rejected: no socket is free for its connection");
             IoUtils.safeClose(accepted);
         } else {
-            opened.accept(adopt(accepted, scope != SocketScope.OUTSIDE_CAP));
+            opened.accept(register(accepted, scope != SocketScope.OUTSIDE_CAP));
         }
     }
 
@@ -256,20 +259,20 @@
     public void connect(InetSocketAddress address, SocketScope scope, double timeoutS, ConnectListener listener) {
         boolean counted = scope != SocketScope.OUTSIDE_CAP;
         int socketCount = counted ? 1 : 0;
-        connecting += socketCount;
+        connectingCount += socketCount;
         boolean[] finished = {false};
         if (counted && spareSockets() < 0) {
             execute(() -> {
-                connecting--;
+                connectingCount--;
                 listener.onFailed();
             });
             return;
         }
         IoFuture<StreamConnection> future = thread.openStreamConnection(address, null, SOCKET_OPTIONS);
-        Timer limit = after(timeoutS, () -> {
+        Timer timeoutTimer = after(timeoutS, () -> {
             if (!finished[0]) {
                 finished[0] = true;
-                connecting -= socketCount;
+                connectingCount -= socketCount;
                 future.cancel();
                 listener.onFailed();
             }
@@ -283,12 +286,12 @@
                         return;
                     }
                     finished[0] = true;
-                    connecting -= socketCount;
-                    limit.cancel();
+                    connectingCount -= socketCount;
+                    timeoutTimer.cancel();
                     if (connected == null) {
                         listener.onFailed();
                     } else {
-                        listener.onConnected(adopt(connected, counted));
+                        listener.onConnected(register(connected, counted));
                     }
                 }),
                 null);
@@ -302,7 +305,7 @@
         }
     }
 
-    private Connection adopt(StreamConnection channel, boolean counted) {
+    private Connection register(StreamConnection channel, boolean counted) {
         Connection connection = new Connection(this, channel, bufferCap);
         if (counted) {
             open.add(connection);
--- a/src/main/java/pepperdock/transport/HttpClient.java
+++ b/src/main/java/pepperdock/transport/HttpClient.java
@@ -61,16 +61,18 @@
         this.connectTimeoutS = connectTimeoutS;
         this.maxBodyBytes = maxBodyBytes;
     }
-    /** Whether a request awaits its response. */
+    /** Returns whether a request awaits its response. */
     public boolean isBusy() {
         return listener != null;
     }
-    /** Whether a connection is open. */
+    /** Returns whether a connection is open. */
     public boolean isConnected() {
         return connection != null;
     }
 
-    /** Whether a request waits for a connection that is still being established: nothing of it has been written. */
+    /**
+     * Returns whether a request waits for a connection that is still being established: nothing of it has been written.
+     */
     public boolean isConnecting() {
         return listener != null && connection == null;
     }
@@ -124,8 +126,8 @@
     }
 
     /**
-     * Writes the request; its timeout starts here, as a server that lets a call wait counts from when it has received
-     * it.
+     * Writes the request and starts its timeout, because a server that holds a request counts the time from its
+     * receipt.
      */
     private void write(byte[] request, double timeoutS) {
         long number = requestNumber;
@@ -196,7 +198,8 @@
             return;
         }
         if (!source.endedByError()) {
-            // A reset does not end a response: half of one without a length would pass for the whole.
+            // A reset does not complete a response: half of a response without a length would otherwise be taken for
+            // the whole.
             parser.onEndOfInput();
         }
         if (parser.isComplete()) {
--- a/src/main/java/pepperdock/transport/HttpServer.java
+++ b/src/main/java/pepperdock/transport/HttpServer.java
@@ -97,7 +97,7 @@
         });
         loop.after(TIMEOUT_SWEEP_INTERVAL_S, this::enforceTimeouts);
     }
-    /** The address that the server listens on. */
+    /** Returns the address that the server listens on. */
     public InetSocketAddress address() {
         return listening.address();
     }
@@ -107,7 +107,7 @@
         draining = true;
     }
 
-    /** Whether clients can still connect here. */
+    /** Returns whether clients can still connect here. */
     public boolean isListening() {
         return !stopped;
     }
@@ -146,13 +146,13 @@
         List.copyOf(connections).forEach(client -> client.connection.readNow());
     }
 
-    /** Number of open connections, idle ones included. */
+    /** Returns the number of open connections, idle ones included. */
     public int connectionCount() {
         connections.removeIf(client -> client.connection.isClosed());
         return connections.size();
     }
 
-    /** Number of connections with a request in progress, or with a response that is not wholly written. */
+    /** Returns the number of connections with a request in progress, or with a response that is not wholly written. */
     public int busyConnectionCount() {
         return (int) connections.stream()
                 .filter(client -> !client.connection.isClosed())
@@ -252,7 +252,7 @@
             return state == inState && now - stateSince > timeoutS;
         }
 
-        /** Whether the client does not read, or has been given enough time to close after its last response. */
+        /** Returns whether the client does not read, or has been given enough time to close after its last response. */
         private boolean mustCloseAtOnce(double now) {
             if (connection.hasUnwrittenBytes()) {
                 return now - lastWriteAt > RESPONSE_READ_TIMEOUT_S
@@ -312,7 +312,8 @@
             handler.rejectMalformed(
                     e.status(),
                     e.getMessage(),
-                    (status, type, extra, body) -> respond(number, false, status, type, extra, body));
+                    (status, contentType, extraHeaders, body) ->
+                            respond(number, false, status, contentType, extraHeaders, body));
         }
 
         private void serve(HttpMessage message) {
@@ -340,8 +341,8 @@
         private HttpResponseSender responseSender(long number, boolean keepAlive) {
             return new HttpResponseSender() {
                 @Override
-                public void send(int status, String type, String extra, byte[] body) {
-                    respond(number, keepAlive, status, type, extra, body);
+                public void send(int status, String contentType, String extraHeaders, byte[] body) {
+                    respond(number, keepAlive, status, contentType, extraHeaders, body);
                 }
 
                 @Override
@@ -353,14 +354,15 @@
             };
         }
 
-        private void respond(long number, boolean keepAlive, int status, String type, String extra, byte[] body) {
+        private void respond(
+                long number, boolean keepAlive, int status, String contentType, String extraHeaders, byte[] body) {
             if (number != requestNumber || disconnectHandler == null || connection.isClosed()) {
                 return;
             }
             disconnectHandler = null;
             // Discarded requests can't be answered: closing shows the client that this response is the last.
             boolean keep = keepAlive && !draining && !connection.hasDiscardedInput();
-            byte[] response = HttpWriter.response(status, type, extra, body, keep);
+            byte[] response = HttpWriter.response(status, contentType, extraHeaders, body, keep);
             // A HEAD is answered without the body: the client would take its bytes for the next response.
             connection.write(isHeadRequest ? Arrays.copyOf(response, response.length - body.length) : response);
             if (!keep) {
--- a/src/test/java/pepperdock/opensearch/FakeSearchWorker.java
+++ b/src/test/java/pepperdock/opensearch/FakeSearchWorker.java
@@ -21,7 +21,7 @@
 
 /**
  * A fake worker that speaks the OpenSearch-style API: searches of one shard, scrolls and updates, in the public API's
- * shapes.
+ * format.
  */
 final class FakeSearchWorker implements java.io.Closeable {
 
@@ -64,16 +64,17 @@
         String path = exchange.getRequestURI().getPath();
         try {
             if (path.equals("/_search/scroll")) {
-                scroll(exchange, request);
+                serveScroll(exchange, request);
             } else {
-                part(exchange, path, request);
+                servePart(exchange, path, request);
             }
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         }
     }
 
-    private void part(HttpExchange exchange, String path, JsonObject request) throws IOException, InterruptedException {
+    private void servePart(HttpExchange exchange, String path, JsonObject request)
+            throws IOException, InterruptedException {
         Matcher matcher = SHARD.matcher(exchange.getRequestURI().getQuery());
         int shard = matcher.find() ? Integer.parseInt(matcher.group(1)) : -1;
         boolean update = path.contains("/_update/");
@@ -100,13 +101,13 @@
                     answer(
                             exchange,
                             200,
-                            found(1, hit(shard, 0, FakeWorkerBehaviour.value(text, shard)))
+                            searchBody(1, hit(shard, 0, FakeWorkerBehaviour.value(text, shard)))
                                     .toString());
                 }
             }
             case BAD -> {
-                // The hard case: a success status, with a body that says that the shard failed.
-                JsonObject failed = found(0);
+                // A success status, with a body that says that the shard failed.
+                JsonObject failed = searchBody(0);
                 failed.add(
                         "_shards",
                         JsonParser.parseString("{\"total\":1,\"successful\":0,\"failed\":1,\"failures\":"
@@ -119,7 +120,7 @@
         }
     }
 
-    private void scroll(HttpExchange exchange, JsonObject request) throws IOException, InterruptedException {
+    private void serveScroll(HttpExchange exchange, JsonObject request) throws IOException, InterruptedException {
         String id = request.get("scroll_id").getAsString();
         if (exchange.getRequestMethod().equals("DELETE")) {
             boolean existed = contexts.remove(id) != null;
@@ -142,7 +143,7 @@
         for (int i = 0; i < hits.length; i++) {
             hits[i] = hit(shard, from + i, "v");
         }
-        JsonObject page = found(HITS, hits);
+        JsonObject page = searchBody(HITS, hits);
         page.addProperty("_scroll_id", id);
         return page.toString();
     }
@@ -158,7 +159,7 @@
         return hit;
     }
 
-    private static JsonObject found(int total, JsonObject... hits) {
+    private static JsonObject searchBody(int total, JsonObject... hits) {
         JsonArray list = new JsonArray();
         for (JsonObject hit : hits) {
             list.add(hit);
--- a/src/test/java/pepperdock/opensearch/FrontFixture.java
+++ b/src/test/java/pepperdock/opensearch/FrontFixture.java
@@ -104,7 +104,7 @@
     }
 
     /** Changes the settings and the classes of the indices, as SIGHUP does. */
-    void change(String settings, Map<String, Integer> indices) throws Exception {
+    void updateSettings(String settings, Map<String, Integer> indices) throws Exception {
         DeploymentSettings changed = TestDeploymentSettings.with(settings).withoutIdempotencyKeys();
         CountDownLatch done = new CountDownLatch(1);
         loop.execute(() -> {
@@ -211,7 +211,10 @@
                 response.statusCode() == 429 ? "refused" : Integer.toString(response.statusCode()), complete, values);
     }
 
-    /** Waits until a condition holds that is bound to become true; only a failing test waits long, 30 s. */
+    /**
+     * Waits until a condition holds. The condition must be bound to become true: only a failing test waits for the
+     * limit of 30 s.
+     */
     static void await(BooleanSupplier condition) throws InterruptedException {
         for (int i = 0; i < 3000 && !condition.getAsBoolean(); i++) {
             Thread.sleep(10);
--- a/src/test/java/pepperdock/opensearch/SearchBackendTest.java
+++ b/src/test/java/pepperdock/opensearch/SearchBackendTest.java
@@ -75,7 +75,7 @@
                         new QueryRequest(
                                 "q", 2, "k", 30, List.of(new QueryRequest.RequestedPart(0, 1)), new byte[] {'t'}, null),
                         listener);
-                // Right after the batch that sends, before the loop can notice that the connection is established.
+                // Runs after the batch that sends, before the loop can notice that the connection is established.
                 loop.execute(() -> gatherer.onEndpointList(EndpointListKind.CHANGES, List.of(draining)));
             });
             assertEquals("refused " + AttemptOutcome.NOT_SENT, ended.poll(30, TimeUnit.SECONDS));
@@ -128,7 +128,7 @@
                                 new byte[] {'t'},
                                 scroll),
                         listener);
-                // Right after the batch that sends, before the loop can notice that the connection is established.
+                // Runs after the batch that sends, before the loop can notice that the connection is established.
                 loop.execute(() -> gatherer.onClientGone(query));
             });
             server.setSoTimeout(30_000);
--- a/src/test/java/pepperdock/opensearch/SearchFrontTest.java
+++ b/src/test/java/pepperdock/opensearch/SearchFrontTest.java
@@ -47,7 +47,7 @@
         return ids;
     }
 
-    private static String nextPage(String id) {
+    private static String nextPageBody(String id) {
         return "{\"scroll\":\"1m\",\"scroll_id\":\"" + id + "\"}";
     }
 
@@ -59,14 +59,15 @@
         while (!ids(page).isEmpty()) {
             assertTrue(ids(page).size() <= 2);
             all.addAll(ids(page));
-            page = FrontFixture.json(fixture.send("POST", "/_search/scroll", nextPage(id)));
+            page = FrontFixture.json(fixture.send("POST", "/_search/scroll", nextPageBody(id)));
         }
         assertEquals(3 * FakeSearchWorker.HITS, all.size());
         assertEquals(all.size(), all.stream().distinct().count());
         FrontFixture.await(() -> fixture.contexts() == 0);
         assertEquals(
-                200, fixture.send("DELETE", "/_search/scroll", nextPage(id)).statusCode());
-        assertEquals(404, fixture.send("POST", "/_search/scroll", nextPage(id)).statusCode());
+                200, fixture.send("DELETE", "/_search/scroll", nextPageBody(id)).statusCode());
+        assertEquals(
+                404, fixture.send("POST", "/_search/scroll", nextPageBody(id)).statusCode());
     }
 
     @Test
@@ -86,8 +87,8 @@
     void disconnectDuringAPageFreesAllContexts() throws Exception {
         fixture.searchWorkers.forEach(worker -> worker.holdPages = new CountDownLatch(1));
         String id = openScroll("s").get("_scroll_id").getAsString();
-        fixture.send("POST", "/_search/scroll", nextPage(id));
-        String body = nextPage(id);
+        fixture.send("POST", "/_search/scroll", nextPageBody(id));
+        String body = nextPageBody(id);
         try (Socket client = new Socket("127.0.0.1", fixture.port())) {
             client.getOutputStream()
                     .write(("POST /_search/scroll HTTP/1.1\r\nHost: x\r\nContent-Length: " + body.length() + "\r\n\r\n"
@@ -108,7 +109,7 @@
     @Test
     void changedClassesDoNotAffectAnOpenScroll() throws Exception {
         String id = openScroll("s").get("_scroll_id").getAsString();
-        fixture.change(
+        fixture.updateSettings(
                 FrontFixture.SETTINGS.replace("\"MaxAttempts\":4", "\"MaxAttempts\":1"),
                 Map.of("history", 2, "reports", 1));
         HttpResponse<String> refused = fixture.send("POST", "/history/_search", QUERY.formatted("x"));
@@ -119,7 +120,7 @@
                 fixture.send("POST", "/reports/_search", QUERY.formatted("x")).statusCode());
         assertEquals(
                 2,
-                ids(FrontFixture.json(fixture.send("POST", "/_search/scroll", nextPage(id))))
+                ids(FrontFixture.json(fixture.send("POST", "/_search/scroll", nextPageBody(id))))
                         .size());
         assertEquals(
                 404,
--- a/src/test/java/pepperdock/platform/EndpointWatchTest.java
+++ b/src/test/java/pepperdock/platform/EndpointWatchTest.java
@@ -214,15 +214,15 @@
             discovery.readTarget();
             discovery.answerChanges(42, "a");
             assertEquals(Set.of("a"), awaitList());
-            assertEquals(pollLine(42, EndpointWatch.LONG_POLL_MS), discovery.readRequestLine());
+            assertEquals(pollLine(42, EndpointWatch.LONG_POLL_WAIT_MS), discovery.readRequestLine());
             failure.apply(discovery);
         }
         try (DiscoveryConnection discovery = DiscoveryConnection.accept(server)) {
-            assertEquals(pollLine(42, EndpointWatch.FIRST_POLL_MS), discovery.readRequestLine());
+            assertEquals(pollLine(42, EndpointWatch.FIRST_POLL_WAIT_MS), discovery.readRequestLine());
             discovery.readHeaders();
             discovery.answerChanges(43, "b");
             assertEquals(Set.of("a", "b"), awaitList());
-            assertEquals(pollLine(43, EndpointWatch.LONG_POLL_MS), discovery.readRequestLine());
+            assertEquals(pollLine(43, EndpointWatch.LONG_POLL_WAIT_MS), discovery.readRequestLine());
         }
     }
 
@@ -351,11 +351,11 @@
      */
     @Test
     void aPollIsOverdueEarlyEnoughForARetryBeforeItsEventsCountAsDelivered() {
-        double waitS = EndpointWatch.LONG_POLL_MS / 1e3;
-        double longPollTimeoutS = EndpointWatch.pollTimeoutS(EndpointWatch.LONG_POLL_MS);
+        double waitS = EndpointWatch.LONG_POLL_WAIT_MS / 1e3;
+        double longPollTimeoutS = EndpointWatch.pollTimeoutS(EndpointWatch.LONG_POLL_WAIT_MS);
         assertTrue(longPollTimeoutS <= waitS + DELIVERED_AFTER_WAIT_S - 1, "no time for a pause and an answer");
         assertTrue(longPollTimeoutS > waitS, "times out before an answer at the end of the wait");
-        double firstPollTimeoutS = EndpointWatch.pollTimeoutS(EndpointWatch.FIRST_POLL_MS);
+        double firstPollTimeoutS = EndpointWatch.pollTimeoutS(EndpointWatch.FIRST_POLL_WAIT_MS);
         assertTrue(firstPollTimeoutS > DISCOVERY_LIMIT_S, "times out before an overloaded discovery answers");
     }
 
--- a/src/test/java/pepperdock/platform/WorkerConnectionTest.java
+++ b/src/test/java/pepperdock/platform/WorkerConnectionTest.java
@@ -159,7 +159,7 @@
                 worker.loop.execute(() -> {
                     Query small = worker.gatherer.submit(
                             OneWorkerFixture.request("small", OneWorkerFixture.KEYED_CLASS), worker.recorder());
-                    // After the batch that sends it.
+                    // This runs after the batch that sends the small call.
                     worker.loop.after(0.02, () -> {
                         sent.add(small.parts().get(0).isSent());
                         withdrawal.apply(worker, small);
@@ -168,8 +168,8 @@
                 });
                 assertTrue(sent.take(), "the small call was not sent by the scheduler");
                 List<String> frames = framesUpToHealthCheck(in);
-                // Once more, because a call that was still pending would be written after everything before it had been
-                // written.
+                // A second health check is awaited, because a call that was still pending would be written after
+                // everything before it had been written.
                 worker.loop.execute(() -> worker.backend.checkHealth("w"));
                 frames.addAll(framesUpToHealthCheck(in));
                 assertEquals(List.of("mbig.0", "o", "o"), frames);
--- a/src/test/java/pepperdock/transport/ClientGoneTest.java
+++ b/src/test/java/pepperdock/transport/ClientGoneTest.java
@@ -21,14 +21,14 @@
 
 /**
  * Checks that the server notices clients that disconnect while their request is in progress, in each way of
- * disconnecting, also with more input behind the request than is kept.
+ * disconnecting, and also when more input follows the request than the server keeps.
  */
 @Timeout(60)
 class ClientGoneTest {
 
     private static final String REQUEST = "POST /hold HTTP/1.1\r\nContent-Length: 2\r\n\r\n{}";
 
-    /** What the handler was told, in order: each request taken, and each client gone. */
+    /** The events of the handler, in order: each request taken, and each client gone. */
     private final BlockingQueue<String> events = new LinkedBlockingQueue<>();
 
     private final BlockingQueue<HttpResponseSender> pendingReplies = new LinkedBlockingQueue<>();
@@ -75,7 +75,7 @@
         return socket;
     }
 
-    private String next() throws InterruptedException {
+    private String nextEvent() throws InterruptedException {
         return events.poll(30, TimeUnit.SECONDS);
     }
 
@@ -100,9 +100,9 @@
     @EnumSource(Disconnect.class)
     void disconnectDuringARequestIsNoticed(Disconnect disconnect) throws Exception {
         Socket client = ask(REQUEST);
-        assertEquals("taken 1", next());
+        assertEquals("taken 1", nextEvent());
         disconnect.apply(client);
-        assertEquals("gone 1", next());
+        assertEquals("gone 1", nextEvent());
         client.close();
     }
 
@@ -115,16 +115,16 @@
     void disconnectBehindDiscardedInputIsNoticedAndDiscardedRequestsAreNotServed(Disconnect disconnect)
             throws Exception {
         Socket client = ask(REQUEST);
-        assertEquals("taken 1", next());
+        assertEquals("taken 1", nextEvent());
         client.getOutputStream().write(REQUEST.repeat(2000).getBytes(StandardCharsets.US_ASCII));
         disconnect.apply(client);
-        assertEquals("gone 1", next());
+        assertEquals("gone 1", nextEvent());
         client.close();
-        // Another client is served after all that the first could have caused.
+        // Another client is served only after everything that the first could have caused.
         Socket second = ask(REQUEST);
-        assertEquals("taken 2", next());
+        assertEquals("taken 2", nextEvent());
         second.close();
-        assertEquals("gone 2", next());
+        assertEquals("gone 2", nextEvent());
         assertTrue(events.isEmpty(), events::toString);
     }
 
@@ -136,14 +136,14 @@
     void requestThatArrivesWithTheDisconnectIsNotTaken() throws Exception {
         Socket client = ask(REQUEST + REQUEST);
         client.shutdownOutput();
-        assertEquals("taken 1", next());
-        assertEquals("gone 1", next());
+        assertEquals("taken 1", nextEvent());
+        assertEquals("gone 1", nextEvent());
         client.close();
         assertTrue(events.isEmpty(), events::toString);
     }
 
     /** Reads the head of a response; returns its status, and whether it says that its connection closes. */
-    private static String head(Socket client) throws IOException {
+    private static String readStatusAndClose(Socket client) throws IOException {
         StringBuilder head = new StringBuilder();
         while (!head.toString().endsWith("\r\n\r\n")) {
             int next = client.getInputStream().read();
@@ -161,19 +161,19 @@
     @ValueSource(ints = {100, 1500})
     void responseClosesTheConnectionIfRequestsBehindItWereDiscarded(int more) throws Exception {
         try (Socket client = ask(REQUEST)) {
-            assertEquals("taken 1", next());
+            assertEquals("taken 1", nextEvent());
             client.getOutputStream().write(REQUEST.repeat(more).getBytes(StandardCharsets.US_ASCII));
             HttpResponseSender first = pendingReplies.take();
             loop.execute(() -> {
                 server.readAllNow();
                 first.send(200, "text/plain", "", new byte[0]);
             });
-            assertEquals(more > 1000 ? "200 close" : "200", head(client));
+            assertEquals(more > 1000 ? "200 close" : "200", readStatusAndClose(client));
             if (more > 1000) {
                 assertEquals(-1, client.getInputStream().read());
                 assertTrue(events.isEmpty(), events::toString);
             } else {
-                assertEquals("taken 2", next());
+                assertEquals("taken 2", nextEvent());
             }
         }
     }
@@ -182,11 +182,11 @@
     @Test
     void clientThatKeepsSendingBehindARequestGets413AndItsRequestEnds() throws Exception {
         try (Socket client = ask(REQUEST)) {
-            assertEquals("taken 1", next());
+            assertEquals("taken 1", nextEvent());
             client.getOutputStream()
                     .write(REQUEST.repeat((5 << 18) / REQUEST.length()).getBytes(StandardCharsets.US_ASCII));
-            assertEquals("gone 1", next());
-            assertEquals("413 close", head(client));
+            assertEquals("gone 1", nextEvent());
+            assertEquals("413 close", readStatusAndClose(client));
             assertTrue(events.isEmpty(), events::toString);
         }
     }
@@ -203,7 +203,7 @@
         try (EventLoop roomy = new EventLoop(100, 1 << 25)) {
             HttpServer second = server(roomy);
             try (Socket client = ask(second, REQUEST + REQUEST)) {
-                assertEquals("taken 1", next());
+                assertEquals("taken 1", nextEvent());
                 HttpResponseSender first = pendingReplies.take();
                 BlockingQueue<Integer> takenMeanwhile = new LinkedBlockingQueue<>();
                 roomy.execute(() -> {
@@ -213,11 +213,11 @@
                     takenMeanwhile.add(events.size());
                 });
                 assertEquals(0, takenMeanwhile.poll(30, TimeUnit.SECONDS));
-                assertEquals("200", head(client));
+                assertEquals("200", readStatusAndClose(client));
                 client.getInputStream().readNBytes(LARGE_BODY_BYTES);
-                assertEquals("taken 2", next());
+                assertEquals("taken 2", nextEvent());
                 client.shutdownOutput();
-                assertEquals("gone 2", next());
+                assertEquals("gone 2", nextEvent());
             }
         }
     }
--- a/src/test/java/pepperdock/transport/ConnectionTest.java
+++ b/src/test/java/pepperdock/transport/ConnectionTest.java
@@ -12,8 +12,8 @@
 class ConnectionTest {
 
     /**
-     * Guards against a client for which as much input is held as its buffer may grow to, behind one request in
-     * progress.
+     * Guards against holding input up to the maximum size of the buffer for a client that keeps sending behind one
+     * request in progress.
      */
     @Test
     void unconsumedInputIsHeldOnlyUpToTheLimit() throws Exception {
--- a/src/test/java/pepperdock/transport/EventLoopTest.java
+++ b/src/test/java/pepperdock/transport/EventLoopTest.java
@@ -25,7 +25,8 @@
     }
 
     /**
-     * Blocks the loop until both timers are due: they left the queue together, and the second ran although cancelled.
+     * Blocks the loop until both timers are due. Guards against a second timer that runs although cancelled, because
+     * both left the queue together.
      */
     @Test
     void timerCancelledInTheTurnInWhichItExpiresDoesNotRun() throws Exception {
--- a/src/test/java/pepperdock/transport/HttpClientTest.java
+++ b/src/test/java/pepperdock/transport/HttpClientTest.java
@@ -61,7 +61,7 @@
         }
     }
 
-    /** Whether the parser has been given the body of the response. */
+    /** Returns whether the parser has been given the body of the response. */
     private static boolean hasParsedBody(HttpClient client) {
         try {
             java.lang.reflect.Field parser = HttpClient.class.getDeclaredField("parser");
--- a/src/test/java/pepperdock/transport/HttpServerTest.java
+++ b/src/test/java/pepperdock/transport/HttpServerTest.java
@@ -60,7 +60,7 @@
     }
 
     /** Reads the head of a response without a body, and no further; returns its first line. */
-    private static String status(Socket client) throws IOException {
+    private static String readStatusLine(Socket client) throws IOException {
         StringBuilder head = new StringBuilder();
         for (int next = client.getInputStream().read();
                 next >= 0;
@@ -74,7 +74,7 @@
     }
 
     /** Stops listening on the loop, after {@code clientStep} has run while the loop was blocked. */
-    private void stopAfter(IoTask clientStep) throws Exception {
+    private void stopListeningAfter(IoTask clientStep) throws Exception {
         whileBlocked(clientStep, server::stopListening);
     }
 
@@ -104,21 +104,21 @@
     void unreadRequestOnAnIdleConnectionIsAnswered() throws Exception {
         try (Socket client = connect()) {
             client.getOutputStream().write(REQUEST);
-            assertEquals("HTTP/1.1 200 OK", status(client));
-            stopAfter(() -> client.getOutputStream().write(REQUEST));
-            assertEquals("HTTP/1.1 200 OK", status(client));
+            assertEquals("HTTP/1.1 200 OK", readStatusLine(client));
+            stopListeningAfter(() -> client.getOutputStream().write(REQUEST));
+            assertEquals("HTTP/1.1 200 OK", readStatusLine(client));
         }
     }
 
     @Test
     void requestOnAConnectionNotYetAcceptedIsAnswered() throws Exception {
         Socket[] client = new Socket[1];
-        stopAfter(() -> {
+        stopListeningAfter(() -> {
             client[0] = connect();
             client[0].getOutputStream().write(REQUEST);
         });
         try (Socket accepted = client[0]) {
-            assertEquals("HTTP/1.1 200 OK", status(accepted));
+            assertEquals("HTTP/1.1 200 OK", readStatusLine(accepted));
         }
     }
 
@@ -189,13 +189,13 @@
             for (Socket client : clients) {
                 client.setSoTimeout(30_000);
                 client.getOutputStream().write(REQUEST);
-                assertEquals("HTTP/1.1 200 OK", status(client));
+                assertEquals("HTTP/1.1 200 OK", readStatusLine(client));
                 client.close();
             }
             try (Socket next =
                     new Socket(old.address().getAddress(), old.address().getPort())) {
                 next.getOutputStream().write(REQUEST);
-                assertEquals("HTTP/1.1 200 OK", status(next));
+                assertEquals("HTTP/1.1 200 OK", readStatusLine(next));
             }
         }
     }
@@ -230,7 +230,7 @@
             assertEquals('H', nonReader.getInputStream().read());
             try (Socket client = connect()) {
                 client.getOutputStream().write(REQUEST);
-                assertEquals("HTTP/1.1 200 OK", status(client));
+                assertEquals("HTTP/1.1 200 OK", readStatusLine(client));
             }
         }
     }
@@ -239,8 +239,8 @@
     void stopListeningClosesAnIdleConnection() throws Exception {
         try (Socket client = connect()) {
             client.getOutputStream().write(REQUEST);
-            assertEquals("HTTP/1.1 200 OK", status(client));
-            stopAfter(() -> {});
+            assertEquals("HTTP/1.1 200 OK", readStatusLine(client));
+            stopListeningAfter(() -> {});
             client.getInputStream().readAllBytes();
         }
     }
