--- a/src/main/java/pepperdock/membership/transport/MembershipEndpoint.java
+++ b/src/main/java/pepperdock/membership/transport/MembershipEndpoint.java
@@ -41,7 +41,7 @@
     }
 
     @Override
-    public void rejectMalformed(int status, String why, HttpResponseSender reply) {
+    public void respondWithError(int status, String why, HttpResponseSender reply) {
         JsonObject error = new JsonObject();
         error.addProperty("error", why);
         reply.send(status, JSON, "", error.toString().getBytes(StandardCharsets.UTF_8));
--- a/src/main/java/pepperdock/opensearch/SearchFront.java
+++ b/src/main/java/pepperdock/opensearch/SearchFront.java
@@ -56,7 +56,7 @@
     }
 
     @Override
-    public void rejectMalformed(int status, String reason, HttpResponseSender reply) {
+    public void respondWithError(int status, String reason, HttpResponseSender reply) {
         ApiResponses.sendError(reply, status, status == 500 ? "exception" : "illegal_argument_exception", reason, "");
     }
 
--- a/src/main/java/pepperdock/operator/OperatorEndpoint.java
+++ b/src/main/java/pepperdock/operator/OperatorEndpoint.java
@@ -77,7 +77,7 @@
             if (failed == null) {
                 respond(reply, 200, "", "disabled", banned);
             } else {
-                rejectMalformed(500, failed, reply);
+                respondWithError(500, failed, reply);
             }
         });
     }
@@ -107,7 +107,7 @@
     }
 
     @Override
-    public void rejectMalformed(int status, String why, HttpResponseSender reply) {
+    public void respondWithError(int status, String why, HttpResponseSender reply) {
         respond(reply, status, "", "error", why);
     }
 
--- a/src/main/java/pepperdock/platform/PlatformFront.java
+++ b/src/main/java/pepperdock/platform/PlatformFront.java
@@ -66,7 +66,7 @@
     }
 
     @Override
-    public void rejectMalformed(int status, String reason, HttpResponseSender reply) {
+    public void respondWithError(int status, String reason, HttpResponseSender reply) {
         String headers = status == METHOD_NOT_ALLOWED ? "Allow: GET, POST\r\n" : "";
         reply.send(status, ClientProtocol.CONTENT_TYPE, headers, ClientProtocol.errorBody(reason));
     }
--- a/src/main/java/pepperdock/transport/HttpRequestHandler.java
+++ b/src/main/java/pepperdock/transport/HttpRequestHandler.java
@@ -15,5 +15,5 @@
     Runnable serve(HttpMessage request, HttpResponseSender reply) throws HttpException;
 
     /** Sends the response to a request that is malformed or rejected, or whose handling failed, at once. */
-    void rejectMalformed(int status, String reason, HttpResponseSender reply);
+    void respondWithError(int status, String reason, HttpResponseSender reply);
 }
--- a/src/main/java/pepperdock/transport/HttpServer.java
+++ b/src/main/java/pepperdock/transport/HttpServer.java
@@ -244,7 +244,7 @@
                     || isTimedOut(ConnectionState.IDLE, IDLE_TIMEOUT_S, now)) {
                 closeIfIdle(this);
             } else if (isTimedOut(ConnectionState.READING, requestTimeoutS, now)) {
-                rejectMalformed(new HttpException(408, "request not finished in time"));
+                respondWithError(new HttpException(408, "request not finished in time"));
             }
         }
 
@@ -292,7 +292,7 @@
                     serve(parser.take());
                 }
             } catch (HttpException e) {
-                rejectMalformed(e);
+                respondWithError(e);
             } finally {
                 readingRequests = false;
             }
@@ -305,11 +305,11 @@
         }
 
         /** Answers a malformed request and reads no further, as later input can't be told apart from it. */
-        private void rejectMalformed(HttpException e) {
+        private void respondWithError(HttpException e) {
             long number = ++requestNumber;
             disconnectHandler = () -> {};
             rejectedRequestLog.log(System.Logger.Level.INFO, () -> "malformed request: " + e.getMessage());
-            handler.rejectMalformed(
+            handler.respondWithError(
                     e.status(),
                     e.getMessage(),
                     (status, contentType, extraHeaders, body) ->
@@ -331,10 +331,10 @@
                 rejectedRequestLog.log(
                         System.Logger.Level.INFO,
                         () -> "request for " + message.path() + " rejected: " + e.status() + ' ' + e.getMessage());
-                handler.rejectMalformed(e.status(), e.getMessage(), reply);
+                handler.respondWithError(e.status(), e.getMessage(), reply);
             } catch (RuntimeException e) {
                 LOG.log(System.Logger.Level.ERROR, "request handler failed", e);
-                handler.rejectMalformed(500, "internal error", reply);
+                handler.respondWithError(500, "internal error", reply);
             }
         }
 
@@ -380,7 +380,7 @@
         @Override
         public void onInputOverflow(Connection connection) {
             notifyDisconnect();
-            rejectMalformed(new HttpException(413, "too much sent behind a request in hand"));
+            respondWithError(new HttpException(413, "too much sent behind a request in hand"));
         }
 
         @Override
--- a/src/test/java/pepperdock/benchmark/DataPathTest.java
+++ b/src/test/java/pepperdock/benchmark/DataPathTest.java
@@ -294,8 +294,8 @@
         }
 
         @Override
-        public void rejectMalformed(int status, String why, HttpResponseSender reply) {
-            front.rejectMalformed(status, why, reply);
+        public void respondWithError(int status, String why, HttpResponseSender reply) {
+            front.respondWithError(status, why, reply);
         }
     }
 }
--- a/src/test/java/pepperdock/platform/ClientGoneBenchmark.java
+++ b/src/test/java/pepperdock/platform/ClientGoneBenchmark.java
@@ -153,8 +153,8 @@
             }
 
             @Override
-            public void rejectMalformed(int status, String why, HttpResponseSender reply) {
-                front.rejectMalformed(status, why, reply);
+            public void respondWithError(int status, String why, HttpResponseSender reply) {
+                front.respondWithError(status, why, reply);
             }
         };
     }
--- a/src/test/java/pepperdock/transport/ClientGoneTest.java
+++ b/src/test/java/pepperdock/transport/ClientGoneTest.java
@@ -44,7 +44,7 @@
         }
 
         @Override
-        public void rejectMalformed(int status, String why, HttpResponseSender reply) {
+        public void respondWithError(int status, String why, HttpResponseSender reply) {
             reply.send(status, "text/plain", "", new byte[0]);
         }
     };
--- a/src/test/java/pepperdock/transport/HttpServerTest.java
+++ b/src/test/java/pepperdock/transport/HttpServerTest.java
@@ -40,7 +40,7 @@
                 }
 
                 @Override
-                public void rejectMalformed(int status, String why, HttpResponseSender reply) {
+                public void respondWithError(int status, String why, HttpResponseSender reply) {
                     reply.send(status, "text/plain", "", new byte[0]);
                 }
             });
@@ -145,7 +145,7 @@
             }
 
             @Override
-            public void rejectMalformed(int status, String why, HttpResponseSender reply) {}
+            public void respondWithError(int status, String why, HttpResponseSender reply) {}
         };
     }
 
