--- a/src/test/java/pepperdock/codec/frame/RandomChunks.java
+++ b/src/test/java/pepperdock/codec/frame/RandomChunks.java
@@ -37,7 +37,7 @@
     }
 
     /** Returns fewer than 600 random bytes. */
-    public static byte[] garbage(long seed) {
+    public static byte[] randomBytes(long seed) {
         Random random = new Random(seed);
         byte[] bytes = new byte[random.nextInt(600)];
         random.nextBytes(bytes);
--- a/src/test/java/pepperdock/codec/http/HttpParserTest.java
+++ b/src/test/java/pepperdock/codec/http/HttpParserTest.java
@@ -61,7 +61,7 @@
     @Property(seed = "43", tries = 300)
     void randomBytesYieldMessagesOrAnHttpException(@ForAll long seed) {
         try {
-            assertTrue(parse(HttpParser.ofRequests(100), RandomChunks.garbage(seed), seed)
+            assertTrue(parse(HttpParser.ofRequests(100), RandomChunks.randomBytes(seed), seed)
                             .size()
                     < 600);
         } catch (Exception e) {
--- a/src/test/java/pepperdock/platform/WorkerProtocolTest.java
+++ b/src/test/java/pepperdock/platform/WorkerProtocolTest.java
@@ -54,7 +54,7 @@
     @Property(seed = "32", tries = 300)
     void randomBytesYieldFramesOrAFrameException(@ForAll long seed) {
         try {
-            for (Frame frame : parse(RandomChunks.garbage(seed), seed)) {
+            for (Frame frame : parse(RandomChunks.randomBytes(seed), seed)) {
                 assertTrue(frame.payload().length < 1000);
                 WorkerProtocol.parseResult(frame.payload());
             }
--- a/src/test/java/pepperdock/store/StoreTest.java
+++ b/src/test/java/pepperdock/store/StoreTest.java
@@ -181,7 +181,7 @@
     @Property(seed = "51", tries = 300)
     void garbageFromAPeerIsRefusedAndNothingElse(@ForAll long seed) {
         try {
-            assertTrue(StoreCodec.entries(RandomChunks.garbage(seed)).size() < 600);
+            assertTrue(StoreCodec.entries(RandomChunks.randomBytes(seed)).size() < 600);
         } catch (RuntimeException e) {
             assertEquals(IllegalArgumentException.class, e.getClass());
         }
