--- a/src/main/java/pepperdock/operator/OperatorEndpoint.java
+++ b/src/main/java/pepperdock/operator/OperatorEndpoint.java
@@ -82,7 +82,7 @@
             if (failure == null) {
                 respond(reply, 200, "", "disabled", banned);
             } else {
-                rejectMalformed(500, failure, reply);
+                respondWithError(500, failure, reply);
             }
         });
     }
@@ -112,7 +112,7 @@
     }
 
     @Override
-    public void rejectMalformed(int status, String reason, HttpResponseSender reply) {
+    public void respondWithError(int status, String reason, HttpResponseSender reply) {
         respond(reply, status, "", "error", reason);
     }
 
--- a/src/main/java/pepperdock/transport/HttpServer.java
+++ b/src/main/java/pepperdock/transport/HttpServer.java
@@ -97,7 +97,7 @@
         });
         loop.after(TIMEOUT_SWEEP_INTERVAL_S, this::enforceTimeouts);
     }
-    /** The address that the server listens on. */
+    /** Returns the address that the server listens on. */
     public InetSocketAddress address() {
         return listening.address();
     }
@@ -107,7 +107,7 @@
         draining = true;
     }
 
-    /** Whether clients can still connect here. */
+    /** Returns whether clients can still connect here. */
     public boolean isListening() {
         return !stopped;
     }
@@ -146,13 +146,13 @@
         List.copyOf(connections).forEach(client -> client.connection.readNow());
     }
 
-    /** Number of open connections, idle ones included. */
+    /** Returns the number of open connections, idle ones included. */
     public int connectionCount() {
         connections.removeIf(client -> client.connection.isClosed());
         return connections.size();
     }
 
-    /** Number of connections with a request in progress, or with a response that is not wholly written. */
+    /** Returns the number of connections with a request in progress, or with a response that is not wholly written. */
     public int busyConnectionCount() {
         return (int) connections.stream()
                 .filter(client -> !client.connection.isClosed())
@@ -244,7 +244,7 @@
                     || isTimedOut(ConnectionState.IDLE, IDLE_TIMEOUT_S, now)) {
                 closeIfIdle(this);
             } else if (isTimedOut(ConnectionState.READING, requestTimeoutS, now)) {
-                rejectMalformed(new HttpException(408, "request not finished in time"));
+                respondWithError(new HttpException(408, "request not finished in time"));
             }
         }
 
@@ -252,7 +252,7 @@
             return state == inState && now - stateSince > timeoutS;
         }
 
-        /** Whether the client does not read, or has been given enough time to close after its last response. */
+        /** Returns whether the client does not read, or has been given enough time to close after its last response. */
         private boolean mustCloseAtOnce(double now) {
             if (connection.hasUnwrittenBytes()) {
                 return now - lastWriteAt > RESPONSE_READ_TIMEOUT_S
@@ -292,7 +292,7 @@
                     serve(parser.take());
                 }
             } catch (HttpException e) {
-                rejectMalformed(e);
+                respondWithError(e);
             } finally {
                 readingRequests = false;
             }
@@ -305,14 +305,15 @@
         }
 
         /** Answers a malformed request and reads no further, as later input can't be told apart from it. */
-        private void rejectMalformed(HttpException e) {
+        private void respondWithError(HttpException e) {
             long number = ++requestNumber;
             disconnectHandler = () -> {};
             rejectedRequestLog.log(System.Logger.Level.INFO, () -> "malformed request: " + e.getMessage());
-            handler.rejectMalformed(
+            handler.respondWithError(
                     e.status(),
                     e.getMessage(),
-                    (status, type, extra, body) -> respond(number, false, status, type, extra, body));
+                    (status, contentType, extraHeaders, body) ->
+                            respond(number, false, status, contentType, extraHeaders, body));
         }
 
         private void serve(HttpMessage message) {
@@ -330,18 +331,18 @@
                 rejectedRequestLog.log(
                         System.Logger.Level.INFO,
                         () -> "request for " + message.path() + " rejected: " + e.status() + ' ' + e.getMessage());
-                handler.rejectMalformed(e.status(), e.getMessage(), reply);
+                handler.respondWithError(e.status(), e.getMessage(), reply);
             } catch (RuntimeException e) {
                 LOG.log(System.Logger.Level.ERROR, "request handler failed", e);
-                handler.rejectMalformed(500, "internal error", reply);
+                handler.respondWithError(500, "internal error", reply);
             }
         }
 
         private HttpResponseSender responseSender(long number, boolean keepAlive) {
             return new HttpResponseSender() {
                 @Override
-                public void send(int status, String type, String extra, byte[] body) {
-                    respond(number, keepAlive, status, type, extra, body);
+                public void send(int status, String contentType, String extraHeaders, byte[] body) {
+                    respond(number, keepAlive, status, contentType, extraHeaders, body);
                 }
 
                 @Override
@@ -353,14 +354,15 @@
             };
         }
 
-        private void respond(long number, boolean keepAlive, int status, String type, String extra, byte[] body) {
+        private void respond(
+                long number, boolean keepAlive, int status, String contentType, String extraHeaders, byte[] body) {
             if (number != requestNumber || disconnectHandler == null || connection.isClosed()) {
                 return;
             }
             disconnectHandler = null;
             // Discarded requests can't be answered: closing shows the client that this response is the last.
             boolean keep = keepAlive && !draining && !connection.hasDiscardedInput();
-            byte[] response = HttpWriter.response(status, type, extra, body, keep);
+            byte[] response = HttpWriter.response(status, contentType, extraHeaders, body, keep);
             // A HEAD is answered without the body: the client would take its bytes for the next response.
             connection.write(isHeadRequest ? Arrays.copyOf(response, response.length - body.length) : response);
             if (!keep) {
@@ -378,7 +380,7 @@
         @Override
         public void onInputOverflow(Connection connection) {
             notifyDisconnect();
-            rejectMalformed(new HttpException(413, "too much sent behind a request in hand"));
+            respondWithError(new HttpException(413, "too much sent behind a request in hand"));
         }
 
         @Override
