--- a/src/main/java/pepperdock/service/ConfigReloader.java
+++ b/src/main/java/pepperdock/service/ConfigReloader.java
@@ -23,12 +23,13 @@
 
     private static final System.Logger LOG = System.getLogger("pepperdock");
     /**
-     * Keys that a reload ignores: the seed is new in each file, and its endpoint list is older than the current one.
+     * Changed keys that are not logged as needing a restart: the seed is new in each file, and the file's endpoint list
+     * is older than the current one.
      */
     private static final List<String> IGNORED = List.of("seed", "known");
     /**
-     * Keys of the platform's files: if one that was present is missing, the file is truncated, not a feature switched
-     * off.
+     * Keys that files of the platform have. If one that was present is missing, the file is taken to be truncated, and
+     * not to switch a feature off.
      */
     private static final List<String> PLATFORM_KEYS =
             List.of("name", "listen", "discovery", "seed", "limits", "known", "settings");
@@ -40,32 +41,32 @@
             Consumer<Integer> sockets,
             Consumer<Config> settings) {}
 
-    /** The environment without the discovery address: it overrides the file at the start, but not at a reload. */
+    /** The environment without the discovery address, which overrides the file at the start but not at a reload. */
     private final Map<String, String> env;
 
     private final Consumer<Runnable> loop;
     private final ReloadTargets targets;
     private final Consumer<Boolean> reloadListener;
-    private final boolean stored;
+    private final boolean settingsFromStore;
     private ConfigReader current;
 
     /**
-     * Creates a reloader, which does nothing until {@link #onSignal}.
+     * Creates a reloader, which does nothing until {@link #installSignalHandler}.
      *
      * @param current the file in use, including the settings in use
-     * @param stored whether the settings came from the store, so that the file may lack them
+     * @param settingsFromStore whether the settings came from the store, so that the file may lack them
      * @param loop runs a task on the loop's thread
      * @param reloadListener is told, on the loop's thread, whether a file was put into use
      */
     ConfigReloader(
             Map<String, String> env,
             ConfigReader current,
-            boolean stored,
+            boolean settingsFromStore,
             Consumer<Runnable> loop,
             ReloadTargets targets,
             Consumer<Boolean> reloadListener) {
         this.reloadListener = reloadListener;
-        this.stored = stored;
+        this.settingsFromStore = settingsFromStore;
         this.env = new HashMap<>(env);
         this.env.remove("EDGE_DISCOVERY");
         this.current = current;
@@ -74,7 +75,7 @@
     }
 
     /** Installs the SIGHUP handler. Signals in quick succession are handled one after the other. */
-    void onSignal() {
+    void installSignalHandler() {
         ExecutorService reader = Executors.newSingleThreadExecutor(task -> {
             Thread thread = new Thread(task, "reload");
             thread.setDaemon(true);
@@ -87,7 +88,8 @@
     void reload() {
         try {
             ConfigReader newFile = Config.readFile(env);
-            ConfigReader file = newFile.has("settings") || !stored ? newFile : newFile.with("settings", current);
+            ConfigReader file =
+                    newFile.has("settings") || !settingsFromStore ? newFile : newFile.with("settings", current);
             checkComplete(file);
             Config config = Config.read(file, env);
             List<Runnable> changes = new ArrayList<>();
