--- a/src/main/java/pepperdock/membership/AntiEntropy.java
+++ b/src/main/java/pepperdock/membership/AntiEntropy.java
@@ -24,7 +24,7 @@
  */
 final class AntiEntropy {
 
-    /** Names from which on no further slice is added to a digest request: one exchange can transfer no more anyway. */
+    /** Names in a digest request at which no further slice is added: one exchange cannot transfer more. */
     private static final int TARGET_NAMES = 24;
 
     /**
@@ -112,8 +112,8 @@
 
     /**
      * Returns the items that the sender of a request lacks or holds in another version, and the names whose items are
-     * requested from it. Items under the sender's name and under this member's own go first: neither may speak for
-     * itself before it knows what is held under its name.
+     * requested from it. Items under the sender's name and under this member's own go first: neither may publish items
+     * before it knows the items that others hold under its name.
      */
     DigestResponse digestResponse(Header header, DigestRequest request, boolean joined, int maxBytes) {
         List<String> firstNames = List.of(request.header().name(), header.name());
@@ -141,7 +141,7 @@
         return new MissingItems(header, itemsWithin(names, maxBytes - emptyBytes));
     }
 
-    /** Returns the names with the given first ones in front, and the others in their order from a random one on. */
+    /** Returns the names, the given ones first, and then the others rotated to start at a random one. */
     private Collection<String> rotatedAtRandom(List<String> firstNames, Collection<String> names) {
         Set<String> all = new LinkedHashSet<>(firstNames);
         all.retainAll(names);
--- a/src/main/java/pepperdock/membership/BandwidthBudget.java
+++ b/src/main/java/pepperdock/membership/BandwidthBudget.java
@@ -1,11 +1,11 @@
 package pepperdock.membership;
 
 /**
- * Limits what a member sends, by a token bucket of datagrams and one of bytes. The buckets are filled at the settings'
- * rates and are half a second of them deep, so that no second carries more than one and a half times the rate. Floors
- * enforce priorities: a use takes only tokens above its floor, so that a use of higher priority always finds the rest.
- * Uses that could take everything meant for gossip are limited to a share of the rate as well. Owned by the thread that
- * calls {@link Membership}.
+ * Limits what a member sends, by a token bucket of datagrams and one of bytes. The buckets are filled at the rates in
+ * the settings and hold half a second's tokens, so that no second carries more than one and a half times the rate.
+ * Floors enforce priorities: a use takes only tokens above its floor, and those below it remain for uses of higher
+ * priority. Uses that could leave nothing for gossip are limited to a share of the rate as well. Owned by the thread
+ * that calls {@link Membership}.
  */
 final class BandwidthBudget {
 
--- a/src/main/java/pepperdock/membership/CutDetector.java
+++ b/src/main/java/pepperdock/membership/CutDetector.java
@@ -12,10 +12,11 @@
 /**
  * Determines from the table which members are to be declared faulty: the multi-process cut detection of Rapid, section
  * 4.2. A member that {@code lowWatermark} or more observers report unreachable is doubted, and its own observations no
- * longer count. Once the reporting observers reach {@code highWatermark}, a share of the observers that count, the
- * member is agreed on. Verdicts wait for doubted members that are not agreed on, so that many members that fail
- * together are declared faulty in one change. A member that does not reach a majority of the fleet, members declared
- * faulty recently included, declares nobody faulty. Owned by the thread that calls {@link Membership}.
+ * longer count. A doubted member is agreed on once at least the share {@code highWatermark} of its credible observers,
+ * those that are neither doubted nor unhealthy, report it. Verdicts wait for doubted members that are not agreed on, so
+ * that many members that fail together are declared faulty in one change. A member that does not reach a majority of
+ * the fleet, members declared faulty recently included, declares nobody faulty. Owned by the thread that calls
+ * {@link Membership}.
  */
 final class CutDetector {
 
@@ -29,9 +30,9 @@
      * The result of a detection.
      *
      * @param hasMajority whether this member reaches a majority of the fleet
-     * @param reachable members reached by way of observers that reach their subjects, this one included
+     * @param reachable members that this one reaches directly or through a chain of observers, itself included
      * @param fleetSize members that are alive, and those declared faulty recently
-     * @param faulty members to declare faulty, once enough of the others have been heard after this result first held
+     * @param faulty members to declare faulty, once most other subjects have been heard after this result first held
      */
     record Detection(boolean hasMajority, int reachable, int fleetSize, List<String> faulty) {}
 
@@ -127,9 +128,9 @@
     }
 
     /**
-     * Counts the members reached from this one by way of observers that reach their subjects. Counting all members that
-     * are not doubted would include those on the other side of a partition whose observers are all on that side too:
-     * the last that was heard of these observers is that all is well.
+     * Counts the members that this one reaches directly or through a chain of observers, each of which does not report
+     * the next one unreachable. Counting all members that are not doubted would include those on the other side of a
+     * partition whose observers are all on that side too: the last observations received from these report no fault.
      */
     private int countReachable(String self) {
         Set<String> found = new HashSet<>(Set.of(self));
@@ -148,8 +149,8 @@
     }
 
     /**
-     * Returns the members whose confirmation time is over, or none while others are still doubted or being confirmed;
-     * the wait for these is limited.
+     * Returns the members whose confirmation time is over. Returns none while other members are still doubted or being
+     * confirmed, unless a member has waited for {@link #UNSTABLE_WAIT_FACTOR} confirmation times.
      */
     private List<String> confirmed(double now) {
         List<String> faulty = new ArrayList<>();
--- a/src/main/java/pepperdock/membership/ExchangeManager.java
+++ b/src/main/java/pepperdock/membership/ExchangeManager.java
@@ -21,7 +21,7 @@
     private static final int STREAM_OVERHEAD_BYTES = 200;
     /** Most doublings of the time to the next exchange; each exchange that brings nothing new doubles it once. */
     private static final int MAX_BACKOFF_DOUBLINGS = 2;
-    /** Changes brought by one exchange from which on the next does not wait for gossip to settle. */
+    /** Minimum number of changes from one exchange after which the next does not wait for gossip to settle. */
     private static final int CHANGES_WHEN_BEHIND = 4;
     /** Probe intervals in which gossip usually settles a change. */
     private static final int SETTLE_PROBES = 2;
@@ -67,7 +67,8 @@
     }
 
     /**
-     * Opens an exchange if the budget has room for one; the next is due later and later while none brings anything new.
+     * Opens an exchange if the budget has room for one. The time to the next one doubles, up to a limit, while
+     * exchanges bring nothing new.
      */
     void open(String address, double now) {
         nextExchange = now + 2 * settings.probeIntervalS() * backoffFactor() * (0.75 + random.nextDouble() / 2);
@@ -91,8 +92,8 @@
     }
 
     /**
-     * Opens an exchange with the sender of a datagram if the sender's state is unknown here, or if the tables have
-     * differed for longer than gossip takes to settle that.
+     * Opens an exchange with the sender of a datagram if the table does not show the sender as alive in its present
+     * generation and incarnation, or if the tables have differed for longer than gossip takes to settle that.
      */
     void compare(Header header, double now) {
         boolean unknownState = isUnknownState(header);
--- a/src/main/java/pepperdock/membership/FailureDetector.java
+++ b/src/main/java/pepperdock/membership/FailureDetector.java
@@ -15,9 +15,9 @@
 import pepperdock.membership.Message.WrongAddressee;
 
 /**
- * Probes this member's subjects and publishes its observations of them. Pings, and indirect pings when a ping is not
- * acknowledged in time, are those of SWIM, section 3.1; the fixed subjects in place of a random round are those of
- * Rapid, section 4.1; a member that trusts its own timers less waits longer, as in Lifeguard (LHA-Probe). Owned by the
+ * Probes this member's subjects and publishes its observations of them. It pings them directly, and indirectly if a
+ * ping is not acknowledged in time (SWIM, section 3.1). It probes fixed subjects and not all members in random order
+ * (Rapid, section 4.1), and extends its timeouts while its own ticks come late (LHA-Probe of Lifeguard). Owned by the
  * thread that calls {@link Membership}.
  */
 final class FailureDetector {
@@ -163,7 +163,7 @@
 
     // ---- Messages ------------------------------------------------------------
 
-    /** Records that the sender of a datagram is able to send, and its state digest. */
+    /** Records when a datagram was received from its sender, and the sender's state digest. */
     void onHeader(Header header, double now) {
         SubjectMonitor monitor = monitors.get(header.name());
         if (monitor != null && monitor.generation() == header.generation()) {
--- a/src/main/java/pepperdock/membership/LocalHealth.java
+++ b/src/main/java/pepperdock/membership/LocalHealth.java
@@ -1,14 +1,14 @@
 package pepperdock.membership;
 
 /**
- * How far this member can trust its own timers: the local health of Lifeguard (LHA-Probe and LHA-Suspicion). A member
- * that was paused, or is starved of processor time, has heard nothing because it did not listen. Its timeouts are
- * extended while that lasts, and after a long pause its observations are ignored by all members for a while. Owned by
- * the thread that calls {@link Membership}.
+ * Tracks how far this member can trust its own timers: the local health of Lifeguard (LHA-Probe and LHA-Suspicion). A
+ * member that was paused, or is starved of processor time, may have heard nothing only because it did not read its
+ * messages. Its timeouts are extended while that lasts, and after a long pause its observations are ignored by all
+ * members for a while. Owned by the thread that calls {@link Membership}.
  */
 final class LocalHealth {
 
-    /** Most late ticks counted, and the number of ticks on time that take one of them back. */
+    /** Most late ticks counted; also the number of ticks on time after which the count decreases by one. */
     private static final int MAX_LATE_TICKS = 8;
     /** Fraction by which each late tick extends a timeout. */
     private static final double EXTENSION_PER_LATE_TICK = 0.25;
--- a/src/main/java/pepperdock/membership/LocalMember.java
+++ b/src/main/java/pepperdock/membership/LocalMember.java
@@ -59,8 +59,8 @@
     }
 
     /**
-     * Returns whether another member has sent what it holds under this name. Until then, any process that holds the
-     * name counts as the first.
+     * Returns whether another member has sent the items that it holds under this name. Until then, any other process
+     * that has the name is assumed to have held it first.
      */
     boolean joined() {
         return joined;
--- a/src/main/java/pepperdock/membership/MemberLifecycle.java
+++ b/src/main/java/pepperdock/membership/MemberLifecycle.java
@@ -35,7 +35,7 @@
         disseminator.merge(memberRecord, now);
     }
 
-    /** Tells all members that this one leaves. A member that does not hold its name has nothing to tell. */
+    /** Marks this member as leaving, and tells all members unless another process holds its name. */
     void leave(double now) {
         local.setLeaving();
         if (local.hasNameConflict()) {
--- a/src/main/java/pepperdock/membership/MemberStateTracker.java
+++ b/src/main/java/pepperdock/membership/MemberStateTracker.java
@@ -28,8 +28,8 @@
     /** Members whose record, or observations of whom, changed since the last publication. */
     private final Set<String> changedNames = new TreeSet<>();
     /**
-     * Whether a member came, went or returned, so that its observations, and the number of observers of others, may
-     * count differently now.
+     * Whether a member's own record changed. The member may have joined or left, which changes whether its observations
+     * count and how many observers other members have.
      */
     private boolean recordsChanged;
 
--- a/src/main/java/pepperdock/membership/Membership.java
+++ b/src/main/java/pepperdock/membership/Membership.java
@@ -28,7 +28,7 @@
  * {@link VerdictPublisher} declares members faulty (cut detection of Rapid, Suresh and others 2018),
  * {@link MemberLifecycle} joins, leaves and refutes.
  *
- * <p>Guarantees: each change is notified once, in the order of the numbers; a member's incarnation never goes back; a
+ * <p>Guarantees: each change is reported once, in the order of the numbers; a member's incarnation never goes back; a
  * member that hears that it was declared faulty refutes it; a member that does not reach a majority declares nobody
  * faulty; what is sent stays within the settings' budget.
  */
@@ -79,7 +79,7 @@
 
     // ---- Results ------------------------------------------------------------
 
-    /** Returns what is to be carried out and notified since the last call, in order. */
+    /** Returns the outputs since the last call, in the order in which the caller is to process them. */
     public List<MembershipOutput> takeOutputs() {
         List<MembershipOutput> taken = List.copyOf(outputs);
         outputs.clear();
@@ -121,7 +121,10 @@
         return local.memberRecord();
     }
 
-    /** Returns a digest that is equal for two members that hold the same of all members that are alive. */
+    /**
+     * Returns a digest of the items of all members that are alive. It is equal for two members that hold the same
+     * items.
+     */
     public long stateDigest() {
         return table.stateDigest();
     }
--- a/src/main/java/pepperdock/membership/MembershipOutput.java
+++ b/src/main/java/pepperdock/membership/MembershipOutput.java
@@ -1,6 +1,6 @@
 package pepperdock.membership;
 
-/** An action that the caller of {@link Membership} is to carry out, or an event that it is to notify. */
+/** An action that the caller of {@link Membership} is to carry out, or an event that it is to report. */
 public sealed interface MembershipOutput {
 
     /** A datagram to send. */
@@ -12,10 +12,10 @@
      */
     record OpenExchange(String address) implements MembershipOutput {}
 
-    /** A change of a member's state; each is notified once, in the order of the changes' numbers. */
+    /** A change of a member's state; each is reported once, in the order of the changes' numbers. */
     record MemberChanged(MembershipView.Change change) implements MembershipOutput {}
 
-    /** A change of whether this member reaches a majority of the fleet. */
+    /** Reports that this member starts or stops reaching a majority of the fleet. */
     record MajorityChanged(boolean hasMajority, int reachable, int fleetSize) implements MembershipOutput {}
 
     /**
--- a/src/main/java/pepperdock/membership/MembershipSettings.java
+++ b/src/main/java/pepperdock/membership/MembershipSettings.java
@@ -21,7 +21,7 @@
  *     second; for priorities see {@link BandwidthBudget}
  * @param maxMembers most members kept in the table; more are rejected
  * @param localHealthEnabled whether a member that runs late or reaches few others distrusts itself first, as in
- *     Lifeguard; off only to measure what that is worth
+ *     Lifeguard; turned off only to measure its benefit
  */
 public record MembershipSettings(
         double probeIntervalS,
@@ -98,8 +98,8 @@
      */
     private static final double PING_TIMEOUT_SHARE = 0.6;
     /**
-     * Times to a verdict (suspicion timeout and confirmation) for which members declared faulty count in the fleet
-     * size.
+     * Time for which members declared faulty count in the fleet size, as a multiple of the time to a verdict (suspicion
+     * timeout and confirmation).
      */
     private static final int FAULTY_MEMORY_FACTOR = 10;
 
@@ -143,7 +143,8 @@
     }
 
     /**
-     * Returns the seconds for which members declared faulty still count in the fleet size that a majority is taken of.
+     * Returns the seconds for which members declared faulty still count in the fleet size, of which a majority is
+     * required.
      */
     public double faultyMemoryS() {
         return FAULTY_MEMORY_FACTOR * (suspicionTimeoutS + confirmationS);
--- a/src/main/java/pepperdock/membership/MembershipTable.java
+++ b/src/main/java/pepperdock/membership/MembershipTable.java
@@ -113,7 +113,10 @@
         return faulty;
     }
 
-    /** Returns a digest that is equal for two members that hold the same of all members that are alive. */
+    /**
+     * Returns a digest of the items of all members that are alive. It is equal for two members that hold the same
+     * items.
+     */
     long stateDigest() {
         return stateDigest;
     }
@@ -129,8 +132,8 @@
     }
 
     /**
-     * Returns the observations of a subject's present generation, by observer, whether it is assigned to the subject or
-     * not.
+     * Returns the observations of a subject's present generation, by observer. Includes those of members that are not,
+     * or no longer, observers of the subject.
      */
     Map<String, Observation> observationsOf(String subject) {
         return observationsBySubject.getOrDefault(subject, Map.of());
@@ -173,7 +176,7 @@
         onEntryChanged(entry);
     }
 
-    /** Replaces a record that has not been sent to anybody yet, whichever of the two supersedes the other. */
+    /** Replaces a record that has not been sent to anybody yet, even if the new one does not supersede it. */
     void replaceUnpublished(MemberRecord successor, double now) {
         replaceRecord(entries.get(successor.name()), successor, now);
     }
--- a/src/main/java/pepperdock/membership/Message.java
+++ b/src/main/java/pepperdock/membership/Message.java
@@ -27,7 +27,8 @@
      * The first part of every message. A message with the name of another fleet is rejected.
      *
      * @param generation generation of the sender
-     * @param stateDigest digest of all that the sender holds of members that are alive; equal digests mean equal views
+     * @param stateDigest digest of the items that the sender holds of all members that are alive; equal digests mean
+     *     equal views
      */
     record Header(String fleet, String name, long generation, long incarnation, String address, long stateDigest) {
 
@@ -127,7 +128,7 @@
         }
     }
 
-    /** One digest for each slice of the names, of all that the sender holds. */
+    /** One digest for each slice, over all items that the sender holds in the slice. */
     record SliceDigests(Header header, List<Long> digests) implements Message {
         @Override
         public int maxBodyBytes() {
@@ -135,7 +136,7 @@
         }
     }
 
-    /** The slices that differ and are to be compared by name, as bits. */
+    /** Selects the slices that differ and are to be compared by name; each bit stands for a slice. */
     record SliceSelection(Header header, int slices) implements Message {
         @Override
         public int maxBodyBytes() {
@@ -143,7 +144,7 @@
         }
     }
 
-    /** Digests, by name, of all that the sender holds in these slices. */
+    /** The digest of each member that the sender holds in these slices, by name. */
     record DigestRequest(Header header, int slices, Map<String, Long> digests) implements Message {
         @Override
         public int maxBodyBytes() {
--- a/src/main/java/pepperdock/membership/ObserverRings.java
+++ b/src/main/java/pepperdock/membership/ObserverRings.java
@@ -63,7 +63,7 @@
         subjects.clear();
     }
 
-    /** Returns all members in the rings, by name. */
+    /** Returns the names of all members in the rings, which are the members that are alive. */
     Collection<String> names() {
         return names;
     }
--- a/src/main/java/pepperdock/membership/Outbox.java
+++ b/src/main/java/pepperdock/membership/Outbox.java
@@ -60,8 +60,7 @@
     /**
      * Pings a member and piggybacks gossip; returns false if the budget withholds the ping.
      *
-     * @param sameState whether the target holds the same of all members that are alive, so that gossip would tell it
-     *     nothing new
+     * @param sameState whether the target has the same state digest, so that gossip would bring it nothing new
      */
     boolean ping(MemberRecord target, long sequence, boolean sameState) {
         Ping withoutGossip = new Ping(header(), target.name(), target.generation(), sequence, List.of());
--- a/src/main/java/pepperdock/membership/SubjectMonitor.java
+++ b/src/main/java/pepperdock/membership/SubjectMonitor.java
@@ -2,13 +2,13 @@
 
 /**
  * Monitors one subject for one observer: when to ping it, what its acknowledgements show, and the observation that
- * results. A worse observation takes effect at once; a better one only after the subject has been reached without
- * interruption for a while, longer each time it degraded again, so that a flapping link is observed once. Owned by the
- * thread that calls {@link Membership}.
+ * results. A worse observation takes effect at once. A better one takes effect only after the subject has been reached
+ * without interruption for a recovery time, which doubles with each degradation, so that a flapping link does not
+ * change the observation each time. Owned by the thread that calls {@link Membership}.
  */
 final class SubjectMonitor {
 
-    /** Latest pings whose acknowledgement is still accepted: those of some seconds. */
+    /** Number of latest pings, sent within some seconds, whose acknowledgements are still accepted. */
     private static final int PINGS_TRACKED = 16;
 
     /** Most doublings of the recovery time; each degradation doubles it once. */
@@ -173,7 +173,7 @@
         return lastObservation;
     }
 
-    /** Returns the observation that the times alone show. */
+    /** Returns the observation without regard to the recovery time. */
     private Observation currentObservation(double now, double timeout) {
         if (replacedAtAddress) {
             return Observation.UNREACHABLE;
--- a/src/main/java/pepperdock/membership/VerdictPublisher.java
+++ b/src/main/java/pepperdock/membership/VerdictPublisher.java
@@ -3,9 +3,9 @@
 import java.util.List;
 
 /**
- * Publishes the verdicts that the {@link CutDetector} derives from the table. Verdicts are held back until most of the
- * other subjects have been heard since they were due. Also notifies when this member starts or stops reaching a
- * majority. Owned by the thread that calls {@link Membership}.
+ * Publishes the verdicts that the {@link CutDetector} derives from the table. A verdict is held back until most
+ * subjects that are not to be declared faulty have been heard after the verdict became due. Also reports when this
+ * member starts or stops reaching a majority. Owned by the thread that calls {@link Membership}.
  */
 final class VerdictPublisher {
 
@@ -40,7 +40,7 @@
         this.outbox = outbox;
     }
 
-    /** Runs the detection, and declares the members faulty whose verdicts need no longer be held back. */
+    /** Runs the detection, and declares members faulty once their verdicts need not be held back any longer. */
     void update(double now) {
         CutDetector.Detection detection = cutDetector.detect(
                 local.name(), table.get(local.name()).observations().unhealthy(), now);
@@ -55,7 +55,7 @@
             due = detection.faulty();
             dueSince = now;
         }
-        // A member that has just been cut off does not know it yet, and what it holds of others may be out of date.
+        // A member that has just been cut off does not know it yet, and its table may be out of date.
         if (!due.isEmpty() && failureDetector.majorityHeardAfter(dueSince, due)) {
             declareFaulty(now);
         }
@@ -78,7 +78,7 @@
         return reachable;
     }
 
-    /** Returns the fleet size that the majority was taken of at the last update. */
+    /** Returns the fleet size of which a majority was required at the last update. */
     int fleetSize() {
         return fleetSize;
     }
--- a/src/main/java/pepperdock/membership/transport/MembershipLog.java
+++ b/src/main/java/pepperdock/membership/transport/MembershipLog.java
@@ -65,7 +65,7 @@
             case MembershipOutput.Notice.PAUSED ->
                 LOG.log(
                         System.Logger.Level.WARNING,
-                        "process was paused for {0} s, reports no observations of other members for a while",
+                        "process was paused for {0} s, other members ignore its observations for a while",
                         String.format(Locale.ROOT, "%.1f", notice.amount()));
             default -> LOG.log(System.Logger.Level.INFO, "{0}: {1}", notice.kind(), notice.reason());
         }
--- a/src/main/java/pepperdock/operator/BanFile.java
+++ b/src/main/java/pepperdock/operator/BanFile.java
@@ -29,8 +29,8 @@
     private static final System.Logger LOG = System.getLogger("pepperdock.operator");
     private static final int VERSION = 1;
     /**
-     * The other process holds the lock for one write. Attempts are limited, so that a suspended holder cannot block
-     * this one.
+     * Maximum number of retries. The other process holds the lock only during one write; the limit prevents a suspended
+     * holder from blocking this process.
      */
     private static final int LOCK_ATTEMPTS = 50;
 
--- a/src/main/java/pepperdock/operator/Bans.java
+++ b/src/main/java/pepperdock/operator/Bans.java
@@ -22,8 +22,8 @@
     /** The banned workers as last read or written. */
     private final Set<String> saved = new LinkedHashSet<>();
     /**
-     * Changes that could not be written, by worker. Each overrides the file here until a change of the same worker is
-     * written.
+     * Changes that could not be written, by worker. Each overrides the saved state in this process until the next
+     * change of the same worker ends.
      */
     private final Map<String, Change> unwritten = new LinkedHashMap<>();
 
--- a/src/main/java/pepperdock/operator/OperatorService.java
+++ b/src/main/java/pepperdock/operator/OperatorService.java
@@ -23,7 +23,7 @@
 public final class OperatorService implements OperatorEndpoint.Operations, UpgradePeer {
 
     private static final System.Logger LOG = System.getLogger("pepperdock.operator");
-    /** Concurrent connections, out of the spare descriptors; one without a complete request is closed for a new one. */
+    /** Maximum number of connections, from the spare descriptors; a new one replaces one without a complete request. */
     private static final int MAX_CONNECTIONS = 12;
     /** A request that is not complete after this time is dropped. */
     private static final double REQUEST_TIMEOUT_S = 4;
@@ -89,7 +89,7 @@
             LOG.log(
                     System.Logger.Level.INFO,
                     "{0}, {1} workers disabled",
-                    otherProcess ? "another process of this gatherer serves" : "no other process of this gatherer",
+                    otherProcess ? "another process of this gatherer is alive" : "no other process of this gatherer",
                     lastSeenBans.size());
         }
         diskThread = Executors.newSingleThreadScheduledExecutor(task -> {
@@ -180,8 +180,8 @@
     }
 
     /**
-     * Registers a listener in the same way for whether another process accepts new queries. A draining process stays
-     * alive for a while but accepts none.
+     * Registers a listener for changes of whether another process accepts new queries, which is called in the same way
+     * as those of {@link #otherProcess()}. A draining process stays alive for a while but accepts none.
      */
     public void whenOtherServingChanges(Consumer<Boolean> then) {
         otherServingListeners.add(then);
@@ -266,7 +266,8 @@
     }
 
     /**
-     * Applies the change at once and acknowledges it once it is written, since a process that starts then must find it.
+     * Applies the change at once, and acknowledges it once it is written, so that a process that starts after the
+     * acknowledgement reads it.
      */
     @Override
     public void ban(String worker, boolean banned, Consumer<String> then) {
--- a/src/main/java/pepperdock/service/ClientServers.java
+++ b/src/main/java/pepperdock/service/ClientServers.java
@@ -18,7 +18,7 @@
 final class ClientServers {
 
     /**
-     * Clients may use one in this many of all descriptors; connections to workers and discovery need the rest.
+     * Clients may use the number of descriptors divided by this; connections to workers and discovery need the rest.
      */
     private static final int CLIENT_DESCRIPTOR_DIVISOR = 3;
 
--- a/src/main/java/pepperdock/service/ConfigReloader.java
+++ b/src/main/java/pepperdock/service/ConfigReloader.java
@@ -23,12 +23,13 @@
 
     private static final System.Logger LOG = System.getLogger("pepperdock");
     /**
-     * Keys that a reload ignores: the seed is new in each file, and its endpoint list is older than the current one.
+     * Changed keys that are not logged as needing a restart: the seed is new in each file, and the file's endpoint list
+     * is older than the current one.
      */
     private static final List<String> IGNORED = List.of("seed", "known");
     /**
-     * Keys of the platform's files: if one that was present is missing, the file is truncated, not a feature switched
-     * off.
+     * Keys that files of the platform have. If one that was present is missing, the file is taken to be truncated, and
+     * not to switch a feature off.
      */
     private static final List<String> PLATFORM_KEYS =
             List.of("name", "listen", "discovery", "seed", "limits", "known", "settings");
@@ -40,7 +41,7 @@
             Consumer<Integer> sockets,
             Consumer<Config> settings) {}
 
-    /** The environment without the discovery address: it overrides the file at the start, but not at a reload. */
+    /** The environment without the discovery address, which overrides the file at the start but not at a reload. */
     private final Map<String, String> env;
 
     private final Consumer<Runnable> loop;
--- a/src/main/java/pepperdock/service/EndpointSource.java
+++ b/src/main/java/pepperdock/service/EndpointSource.java
@@ -16,10 +16,10 @@
  * The source of the endpoint list: DNS records, the platform's discovery, or the configuration; with the functions that
  * change it while the program runs. Immutable; its functions are called on the loop's thread.
  *
- * @param discovery the discovery that the core uses
- * @param pushed whether an agent pushes the list, so that its list counts as known from the start
- * @param start starts polling for a core
- * @param changeAddress changes the address of discovery; null if none is polled
+ * @param discovery the discovery that the gatherer uses
+ * @param pushed whether an agent pushes the list, so that the gatherer waits for it before it is ready
+ * @param start starts to deliver endpoint lists to a gatherer
+ * @param changeAddress changes the address of discovery; null if the source has no such address
  * @param replace replaces the list of the configuration; null if that list is not in use
  */
 record EndpointSource(
--- a/src/main/java/pepperdock/service/GathererService.java
+++ b/src/main/java/pepperdock/service/GathererService.java
@@ -33,13 +33,14 @@
 
     private static final System.Logger LOG = System.getLogger("pepperdock");
     /**
-     * With another process of the same gatherer running, ready once the first endpoint list is received, or after this
-     * time.
+     * Maximum time that a process waits for its first endpoint list before it takes over from another process of the
+     * same gatherer.
      */
     private static final double LIST_TIMEOUT_S = 3;
     /**
-     * Where an agent pushes lists, its list counts as known to a new process from the start: the process is ready once
-     * the list is received, or after this time. An agent that sends nothing in this time has no list.
+     * Maximum time that a process waits for its first endpoint list if an agent pushes lists. The process is expected
+     * to know the agent's list from the start, so it is ready once the list is received. An agent that sends nothing in
+     * this time has no list.
      */
     static final double PUSHED_LIST_TIMEOUT_S = 1.5;
 
@@ -210,7 +211,7 @@
         }
     }
 
-    /** Starts the takeover from another process: both serve from now on. */
+    /** Starts to take over from another process: both processes serve from then on. */
     private void takeOver() {
         operator.startServing(() -> {
             clients.listen();
--- a/src/main/java/pepperdock/service/GracefulShutdown.java
+++ b/src/main/java/pepperdock/service/GracefulShutdown.java
@@ -26,9 +26,10 @@
     private static final double ARRIVAL_GRACE_S = 0.6;
     /**
      * Start of each stage, in seconds before SIGKILL: responses close their connections, idle connections are closed,
-     * queries in flight fail, the program exits. The first two are as late as answers allow, most of which take under
-     * 0.1 s, since the successor of another gatherer may be ready only 0.1 to 0.3 s after the last connections here are
-     * closed. The other two leave enough time to write on half a core, since queries unanswered at SIGKILL are lost.
+     * queries in flight fail, the program exits. The first two are as late as possible while most answers, which take
+     * under 0.1 s, can still be written: the successor of another gatherer may be ready only 0.1 to 0.3 s after the
+     * last connections here are closed. The other two leave enough time to write all answers on half a processor core,
+     * since queries unanswered at SIGKILL are lost.
      */
     private static final double CLOSE_AFTER_RESPONSE_S = 0.65;
 
@@ -112,9 +113,9 @@
     }
 
     /**
-     * Exits once all answers are completely written and no connection is left, after a quiet period and after the
-     * listening sockets are closed. Otherwise the operating system would accept a client that is just connecting, which
-     * would get no answer.
+     * Exits once all answers are completely written and no connection is left, after a quiet period with listening
+     * sockets open and another with them closed. If it exited earlier, a client that the operating system has just
+     * accepted would get no answer.
      */
     private void exitWhenDone(double closeAt) {
         boolean allWritten =
--- a/src/main/java/pepperdock/service/Startup.java
+++ b/src/main/java/pepperdock/service/Startup.java
@@ -47,8 +47,8 @@
     }
 
     /**
-     * Opens these components, the store before the gatherer: a member whose file has no settings uses those of the
-     * store.
+     * Opens the components of {@link ProcessContext}, the store before the gatherer: a gatherer whose file has no
+     * settings uses those of the store.
      *
      * @throws pepperdock.config.ConfigException if the file can't be used
      */
--- a/src/test/java/pepperdock/membership/AntiEntropyTest.java
+++ b/src/test/java/pepperdock/membership/AntiEntropyTest.java
@@ -113,8 +113,8 @@
     }
 
     /**
-     * A process starts with a name that another one holds. Even an answer with hardly any room has to say so, or the
-     * new process would speak for that name.
+     * A process starts with a name that another one holds. Even the smallest answer has to contain the record of that
+     * name, or the new process would publish items under it.
      */
     @Test
     void newMemberIsSentTheRecordOfItsNameFirst() {
--- a/src/test/java/pepperdock/operator/BanFileCompatibilityTest.java
+++ b/src/test/java/pepperdock/operator/BanFileCompatibilityTest.java
@@ -26,7 +26,7 @@
     }
 
     /**
-     * The file written now is byte for byte the file that version wrote, so a rollback to the older program is
+     * The current version writes the same bytes as the earlier version, so that a rollback to the earlier version is
      * possible.
      */
     @Test
--- a/src/test/java/pepperdock/operator/OperatorEndpointTest.java
+++ b/src/test/java/pepperdock/operator/OperatorEndpointTest.java
@@ -113,7 +113,10 @@
         assertEquals(status == 200 && request.contains("workers") || status == 500, !banned.isEmpty());
     }
 
-    /** More callers connect than the limit, each silent or with half a request. The oldest are closed for new ones. */
+    /**
+     * More callers connect than the limit, and each sends nothing or half a request. The oldest connections are closed
+     * for new ones.
+     */
     @Test
     void incompleteCallsDoNotBlockTheNextCall() throws Exception {
         List<Socket> incompleteCallers = new ArrayList<>();
--- a/src/test/java/pepperdock/service/ReadyTest.java
+++ b/src/test/java/pepperdock/service/ReadyTest.java
@@ -101,8 +101,8 @@
     }
 
     /**
-     * A pushed list counts as known from the start. Guards against a gatherer that is ready, and sends queries by the
-     * list of the file, before the agent's list is received.
+     * Guards against a gatherer that is ready, and sends queries according to the file's list, before the list that the
+     * agent pushes is received.
      */
     @Test
     void withPushedListsReadyOnceTheListIsReceived() throws Exception {
