--- a/src/main/java/pepperdock/membership/Disseminator.java
+++ b/src/main/java/pepperdock/membership/Disseminator.java
@@ -9,7 +9,7 @@
 final class Disseminator {
 
     /** Probe intervals after which an item that was sent at least once is no longer gossiped. */
-    private static final int MAX_AGE_PROBES = 10;
+    private static final int MAX_AGE_PROBE_INTERVALS = 10;
 
     private final MembershipSettings settings;
     private final MembershipTable table;
@@ -58,7 +58,7 @@
 
     /** Drops old items from the queue. */
     void expire(double now) {
-        queue.expire(now - MAX_AGE_PROBES * settings.probeIntervalS());
+        queue.expire(now - MAX_AGE_PROBE_INTERVALS * settings.probeIntervalS());
     }
 
     /** Takes gossip that fits into this message, from the budget that pings and acknowledgements leave. */
--- a/src/main/java/pepperdock/membership/ExchangeManager.java
+++ b/src/main/java/pepperdock/membership/ExchangeManager.java
@@ -24,7 +24,7 @@
     /** Minimum number of changes from one exchange after which the next does not wait for gossip to settle. */
     private static final int CHANGES_WHEN_BEHIND = 4;
     /** Probe intervals in which gossip usually settles a change. */
-    private static final int SETTLE_PROBES = 2;
+    private static final int SETTLE_PROBE_INTERVALS = 2;
     /** Settle times after which a difference leads to an exchange even while the table still changes. */
     private static final int MAX_SETTLE_FACTOR = 5;
 
@@ -95,7 +95,7 @@
      * Opens an exchange with the sender of a datagram if the table does not show the sender as alive in its present
      * generation and incarnation, or if the tables have differed for longer than gossip takes to settle that.
      */
-    void compare(Header header, double now) {
+    void openIfDiffering(Header header, double now) {
         boolean unknownState = isUnknownState(header);
         if (header.stateDigest() == table.stateDigest() && !unknownState) {
             mismatchSince = Double.NaN;
@@ -118,7 +118,7 @@
     }
 
     private boolean isSettled(double now) {
-        double settleTime = SETTLE_PROBES * settings.probeIntervalS();
+        double settleTime = SETTLE_PROBE_INTERVALS * settings.probeIntervalS();
         double mismatchTime = now - mismatchSince;
         return now - disseminator.lastChange() > settleTime && mismatchTime > settleTime
                 || mismatchTime > MAX_SETTLE_FACTOR * settleTime;
--- a/src/main/java/pepperdock/membership/FailureDetector.java
+++ b/src/main/java/pepperdock/membership/FailureDetector.java
@@ -129,7 +129,7 @@
         Map<String, Observations.SubjectObservation> bySubject = Map.of();
         int unreachable = 0;
         for (Map.Entry<String, SubjectMonitor> monitor : monitors.entrySet()) {
-            Observation observation = monitor.getValue().observation(now, health.timeoutFactor());
+            Observation observation = monitor.getValue().updateObservation(now, health.timeoutFactor());
             if (observation != null) {
                 bySubject = bySubject.isEmpty() ? new HashMap<>() : bySubject;
                 bySubject.put(
@@ -215,7 +215,7 @@
     }
 
     boolean isNameHolderUnreachable(double now) {
-        return nameHolderMonitor.observation(now, health.timeoutFactor()) == Observation.UNREACHABLE;
+        return nameHolderMonitor.updateObservation(now, health.timeoutFactor()) == Observation.UNREACHABLE;
     }
 
     void probeNameHolder(MemberRecord holder, double elapsed, double now) {
--- a/src/main/java/pepperdock/membership/GossipQueue.java
+++ b/src/main/java/pepperdock/membership/GossipQueue.java
@@ -27,10 +27,10 @@
     private static final int MIN_ITEM_BYTES = 28;
 
     /** Initial transmission count of a record of a faulty or left member, which is sent before all else, once. */
-    private static final int VERDICT_PRIORITY = 0;
+    private static final int INITIAL_VERDICT_TRANSMISSIONS = 0;
 
     /** Initial transmission count of all other items. */
-    private static final int UNSENT_PRIORITY = 1;
+    private static final int INITIAL_TRANSMISSIONS = 1;
 
     private record ItemKey(String name, boolean isRecord) {}
 
@@ -45,7 +45,7 @@
     /** Adds a new item. */
     void add(GossipItem item, double now) {
         ItemKey key = new ItemKey(item.name(), item instanceof MemberRecord);
-        int first = isVerdict(item) ? VERDICT_PRIORITY : UNSENT_PRIORITY;
+        int first = isVerdict(item) ? INITIAL_VERDICT_TRANSMISSIONS : INITIAL_TRANSMISSIONS;
         Integer before = transmissions.put(key, first);
         if (before != null) {
             byTransmissions.get(before).remove(key);
@@ -70,7 +70,7 @@
                 return;
             }
             int sent = transmissions.get(oldest.getKey());
-            if (sent > UNSENT_PRIORITY) {
+            if (sent > INITIAL_TRANSMISSIONS) {
                 byTransmissions.get(sent).remove(oldest.getKey());
                 transmissions.remove(oldest.getKey());
                 iterator.remove();
@@ -121,7 +121,7 @@
     }
 
     private static int maxTransmissions(int members) {
-        return UNSENT_PRIORITY + (int) Math.ceil(RETRANSMIT_FACTOR * (Math.log(members + 1.0) / Math.log(2)));
+        return INITIAL_TRANSMISSIONS + (int) Math.ceil(RETRANSMIT_FACTOR * (Math.log(members + 1.0) / Math.log(2)));
     }
 
     /** Puts taken items back under their new number of transmissions, and drops those sent often enough. */
--- a/src/main/java/pepperdock/membership/Membership.java
+++ b/src/main/java/pepperdock/membership/Membership.java
@@ -190,7 +190,7 @@
             exchanges.receive(response.items(), now);
         } else {
             dispatch(message, now);
-            exchanges.compare(message.header(), now);
+            exchanges.openIfDiffering(message.header(), now);
         }
         states.publish();
     }
--- a/src/main/java/pepperdock/membership/PeerDiscovery.java
+++ b/src/main/java/pepperdock/membership/PeerDiscovery.java
@@ -13,11 +13,11 @@
 final class PeerDiscovery {
 
     /** Probe intervals between two requests to a seed while this member is alone, times the backoff. */
-    private static final int SEED_PROBES_WHILE_ALONE = 2;
+    private static final int SEED_PROBE_INTERVALS_WHILE_ALONE = 2;
     /** Probe intervals between two requests to a seed once there are other members. */
-    private static final int SEED_PROBES = 20;
+    private static final int SEED_PROBE_INTERVALS = 20;
     /** Probe intervals between two pings to members declared faulty. */
-    private static final int FAULTY_PING_PROBES = 4;
+    private static final int FAULTY_PING_PROBE_INTERVALS = 4;
 
     private final MembershipSettings settings;
     private final List<String> seeds;
@@ -55,8 +55,9 @@
     void onTick(double now) {
         boolean alone = table.rings().names().size() < 2 || local.hasNameConflict();
         if (!seeds.isEmpty() && now >= nextSeed) {
-            int probes = alone ? SEED_PROBES_WHILE_ALONE * exchanges.backoffFactor() : SEED_PROBES;
-            nextSeed = now + settings.probeIntervalS() * probes * jitter();
+            int probeIntervals =
+                    alone ? SEED_PROBE_INTERVALS_WHILE_ALONE * exchanges.backoffFactor() : SEED_PROBE_INTERVALS;
+            nextSeed = now + settings.probeIntervalS() * probeIntervals * jitter();
             contactSeed(alone, now);
         }
         if (now >= nextFullExchange) {
@@ -64,7 +65,7 @@
             exchangeWithRandomMember(now);
         }
         if (now >= nextFaultyPing) {
-            nextFaultyPing = now + settings.probeIntervalS() * FAULTY_PING_PROBES;
+            nextFaultyPing = now + settings.probeIntervalS() * FAULTY_PING_PROBE_INTERVALS;
             pingRandomFaultyMember();
         }
     }
--- a/src/main/java/pepperdock/membership/SubjectMonitor.java
+++ b/src/main/java/pepperdock/membership/SubjectMonitor.java
@@ -152,7 +152,7 @@
     /**
      * Returns the observation to publish now, or null if the subject is reached. {@code timeoutFactor} is at least 1.
      */
-    Observation observation(double now, double timeoutFactor) {
+    Observation updateObservation(double now, double timeoutFactor) {
         Observation current = currentObservation(now, settings.suspicionTimeoutS() * timeoutFactor);
         if (current == lastObservation) {
             return lastObservation;
--- a/src/main/java/pepperdock/membership/transport/MembershipMessageReader.java
+++ b/src/main/java/pepperdock/membership/transport/MembershipMessageReader.java
@@ -52,8 +52,8 @@
             case MessageKinds.JOIN -> new Message.Join(header);
             case MessageKinds.JOIN_RESPONSE -> new Message.JoinResponse(header, readItems());
             case MessageKinds.SLICE_DIGESTS -> new Message.SliceDigests(header, readSliceDigests());
-            case MessageKinds.SLICE_SELECTION -> new Message.SliceSelection(header, readBits());
-            case MessageKinds.PARTIAL_DIGEST_REQUEST -> new Message.DigestRequest(header, readBits(), readDigests());
+            case MessageKinds.SLICE_SELECTION -> new Message.SliceSelection(header, readSlices());
+            case MessageKinds.PARTIAL_DIGEST_REQUEST -> new Message.DigestRequest(header, readSlices(), readDigests());
             case MessageKinds.DIGEST_RESPONSE -> new Message.DigestResponse(header, readItems(), readNames());
             case MessageKinds.MISSING_ITEMS -> new Message.MissingItems(header, readItems());
             default -> throw new IllegalArgumentException("unknown message kind " + kind);
@@ -167,7 +167,7 @@
         return digests;
     }
 
-    private int readBits() throws IOException {
+    private int readSlices() throws IOException {
         long number = readLong();
         if (number != (int) number) {
             throw new IllegalArgumentException("slice selection has more than 32 bits");
--- a/src/main/java/pepperdock/membership/transport/MembershipService.java
+++ b/src/main/java/pepperdock/membership/transport/MembershipService.java
@@ -52,7 +52,7 @@
     private final Membership membership;
     private final MembershipLog log;
     private final DatagramSocket datagrams;
-    private final LogRateLimiter rejectedMessages;
+    private final LogRateLimiter rejectedMessagesLog;
     private final List<Consumer<MembershipView.Change>> watchers = new ArrayList<>();
     private int openStreams;
     private long malformedMessages;
@@ -83,7 +83,7 @@
                 config.machine());
         membership =
                 new Membership(config.settings(), config.fleet(), self, config.seeds(), random.nextLong(), loop.now());
-        rejectedMessages = new LogRateLimiter(MembershipLog.LOG, loop, "rejected membership messages");
+        rejectedMessagesLog = new LogRateLimiter(MembershipLog.LOG, loop, "rejected membership messages");
         datagrams = loop.datagrams(config.address(), this::onDatagram);
         loop.listen(config.address(), () -> started && openStreams < MAX_STREAMS, Exchange::new);
         if (config.ask() != null) {
@@ -187,7 +187,8 @@
             return MembershipMessageCodec.decode(bytes, from, to);
         } catch (IllegalArgumentException e) {
             malformedMessages++;
-            rejectedMessages.log(System.Logger.Level.WARNING, () -> "membership message rejected: " + e.getMessage());
+            rejectedMessagesLog.log(
+                    System.Logger.Level.WARNING, () -> "membership message rejected: " + e.getMessage());
             return null;
         }
     }
--- a/src/main/java/pepperdock/operator/Bans.java
+++ b/src/main/java/pepperdock/operator/Bans.java
@@ -32,7 +32,7 @@
 
     private long changeNumber;
 
-    /** Adds a requested change; returns its number for {@link #written}. */
+    /** Adds a requested change; returns its number for {@link #onWritten}. */
     long request(String worker, boolean banned) {
         pending.put(++changeNumber, new Change(worker, banned));
         return changeNumber;
@@ -41,18 +41,18 @@
     /**
      * Ends a requested change. {@code state} is the content of the file after it, or null if it could not be written.
      */
-    void written(long number, Collection<String> state) {
+    void onWritten(long number, Collection<String> state) {
         Change change = pending.remove(number);
         unwritten.remove(change.worker());
         if (state != null) {
-            read(state);
+            onRead(state);
         } else {
             unwritten.put(change.worker(), change);
         }
     }
 
     /** Adopts the state of the file, which another process may have changed. */
-    void read(Collection<String> state) {
+    void onRead(Collection<String> state) {
         saved.clear();
         saved.addAll(state);
     }
--- a/src/main/java/pepperdock/operator/MetricsText.java
+++ b/src/main/java/pepperdock/operator/MetricsText.java
@@ -15,10 +15,10 @@
     /**
      * Returns the current values of all metrics.
      *
-     * @param loads how many configuration files were put into use
-     * @param loadErrors how many were rejected
+     * @param reloads how many configuration files were put into use
+     * @param rejectedReloads how many were rejected
      */
-    static String of(Gatherer core, long loads, long loadErrors) {
+    static String of(Gatherer core, long reloads, long rejectedReloads) {
         Metrics metrics = core.metrics();
         StringBuilder text = new StringBuilder();
         for (String queryClass : metrics.classes()) {
@@ -30,8 +30,8 @@
         line(text, "in_progress", core.inFlightQueries());
         line(text, "known_workers", core.listedEndpointCount());
         line(text, "skipped_workers", core.avoidedEndpointCount());
-        line(text, "loads", loads);
-        line(text, "load_errors", loadErrors);
+        line(text, "loads", reloads);
+        line(text, "load_errors", rejectedReloads);
         return text.toString();
     }
 
--- a/src/main/java/pepperdock/operator/OperatorEndpoint.java
+++ b/src/main/java/pepperdock/operator/OperatorEndpoint.java
@@ -30,7 +30,7 @@
          * Bans a worker or lifts its ban. {@code then} gets null once the change is saved, or the reason why it was
          * not.
          */
-        void ban(String worker, boolean banned, Consumer<String> then);
+        void setBanned(String worker, boolean banned, Consumer<String> then);
     }
 
     private static final String JSON = "application/json";
@@ -60,16 +60,17 @@
                         operations.metrics().getBytes(StandardCharsets.UTF_8));
             }
         } else if (path.startsWith(WORKERS) && path.endsWith("/disable")) {
-            ban(request, path, true, reply);
+            handleBan(request, path, true, reply);
         } else if (path.startsWith(WORKERS) && path.endsWith("/enable")) {
-            ban(request, path, false, reply);
+            handleBan(request, path, false, reply);
         } else {
             throw new HttpException(404, "no such path");
         }
         return () -> {};
     }
 
-    private void ban(HttpMessage request, String path, boolean banned, HttpResponseSender reply) throws HttpException {
+    private void handleBan(HttpMessage request, String path, boolean banned, HttpResponseSender reply)
+            throws HttpException {
         if (!requireMethod(request, "POST", reply)) {
             return;
         }
@@ -78,7 +79,7 @@
         if (!operations.knows(worker)) {
             throw new HttpException(404, "no worker of that id was ever listed");
         }
-        operations.ban(worker, banned, failure -> {
+        operations.setBanned(worker, banned, failure -> {
             if (failure == null) {
                 respond(reply, 200, "", "disabled", banned);
             } else {
--- a/src/main/java/pepperdock/operator/OperatorService.java
+++ b/src/main/java/pepperdock/operator/OperatorService.java
@@ -45,13 +45,13 @@
 
     private final ProcessLocks locks;
     private final ScheduledExecutorService diskThread;
-    private boolean otherProcess;
+    private boolean otherProcessAlive;
     private boolean otherProcessServing;
     private boolean handedOver;
-    private long loads;
-    private long loadErrors;
+    private long reloads;
+    private long rejectedReloads;
     /** This field and those below belong to the disk thread, which reports their changes to the loop. */
-    private boolean lastSeenOtherProcess;
+    private boolean lastSeenOtherAlive;
 
     private boolean lastSeenServing;
     private Set<String> lastSeenBans;
@@ -76,20 +76,22 @@
             diskThread = null;
             return;
         }
-        lastSeenOtherProcess = locks.otherProcessIsAlive();
-        if (!lastSeenOtherProcess) {
-            locks.holdServing();
+        lastSeenOtherAlive = locks.otherProcessIsAlive();
+        if (!lastSeenOtherAlive) {
+            locks.acquireServingLock();
         }
         lastSeenServing = locks.otherProcessServes();
         otherProcessServing = lastSeenServing;
         lastSeenBans = file.read();
-        otherProcess = lastSeenOtherProcess;
-        bans.read(lastSeenBans);
-        if (otherProcess || !lastSeenBans.isEmpty()) {
+        otherProcessAlive = lastSeenOtherAlive;
+        bans.onRead(lastSeenBans);
+        if (otherProcessAlive || !lastSeenBans.isEmpty()) {
             LOG.log(
                     System.Logger.Level.INFO,
                     "{0}, {1} workers disabled",
-                    otherProcess ? "another process of this gatherer is alive" : "no other process of this gatherer",
+                    otherProcessAlive
+                            ? "another process of this gatherer is alive"
+                            : "no other process of this gatherer",
                     lastSeenBans.size());
         }
         diskThread = Executors.newSingleThreadScheduledExecutor(task -> {
@@ -105,7 +107,7 @@
      */
     public void start(InetSocketAddress address) throws IOException {
         core.setBannedEndpoints(bans.inForce());
-        if (otherProcess) {
+        if (otherProcessAlive) {
             otherProcessListeners.forEach(then -> then.accept(true));
         }
         if (otherProcessServing) {
@@ -130,7 +132,7 @@
      * Signals to the other process that this one accepts queries from now on, then runs the task on the loop's thread.
      */
     public void startServing(Runnable then) {
-        onDiskThread(locks::holdServing, then);
+        onDiskThread(locks::acquireServingLock, then);
     }
 
     @Override
@@ -167,13 +169,13 @@
     }
 
     /** Returns whether another process of this gatherer is alive now. */
-    public boolean otherProcess() {
-        return otherProcess;
+    public boolean otherProcessIsAlive() {
+        return otherProcessAlive;
     }
 
     /**
-     * Registers a listener for changes of {@link #otherProcess()}. It is called on the loop's thread at each change,
-     * and at the start if there is another process.
+     * Registers a listener for changes of {@link #otherProcessIsAlive()}. It is called on the loop's thread at each
+     * change, and at the start if there is another process.
      */
     public void whenOtherProcessChanges(Consumer<Boolean> then) {
         otherProcessListeners.add(then);
@@ -181,7 +183,7 @@
 
     /**
      * Registers a listener for changes of whether another process accepts new queries, which is called in the same way
-     * as those of {@link #otherProcess()}. A draining process stays alive for a while but accepts none.
+     * as those of {@link #otherProcessIsAlive()}. A draining process stays alive for a while but accepts none.
      */
     public void whenOtherServingChanges(Consumer<Boolean> then) {
         otherServingListeners.add(then);
@@ -191,15 +193,15 @@
     public void handOver() {
         handedOver = true;
         core.yieldToUpgradePeer();
-        onDiskThread(locks::releaseServing, () -> {});
+        onDiskThread(locks::releaseServingLock, () -> {});
     }
 
     /** Counts a configuration file that was put into use or rejected. */
     public void countReload(boolean applied) {
         if (applied) {
-            loads++;
+            reloads++;
         } else {
-            loadErrors++;
+            rejectedReloads++;
         }
     }
 
@@ -208,10 +210,10 @@
             boolean otherAlive = locks.otherProcessIsAlive();
             boolean otherProcessServes = locks.otherProcessServes();
             Set<String> state = file.read();
-            if (otherAlive != lastSeenOtherProcess
+            if (otherAlive != lastSeenOtherAlive
                     || otherProcessServes != lastSeenServing
                     || !state.equals(lastSeenBans)) {
-                lastSeenOtherProcess = otherAlive;
+                lastSeenOtherAlive = otherAlive;
                 lastSeenServing = otherProcessServes;
                 lastSeenBans = state;
                 loop.execute(() -> otherStateChanged(otherAlive, otherProcessServes, state));
@@ -229,10 +231,10 @@
     }
 
     private void otherStateChanged(boolean otherAlive, boolean otherProcessServes, Set<String> state) {
-        bans.read(state);
+        bans.onRead(state);
         core.setBannedEndpoints(bans.inForce());
-        if (otherProcess != otherAlive) {
-            otherProcess = otherAlive;
+        if (otherProcessAlive != otherAlive) {
+            otherProcessAlive = otherAlive;
             LOG.log(
                     System.Logger.Level.INFO,
                     otherAlive
@@ -257,7 +259,7 @@
 
     @Override
     public String metrics() {
-        return MetricsText.of(core, loads, loadErrors);
+        return MetricsText.of(core, reloads, rejectedReloads);
     }
 
     @Override
@@ -270,7 +272,7 @@
      * acknowledgement reads it.
      */
     @Override
-    public void ban(String worker, boolean banned, Consumer<String> then) {
+    public void setBanned(String worker, boolean banned, Consumer<String> then) {
         if (banned && !bans.inForce().contains(worker) && bans.inForce().size() >= Bans.MAX_BANS
                 || bans.pendingCount() >= MAX_PENDING_BANS) {
             then.accept("not done: " + bans.inForce().size() + " workers are disabled, " + bans.pendingCount()
@@ -281,7 +283,7 @@
         core.setBannedEndpoints(bans.inForce());
         LOG.log(System.Logger.Level.INFO, "worker {0} {1} by an operator", worker, banned ? "disabled" : "enabled");
         if (diskThread == null) {
-            bans.written(changeNumber, null);
+            bans.onWritten(changeNumber, null);
             then.accept(null);
             return;
         }
@@ -298,7 +300,7 @@
             Set<String> newState = state;
             String reason = failure;
             loop.execute(() -> {
-                bans.written(changeNumber, newState);
+                bans.onWritten(changeNumber, newState);
                 core.setBannedEndpoints(bans.inForce());
                 then.accept(reason);
             });
--- a/src/main/java/pepperdock/operator/ProcessLocks.java
+++ b/src/main/java/pepperdock/operator/ProcessLocks.java
@@ -31,7 +31,7 @@
     ProcessLocks(Path folder) throws IOException {
         this.folder = folder;
         for (int i = 0; i < SLOTS && slot < 0; i++) {
-            livenessLock = tryHold(LIFE_PREFIX, i);
+            livenessLock = tryAcquire(LIFE_PREFIX, i);
             if (livenessLock != null) {
                 slot = i;
             }
@@ -39,7 +39,7 @@
     }
 
     /** Returns the open file with its lock held; null if another process holds the lock. */
-    private FileChannel tryHold(String prefix, int index) throws IOException {
+    private FileChannel tryAcquire(String prefix, int index) throws IOException {
         FileChannel channel =
                 FileChannel.open(folder.resolve(prefix + index), StandardOpenOption.CREATE, StandardOpenOption.WRITE);
         if (channel.tryLock() != null) {
@@ -50,12 +50,12 @@
     }
 
     /** Marks that this process accepts queries from now on. */
-    void holdServing() throws IOException {
-        servingLock = slot < 0 ? null : tryHold(SERVING_PREFIX, slot);
+    void acquireServingLock() throws IOException {
+        servingLock = slot < 0 ? null : tryAcquire(SERVING_PREFIX, slot);
     }
 
     /** Marks that this process accepts no new queries from now on. */
-    void releaseServing() throws IOException {
+    void releaseServingLock() throws IOException {
         if (servingLock != null) {
             servingLock.close();
         }
@@ -92,6 +92,6 @@
         if (livenessLock != null) {
             livenessLock.close();
         }
-        releaseServing();
+        releaseServingLock();
     }
 }
--- a/src/main/java/pepperdock/service/ConfigReloader.java
+++ b/src/main/java/pepperdock/service/ConfigReloader.java
@@ -47,26 +47,26 @@
     private final Consumer<Runnable> loop;
     private final ReloadTargets targets;
     private final Consumer<Boolean> reloadListener;
-    private final boolean stored;
+    private final boolean settingsFromStore;
     private ConfigReader current;
 
     /**
-     * Creates a reloader, which does nothing until {@link #onSignal}.
+     * Creates a reloader, which does nothing until {@link #installSignalHandler}.
      *
      * @param current the file in use, including the settings in use
-     * @param stored whether the settings came from the store, so that the file may lack them
+     * @param settingsFromStore whether the settings came from the store, so that the file may lack them
      * @param loop runs a task on the loop's thread
      * @param reloadListener is told, on the loop's thread, whether a file was put into use
      */
     ConfigReloader(
             Map<String, String> env,
             ConfigReader current,
-            boolean stored,
+            boolean settingsFromStore,
             Consumer<Runnable> loop,
             ReloadTargets targets,
             Consumer<Boolean> reloadListener) {
         this.reloadListener = reloadListener;
-        this.stored = stored;
+        this.settingsFromStore = settingsFromStore;
         this.env = new HashMap<>(env);
         this.env.remove("EDGE_DISCOVERY");
         this.current = current;
@@ -75,7 +75,7 @@
     }
 
     /** Installs the SIGHUP handler. Signals in quick succession are handled one after the other. */
-    void onSignal() {
+    void installSignalHandler() {
         ExecutorService reader = Executors.newSingleThreadExecutor(task -> {
             Thread thread = new Thread(task, "reload");
             thread.setDaemon(true);
@@ -88,7 +88,8 @@
     void reload() {
         try {
             ConfigReader newFile = Config.readFile(env);
-            ConfigReader file = newFile.has("settings") || !stored ? newFile : newFile.with("settings", current);
+            ConfigReader file =
+                    newFile.has("settings") || !settingsFromStore ? newFile : newFile.with("settings", current);
             checkComplete(file);
             Config config = Config.read(file, env);
             List<Runnable> changes = new ArrayList<>();
--- a/src/main/java/pepperdock/service/InitialEndpointList.java
+++ b/src/main/java/pepperdock/service/EndpointListWaiter.java
@@ -4,14 +4,14 @@
 import pepperdock.core.Gatherer;
 
 /** Runs a task once the first endpoint list has been received, or after a timeout. Used on the loop's thread. */
-final class InitialEndpointList {
+final class EndpointListWaiter {
 
     private final Clock clock;
     private boolean received;
     private Runnable waitingTask;
 
     /** Starts listening. A list that is received before {@link #runWithin} counts too. */
-    InitialEndpointList(Gatherer core, Clock clock) {
+    EndpointListWaiter(Gatherer core, Clock clock) {
         this.clock = clock;
         core.addEndpointListListener(hosts -> runTask());
     }
--- a/src/main/java/pepperdock/service/GathererService.java
+++ b/src/main/java/pepperdock/service/GathererService.java
@@ -54,7 +54,7 @@
     private final OperatorService operator;
 
     private final ClientServers clients;
-    private final InitialEndpointList initialList;
+    private final EndpointListWaiter listWaiter;
     private DeploymentSettings settings;
     private boolean ready;
 
@@ -80,10 +80,10 @@
         core = new Gatherer(settings.scheduler(), config.seed(), loop, backend, endpointSource.discovery());
         core.setClassNames(settings.classes());
         backend.start(core);
-        initialList = new InitialEndpointList(core, loop);
+        listWaiter = new EndpointListWaiter(core, loop);
         storeEndpointLists();
         startPlanner();
-        loop.execute(this::followEndpoints);
+        loop.execute(this::startDiscovery);
         operator = config.operator() == null
                 ? null
                 : new OperatorService(stateFolder(context.env()), loop, core, this::acceptsQueries);
@@ -93,16 +93,16 @@
     /**
      * Opens all components and starts serving.
      *
-     * @param stored whether the settings come from the store instead of the file
+     * @param settingsFromStore whether the settings come from the store instead of the file
      * @return the servers that listen; filled later if another process still serves
      */
-    public static List<HttpServer> start(ConfigReader file, boolean stored, Startup.ProcessContext context)
+    public static List<HttpServer> start(ConfigReader file, boolean settingsFromStore, Startup.ProcessContext context)
             throws IOException {
         GathererService service = new GathererService(file, context);
         if (!service.otherProcessExists()) {
             service.clients.listen();
         }
-        service.handleSignals(file, stored);
+        service.handleSignals(file, settingsFromStore);
         // Runs after the signal handlers are installed: a supervisor may send a signal as soon as the process is ready,
         // and without a handler the signal would end it.
         service.loop.execute(service::begin);
@@ -114,7 +114,7 @@
     }
 
     private boolean otherProcessExists() {
-        return operator != null && operator.otherProcess();
+        return operator != null && operator.otherProcessIsAlive();
     }
 
     private static Path stateFolder(Map<String, String> env) {
@@ -148,7 +148,7 @@
      * Applies the file's list before starting discovery: a pushed list may arrive at once and must not be replaced by
      * it.
      */
-    private void followEndpoints() {
+    private void startDiscovery() {
         core.onEndpointList(EndpointListKind.CACHED, config.known().hosts());
         endpointSource.start().accept(core);
     }
@@ -166,17 +166,18 @@
         }
     }
 
-    private void handleSignals(ConfigReader file, boolean stored) {
+    private void handleSignals(ConfigReader file, boolean settingsFromStore) {
         Consumer<Boolean> reloadListener = operator == null ? applied -> {} : operator::countReload;
         ConfigReloader.ReloadTargets targets = new ConfigReloader.ReloadTargets(
                 endpointSource.changeAddress(),
                 endpointSource.replace(),
                 sockets -> loop.setSocketCap(sockets - Startup.OTHER_DESCRIPTORS),
                 this::applySettings);
-        new ConfigReloader(context.env(), file, stored, loop::execute, targets, reloadListener).onSignal();
+        new ConfigReloader(context.env(), file, settingsFromStore, loop::execute, targets, reloadListener)
+                .installSignalHandler();
         UpgradePeer peer = operator == null ? UpgradePeer.NONE : operator;
         Runnable announceLeave = context.members() == null ? () -> {} : context.members()::leave;
-        new GracefulShutdown(loop, clients.servers(), core, peer, announceLeave).onSignal();
+        new GracefulShutdown(loop, clients.servers(), core, peer, announceLeave).installSignalHandlers();
     }
 
     /** Applies changed settings to queries from now on. */
@@ -191,9 +192,9 @@
             startOperator();
         }
         if (otherProcessExists()) {
-            initialList.runWithin(LIST_TIMEOUT_S, this::takeOver);
+            listWaiter.runWithin(LIST_TIMEOUT_S, this::takeOver);
         } else if (endpointSource.pushed()) {
-            initialList.runWithin(PUSHED_LIST_TIMEOUT_S, this::serve);
+            listWaiter.runWithin(PUSHED_LIST_TIMEOUT_S, this::serve);
         } else {
             serve();
         }
--- a/src/main/java/pepperdock/service/GracefulShutdown.java
+++ b/src/main/java/pepperdock/service/GracefulShutdown.java
@@ -66,7 +66,7 @@
     }
 
     /** Installs the handlers of SIGTERM and SIGINT. */
-    void onSignal() {
+    void installSignalHandlers() {
         SignalHandlers.on("TERM", () -> loop.execute(this::start));
         SignalHandlers.on("INT", () -> loop.execute(this::start));
     }
--- a/src/test/java/pepperdock/membership/transport/MembershipServiceTest.java
+++ b/src/test/java/pepperdock/membership/transport/MembershipServiceTest.java
@@ -69,7 +69,7 @@
      * The other reports each change once and in order, counts the invalid datagram, and shows all this to operators.
      */
     @Test
-    void twoMembersJoinAnswerOperatorsAndOneLeaves() throws Exception {
+    void membersDiscoverEachOtherAnswerOperatorsAndLeave() throws Exception {
         List<MembershipView.Change> changes = new CopyOnWriteArrayList<>();
         open(1, changes);
         MembershipService two = open(2, new CopyOnWriteArrayList<>());
--- a/src/test/java/pepperdock/operator/BansTest.java
+++ b/src/test/java/pepperdock/operator/BansTest.java
@@ -23,18 +23,18 @@
         Bans bans = new Bans();
         long banA = bans.request("a", true);
         assertEquals(Set.of("a"), bans.inForce());
-        bans.read(Set.of("b"));
+        bans.onRead(Set.of("b"));
         assertEquals(Set.of("a", "b"), bans.inForce());
         long liftB = bans.request("b", false);
-        bans.written(banA, Set.of("b", "a"));
+        bans.onWritten(banA, Set.of("b", "a"));
         assertEquals(Set.of("a"), bans.inForce());
-        bans.written(liftB, Set.of("a"));
+        bans.onWritten(liftB, Set.of("a"));
         assertEquals(Set.of("a"), bans.inForce());
-        bans.written(bans.request("c", true), null);
+        bans.onWritten(bans.request("c", true), null);
         assertEquals(Set.of("a", "c"), bans.inForce());
-        bans.read(Set.of("a"));
+        bans.onRead(Set.of("a"));
         assertEquals(Set.of("a", "c"), bans.inForce(), "a change that could not be written is in force");
-        bans.written(bans.request("c", false), Set.of("a"));
+        bans.onWritten(bans.request("c", false), Set.of("a"));
         assertEquals(Set.of("a"), bans.inForce());
     }
 
--- a/src/test/java/pepperdock/operator/OperatorEndpointTest.java
+++ b/src/test/java/pepperdock/operator/OperatorEndpointTest.java
@@ -53,7 +53,7 @@
                 }
 
                 @Override
-                public void ban(String worker, boolean ban, Consumer<String> then) {
+                public void setBanned(String worker, boolean ban, Consumer<String> then) {
                     banned.add(worker + ban);
                     loop.execute(() -> then.accept(worker.equals("s-full") ? "disk full" : null));
                 }
@@ -102,8 +102,7 @@
                 "POST /-/workers/s-1/disable HTTP/1.1~Content-Length: 9999|413|error",
                 "nonsense|400|error"
             })
-    void eachCallGetsItsResponseAndEachInvalidOneItsError(String request, int status, String expected)
-            throws Exception {
+    void respondsToValidCallsAndRejectsInvalidOnes(String request, int status, String expected) throws Exception {
         String response = call(request.replace("~", "\r\n"));
         assertTrue(
                 response.startsWith("HTTP/1.1 " + status + ' ')
--- a/src/test/java/pepperdock/service/ReadyTest.java
+++ b/src/test/java/pepperdock/service/ReadyTest.java
@@ -44,7 +44,7 @@
     ReadyTest() throws IOException {}
 
     @BeforeEach
-    void limit() throws IOException {
+    void setAcceptTimeout() throws IOException {
         discovery.setSoTimeout(60_000);
     }
 
@@ -105,7 +105,7 @@
      * agent pushes is received.
      */
     @Test
-    void withPushedListsReadyOnceTheListIsReceived() throws Exception {
+    void isReadyOnceThePushedListIsReceived() throws Exception {
         InetSocketAddress address = start(PUSHED_LISTS);
         try (Socket agent = discovery.accept()) {
             BufferedReader in =
@@ -124,7 +124,7 @@
 
     /** The agent that should push the endpoint list never sends one. The gatherer is still ready after the timeout. */
     @Test
-    void withASilentAgentReadyAfterTheTimeout() throws Exception {
+    void isReadyAfterTheTimeoutIfTheAgentIsSilent() throws Exception {
         InetSocketAddress address = start(PUSHED_LISTS);
         try (Socket agent = discovery.accept()) {
             skipHead(new BufferedReader(new InputStreamReader(agent.getInputStream(), StandardCharsets.US_ASCII)));
@@ -133,7 +133,7 @@
     }
 
     @Test
-    void withPolledListsReadyRegardlessOfDiscovery() throws Exception {
+    void isReadyRegardlessOfDiscoveryIfListsArePolled() throws Exception {
         InetSocketAddress silent = start(TestDeploymentSettings.SETTINGS);
         awaitReady(silent);
         discovery.close();
@@ -155,7 +155,7 @@
      * list again.
      */
     @Test
-    void theListOfTheFileDoesNotReplaceTheAgents() throws Exception {
+    void listOfTheFileDoesNotReplaceTheListOfTheAgent() throws Exception {
         try (ServerSocket worker = new ServerSocket(0, 50, InetAddress.getLoopbackAddress())) {
             CompletableFuture<Void> listSent = CompletableFuture.runAsync(() -> {
                 try {
