--- a/src/main/java/pepperdock/config/MembersConfig.java
+++ b/src/main/java/pepperdock/config/MembersConfig.java
@@ -142,7 +142,10 @@
 
     private static double readSuspicionTimeout(ConfigReader keys, double probeIntervalS) {
         double suspicionTimeoutS = readSeconds(
-                keys, Key.SUSPICION_TIMEOUT, MembershipSettings.SUSPICION_PROBES * probeIntervalS, probeIntervalS);
+                keys,
+                Key.SUSPICION_TIMEOUT,
+                MembershipSettings.SUSPICION_PROBE_INTERVALS * probeIntervalS,
+                probeIntervalS);
         if (suspicionTimeoutS < MIN_SUSPICION_PROBES * probeIntervalS) {
             throw new ConfigException(
                     keys.key(Key.SUSPICION_TIMEOUT),
--- a/src/main/java/pepperdock/membership/MembershipSettings.java
+++ b/src/main/java/pepperdock/membership/MembershipSettings.java
@@ -62,7 +62,7 @@
     public static final int DATAGRAM_BYTES = 1200;
 
     /** Suspicion timeout in probe intervals, if only the probe interval is given. */
-    public static final int SUSPICION_PROBES = 6;
+    public static final int SUSPICION_PROBE_INTERVALS = 6;
 
     /** Sync interval in probe intervals, if only the probe interval is given. */
     public static final int SYNC_PROBES = 60;
