--- a/src/main/java/pepperdock/config/MembersConfig.java
+++ b/src/main/java/pepperdock/config/MembersConfig.java
@@ -132,7 +132,11 @@
                 lowWatermark,
                 keys.integer(Key.INDIRECT_PROBES, 0, MAX_INDIRECT_PROBES, defaults.indirectProbes()),
                 readSeconds(keys, Key.SLOW_THRESHOLD, probeIntervalS, MIN_SLOW_THRESHOLD_S),
-                readSeconds(keys, Key.SYNC_INTERVAL, MembershipSettings.SYNC_PROBES * probeIntervalS, probeIntervalS),
+                readSeconds(
+                        keys,
+                        Key.SYNC_INTERVAL,
+                        MembershipSettings.SYNC_PROBE_INTERVALS * probeIntervalS,
+                        probeIntervalS),
                 readSeconds(keys, Key.RETENTION, defaults.retentionS(), 10 * suspicionTimeoutS),
                 datagramsPerS,
                 bytesPerS,
--- a/src/main/java/pepperdock/membership/MembershipSettings.java
+++ b/src/main/java/pepperdock/membership/MembershipSettings.java
@@ -65,7 +65,7 @@
     public static final int SUSPICION_PROBE_INTERVALS = 6;
 
     /** Sync interval in probe intervals, if only the probe interval is given. */
-    public static final int SYNC_PROBES = 60;
+    public static final int SYNC_PROBE_INTERVALS = 60;
 
     /** Datagrams for each ping to a subject: the ping, the acknowledgement owed to an observer, and indirect pings. */
     public static final int DATAGRAMS_PER_PROBE = 3;
