--- a/src/main/java/pepperdock/config/MembersConfig.java
+++ b/src/main/java/pepperdock/config/MembersConfig.java
@@ -132,7 +132,11 @@
                 lowWatermark,
                 keys.integer(Key.INDIRECT_PROBES, 0, MAX_INDIRECT_PROBES, defaults.indirectProbes()),
                 readSeconds(keys, Key.SLOW_THRESHOLD, probeIntervalS, MIN_SLOW_THRESHOLD_S),
-                readSeconds(keys, Key.SYNC_INTERVAL, MembershipSettings.SYNC_PROBES * probeIntervalS, probeIntervalS),
+                readSeconds(
+                        keys,
+                        Key.SYNC_INTERVAL,
+                        MembershipSettings.SYNC_PROBE_INTERVALS * probeIntervalS,
+                        probeIntervalS),
                 readSeconds(keys, Key.RETENTION, defaults.retentionS(), 10 * suspicionTimeoutS),
                 datagramsPerS,
                 bytesPerS,
@@ -142,7 +146,10 @@
 
     private static double readSuspicionTimeout(ConfigReader keys, double probeIntervalS) {
         double suspicionTimeoutS = readSeconds(
-                keys, Key.SUSPICION_TIMEOUT, MembershipSettings.SUSPICION_PROBES * probeIntervalS, probeIntervalS);
+                keys,
+                Key.SUSPICION_TIMEOUT,
+                MembershipSettings.SUSPICION_PROBE_INTERVALS * probeIntervalS,
+                probeIntervalS);
         if (suspicionTimeoutS < MIN_SUSPICION_PROBES * probeIntervalS) {
             throw new ConfigException(
                     keys.key(Key.SUSPICION_TIMEOUT),
