--- a/src/main/java/pepperdock/plan/Conflict.java
+++ b/src/main/java/pepperdock/plan/Conflict.java
@@ -3,20 +3,21 @@
 import java.util.List;
 
 /**
- * Why there is no plan: work that no node may take, or that together exceeds the capacity of all nodes that may take any of it.
- * Minimal: without any one piece of the work, or with any one of the nodes unbounded, there is no conflict in the set. Immutable.
+ * The reason why a problem has no plan: work that no node may serve, or that exceeds the total capacity of all nodes
+ * that may serve any of it. The set is minimal: it is no conflict any more without any one piece of the work, or with
+ * any one of the nodes unbounded. Immutable.
  *
- * @param away the node that is assumed to be away, or null where the fleet as it is does not suffice
- * @param work the pieces of work that are too much
- * @param nodes indexes of the nodes whose capacity they exceed; empty where no node may take the work
- * @param need the work over the capacity of the nodes; null where there are none
+ * @param away the name of the node that is assumed to be out of service, or null if the fleet does not suffice as it is
+ * @param work the pieces of work that exceed the capacity
+ * @param nodes the indexes of the nodes whose capacity is exceeded; empty if no node may serve the work
+ * @param need the work divided by the capacity of the nodes; null if there are no such nodes
  */
 public record Conflict(String away, List<Work> work, List<Integer> nodes, Ratio need) {
 
-    /** The work of one zone's gatherers on one range; indexes of both in the problem. */
+    /** The work that the gatherers of one zone send to one range, both given by their index in the problem. */
     public record Work(int range, int zone) {}
 
-    /** Copies the lists. */
+    /** Copies the lists of work and nodes. */
     public Conflict {
         work = List.copyOf(work);
         nodes = List.copyOf(nodes);
--- a/src/main/java/pepperdock/plan/Problem.java
+++ b/src/main/java/pepperdock/plan/Problem.java
@@ -6,50 +6,54 @@
 /**
  * The input of the planner. Immutable.
  *
- * @param zones names of the zones; nodes and gatherers refer to theirs by its index
- * @param crossing {@code crossing[from][to]}: cost of a second of work sent there by a gatherer of {@code from};
- *     infinite where none may be sent
- * @param rates the queries that come to the gatherers of each zone, in any unit; integers, one of them above 0
- * @param spareNode whether capacity must suffice with any one node away, too
+ * @param zones the names of the zones; nodes and gatherers refer to their zone by its index
+ * @param crossingCost {@code crossingCost[from][to]}: the cost of a second of work that a gatherer in zone {@code from}
+ *     sends to a node in zone {@code to}; infinite if it may not send any
+ * @param rates the rate of queries that arrive at the gatherers of each zone, in any unit, as integers; at least one must be
+ *     above 0
+ * @param spareNode whether the capacity must also suffice with any one node out of service
  */
 public record Problem(
         List<String> zones,
-        double[][] crossing,
+        double[][] crossingCost,
         long[] rates,
         List<Node> nodes,
         List<Range> ranges,
         boolean spareNode) {
 
-    /** A node; its capacity in microseconds of work a second is that of now, divided by the factor by which it is slow. */
+    /**
+     * A node. Its capacity is in microseconds of work per second, already divided by the factor by which the node is
+     * slow.
+     */
     public record Node(String name, int zone, long capacity, boolean inService) {}
 
-    /** An account range: microseconds of work a second, and the indexes of the nodes that hold its replicas. */
+    /** An account range: its work in microseconds per second, and the indexes of the nodes that hold its replicas. */
     public record Range(int number, long work, List<Integer> holders) {
-        /** Copies the list. */
+        /** Copies the list of holders. */
         public Range {
             holders = List.copyOf(holders);
         }
     }
 
-    /** Copies the lists. */
+    /** Copies the lists of zones, nodes and ranges. */
     public Problem {
         zones = List.copyOf(zones);
         nodes = List.copyOf(nodes);
         ranges = List.copyOf(ranges);
     }
 
-    /** Whether work of a zone's gatherers may go to a node. */
+    /** Returns whether the gatherers of a zone may send work to a node. */
     boolean mayServe(int zone, int node) {
         return nodes.get(node).inService()
                 && nodes.get(node).capacity() > 0
-                && Double.isFinite(crossing[zone][nodes.get(node).zone()]);
+                && Double.isFinite(crossingCost[zone][nodes.get(node).zone()]);
     }
 
-    /** The same with one node away. */
-    Problem without(int node) {
-        List<Node> left = new ArrayList<>(nodes);
-        Node removed = left.get(node);
-        left.set(node, new Node(removed.name(), removed.zone(), removed.capacity(), false));
-        return new Problem(zones, crossing, rates, left, ranges, false);
+    /** Returns this problem with one node out of service, and without the requirement of a spare node. */
+    Problem withNodeAway(int node) {
+        List<Node> changedNodes = new ArrayList<>(nodes);
+        Node removed = changedNodes.get(node);
+        changedNodes.set(node, new Node(removed.name(), removed.zone(), removed.capacity(), false));
+        return new Problem(zones, crossingCost, rates, changedNodes, ranges, false);
     }
 }
--- a/src/main/java/pepperdock/plan/Ratio.java
+++ b/src/main/java/pepperdock/plan/Ratio.java
@@ -2,20 +2,21 @@
 
 import java.math.BigInteger;
 
-/** An exact quotient of work by capacity, the latter above 0; compared without rounding. Immutable. */
+/** An exact quotient of work and capacity, compared without rounding. The capacity is above 0. Immutable. */
 public record Ratio(BigInteger work, BigInteger capacity) implements Comparable<Ratio> {
 
-    /** No work. */
+    /** The ratio of no work. */
     public static final Ratio ZERO = new Ratio(BigInteger.ZERO, BigInteger.ONE);
 
-    /** Reduces the fraction. */
+    /** Checks that the work is not negative and the capacity above 0, and reduces the fraction. */
     public Ratio {
         if (capacity.signum() <= 0 || work.signum() < 0) {
-            throw new IllegalArgumentException(work + " / " + capacity);
+            throw new IllegalArgumentException(
+                    work + " of work (expected at least 0) over a capacity (expected above 0) of " + capacity);
         }
-        BigInteger common = work.gcd(capacity);
-        work = work.divide(common);
-        capacity = capacity.divide(common);
+        BigInteger divisor = work.gcd(capacity);
+        work = work.divide(divisor);
+        capacity = capacity.divide(divisor);
     }
 
     @Override
@@ -23,12 +24,12 @@
         return work.multiply(other.capacity).compareTo(other.work.multiply(capacity));
     }
 
-    /** Whether there is more work than capacity. */
+    /** Returns whether there is more work than capacity. */
     public boolean aboveOne() {
         return work.compareTo(capacity) > 0;
     }
 
-    /** The nearest floating-point number. */
+    /** Returns the quotient as a floating-point number. */
     public double value() {
         return work.doubleValue() / capacity.doubleValue();
     }
--- a/src/main/java/pepperdock/plan/UtilisationLevels.java
+++ b/src/main/java/pepperdock/plan/UtilisationLevels.java
@@ -13,36 +13,38 @@
 import org.ojalgo.optimisation.Variable;
 
 /**
- * Spreads work that only some nodes may take so that the nodes' utilisations are least in the order of the greatest, then the
- * next, and so on (lexicographically least, which is unique). The greatest is, by the theorem of Hall and Rado, the maximum over
- * all sets of nodes of the work that may go nowhere else over the set's capacity. One linear program finds it and a spread that
- * reaches it; the nodes that cannot shed load to any node below it are such a set. They and their work are final: the next level
- * is the same problem without them.
+ * Assigns work, each piece of which only some nodes may serve, so that the nodes' utilisations are max-min fair: the
+ * greatest is least, then the next greatest, and so on (lexicographically least, which is unique). By the theorem of
+ * Hall and Rado, the greatest utilisation is the maximum, over all sets of nodes, of the work confined to the set
+ * divided by the set's capacity. One linear program finds it together with an assignment that attains it. The nodes
+ * that cannot move load to any node below this level are such a set, the bottleneck. They and their work are final; the
+ * next level is the same problem without them.
  *
- * <p>Works on demands merged by who may take them, and on one connected component of the fleet at a time. Used by one thread.
+ * <p>Works on demands merged by the nodes that may serve them, and on one connected component of the fleet at a time.
+ * Each instance is used by one thread.
  */
 final class UtilisationLevels {
 
-    /** A load this close to the level, relative to it, is at the level; the solver's own accuracy is far finer. */
+    /** Relative distance within which a load counts as at the level; the solver's own accuracy is far finer. */
     private static final double TOLERANCE = 1e-7;
 
-    /** Work that any of these nodes may take, in ascending order. */
+    /** Work that any of these nodes may serve; the nodes are in ascending order. */
     record Demand(long work, int[] nodes) {}
 
     /**
-     * The result.
+     * The max-min fair assignment.
      *
-     * @param flow {@code flow[d][i]}: what the i-th node of demand d gets, in units of work
-     * @param utilisation of each node
-     * @param fullest the nodes of the greatest utilisation
+     * @param flow {@code flow[d][i]}: the work that the i-th node of demand d gets, in units of work
+     * @param utilisation the utilisation of each node
+     * @param bottleneck the nodes of the greatest utilisation
      */
-    record Spread(double[][] flow, Ratio[] utilisation, BitSet fullest) {}
+    record Assignment(double[][] flow, Ratio[] utilisation, BitSet bottleneck) {}
 
     private final long[] capacity;
     private final List<Demand> demands;
     private final double[][] flow;
     private final Ratio[] utilisation;
-    private final BitSet fullest = new BitSet();
+    private final BitSet bottleneck = new BitSet();
 
     private UtilisationLevels(long[] capacity, List<Demand> demands) {
         this.capacity = capacity;
@@ -55,165 +57,190 @@
         Arrays.fill(utilisation, Ratio.ZERO);
     }
 
-    /** Each demand has work above 0 and a node at least, each node it names capacity above 0. */
-    static Spread spread(long[] capacity, List<Demand> demands) {
+    /**
+     * Returns the max-min fair assignment. Each demand must have work above 0 and at least one node, and each of its
+     * nodes capacity above 0.
+     */
+    static Assignment solve(long[] capacity, List<Demand> demands) {
         UtilisationLevels levels = new UtilisationLevels(capacity, demands);
         BitSet all = new BitSet();
         for (int d = 0; d < demands.size(); d++) {
             all.set(d);
         }
-        levels.levelComponents(all, new BitSet());
-        return new Spread(levels.flow, levels.utilisation, levels.fullest);
+        levels.solveComponents(all, new BitSet());
+        return new Assignment(levels.flow, levels.utilisation, levels.bottleneck);
     }
 
-    /** Splits what is left into connected components and levels each by itself; nodes in {@code done} take no more. */
-    private void levelComponents(BitSet left, BitSet done) {
+    /**
+     * Splits the remaining demands into connected components and solves each by itself. The nodes in {@code fixed} take
+     * no more work.
+     */
+    private void solveComponents(BitSet remaining, BitSet fixed) {
         Map<Integer, Integer> parent = new HashMap<>();
-        for (int d = left.nextSetBit(0); d >= 0; d = left.nextSetBit(d + 1)) {
+        for (int d = remaining.nextSetBit(0); d >= 0; d = remaining.nextSetBit(d + 1)) {
             int root = -1;
             for (int node : demands.get(d).nodes()) {
-                if (!done.get(node)) {
-                    int top = find(parent, node);
+                if (!fixed.get(node)) {
+                    int nodeRoot = findRoot(parent, node);
                     if (root < 0) {
-                        root = top;
-                    } else if (root != top) {
-                        parent.put(top, root);
+                        root = nodeRoot;
+                    } else if (root != nodeRoot) {
+                        parent.put(nodeRoot, root);
                     }
                 }
             }
         }
-        Map<Integer, BitSet> pieces = new HashMap<>();
-        for (int d = left.nextSetBit(0); d >= 0; d = left.nextSetBit(d + 1)) {
+        Map<Integer, BitSet> components = new HashMap<>();
+        for (int d = remaining.nextSetBit(0); d >= 0; d = remaining.nextSetBit(d + 1)) {
             for (int node : demands.get(d).nodes()) {
-                if (!done.get(node)) {
-                    pieces.computeIfAbsent(find(parent, node), r -> new BitSet())
+                if (!fixed.get(node)) {
+                    components
+                            .computeIfAbsent(findRoot(parent, node), r -> new BitSet())
                             .set(d);
                     break;
                 }
             }
         }
-        pieces.values().forEach(piece -> level(piece, done));
+        components.values().forEach(component -> solveComponent(component, fixed));
     }
 
-    private static int find(Map<Integer, Integer> parent, int node) {
-        int top = node;
-        while (parent.getOrDefault(top, top) != top) {
-            top = parent.get(top);
+    /** Returns the root of a node in the union-find forest, and compresses the path to it. */
+    private static int findRoot(Map<Integer, Integer> parent, int node) {
+        int root = node;
+        while (parent.getOrDefault(root, root) != root) {
+            root = parent.get(root);
         }
-        parent.put(node, top);
-        return top;
+        parent.put(node, root);
+        return root;
     }
 
-    /** Finds the greatest utilisation of a component and its nodes, and goes on with the rest. */
-    private void level(BitSet piece, BitSet done) {
-        double u = solveLinearProgram(piece, done);
-        BitSet tight = nodesThatCannotShed(piece, done, u);
-        BigInteger work = BigInteger.ZERO;
-        BitSet rest = new BitSet();
-        for (int d = piece.nextSetBit(0); d >= 0; d = piece.nextSetBit(d + 1)) {
-            boolean inside = true;
+    /**
+     * Finds the greatest utilisation of a component and its bottleneck, then continues with the rest of the component.
+     */
+    private void solveComponent(BitSet component, BitSet fixed) {
+        double level = solveMinMaxProgram(component, fixed);
+        BitSet bottleneckNodes = findBottleneck(component, fixed, level);
+        BigInteger confinedWork = BigInteger.ZERO;
+        BitSet unconfined = new BitSet();
+        for (int d = component.nextSetBit(0); d >= 0; d = component.nextSetBit(d + 1)) {
+            boolean confined = true;
             for (int node : demands.get(d).nodes()) {
-                inside &= done.get(node) || tight.get(node);
+                confined &= fixed.get(node) || bottleneckNodes.get(node);
             }
-            if (inside) {
-                work = work.add(BigInteger.valueOf(demands.get(d).work()));
+            if (confined) {
+                confinedWork =
+                        confinedWork.add(BigInteger.valueOf(demands.get(d).work()));
             } else {
-                rest.set(d);
+                unconfined.set(d);
                 Arrays.fill(flow[d], 0);
             }
         }
-        BigInteger room =
-                tight.stream().mapToObj(n -> BigInteger.valueOf(capacity[n])).reduce(BigInteger.ZERO, BigInteger::add);
-        Ratio exact = new Ratio(work, room);
-        if (Math.abs(exact.value() - u) > 1e-6 * Math.max(u, 1e-9)) {
-            throw new ArithmeticException("the program's level " + u + " is not that of its set, " + exact.value());
+        BigInteger bottleneckCapacity = bottleneckNodes.stream()
+                .mapToObj(n -> BigInteger.valueOf(capacity[n]))
+                .reduce(BigInteger.ZERO, BigInteger::add);
+        Ratio exact = new Ratio(confinedWork, bottleneckCapacity);
+        if (Math.abs(exact.value() - level) > 1e-6 * Math.max(level, 1e-9)) {
+            throw new ArithmeticException(
+                    "the linear program found utilisation " + level + ", but its bottleneck set has " + exact.value());
         }
-        tight.stream().forEach(n -> utilisation[n] = exact);
-        keepFirst(exact, tight);
-        if (!rest.isEmpty()) {
-            BitSet after = (BitSet) done.clone();
-            after.or(tight);
-            levelComponents(rest, after);
+        bottleneckNodes.stream().forEach(n -> utilisation[n] = exact);
+        keepIfGreatest(exact, bottleneckNodes);
+        if (!unconfined.isEmpty()) {
+            BitSet nextFixed = (BitSet) fixed.clone();
+            nextFixed.or(bottleneckNodes);
+            solveComponents(unconfined, nextFixed);
         }
     }
 
-    /** Keeps the set of the greatest level: what a conflict is made of. */
-    private void keepFirst(Ratio level, BitSet set) {
-        if (fullest.isEmpty() || level.compareTo(utilisation[fullest.nextSetBit(0)]) > 0) {
-            fullest.clear();
-            fullest.or(set);
+    /** Keeps the bottleneck of the greatest level, from which a conflict is built. */
+    private void keepIfGreatest(Ratio level, BitSet nodes) {
+        if (bottleneck.isEmpty() || level.compareTo(utilisation[bottleneck.nextSetBit(0)]) > 0) {
+            bottleneck.clear();
+            bottleneck.or(nodes);
         }
     }
 
-    /** The least utilisation that a spread of a component's work over the nodes not done can keep; fills the flow. */
-    private double solveLinearProgram(BitSet piece, BitSet done) {
+    /**
+     * Returns the least utilisation that suffices to assign a component's work to its nodes outside {@code fixed}, and
+     * writes the assignment that attains it into {@code flow}.
+     */
+    private double solveMinMaxProgram(BitSet component, BitSet fixed) {
         double workUnit =
-                piece.stream().mapToDouble(d -> demands.get(d).work()).max().orElse(1);
+                component.stream().mapToDouble(d -> demands.get(d).work()).max().orElse(1);
         ExpressionsBasedModel model = new ExpressionsBasedModel();
-        Variable u = model.newVariable("u").lower(0).weight(1);
+        Variable level = model.newVariable("u").lower(0).weight(1);
         Map<Integer, Expression> loads = new HashMap<>();
-        List<int[]> places = new ArrayList<>();
-        for (int d = piece.nextSetBit(0); d >= 0; d = piece.nextSetBit(d + 1)) {
+        List<int[]> amounts = new ArrayList<>();
+        for (int d = component.nextSetBit(0); d >= 0; d = component.nextSetBit(d + 1)) {
             Demand demand = demands.get(d);
-            Expression all = model.newExpression("d" + d).level(demand.work() / workUnit);
+            Expression total = model.newExpression("d" + d).level(demand.work() / workUnit);
             for (int i = 0; i < demand.nodes().length; i++) {
                 int node = demand.nodes()[i];
                 flow[d][i] = 0;
-                if (!done.get(node)) {
-                    Variable x = model.newVariable("x" + places.size()).lower(0);
-                    places.add(new int[] {d, i});
-                    all.set(x, 1);
+                if (!fixed.get(node)) {
+                    Variable amount = model.newVariable("x" + amounts.size()).lower(0);
+                    amounts.add(new int[] {d, i});
+                    total.set(amount, 1);
                     loads.computeIfAbsent(
                                     node,
-                                    n -> model.newExpression("n" + n).upper(0).set(u, -capacity[n] / workUnit))
-                            .set(x, 1);
+                                    n -> model.newExpression("n" + n).upper(0).set(level, -capacity[n] / workUnit))
+                            .set(amount, 1);
                 }
             }
         }
         Optimisation.Result result = model.minimise();
         if (!result.getState().isOptimal()) {
-            throw new ArithmeticException("the program ended " + result.getState());
+            throw new ArithmeticException(
+                    "no optimal solution of the linear program of the utilisation level: it ended in state "
+                            + result.getState());
         }
-        for (int x = 0; x < places.size(); x++) {
-            flow[places.get(x)[0]][places.get(x)[1]] = Math.max(0, result.doubleValue(x + 1)) * workUnit;
+        for (int i = 0; i < amounts.size(); i++) {
+            flow[amounts.get(i)[0]][amounts.get(i)[1]] = Math.max(0, result.doubleValue(i + 1)) * workUnit;
         }
         return result.doubleValue(0);
     }
 
-    /** The nodes at the level that cannot shed any of their load, by way of others at the level, to a node below it. */
-    private BitSet nodesThatCannotShed(BitSet piece, BitSet done, double u) {
+    /**
+     * Returns the nodes at the level that cannot move any of their load to a node below it, neither directly nor
+     * through other nodes at the level.
+     */
+    private BitSet findBottleneck(BitSet component, BitSet fixed, double level) {
         double[] load = new double[capacity.length];
         BitSet nodes = new BitSet();
-        for (int d = piece.nextSetBit(0); d >= 0; d = piece.nextSetBit(d + 1)) {
+        for (int d = component.nextSetBit(0); d >= 0; d = component.nextSetBit(d + 1)) {
             for (int i = 0; i < flow[d].length; i++) {
-                if (!done.get(demands.get(d).nodes()[i])) {
+                if (!fixed.get(demands.get(d).nodes()[i])) {
                     load[demands.get(d).nodes()[i]] += flow[d][i];
                     nodes.set(demands.get(d).nodes()[i]);
                 }
             }
         }
-        BitSet sheds = new BitSet();
-        nodes.stream().filter(n -> load[n] < u * capacity[n] * (1 - TOLERANCE)).forEach(sheds::set);
-        boolean grows = true;
-        while (grows) {
-            grows = false;
-            for (int d = piece.nextSetBit(0); d >= 0; d = piece.nextSetBit(d + 1)) {
-                int[] of = demands.get(d).nodes();
-                boolean out = false;
-                for (int node : of) {
-                    out |= !done.get(node) && sheds.get(node);
+        BitSet relievable = new BitSet();
+        nodes.stream()
+                .filter(n -> load[n] < level * capacity[n] * (1 - TOLERANCE))
+                .forEach(relievable::set);
+        boolean changed = true;
+        while (changed) {
+            changed = false;
+            for (int d = component.nextSetBit(0); d >= 0; d = component.nextSetBit(d + 1)) {
+                int[] demandNodes = demands.get(d).nodes();
+                boolean hasRelievableNode = false;
+                for (int node : demandNodes) {
+                    hasRelievableNode |= !fixed.get(node) && relievable.get(node);
                 }
-                for (int i = 0; out && i < of.length; i++) {
-                    if (!done.get(of[i]) && !sheds.get(of[i]) && flow[d][i] > TOLERANCE * u * capacity[of[i]]) {
-                        sheds.set(of[i]);
-                        grows = true;
+                for (int i = 0; hasRelievableNode && i < demandNodes.length; i++) {
+                    if (!fixed.get(demandNodes[i])
+                            && !relievable.get(demandNodes[i])
+                            && flow[d][i] > TOLERANCE * level * capacity[demandNodes[i]]) {
+                        relievable.set(demandNodes[i]);
+                        changed = true;
                     }
                 }
             }
         }
-        nodes.andNot(sheds);
+        nodes.andNot(relievable);
         if (nodes.isEmpty()) {
-            throw new ArithmeticException("no set of nodes holds the level " + u);
+            throw new ArithmeticException("no set of nodes is a bottleneck at utilisation " + level);
         }
         return nodes;
     }
--- a/src/main/java/pepperdock/plan/background/PlannerThread.java
+++ b/src/main/java/pepperdock/plan/background/PlannerThread.java
@@ -17,36 +17,42 @@
 import pepperdock.scheduler.ReplicaLayout;
 
 /**
- * Plans beside the loop: {@link ReplanPolicy} decides on the loop's thread when and from what, the thread "planner" solves, and the
- * result is passed to the core on the loop's thread. Until then the core goes on with equal shares, or with the last ones.
+ * Computes plans without blocking the loop. {@link ReplanPolicy} decides on the loop's thread when to plan and for
+ * which problem, the thread "planner" solves the problem, and the result is passed to the core on the loop's thread.
+ * Until then, the core uses equal shares or those of the last plan.
  */
 public final class PlannerThread {
 
     private static final System.Logger LOG = System.getLogger("pepperdock.plan");
     private static final double CHECK_INTERVAL_S = 0.1;
-    /** Part of the greatest utilisation that is within the error of measured work and speeds. */
+    /** Fraction of the greatest utilisation that lies within the measurement error of work and speeds. */
     private static final double SLACK = 0.1;
-    /** Ranges or nodes that a line of the log names. */
+    /** Maximum number of ranges or of nodes that a log line names. */
     private static final int MAX_NAMED = 8;
 
     private final Clock loop;
     private final Gatherer core;
     private final ReplanPolicy replanPolicy;
-    private final Consumer<Runnable> solver;
-    private final Consumer<Runnable> back;
+    private final Consumer<Runnable> solverExecutor;
+    private final Consumer<Runnable> loopExecutor;
 
-    /** {@code solver} runs a task apart from the loop, {@code back} one on it; the same thread serves for simulated time. */
+    /**
+     * Creates a planner that is idle until {@link #start}.
+     *
+     * @param solverExecutor runs a task outside the loop; in simulated time it may be the loop's own thread
+     * @param loopExecutor runs a task on the loop
+     */
     public PlannerThread(
             PlanConfig config,
             ReplicaLayout layout,
             Clock loop,
             Gatherer core,
-            Consumer<Runnable> solver,
-            Consumer<Runnable> back) {
+            Consumer<Runnable> solverExecutor,
+            Consumer<Runnable> loopExecutor) {
         this.loop = loop;
         this.core = core;
-        this.solver = solver;
-        this.back = back;
+        this.solverExecutor = solverExecutor;
+        this.loopExecutor = loopExecutor;
         replanPolicy = new ReplanPolicy(
                 new ReplanPolicy.ReplicaRing(layout.shards(), layout.cells(), layout.replicasPerShard()),
                 config.everyS(),
@@ -54,7 +60,7 @@
                 config.shareLeast());
     }
 
-    /** A daemon thread that solves one problem at a time. */
+    /** Returns an executor with one daemon thread, named "planner", which solves one problem at a time. */
     public static Consumer<Runnable> thread() {
         ExecutorService executor = Executors.newSingleThreadExecutor(task -> {
             Thread thread = new Thread(task, "planner");
@@ -64,11 +70,11 @@
         return executor::execute;
     }
 
-    /** Begins to plan; on the loop's thread, before the first endpoint list comes. */
+    /** Starts planning. Must be called on the loop's thread, before the first endpoint list arrives. */
     public void start() {
-        core.addEndpointListListener(hosts -> {
+        core.addEndpointListListener(endpoints -> {
             replanPolicy.onEndpointList(
-                    hosts.stream().map(PlannerThread::member).toList());
+                    endpoints.stream().map(PlannerThread::member).toList());
             planIfDue();
         });
         core.setServedAttemptListener((attempt, spentS) ->
@@ -90,9 +96,9 @@
     private void planIfDue() {
         ReplanPolicy.Job job = replanPolicy.nextJob(loop.now());
         if (job != null) {
-            solver.accept(() -> {
+            solverExecutor.accept(() -> {
                 Plan plan = solve(job);
-                back.accept(() -> putInUse(job, plan));
+                loopExecutor.accept(() -> putInUse(job, plan));
             });
         }
     }
@@ -101,7 +107,7 @@
         try {
             return Planner.plan(job.problem(), SLACK);
         } catch (RuntimeException e) {
-            LOG.log(System.Logger.Level.ERROR, "solving failed", e);
+            LOG.log(System.Logger.Level.ERROR, "the planner failed to solve a problem", e);
             return null;
         }
     }
@@ -109,42 +115,46 @@
     private void putInUse(ReplanPolicy.Job job, Plan plan) {
         ReplanPolicy.RangeShares shares = replanPolicy.onPlan(job, plan);
         if (shares == null) {
-            LOG.log(System.Logger.Level.INFO, "plan thrown away, the list has changed meanwhile");
+            LOG.log(
+                    System.Logger.Level.INFO,
+                    "plan discarded: the endpoint list has changed since the plan was started");
             planIfDue();
         } else {
             boolean solved = plan != null && plan.solved();
-            LOG.log(solved ? System.Logger.Level.INFO : System.Logger.Level.WARNING, outcome(job.problem(), plan));
+            LOG.log(solved ? System.Logger.Level.INFO : System.Logger.Level.WARNING, outcomeLine(job.problem(), plan));
             core.updatePlannedShares(shares::of);
         }
     }
 
     /**
-     * The line of the log for a plan that is in use from now on, or for why there is none.
+     * Returns the log line for a plan that is now in use, or for the reason why there is none.
      *
-     * @param plan null where solving failed
+     * @param plan the plan, or null if solving failed
      */
-    static String outcome(Problem problem, Plan plan) {
+    static String outcomeLine(Problem problem, Plan plan) {
         int nodes = problem.nodes().size();
         if (plan != null && plan.solved()) {
             return "new plan for " + nodes + " nodes";
         }
-        String why = "solving failed";
+        String reason = "solving failed";
         if (plan != null) {
             List<Integer> ranges = plan.conflict().work().stream()
                     .map(work -> problem.ranges().get(work.range()).number())
                     .distinct()
                     .sorted()
                     .toList();
-            List<String> full = plan.conflict().nodes().stream()
+            List<String> overloadedNodes = plan.conflict().nodes().stream()
                     .map(node -> problem.nodes().get(node).name())
                     .toList();
-            why = "range" + (ranges.size() == 1 ? " " : "s ") + named(ranges)
-                    + (full.isEmpty() ? ": no holder in service" : ": more work than " + named(full) + " can do");
+            reason = "range" + (ranges.size() == 1 ? " " : "s ") + namesOf(ranges)
+                    + (overloadedNodes.isEmpty()
+                            ? ": no replica in service"
+                            : ": more work than the capacity of " + namesOf(overloadedNodes) + " allows");
         }
-        return "no plan for " + nodes + " nodes, shares are equal: " + why;
+        return "no plan for " + nodes + " nodes, shares are equal: " + reason;
     }
 
-    private static String named(List<?> all) {
+    private static String namesOf(List<?> all) {
         String first = all.stream().limit(MAX_NAMED).map(Object::toString).collect(Collectors.joining(", "));
         return all.size() <= MAX_NAMED ? first : first + " and " + (all.size() - MAX_NAMED) + " more";
     }
--- a/src/main/java/pepperdock/plan/background/package-info.java
+++ b/src/main/java/pepperdock/plan/background/package-info.java
@@ -1,5 +1,5 @@
 /**
- * Runs the planner of {@link pepperdock.plan} in a gatherer: when to plan is decided on the loop's thread, a plan is computed on
- * the thread "planner", and put in force on the loop's thread.
+ * Runs the planner of {@link pepperdock.plan} in a gatherer. The loop's thread decides when to plan, the thread
+ * "planner" computes the plan, and the loop's thread puts it in use.
  */
 package pepperdock.plan.background;
--- a/src/test/java/pepperdock/plan/BruteForce.java
+++ b/src/test/java/pepperdock/plan/BruteForce.java
@@ -3,44 +3,48 @@
 import java.math.BigInteger;
 import java.util.List;
 
-/** The greatest utilisation by looking at every set of nodes: what the planner must equal to the last digit. */
+/** Finds the greatest utilisation by enumerating every set of nodes. The planner must find exactly the same ratio. */
 final class BruteForce {
 
     private BruteForce() {}
 
     /**
-     * Most, over all sets of nodes in service without {@code unbounded} (-1: none), of the work that may go nowhere else
-     * over the set's capacity; null where some work may go nowhere at all.
+     * Returns the maximum, over all sets of nodes in service, of the work confined to the set divided by the set's
+     * capacity. Returns null if no node may serve some of the work.
+     *
+     * @param unbounded the node whose capacity is unbounded, so that sets with it don't count; -1 for none
      */
-    static Ratio greatest(Problem p, List<Conflict.Work> some, int unbounded) {
-        BigInteger rates = BigInteger.valueOf(java.util.Arrays.stream(p.rates()).sum());
-        Ratio most = Ratio.ZERO;
-        for (int set = 0; set < 1 << p.nodes().size(); set++) {
+    static Ratio greatest(Problem problem, List<Conflict.Work> subset, int unbounded) {
+        BigInteger rates =
+                BigInteger.valueOf(java.util.Arrays.stream(problem.rates()).sum());
+        Ratio greatest = Ratio.ZERO;
+        for (int nodeSet = 0; nodeSet < 1 << problem.nodes().size(); nodeSet++) {
             BigInteger work = BigInteger.ZERO;
-            for (Conflict.Work w : some) {
-                boolean inside = true;
-                for (int n : p.ranges().get(w.range()).holders()) {
-                    inside &= !p.mayServe(w.zone(), n) || (set >> n & 1) == 1;
+            for (Conflict.Work pieceOfWork : subset) {
+                boolean confined = true;
+                for (int n : problem.ranges().get(pieceOfWork.range()).holders()) {
+                    confined &= !problem.mayServe(pieceOfWork.zone(), n) || (nodeSet >> n & 1) == 1;
                 }
-                if (inside) {
-                    work = work.add(BigInteger.valueOf(p.ranges().get(w.range()).work())
-                            .multiply(BigInteger.valueOf(p.rates()[w.zone()])));
+                if (confined) {
+                    work = work.add(BigInteger.valueOf(
+                                    problem.ranges().get(pieceOfWork.range()).work())
+                            .multiply(BigInteger.valueOf(problem.rates()[pieceOfWork.zone()])));
                 }
             }
             long capacity = 0;
-            for (int n = 0; n < p.nodes().size(); n++) {
-                capacity += (set >> n & 1) == 1 && p.nodes().get(n).inService()
-                        ? p.nodes().get(n).capacity()
+            for (int n = 0; n < problem.nodes().size(); n++) {
+                capacity += (nodeSet >> n & 1) == 1 && problem.nodes().get(n).inService()
+                        ? problem.nodes().get(n).capacity()
                         : 0;
             }
             if (work.signum() > 0 && capacity == 0) {
                 return null;
             }
-            if (capacity > 0 && (unbounded < 0 || (set >> unbounded & 1) == 0)) {
+            if (capacity > 0 && (unbounded < 0 || (nodeSet >> unbounded & 1) == 0)) {
                 Ratio ratio = new Ratio(work, BigInteger.valueOf(capacity).multiply(rates));
-                most = ratio.compareTo(most) > 0 ? ratio : most;
+                greatest = ratio.compareTo(greatest) > 0 ? ratio : greatest;
             }
         }
-        return most;
+        return greatest;
     }
 }
--- a/src/test/java/pepperdock/plan/PlannerTest.java
+++ b/src/test/java/pepperdock/plan/PlannerTest.java
@@ -12,15 +12,15 @@
 import java.util.stream.IntStream;
 import org.junit.jupiter.api.Test;
 
-/** Random small fleets against brute force, exactly; and the hard cases by hand. */
+/** Compares the planner with brute force on small random fleets, exactly, and checks hard cases built by hand. */
 class PlannerTest {
 
-    private static final double NEAR = 1e-6;
+    private static final double TOLERANCE = 1e-6;
 
-    private static Problem random(Random random, double load) {
+    private static Problem randomProblem(Random random, double load) {
         int zones = 1 + random.nextInt(2);
-        double[][] crossing = new double[zones][zones];
-        for (double[] row : crossing) {
+        double[][] crossingCost = new double[zones][zones];
+        for (double[] row : crossingCost) {
             for (int to = 0; to < zones; to++) {
                 row[to] = random.nextInt(4) == 0 ? Double.POSITIVE_INFINITY : random.nextInt(3);
             }
@@ -28,8 +28,8 @@
         long[] rates = random.longs(zones, 0, 4).toArray();
         rates[0]++;
         List<Problem.Node> nodes = new ArrayList<>();
-        int count = 1 + random.nextInt(8);
-        for (int n = 0; n < count; n++) {
+        int nodeCount = 1 + random.nextInt(8);
+        for (int n = 0; n < nodeCount; n++) {
             nodes.add(new Problem.Node(
                     "n" + n,
                     random.nextInt(zones),
@@ -37,128 +37,137 @@
                     random.nextInt(8) > 0));
         }
         List<Problem.Range> ranges = new ArrayList<>();
-        for (int r = 0; r < 1 + random.nextInt(3 * count); r++) {
-            List<Integer> all =
-                    new ArrayList<>(IntStream.range(0, count).boxed().toList());
-            Collections.shuffle(all, random);
+        for (int r = 0; r < 1 + random.nextInt(3 * nodeCount); r++) {
+            List<Integer> shuffledNodes =
+                    new ArrayList<>(IntStream.range(0, nodeCount).boxed().toList());
+            Collections.shuffle(shuffledNodes, random);
             ranges.add(new Problem.Range(
                     r,
                     random.nextInt(6) == 0 ? 0 : (long) (random.nextInt(20) * load),
-                    all.subList(0, 1 + random.nextInt(Math.min(3, count)))));
+                    shuffledNodes.subList(0, 1 + random.nextInt(Math.min(3, nodeCount)))));
         }
         return new Problem(
-                IntStream.range(0, zones).mapToObj(z -> "z" + z).toList(), crossing, rates, nodes, ranges, false);
+                IntStream.range(0, zones).mapToObj(z -> "z" + z).toList(), crossingCost, rates, nodes, ranges, false);
     }
 
-    private static List<Conflict.Work> all(Problem p) {
-        return IntStream.range(0, p.ranges().size())
+    private static List<Conflict.Work> allWork(Problem problem) {
+        return IntStream.range(0, problem.ranges().size())
                 .boxed()
-                .flatMap(r -> IntStream.range(0, p.zones().size()).mapToObj(z -> new Conflict.Work(r, z)))
+                .flatMap(r -> IntStream.range(0, problem.zones().size()).mapToObj(z -> new Conflict.Work(r, z)))
                 .toList();
     }
 
-    private static void sharesKeepTheLoads(Problem p, Plan plan) {
-        double[] load = new double[p.nodes().size()];
-        double rates = java.util.Arrays.stream(p.rates()).sum();
-        for (int r = 0; r < p.ranges().size(); r++) {
-            for (int z = 0; z < p.zones().size(); z++) {
+    private static void assertSharesMatchUtilisations(Problem problem, Plan plan) {
+        double[] load = new double[problem.nodes().size()];
+        double totalRate = java.util.Arrays.stream(problem.rates()).sum();
+        for (int r = 0; r < problem.ranges().size(); r++) {
+            for (int z = 0; z < problem.zones().size(); z++) {
                 double sum = 0;
-                for (int i = 0; i < p.ranges().get(r).holders().size(); i++) {
-                    int node = p.ranges().get(r).holders().get(i);
+                for (int i = 0; i < problem.ranges().get(r).holders().size(); i++) {
+                    int node = problem.ranges().get(r).holders().get(i);
                     double share = plan.shares().get(r).get(z)[i];
                     assertTrue(
-                            share >= 0 && (share == 0 || p.mayServe(z, node)),
-                            "a share for a node that may not have one");
+                            share >= 0 && (share == 0 || problem.mayServe(z, node)),
+                            "a node that may not serve the zone has a share");
                     sum += share;
-                    load[node] += share * p.ranges().get(r).work() * p.rates()[z] / rates;
+                    load[node] += share * problem.ranges().get(r).work() * problem.rates()[z] / totalRate;
                 }
-                boolean open = false;
-                for (int n : p.ranges().get(r).holders()) {
-                    open |= p.mayServe(z, n);
+                boolean servable = false;
+                for (int n : problem.ranges().get(r).holders()) {
+                    servable |= problem.mayServe(z, n);
                 }
-                assertEquals(open ? 1 : 0, sum, NEAR);
+                assertEquals(servable ? 1 : 0, sum, TOLERANCE);
             }
         }
         for (int n = 0; n < load.length; n++) {
-            if (plan.utilisation().get(n) != null && p.nodes().get(n).capacity() > 0) {
+            if (plan.utilisation().get(n) != null && problem.nodes().get(n).capacity() > 0) {
                 double used = plan.utilisation().get(n).value();
                 assertEquals(
-                        used, load[n] / p.nodes().get(n).capacity(), NEAR * (1 + used), "utilisation of node " + n);
+                        used,
+                        load[n] / problem.nodes().get(n).capacity(),
+                        TOLERANCE * (1 + used),
+                        "utilisation of node " + n);
             }
         }
     }
 
     @Test
-    void equalsBruteForceExactlyAndConflictsAreSmallest() {
+    void equalsBruteForceExactlyAndConflictsAreMinimal() {
         Random random = new Random(20261201);
         int solved = 0;
         int conflicts = 0;
         for (int i = 0; i < 3000; i++) {
-            Problem p = random(random, i % 2 == 0 ? 1 : 0.4);
-            Ratio brute = BruteForce.greatest(p, all(p), -1);
-            Plan plan = Planner.plan(p);
-            if (brute != null && !brute.aboveOne()) {
-                assertTrue(plan.solved(), "case " + i + ": a plan exists, at " + brute);
-                assertEquals(brute, plan.greatest(), "case " + i);
-                sharesKeepTheLoads(p, plan);
+            Problem problem = randomProblem(random, i % 2 == 0 ? 1 : 0.4);
+            Ratio expected = BruteForce.greatest(problem, allWork(problem), -1);
+            Plan plan = Planner.plan(problem);
+            if (expected != null && !expected.aboveOne()) {
+                assertTrue(plan.solved(), "case " + i + ": a plan exists, at " + expected);
+                assertEquals(expected, plan.greatest(), "case " + i);
+                assertSharesMatchUtilisations(problem, plan);
                 solved++;
             } else {
                 assertFalse(plan.solved(), "case " + i + ": no plan exists");
-                smallest(p, plan.conflict(), "case " + i);
+                assertMinimalConflict(problem, plan.conflict(), "case " + i);
                 conflicts++;
             }
         }
         assertTrue(solved > 600 && conflicts > 600, solved + " solved, " + conflicts + " without a solution");
     }
 
-    private static boolean holds(Ratio greatest) {
+    private static boolean isWithinCapacity(Ratio greatest) {
         return greatest != null && !greatest.aboveOne();
     }
 
-    private static void smallest(Problem p, Conflict c, String about) {
-        assertFalse(holds(BruteForce.greatest(p, c.work(), -1)), about);
-        for (Conflict.Work w : c.work()) {
-            List<Conflict.Work> less =
-                    c.work().stream().filter(x -> !x.equals(w)).toList();
-            assertTrue(holds(BruteForce.greatest(p, less, -1)), about + " without " + w);
+    private static void assertMinimalConflict(Problem problem, Conflict conflict, String message) {
+        assertFalse(isWithinCapacity(BruteForce.greatest(problem, conflict.work(), -1)), message);
+        for (Conflict.Work pieceOfWork : conflict.work()) {
+            List<Conflict.Work> others = conflict.work().stream()
+                    .filter(other -> !other.equals(pieceOfWork))
+                    .toList();
+            assertTrue(isWithinCapacity(BruteForce.greatest(problem, others, -1)), message + " without " + pieceOfWork);
         }
-        for (int n : c.nodes()) {
-            assertTrue(holds(BruteForce.greatest(p, c.work(), n)), about + " with node " + n + " unbounded");
+        for (int n : conflict.nodes()) {
+            assertTrue(
+                    isWithinCapacity(BruteForce.greatest(problem, conflict.work(), n)),
+                    message + " with node " + n + " unbounded");
         }
-        assertEquals(c.need() == null, c.nodes().isEmpty());
-        assertTrue(c.need() == null || c.need().aboveOne(), about);
+        assertEquals(conflict.need() == null, conflict.nodes().isEmpty());
+        assertTrue(conflict.need() == null || conflict.need().aboveOne(), message);
     }
 
-    private static final double[][] ONE = {{0}};
+    private static final double[][] SINGLE_ZONE_COST = {{0}};
 
-    private static Problem ring(boolean spare, long[] capacity, boolean[] in, long... work) {
+    private static Problem ring(boolean spareNode, long[] capacity, boolean[] inService, long... work) {
         List<Problem.Node> nodes = new ArrayList<>();
         List<Problem.Range> ranges = new ArrayList<>();
         for (int n = 0; n < capacity.length; n++) {
-            nodes.add(new Problem.Node("n" + n, 0, capacity[n], in[n]));
+            nodes.add(new Problem.Node("n" + n, 0, capacity[n], inService[n]));
         }
         for (int r = 0; r < work.length; r++) {
             ranges.add(new Problem.Range(r, work[r], List.of(r % capacity.length, (r + 1) % capacity.length)));
         }
-        return new Problem(List.of("room"), ONE, new long[] {1}, nodes, ranges, spare);
+        return new Problem(List.of("room"), SINGLE_ZONE_COST, new long[] {1}, nodes, ranges, spareNode);
     }
 
-    private static final boolean[] ALL_IN = {true, true, true, true};
+    private static final boolean[] ALL_IN_SERVICE = {true, true, true, true};
 
-    /** A slow node whose partner drains keeps the range that only it can serve; its other range moves over. */
+    /**
+     * The partner of a slow node drains. The slow node keeps the range that only it can serve; its other range moves
+     * away.
+     */
     @Test
-    void aSlowNodeWhosePartnerDrainsGivesAwayWhatOthersHoldToo() {
+    void slowNodeWhosePartnerDrainsGivesAwayItsSharedRange() {
         Plan plan = Planner.plan(
                 ring(false, new long[] {100, 50, 100, 100}, new boolean[] {true, true, false, true}, 10, 30, 30, 10));
         assertTrue(plan.solved());
-        assertEquals(1, plan.shares().get(1).get(0)[0], NEAR, "range 1: its other holder drains");
-        assertEquals(1, plan.shares().get(0).get(0)[0], NEAR, "range 0 goes to its other holder");
-        assertEquals(0.6, plan.greatest().value(), NEAR);
+        assertEquals(1, plan.shares().get(1).get(0)[0], TOLERANCE, "range 1: its other replica drains");
+        assertEquals(1, plan.shares().get(0).get(0)[0], TOLERANCE, "range 0 goes to its other replica");
+        assertEquals(0.6, plan.greatest().value(), TOLERANCE);
     }
 
-    /** The second level is as low as it can be too, not only the greatest. */
+    /** Not only the greatest utilisation is least, but also the next one. */
     @Test
-    void belowTheFullestNodeTheOthersAreEvenedOutToo() {
+    void nodesBelowTheGreatestUtilisationAreBalancedToo() {
         Plan plan = Planner.plan(
                 ring(false, new long[] {10, 100, 100, 100}, new boolean[] {true, true, true, true}, 0, 60, 60, 0));
         assertEquals(new Ratio(java.math.BigInteger.valueOf(2), java.math.BigInteger.valueOf(5)), plan.greatest());
@@ -166,48 +175,51 @@
     }
 
     @Test
-    void aRangeWhoseHoldersAllDrainIsNamed() {
-        Conflict c = Planner.plan(
+    void conflictNamesRangeWhoseReplicasAllDrain() {
+        Conflict conflict = Planner.plan(
                         ring(false, new long[] {9, 9, 9, 9}, new boolean[] {true, false, false, true}, 1, 1, 1))
                 .conflict();
-        assertEquals(List.of(new Conflict.Work(1, 0)), c.work());
-        assertEquals(List.of(), c.nodes());
+        assertEquals(List.of(new Conflict.Work(1, 0)), conflict.work());
+        assertEquals(List.of(), conflict.nodes());
     }
 
     @Test
-    void withAnyOneNodeAwayCapacityMustSufficeWhereAsked() {
+    void spareNodeRequiresCapacityWithAnyNodeAway() {
         long[] capacity = {100, 100, 100, 100};
-        assertTrue(Planner.plan(ring(false, capacity, ALL_IN, 80, 80, 80, 80)).solved());
-        Conflict c = Planner.plan(ring(true, capacity, ALL_IN, 80, 80, 80, 80)).conflict();
-        assertNotNull(c);
-        assertEquals("n0", c.away());
-        assertTrue(Planner.plan(ring(true, capacity, ALL_IN, 50, 50, 50, 50)).solved());
+        assertTrue(Planner.plan(ring(false, capacity, ALL_IN_SERVICE, 80, 80, 80, 80))
+                .solved());
+        Conflict conflict = Planner.plan(ring(true, capacity, ALL_IN_SERVICE, 80, 80, 80, 80))
+                .conflict();
+        assertNotNull(conflict);
+        assertEquals("n0", conflict.away());
+        assertTrue(Planner.plan(ring(true, capacity, ALL_IN_SERVICE, 50, 50, 50, 50))
+                .solved());
     }
 
     @Test
-    void amongSpreadsOfTheSameLoadsTheOneOfFewestCrossingsIsTaken() {
-        double[][] crossing = {{0, 1}, {1, 0}};
+    void prefersLeastCrossingCostAmongEqualLoads() {
+        double[][] crossingCost = {{0, 1}, {1, 0}};
         List<Problem.Node> nodes = List.of(new Problem.Node("a", 0, 100, true), new Problem.Node("b", 1, 100, true));
         List<Problem.Range> ranges =
                 List.of(new Problem.Range(0, 40, List.of(0, 1)), new Problem.Range(1, 40, List.of(0, 1)));
-        Plan plan =
-                Planner.plan(new Problem(List.of("east", "west"), crossing, new long[] {1, 1}, nodes, ranges, false));
-        assertEquals(0, plan.crossings(), NEAR);
-        assertEquals(1, plan.shares().get(0).get(0)[0], NEAR);
-        assertEquals(1, plan.shares().get(0).get(1)[1], NEAR);
-        Plan barred = Planner.plan(new Problem(
+        Plan plan = Planner.plan(
+                new Problem(List.of("east", "west"), crossingCost, new long[] {1, 1}, nodes, ranges, false));
+        assertEquals(0, plan.crossings(), TOLERANCE);
+        assertEquals(1, plan.shares().get(0).get(0)[0], TOLERANCE);
+        assertEquals(1, plan.shares().get(0).get(1)[1], TOLERANCE);
+        Plan westBarred = Planner.plan(new Problem(
                 List.of("east", "west"),
                 new double[][] {{0, 1}, {Double.POSITIVE_INFINITY, Double.POSITIVE_INFINITY}},
                 new long[] {1, 1},
                 nodes,
                 ranges,
                 false));
-        assertEquals(List.of(new Conflict.Work(0, 1)), barred.conflict().work());
+        assertEquals(List.of(new Conflict.Work(0, 1)), westBarred.conflict().work());
     }
 
     @Test
-    void nothingToDoIsSharedAlike() {
-        Plan plan = Planner.plan(ring(false, new long[] {5, 7, 0, 9}, ALL_IN, 0, 0, 0, 0));
+    void rangesWithoutWorkGetEqualShares() {
+        Plan plan = Planner.plan(ring(false, new long[] {5, 7, 0, 9}, ALL_IN_SERVICE, 0, 0, 0, 0));
         assertEquals(Ratio.ZERO, plan.greatest());
         assertEquals(0.5, plan.shares().get(0).get(0)[1]);
         assertEquals(1, plan.shares().get(1).get(0)[0], "a node without capacity gets nothing");
