--- a/src/main/java/pepperdock/cli/PlanCommand.java
+++ b/src/main/java/pepperdock/cli/PlanCommand.java
@@ -227,7 +227,9 @@
                                         p.nodes().get(n).capacity() / MICRO))
                         .toList()))
                 .append(String.format(
-                        Locale.ROOT, " can do: %.1f %% of it", 100 * c.need().value()))
+                        Locale.ROOT,
+                        " can do: %.1f %% of it",
+                        100 * c.requiredUtilisation().value()))
                 .toString();
     }
 
--- a/src/main/java/pepperdock/plan/Conflict.java
+++ b/src/main/java/pepperdock/plan/Conflict.java
@@ -10,9 +10,9 @@
  * @param away the name of the node that is assumed to be out of service, or null if the fleet does not suffice as it is
  * @param work the pieces of work that exceed the capacity
  * @param nodes the indexes of the nodes whose capacity is exceeded; empty if no node may serve the work
- * @param need the work divided by the capacity of the nodes; null if there are no such nodes
+ * @param requiredUtilisation the work divided by the capacity of the nodes; null if there are no such nodes
  */
-public record Conflict(String away, List<Work> work, List<Integer> nodes, Ratio need) {
+public record Conflict(String away, List<Work> work, List<Integer> nodes, Ratio requiredUtilisation) {
 
     /** The work that the gatherers of one zone send to one range, both given by their index in the problem. */
     public record Work(int range, int zone) {}
--- a/src/test/java/pepperdock/plan/PlannerTest.java
+++ b/src/test/java/pepperdock/plan/PlannerTest.java
@@ -131,8 +131,11 @@
                     isWithinCapacity(BruteForce.greatest(problem, conflict.work(), n)),
                     message + " with node " + n + " unbounded");
         }
-        assertEquals(conflict.need() == null, conflict.nodes().isEmpty());
-        assertTrue(conflict.need() == null || conflict.need().aboveOne(), message);
+        assertEquals(conflict.requiredUtilisation() == null, conflict.nodes().isEmpty());
+        assertTrue(
+                conflict.requiredUtilisation() == null
+                        || conflict.requiredUtilisation().aboveOne(),
+                message);
     }
 
     private static final double[][] SINGLE_ZONE_COST = {{0}};
