--- a/src/main/java/pepperdock/cli/PlanCommand.java
+++ b/src/main/java/pepperdock/cli/PlanCommand.java
@@ -242,7 +242,7 @@
                 .append(String.format(
                         Locale.ROOT,
                         " can do: %.1f %% of it",
-                        100 * conflict.need().value()))
+                        100 * conflict.requiredUtilisation().value()))
                 .toString();
     }
 
