--- a/src/main/java/pepperdock/faultinjection/Checkers.java
+++ b/src/main/java/pepperdock/faultinjection/Checkers.java
@@ -7,7 +7,7 @@
 import java.util.function.Supplier;
 import pepperdock.config.ConfigException;
 
-/** The checkers by name, and several taken together. */
+/** The checkers of a run, created by name and evaluated together. */
 final class Checkers {
 
     private static final Map<String, Supplier<Checker>> ALL = Map.of(
@@ -18,7 +18,7 @@
             "members-strict",
             () -> new MembersChecker(true));
 
-    private final List<Checker> of = new ArrayList<>();
+    private final List<Checker> checkers = new ArrayList<>();
     private long events;
 
     Checkers(List<String> names) {
@@ -26,41 +26,41 @@
             if (!ALL.containsKey(name)) {
                 throw new ConfigException(
                         "checkers",
-                        "no checker " + name + ", only "
+                        "unknown checker " + name + ", expected one of "
                                 + ALL.keySet().stream().sorted().toList());
             }
-            of.add(ALL.get(name).get());
+            checkers.add(ALL.get(name).get());
         }
     }
 
-    void see(Event e) {
+    void onEvent(Event event) {
         events++;
-        of.forEach(c -> c.see(events, e));
+        checkers.forEach(c -> c.onEvent(events, event));
     }
 
-    /** Whether all that know the condition say that it holds, and one at least knows it. */
+    /** Returns whether every checker that knows the condition confirms it; at least one must know it. */
     boolean holds(String condition, Set<String> members) {
         boolean known = false;
-        for (Checker c : of) {
-            Boolean says = c.holds(condition, members);
-            if (Boolean.FALSE.equals(says)) {
+        for (Checker checker : checkers) {
+            Boolean answer = checker.holds(condition, members);
+            if (Boolean.FALSE.equals(answer)) {
                 return false;
             }
-            known |= says != null;
+            known |= answer != null;
         }
         if (!known) {
-            throw new ConfigException("await", "no checker of this run knows " + condition);
+            throw new ConfigException("await", "no checker of this run knows the condition " + condition);
         }
         return true;
     }
 
     List<Checker.Finding> findings(boolean atEnd) {
-        return of.stream().flatMap(c -> c.findings(atEnd).stream()).toList();
+        return checkers.stream().flatMap(c -> c.findings(atEnd).stream()).toList();
     }
 
-    /** Those of membership; null where none of its checkers runs. */
+    /** Returns the membership metrics; null if no checker of membership is among the checkers. */
     MembershipMetrics membershipMetrics() {
-        return of.stream()
+        return checkers.stream()
                 .filter(c -> c instanceof MembersChecker)
                 .map(c -> ((MembersChecker) c).total())
                 .findFirst()
@@ -68,6 +68,6 @@
     }
 
     List<String> metrics() {
-        return of.stream().flatMap(c -> c.metrics().stream()).toList();
+        return checkers.stream().flatMap(c -> c.metrics().stream()).toList();
     }
 }
--- a/src/main/java/pepperdock/faultinjection/Guard.java
+++ b/src/main/java/pepperdock/faultinjection/ChildProcessGuard.java
@@ -9,10 +9,11 @@
 import java.util.stream.Collectors;
 
 /**
- * A shell beside the rig that sends signals to the rig's own children, and kills those left when the rig is gone, however it
- * went: its standard input then ends. Java can end a process, but neither stop one nor be sure of an end of its own.
+ * A shell process that sends signals to the child processes of the rig, and kills the remaining ones when the rig ends
+ * in any way, which closes the standard input of the shell. Java can kill a process, but cannot send SIGSTOP, and
+ * cannot run code of its own when it is killed.
  */
-final class Guard implements AutoCloseable {
+final class ChildProcessGuard implements AutoCloseable {
 
     private static final String SHELL = """
             trap '' INT TERM HUP
@@ -32,7 +33,7 @@
     private final Writer in;
     private final BufferedReader out;
 
-    Guard() throws IOException {
+    ChildProcessGuard() throws IOException {
         shell = new ProcessBuilder("sh", "-c", SHELL)
                 .redirectError(ProcessBuilder.Redirect.DISCARD)
                 .start();
@@ -40,17 +41,17 @@
         out = new BufferedReader(new InputStreamReader(shell.getInputStream(), StandardCharsets.US_ASCII));
     }
 
-    /** From now on this process is ended with the rig. */
+    /** Registers a process that is killed when the rig ends. */
     void add(long pid) throws IOException {
         say("add " + pid);
     }
 
-    /** This process has ended and been seen to: its number may come to stand for another. */
+    /** Removes a process that has ended and been reaped: its id may be reused by another process. */
     void gone(long pid) throws IOException {
         say("del " + pid);
     }
 
-    /** Sends a signal to all of them in one go; back when it is sent. */
+    /** Sends a signal to all these processes at once; returns when it is sent. */
     void signal(String signal, List<Long> pids) throws IOException {
         if (!pids.isEmpty()) {
             say(signal + ' ' + pids.stream().map(String::valueOf).collect(Collectors.joining(" ")));
@@ -61,7 +62,7 @@
         in.write(line + '\n');
         in.flush();
         if (out.readLine() == null) {
-            throw new IOException("the shell that guards the children has ended");
+            throw new IOException("the guard shell of the child processes has ended");
         }
     }
 
--- a/src/main/java/pepperdock/faultinjection/ChildProcesses.java
+++ b/src/main/java/pepperdock/faultinjection/ChildProcesses.java
@@ -24,26 +24,27 @@
 import java.util.stream.Stream;
 
 /**
- * The processes: each member in a folder of its own (its configuration, its log, and {@code state}, which is what a lost
- * folder loses). Its events are read from its standard output by a thread and written to the history. They are ended by their
- * own process ids, at the latest by {@link Guard} when the rig itself is gone.
+ * The processes of the members, each with a folder of its own: configuration, log, and {@code state}, which is deleted
+ * where a fault empties the folder. A thread for each process reads the events from its standard output and writes them
+ * to the history. Processes are ended by their process ids, at the latest by {@link ChildProcessGuard} when the rig
+ * itself has ended.
  */
 final class ChildProcesses implements AutoCloseable {
 
-    private static final int STARTS_MOST = 5000;
-    private static final long END_S = 30;
+    private static final int MAX_STARTS = 5000;
+    private static final long EXIT_TIMEOUT_S = 30;
     private static final int FIRST_PORT = 7300;
-    private static final Pattern HOLE =
+    private static final Pattern PLACEHOLDER =
             Pattern.compile("\\{(name|number|host_of|host|zone|machine|folder|port_of|port)(?::([^{}]*))?}");
 
     private static final class Child {
         private Process process;
         private Thread reader;
-        /** Sent SIGKILL or SIGTERM. */
+        /** Whether it was sent SIGKILL or SIGTERM. */
         private boolean ending;
-        /** By the history's clock. */
+        /** Start time by the clock of the history. */
         private double startedAt;
-        /** How often its ports were changed. */
+        /** Number of times that its ports were changed. */
         private int ports;
     }
 
@@ -51,19 +52,25 @@
     private final int block;
     private final Path folder;
     private final List<String> command;
-    private final boolean disks;
+    private final boolean injectDiskFaults;
     private final History history;
     private final Relay relay;
-    private final Guard guard = new Guard();
+    private final ChildProcessGuard guard = new ChildProcessGuard();
     private final Map<String, Child> children = new LinkedHashMap<>();
     private int starts;
     private volatile boolean closing;
 
-    /** {@code disks}: whether the members' disks are to be hurt. */
+    /** {@code injectDiskFaults}: whether the members run on a {@link FaultyDisk}. */
     ChildProcesses(
-            Script script, int block, Path folder, List<String> command, boolean disks, History history, Relay relay)
+            Script script,
+            int block,
+            Path folder,
+            List<String> command,
+            boolean injectDiskFaults,
+            History history,
+            Relay relay)
             throws IOException {
-        this.disks = disks;
+        this.injectDiskFaults = injectDiskFaults;
         this.script = script;
         this.block = block;
         this.folder = folder;
@@ -73,60 +80,62 @@
         script.names().forEach(n -> children.put(n, new Child()));
     }
 
-    /** Starts members, after the ends of those that were sent one; a member that still runs is left as it is. */
+    /**
+     * Starts members, waiting for the end of those that were told to end; a member that still runs is left as it is.
+     */
     void start(List<String> names, boolean emptyFolder, boolean newPorts) throws IOException, InterruptedException {
-        List<String> down = new ArrayList<>();
+        List<String> toStart = new ArrayList<>();
         for (String name : names) {
-            Child c = children.get(name);
-            if (up(name) && (!c.ending || !c.process.waitFor(END_S, TimeUnit.SECONDS))) {
-                history.rig("still there", "member", name);
+            Child child = children.get(name);
+            if (up(name) && (!child.ending || !child.process.waitFor(EXIT_TIMEOUT_S, TimeUnit.SECONDS))) {
+                history.addRigEvent("still there", "member", name);
                 continue;
             }
-            if (c.reader != null) {
-                c.reader.join(END_S * 1000);
+            if (child.reader != null) {
+                child.reader.join(EXIT_TIMEOUT_S * 1000);
             }
             if (newPorts) {
-                c.ports++;
+                child.ports++;
             }
             if (emptyFolder) {
-                delete(folder.resolve(name).resolve(FaultyDisk.TOUCHED));
+                delete(folder.resolve(name).resolve(FaultyDisk.STATE_FOLDER));
             }
-            List<Relay.Laid> ports = new ArrayList<>();
-            for (Script.Port p : script.ports()) {
-                if (p.streams()) {
-                    ports.add(new Relay.Laid(port(name, p.name()), true));
+            List<Relay.RelayPort> ports = new ArrayList<>();
+            for (Script.Port port : script.ports()) {
+                if (port.streams()) {
+                    ports.add(new Relay.RelayPort(port(name, port.name()), true));
                 }
-                if (p.datagrams()) {
-                    ports.add(new Relay.Laid(port(name, p.name()), false));
+                if (port.datagrams()) {
+                    ports.add(new Relay.RelayPort(port(name, port.name()), false));
                 }
             }
-            relay.lay(name, script.names(), ports);
-            down.add(name);
+            relay.openLinks(name, script.names(), ports);
+            toStart.add(name);
         }
-        if (down.isEmpty()) {
+        if (toStart.isEmpty()) {
             return;
         }
-        history.rig(
+        history.addRigEvent(
                 "start",
                 "members",
-                String.join(",", down),
+                String.join(",", toStart),
                 "folder",
                 emptyFolder ? "empty" : "kept",
                 "ports",
                 newPorts ? "new" : "kept");
-        for (String name : down) {
+        for (String name : toStart) {
             launch(name, children.get(name));
         }
     }
 
-    private void launch(String name, Child c) throws IOException {
-        if (++starts > STARTS_MOST) {
-            throw new IOException("more than " + STARTS_MOST + " starts");
+    private void launch(String name, Child child) throws IOException {
+        if (++starts > MAX_STARTS) {
+            throw new IOException("more than " + MAX_STARTS + " starts of processes");
         }
-        Path own = folder.resolve(name);
-        Files.createDirectories(own.resolve(FaultyDisk.TOUCHED));
-        JsonObject config =
-                filled(script.configOf(name), hole -> filling(name, hole)).getAsJsonObject();
+        Path memberFolder = folder.resolve(name);
+        Files.createDirectories(memberFolder.resolve(FaultyDisk.STATE_FOLDER));
+        JsonObject config = fillPlaceholders(script.configOf(name), placeholder -> placeholderValue(name, placeholder))
+                .getAsJsonObject();
         JsonObject reach = new JsonObject();
         int from = Relay.number(name);
         for (String other : script.names()) {
@@ -137,97 +146,105 @@
         }
         config.add("reach", reach);
         config.addProperty("events", true);
-        Files.writeString(own.resolve("config.json"), config.toString());
-        List<String> words = new ArrayList<>(command);
-        if (disks) {
-            words.addAll(
+        Files.writeString(memberFolder.resolve("config.json"), config.toString());
+        List<String> commandLine = new ArrayList<>(command);
+        if (injectDiskFaults) {
+            commandLine.addAll(
                     1,
                     List.of(
                             "-Djava.nio.file.spi.DefaultFileSystemProvider=" + FaultyDisk.class.getName(),
-                            "-D" + FaultyDisk.FOLDER + '=' + own));
+                            "-D" + FaultyDisk.FOLDER_PROPERTY + '=' + memberFolder));
         }
-        ProcessBuilder builder = new ProcessBuilder(words);
+        ProcessBuilder builder = new ProcessBuilder(commandLine);
         builder.environment().keySet().removeIf(k -> k.startsWith("EDGE_"));
-        builder.environment().put("EDGE_CONFIG", own.resolve("config.json").toString());
-        Process p = builder.redirectError(
-                        ProcessBuilder.Redirect.appendTo(own.resolve("log").toFile()))
+        builder.environment()
+                .put("EDGE_CONFIG", memberFolder.resolve("config.json").toString());
+        Process process = builder.redirectError(ProcessBuilder.Redirect.appendTo(
+                        memberFolder.resolve("log").toFile()))
                 .start();
-        guard.add(p.pid());
-        c.process = p;
-        c.ending = false;
-        c.startedAt = history.now();
-        c.reader = new Thread(() -> read(name, p), "output of " + name);
-        c.reader.setDaemon(true);
-        c.reader.start();
+        guard.add(process.pid());
+        child.process = process;
+        child.ending = false;
+        child.startedAt = history.now();
+        child.reader = new Thread(() -> read(name, process), "output of " + name);
+        child.reader.setDaemon(true);
+        child.reader.start();
     }
 
-    private void read(String name, Process p) {
+    private void read(String name, Process process) {
         try (BufferedReader lines =
-                new BufferedReader(new InputStreamReader(p.getInputStream(), StandardCharsets.UTF_8))) {
+                new BufferedReader(new InputStreamReader(process.getInputStream(), StandardCharsets.UTF_8))) {
             for (String line = lines.readLine(); line != null; line = lines.readLine()) {
-                history.line(name, line);
+                history.addMemberOutput(name, line);
             }
-            int status = p.waitFor();
-            guard.gone(p.pid());
-            history.rig("exit", "member", name, "status", status);
+            int status = process.waitFor();
+            guard.gone(process.pid());
+            history.addRigEvent("exit", "member", name, "status", status);
         } catch (IOException | RuntimeException e) {
             if (!closing) {
-                history.rig("unread", "member", name, "why", e);
+                history.addRigEvent("unread", "member", name, "why", e);
             }
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         }
     }
 
-    /** Sends a signal to those of them that run. */
-    void signal(Timetable.Sent signal, List<String> names) throws IOException {
+    /** Sends a signal to those of these members that run. */
+    void signal(FaultSchedule.ProcessSignal signal, List<String> names) throws IOException {
         List<String> up = names.stream().filter(this::up).toList();
         if (!up.isEmpty()) {
-            String word = signal.name();
-            history.rig(word.toLowerCase(java.util.Locale.ROOT), "members", String.join(",", up));
-            if (signal == Timetable.Sent.KILL || signal == Timetable.Sent.TERM) {
+            String signalName = signal.name();
+            history.addRigEvent(signalName.toLowerCase(java.util.Locale.ROOT), "members", String.join(",", up));
+            if (signal == FaultSchedule.ProcessSignal.KILL || signal == FaultSchedule.ProcessSignal.TERM) {
                 up.forEach(n -> children.get(n).ending = true);
             }
             guard.signal(
-                    word, up.stream().map(n -> children.get(n).process.pid()).toList());
+                    signalName,
+                    up.stream().map(n -> children.get(n).process.pid()).toList());
         }
     }
 
-    /** Says what is with these members' disks from now on. */
-    void disk(List<String> names, String is) throws IOException {
-        history.rig("disk", "members", String.join(",", names), "is", is);
+    /** Sets the fault of the disks of these members. */
+    void setDiskFault(List<String> names, String diskFault) throws IOException {
+        history.addRigEvent("disk", "members", String.join(",", names), "is", diskFault);
         for (String name : names) {
-            Path own = Files.createDirectories(folder.resolve(name));
-            Files.writeString(own.resolve("disk.new"), is);
-            Files.move(own.resolve("disk.new"), own.resolve(FaultyDisk.SAYS), StandardCopyOption.ATOMIC_MOVE);
+            Path memberFolder = Files.createDirectories(folder.resolve(name));
+            Files.writeString(memberFolder.resolve("disk.new"), diskFault);
+            Files.move(
+                    memberFolder.resolve("disk.new"),
+                    memberFolder.resolve(FaultyDisk.FAULT_FILE),
+                    StandardCopyOption.ATOMIC_MOVE);
         }
     }
 
     boolean up(String name) {
-        Process p = children.get(name).process;
-        return p != null && p.isAlive();
+        Process process = children.get(name).process;
+        return process != null && process.isAlive();
     }
 
-    /** Writes down how much processor time each has used since its start. */
+    /** Records how much processor time each running process has used since its start. */
     void processorTimes() {
-        children.forEach((name, c) -> {
+        children.forEach((name, child) -> {
             if (up(name)) {
-                ProcessHandle.Info info = c.process.info();
+                ProcessHandle.Info info = child.process.info();
                 if (info.totalCpuDuration().isPresent()) {
-                    history.rig(
+                    history.addRigEvent(
                             "processor",
                             "member",
                             name,
                             "used_s",
                             info.totalCpuDuration().get().toMillis() / 1e3,
                             "up_s",
-                            Math.round((history.now() - c.startedAt) * 1e3) / 1e3);
+                            Math.round((history.now() - child.startedAt) * 1e3) / 1e3);
                 }
             }
         });
     }
 
-    /** A port of a member: by its place in the script, moved on by as many as there are whenever it takes new ones. */
+    /**
+     * Returns a port of a member by its place in the script; each change of ports adds the number of ports in the
+     * script.
+     */
     private int port(String member, String name) {
         for (int i = 0; i < script.ports().size(); i++) {
             if (script.ports().get(i).name().equals(name)) {
@@ -236,47 +253,51 @@
                         + children.get(member).ports * script.ports().size();
             }
         }
-        throw new IllegalArgumentException("{port:" + name + "} is not among the ports");
+        throw new IllegalArgumentException("{port:" + name + "} is not a port of the script");
     }
 
-    private String filling(String name, Matcher hole) {
+    private String placeholderValue(String name, Matcher placeholder) {
         int number = Relay.number(name);
-        String of = hole.group(2);
-        return switch (hole.group(1)) {
+        String of = placeholder.group(2);
+        return switch (placeholder.group(1)) {
             case "name" -> name;
             case "number" -> String.valueOf(number);
             case "host" -> Relay.host(block, number);
             case "host_of" -> Relay.host(block, Relay.number(of));
             case "zone" -> script.zones().get((number - 1) % script.zones().size());
             case "machine" -> "m" + ((number - 1) % script.machines() + 1);
-            case "folder" -> folder.resolve(name).resolve(FaultyDisk.TOUCHED).toString();
+            case "folder" ->
+                folder.resolve(name).resolve(FaultyDisk.STATE_FOLDER).toString();
             case "port" -> String.valueOf(port(name, of));
             case "port_of" -> String.valueOf(port(of.substring(0, of.indexOf('.')), of.substring(of.indexOf('.') + 1)));
-            default -> throw new IllegalArgumentException(hole.group());
+            default -> throw new IllegalArgumentException(placeholder.group());
         };
     }
 
-    /** A configuration with the holes in its texts filled; a text that is one number hole becomes that number. */
-    static JsonElement filled(JsonElement e, java.util.function.Function<Matcher, String> filling) {
-        if (e.isJsonObject()) {
+    /** Returns a configuration with the placeholders in its texts replaced; a text stays a text. */
+    static JsonElement fillPlaceholders(
+            JsonElement element, java.util.function.Function<Matcher, String> placeholderValue) {
+        if (element.isJsonObject()) {
             JsonObject all = new JsonObject();
-            e.getAsJsonObject().entrySet().forEach(x -> all.add(x.getKey(), filled(x.getValue(), filling)));
+            element.getAsJsonObject()
+                    .entrySet()
+                    .forEach(x -> all.add(x.getKey(), fillPlaceholders(x.getValue(), placeholderValue)));
             return all;
         }
-        if (e.isJsonArray()) {
+        if (element.isJsonArray()) {
             JsonArray all = new JsonArray();
-            e.getAsJsonArray().forEach(x -> all.add(filled(x, filling)));
+            element.getAsJsonArray().forEach(x -> all.add(fillPlaceholders(x, placeholderValue)));
             return all;
         }
-        if (e.isJsonPrimitive() && e.getAsJsonPrimitive().isString()) {
-            UnaryOperator<String> fill = s -> HOLE.matcher(s).replaceAll(r -> {
-                Matcher m = HOLE.matcher(r.group());
+        if (element.isJsonPrimitive() && element.getAsJsonPrimitive().isString()) {
+            UnaryOperator<String> fill = s -> PLACEHOLDER.matcher(s).replaceAll(r -> {
+                Matcher m = PLACEHOLDER.matcher(r.group());
                 m.matches();
-                return Matcher.quoteReplacement(filling.apply(m));
+                return Matcher.quoteReplacement(placeholderValue.apply(m));
             });
-            return new JsonPrimitive(fill.apply(e.getAsString()));
+            return new JsonPrimitive(fill.apply(element.getAsString()));
         }
-        return e;
+        return element;
     }
 
     private static void delete(Path folder) throws IOException {
@@ -290,22 +311,22 @@
 
     @Override
     public void close() throws IOException {
-        end();
+        killAll();
     }
 
-    /** Kills whatever is left, and waits for its end; a second call does nothing more. */
-    void end() throws IOException {
+    /** Kills all remaining processes and waits for their ends; a second call has no effect. */
+    void killAll() throws IOException {
         closing = true;
-        for (Child c : children.values()) {
-            if (c.process != null) {
-                c.process.destroyForcibly();
+        for (Child child : children.values()) {
+            if (child.process != null) {
+                child.process.destroyForcibly();
             }
         }
         try {
-            for (Child c : children.values()) {
-                if (c.process != null) {
-                    c.process.waitFor(END_S, TimeUnit.SECONDS);
-                    c.reader.join(END_S * 1000);
+            for (Child child : children.values()) {
+                if (child.process != null) {
+                    child.process.waitFor(EXIT_TIMEOUT_S, TimeUnit.SECONDS);
+                    child.reader.join(EXIT_TIMEOUT_S * 1000);
                 }
             }
         } catch (InterruptedException e) {
--- a/src/main/java/pepperdock/faultinjection/Event.java
+++ b/src/main/java/pepperdock/faultinjection/Event.java
@@ -5,8 +5,8 @@
 import com.google.gson.JsonParser;
 
 /**
- * One line of a history: seconds since the rig began, by the rig's clock; who (a member, or {@code rig}); what; and the keys
- * of that event.
+ * One line of a history: seconds since the rig started, by the clock of the rig; its source (a member, or {@code rig});
+ * the kind of event; and all keys of the event.
  */
 record Event(double at, String who, String what, JsonObject keys) {
 
@@ -14,12 +14,12 @@
 
     static Event read(String line) {
         try {
-            JsonObject o = JsonParser.parseString(line).getAsJsonObject();
+            JsonObject keys = JsonParser.parseString(line).getAsJsonObject();
             return new Event(
-                    o.get("at").getAsDouble(),
-                    o.get("who").getAsString(),
-                    o.get("what").getAsString(),
-                    o);
+                    keys.get("at").getAsDouble(),
+                    keys.get("who").getAsString(),
+                    keys.get("what").getAsString(),
+                    keys);
         } catch (JsonParseException | IllegalStateException | NullPointerException | NumberFormatException e) {
             throw new IllegalArgumentException("not an event: " + line, e);
         }
@@ -33,15 +33,15 @@
         return keys.has(key) ? keys.get(key).getAsDouble() : Double.NaN;
     }
 
-    long whole(String key) {
+    long integer(String key) {
         return keys.has(key) ? keys.get(key).getAsLong() : -1;
     }
 
-    boolean ofRig() {
+    boolean isRigEvent() {
         return who.equals(RIG);
     }
 
-    /** What the rig did to processes: their names, by commas in {@code members}. */
+    /** Returns the processes that the rig acted on: the names in {@code members}, separated by commas. */
     String[] members() {
         return text("members").split(",");
     }
--- a/src/main/java/pepperdock/faultinjection/FaultExposure.java
+++ b/src/main/java/pepperdock/faultinjection/FaultExposure.java
@@ -5,37 +5,37 @@
 import java.util.Set;
 import java.util.TreeMap;
 
-/** What has befallen a process since all was well with it. */
+/** The faults that a process has been exposed to since it last fully recovered. */
 final class FaultExposure {
 
-    /** Nothing beyond what membership promises to bear. */
-    static final String BORNE = "only what is borne";
+    /** No faults beyond those that membership promises to tolerate. */
+    static final String TOLERATED = "only tolerated faults";
 
-    /** Of datagrams, lost at any member, without anybody being called gone. */
-    private static final double LOSS_BORNE = 0.3;
+    /** Share of datagrams that may be lost at any member without a member being declared faulty. */
+    private static final double TOLERATED_LOSS = 0.3;
 
     private final Map<Integer, LinkFaults.Fault> faults = new TreeMap<>();
     private double stoppedAt = Double.NaN;
     private double longestStop;
-    private int mostCut;
+    private int mostLinksCut;
     private double mostLoss;
 
-    void on(String who, int number, LinkFaults.Fault f) {
-        faults.put(number, f);
+    void beginFault(String process, int number, LinkFaults.Fault fault) {
+        faults.put(number, fault);
         Set<String> cut = new HashSet<>();
-        double gets = 1;
-        for (LinkFaults.Fault x : faults.values()) {
-            if (x.kind() == LinkFaults.Kind.CUT) {
-                x.pairs().stream().filter(p -> p.from().equals(who)).forEach(p -> cut.add(p.to()));
-            } else if (x.kind() == LinkFaults.Kind.LOSS) {
-                gets *= 1 - x.amount();
+        double received = 1;
+        for (LinkFaults.Fault active : faults.values()) {
+            if (active.kind() == LinkFaults.Kind.CUT) {
+                active.pairs().stream().filter(p -> p.from().equals(process)).forEach(p -> cut.add(p.to()));
+            } else if (active.kind() == LinkFaults.Kind.LOSS) {
+                received *= 1 - active.amount();
             }
         }
-        mostCut = Math.max(mostCut, cut.size());
-        mostLoss = Math.max(mostLoss, 1 - gets);
+        mostLinksCut = Math.max(mostLinksCut, cut.size());
+        mostLoss = Math.max(mostLoss, 1 - received);
     }
 
-    void off(int number) {
+    void endFault(int number) {
         faults.remove(number);
     }
 
@@ -43,7 +43,7 @@
         stoppedAt = at;
     }
 
-    boolean over() {
+    boolean isOver() {
         return faults.isEmpty() && Double.isNaN(stoppedAt);
     }
 
@@ -59,13 +59,13 @@
         }
     }
 
-    /** Why others may have called it gone, the strongest reason there was. */
-    String why(double at, double borneS, int others) {
+    /** Returns the strongest reason why others may have declared the process faulty. */
+    String cause(double at, double toleratedPauseS, int others) {
         double stop = Double.isNaN(stoppedAt) ? longestStop : Math.max(longestStop, at - stoppedAt);
-        return stop >= borneS
-                ? "stopped longer than is borne"
-                : 2 * mostCut > others
-                        ? "most links out of it cut"
-                        : mostLoss > LOSS_BORNE + 1e-9 ? "more lost than is borne" : BORNE;
+        return stop >= toleratedPauseS
+                ? "paused longer than tolerated"
+                : 2 * mostLinksCut > others
+                        ? "most outgoing links cut"
+                        : mostLoss > TOLERATED_LOSS + 1e-9 ? "more datagrams lost than tolerated" : TOLERATED;
     }
 }
--- a/src/main/java/pepperdock/faultinjection/FaultInjectionRun.java
+++ b/src/main/java/pepperdock/faultinjection/FaultInjectionRun.java
@@ -13,8 +13,9 @@
 import pepperdock.config.ConfigException;
 
 /**
- * Runs a script: starts the fleet, does to it what the timetable says, waits where it awaits, and has the history judged. One
- * run at a time in a process; everything it started has ended when {@link #run} returns or the process ends.
+ * Runs a script: starts the fleet, performs the steps of the schedule, waits for the awaited conditions, and has the
+ * history checked. One run at a time in a process; everything that it started has ended when {@link #run} returns or
+ * the process ends.
  */
 public final class FaultInjectionRun {
 
@@ -22,7 +23,7 @@
     private static final int FIRST_BLOCK = 64;
     private static final int BLOCKS = 128;
     private static final int CLAIM_PORT = 7299;
-    private static final long LOOK_MS = 20;
+    private static final long POLL_INTERVAL_MS = 20;
 
     private final Script script;
     private final Path folder;
@@ -35,82 +36,84 @@
     }
 
     /**
-     * Runs the script in a file, in a folder that is made for it and must not exist, with members started by the command.
-     * @param seed goes before the script's own; null for that
+     * Runs the script in a file, in a new folder that must not exist yet, with members started by the command.
+     *
+     * @param seed overrides the seed of the script; null to keep it
      */
     public static Outcome run(Path file, Long seed, Path folder, List<String> command)
             throws IOException, InterruptedException {
         Script script = ScriptReader.read(file);
         Script drawn = seed == null ? script : script.seeded(seed);
-        if (script.names().size() > Script.PROCESSES_MOST) {
-            throw new ConfigException("members", "more than " + Script.PROCESSES_MOST + " processes");
+        if (script.names().size() > Script.MAX_PROCESSES) {
+            throw new ConfigException("members", "more than " + Script.MAX_PROCESSES + " processes");
         }
         if (Files.exists(folder)) {
-            throw new ConfigException(folder.toString(), "exists already");
+            throw new ConfigException(folder.toString(), "already exists");
         }
         Files.createDirectories(folder);
         return new FaultInjectionRun(drawn, folder.toAbsolutePath(), command).run();
     }
 
-    /** Judges a history again, by these checkers; null for those that its run had. */
+    /** Checks a history again with these checkers; null for those of its run. */
     public static Outcome check(Path history, List<String> checkers) throws IOException {
         List<Event> events = History.read(history);
-        Checkers judge = new Checkers(
+        Checkers checkerSet = new Checkers(
                 checkers != null
                         ? checkers
                         : events.stream()
-                                .filter(e -> e.ofRig() && e.what().equals("script"))
+                                .filter(e -> e.isRigEvent() && e.what().equals("script"))
                                 .findFirst()
                                 .map(e -> List.of(e.text("checkers").split(",")))
-                                .orElseThrow(() -> new ConfigException(history.toString(), "no history of a run")));
-        events.forEach(judge::see);
-        double late = 0;
+                                .orElseThrow(() -> new ConfigException(
+                                        history.toString(), "not the history of a run: it has no event script")));
+        events.forEach(checkerSet::onEvent);
+        double lateS = 0;
         boolean counts = true;
         for (Event e : events) {
-            if (e.ofRig() && e.what().equals("late")) {
-                late += e.number("by");
-            } else if (e.ofRig() && e.what().equals("verdict")) {
+            if (e.isRigEvent() && e.what().equals("late")) {
+                lateS += e.number("by");
+            } else if (e.isRigEvent() && e.what().equals("verdict")) {
                 counts = !e.text("verdict").equals("does not count");
             }
         }
-        List<String> findings = new ArrayList<>(words(judge.findings(true)));
+        List<String> findings = new ArrayList<>(describe(checkerSet.findings(true)));
         events.stream()
-                .filter(e -> e.ofRig() && e.what().equals("not reached"))
+                .filter(e -> e.isRigEvent() && e.what().equals("not reached"))
                 .forEach(e -> findings.add(notReached(e.text("awaited"), e.text("members"))));
-        return new Outcome(counts, findings, judge.metrics(), late);
+        return new Outcome(counts, findings, checkerSet.metrics(), lateS);
     }
 
-    private static List<String> words(List<Checker.Finding> findings) {
+    private static List<String> describe(List<Checker.Finding> findings) {
         return findings.stream()
                 .map(f -> f.checker() + ": event " + f.event() + ": " + f.what())
                 .toList();
     }
 
     private static String notReached(String condition, String members) {
-        return "never reached: " + condition + " of " + members;
+        return "condition not reached: " + condition + " for members " + members;
     }
 
     private Outcome run() throws IOException, InterruptedException {
-        Timetable timetable = Timetable.of(script);
-        if (timetable.any(Timetable.Clock.class)) {
-            throw new ConfigException("script", "a process has the machine's clock: clock is for simulated time only");
+        FaultSchedule steps = FaultSchedule.of(script);
+        if (steps.has(FaultSchedule.AdvanceClock.class)) {
+            throw new ConfigException("script", "fault clock needs simulated time: processes use the system clock");
         }
-        Checkers judge = new Checkers(script.checkers());
+        Checkers checkerSet = new Checkers(script.checkers());
         List<String> unmet = new ArrayList<>();
-        try (Claim claim = Claim.any();
-                History history = new History(folder.resolve(HISTORY), judge::see);
+        try (Claim claim = Claim.acquire();
+                History history = new History(folder.resolve(HISTORY), checkerSet::onEvent);
                 Relay relay = new Relay(claim.block, script.seed());
                 ChildProcesses children = new ChildProcesses(
-                        script, claim.block, folder, command, timetable.any(Timetable.Disk.class), history, relay)) {
+                        script, claim.block, folder, command, steps.has(FaultSchedule.SetDisk.class), history, relay)) {
             Thread hook = new Thread(() -> {
                 try {
-                    children.end();
+                    children.killAll();
                 } catch (IOException e) {
-                    // The guard ends them.
+                    // The guard kills them.
                 }
             });
             Runtime.getRuntime().addShutdownHook(hook);
-            history.rig(
+            history.addRigEvent(
                     "script",
                     "seed",
                     script.seed(),
@@ -118,76 +121,76 @@
                     String.join(",", script.names()),
                     "checkers",
                     String.join(",", script.checkers()));
-            double late;
-            try (Heartbeat heart = new Heartbeat(history)) {
-                play(timetable, judge, history, relay, children, unmet);
-                late = heart.late();
+            double lateS;
+            try (SchedulingDelayMonitor delayMonitor = new SchedulingDelayMonitor(history)) {
+                play(steps, checkerSet, history, relay, children, unmet);
+                lateS = delayMonitor.totalLateS();
             }
             children.processorTimes();
-            children.signal(Timetable.Sent.CONT, script.names());
-            children.signal(Timetable.Sent.TERM, script.names());
+            children.signal(FaultSchedule.ProcessSignal.CONT, script.names());
+            children.signal(FaultSchedule.ProcessSignal.TERM, script.names());
             double until = history.now() + 10;
             while (script.names().stream().anyMatch(children::up) && history.now() < until) {
-                Thread.sleep(LOOK_MS);
+                Thread.sleep(POLL_INTERVAL_MS);
             }
-            children.end();
+            children.killAll();
             Runtime.getRuntime().removeShutdownHook(hook);
-            List<String> findings = new ArrayList<>(words(judge.findings(true)));
+            List<String> findings = new ArrayList<>(describe(checkerSet.findings(true)));
             findings.addAll(unmet);
-            Outcome outcome = new Outcome(late <= script.lateMost(), findings, judge.metrics(), late);
-            history.rig("verdict", "verdict", outcome.verdict());
+            Outcome outcome = new Outcome(lateS <= script.maxLatenessS(), findings, checkerSet.metrics(), lateS);
+            history.addRigEvent("verdict", "verdict", outcome.verdict());
             return outcome;
         }
     }
 
     private void play(
-            Timetable timetable,
-            Checkers judge,
+            FaultSchedule schedule,
+            Checkers checkerSet,
             History history,
             Relay relay,
             ChildProcesses children,
             List<String> unmet)
             throws IOException, InterruptedException {
-        double traffic = history.now();
+        double lastTraffic = history.now();
         children.start(script.names(), false, false);
-        for (Timetable.Phase phase : timetable.phases()) {
+        for (FaultSchedule.Phase phase : schedule.phases()) {
             double base = history.now();
-            for (Timetable.Timed timed : phase.steps()) {
+            for (FaultSchedule.TimedStep timed : phase.steps()) {
                 for (double wait = base + timed.at() - history.now();
                         wait > 0;
                         wait = base + timed.at() - history.now()) {
                     Thread.sleep((long) Math.min(wait * 1e3 + 1, 200));
-                    traffic = traffic(history, relay, traffic);
+                    lastTraffic = traffic(history, relay, lastTraffic);
                 }
                 step(timed.step(), history, relay, children);
             }
-            Script.Await then = phase.then() != null
-                    ? phase.then()
-                    : new Script.Await("settled", new Script.Targets(script.names(), 0));
-            Set<String> whom = Set.copyOf(then.whom().names());
-            double until = Math.min(history.now() + script.settleS(), script.mostS());
-            while (!history.still(() -> judge.holds(then.condition(), whom))) {
+            Script.AwaitAction awaited = phase.awaited() != null
+                    ? phase.awaited()
+                    : new Script.AwaitAction("settled", new Script.Targets(script.names(), 0));
+            Set<String> members = Set.copyOf(awaited.targets().names());
+            double until = Math.min(history.now() + script.settleTimeoutS(), script.maxDurationS());
+            while (!history.runExclusively(() -> checkerSet.holds(awaited.condition(), members))) {
                 if (history.now() >= until) {
-                    String members = whom.stream().sorted().collect(Collectors.joining(","));
-                    history.rig("not reached", "awaited", then.condition(), "members", members);
-                    unmet.add(notReached(then.condition(), members));
+                    String names = members.stream().sorted().collect(Collectors.joining(","));
+                    history.addRigEvent("not reached", "awaited", awaited.condition(), "members", names);
+                    unmet.add(notReached(awaited.condition(), names));
                     return;
                 }
-                Thread.sleep(LOOK_MS);
-                traffic = traffic(history, relay, traffic);
+                Thread.sleep(POLL_INTERVAL_MS);
+                lastTraffic = traffic(history, relay, lastTraffic);
             }
-            history.rig("reached", "awaited", then.condition());
+            history.addRigEvent("reached", "awaited", awaited.condition());
         }
     }
 
-    /** Once a second, what each member has sent since, as counted outside of it. */
+    /** Records once a second what each member has sent since the last time, as counted by the relay. */
     private static double traffic(History history, Relay relay, double last) throws IOException {
-        relay.check();
+        relay.checkRunning();
         double now = history.now();
         if (now - last < 1) {
             return last;
         }
-        relay.taken(all -> all.forEach((member, t) -> history.rig(
+        relay.takeTraffic(all -> all.forEach((member, t) -> history.addRigEvent(
                 "traffic",
                 "member",
                 member,
@@ -206,50 +209,50 @@
         return now;
     }
 
-    private static void step(Timetable.Step step, History history, Relay relay, ChildProcesses children)
+    private static void step(FaultSchedule.Step step, History history, Relay relay, ChildProcesses children)
             throws IOException, InterruptedException {
-        if (step instanceof Timetable.On on) {
-            LinkFaults.Fault f = on.fault();
-            history.rig(
+        if (step instanceof FaultSchedule.BeginFault on) {
+            LinkFaults.Fault fault = on.fault();
+            history.addRigEvent(
                     "fault on",
                     "number",
                     on.number(),
                     "kind",
-                    f.kind().name().toLowerCase(Locale.ROOT),
+                    fault.kind().name().toLowerCase(Locale.ROOT),
                     "amount",
-                    f.amount(),
+                    fault.amount(),
                     "spread",
-                    f.spread(),
+                    fault.spread(),
                     "links",
-                    LinkFaults.text(f.pairs()));
-            relay.on(on.number(), f);
-        } else if (step instanceof Timetable.Off off) {
-            history.rig("fault off", "number", off.number());
-            relay.off(off.number());
-        } else if (step instanceof Timetable.Cut cut) {
-            history.rig("reset", "links", LinkFaults.text(cut.pairs()));
+                    LinkFaults.formatPairs(fault.pairs()));
+            relay.beginFault(on.number(), fault);
+        } else if (step instanceof FaultSchedule.EndFault off) {
+            history.addRigEvent("fault off", "number", off.number());
+            relay.endFault(off.number());
+        } else if (step instanceof FaultSchedule.ResetStreams cut) {
+            history.addRigEvent("reset", "links", LinkFaults.formatPairs(cut.pairs()));
             relay.reset(cut.pairs());
-        } else if (step instanceof Timetable.Signal signal) {
-            children.signal(signal.what(), signal.members());
-        } else if (step instanceof Timetable.Start start) {
+        } else if (step instanceof FaultSchedule.SendSignal signal) {
+            children.signal(signal.signal(), signal.members());
+        } else if (step instanceof FaultSchedule.StartMembers start) {
             children.start(start.members(), start.emptyFolder(), start.newPorts());
-        } else if (step instanceof Timetable.Disk disk) {
-            children.disk(disk.members(), disk.is());
+        } else if (step instanceof FaultSchedule.SetDisk disk) {
+            children.setDiskFault(disk.members(), disk.diskFault());
         }
     }
 
-    /** A block of addresses that no other rig on this machine uses: one who holds its first port has it. */
+    /** A block of addresses that no other rig on this machine uses: the holder of its first port owns it. */
     record Claim(int block, ServerSocket held) implements AutoCloseable {
 
-        static Claim any() throws IOException {
+        static Claim acquire() throws IOException {
             int first = (int) (ProcessHandle.current().pid() % BLOCKS);
             for (int i = 0; i < BLOCKS; i++) {
                 int block = FIRST_BLOCK + (first + i) % BLOCKS;
                 try {
                     return new Claim(
                             block, new ServerSocket(CLAIM_PORT, 1, InetAddress.getByName(Relay.host(block, 254))));
-                } catch (IOException taken) {
-                    // The next.
+                } catch (IOException inUse) {
+                    // In use by another rig: tries the next block.
                 }
             }
             throw new IOException("no free block of loopback addresses; does the machine have all of 127.0.0.0/8?");
--- a/src/main/java/pepperdock/faultinjection/FaultyDisk.java
+++ b/src/main/java/pepperdock/faultinjection/FaultyDisk.java
@@ -28,47 +28,48 @@
 import java.util.Set;
 
 /**
- * The default file system of a member, as the JDK lets it be replaced ({@code java.nio.file.spi.DefaultFileSystemProvider}),
- * so that the member's own code runs unchanged on a disk that is full, slow or broken. Only what lies in the member's
- * {@code state} is touched; a file {@code disk} beside it, written by the rig and read at each operation, says how:
- * {@code full} (nothing can be written or made), {@code broken} (syncs fail, and what was written may be lost), {@code slow S}
- * (each sync takes S seconds longer), or nothing.
+ * The default file system of a member, replaced through the property of the JDK ({@code
+ * java.nio.file.spi.DefaultFileSystemProvider}), so that the code of the member runs unchanged on a disk that is full,
+ * slow or broken. Only the files in {@code state} of the member are affected. The rig writes the current fault to the
+ * file {@code disk} beside it, which is read at each operation: {@code full} (nothing can be written or created),
+ * {@code broken} (syncs fail, and what was written may be lost), {@code slow S} (each sync takes S seconds longer), or
+ * nothing.
  */
 public final class FaultyDisk extends FileSystemProvider {
 
     /** The system property that names the member's folder. */
-    static final String FOLDER = "pepperdock.lab.disk";
+    static final String FOLDER_PROPERTY = "pepperdock.lab.disk";
 
-    static final String SAYS = "disk";
-    static final String TOUCHED = "state";
+    static final String FAULT_FILE = "disk";
+    static final String STATE_FOLDER = "state";
 
-    private final FileSystemProvider under;
-    private final FaultyFileSystem whole;
-    private final Path says;
-    private final Path touched;
+    private final FileSystemProvider delegate;
+    private final FaultyFileSystem fileSystem;
+    private final Path faultFile;
+    private final Path stateFolder;
 
-    /** Called by the JDK at its start. */
-    public FaultyDisk(FileSystemProvider under) {
-        this(under, System.getProperty(FOLDER));
+    /** Called by the JDK when it starts. */
+    public FaultyDisk(FileSystemProvider delegate) {
+        this(delegate, System.getProperty(FOLDER_PROPERTY));
     }
 
-    FaultyDisk(FileSystemProvider under, String folder) {
-        this.under = under;
-        FileSystem system = under.getFileSystem(URI.create("file:///"));
-        whole = new FaultyFileSystem(this, system);
-        says = system.getPath(folder, SAYS).toAbsolutePath();
-        touched = system.getPath(folder, TOUCHED).toAbsolutePath();
+    FaultyDisk(FileSystemProvider delegate, String folder) {
+        this.delegate = delegate;
+        FileSystem defaultFileSystem = delegate.getFileSystem(URI.create("file:///"));
+        fileSystem = new FaultyFileSystem(this, defaultFileSystem);
+        faultFile = defaultFileSystem.getPath(folder, FAULT_FILE).toAbsolutePath();
+        stateFolder = defaultFileSystem.getPath(folder, STATE_FOLDER).toAbsolutePath();
     }
 
-    /** What the rig has said last, if it concerns this path; in words, the first one the kind. */
-    private String[] fault(Path p) throws IOException {
-        if (!p.toAbsolutePath().normalize().startsWith(touched)) {
+    /** Returns the current fault if it affects this path, split into words of which the first is the kind. */
+    private String[] currentFault(Path path) throws IOException {
+        if (!path.toAbsolutePath().normalize().startsWith(stateFolder)) {
             return new String[] {""};
         }
-        try (SeekableByteChannel c = under.newByteChannel(says, Set.of(StandardOpenOption.READ))) {
-            ByteBuffer b = ByteBuffer.allocate(64);
-            c.read(b);
-            return new String(b.array(), 0, b.position(), StandardCharsets.US_ASCII)
+        try (SeekableByteChannel channel = delegate.newByteChannel(faultFile, Set.of(StandardOpenOption.READ))) {
+            ByteBuffer buffer = ByteBuffer.allocate(64);
+            channel.read(buffer);
+            return new String(buffer.array(), 0, buffer.position(), StandardCharsets.US_ASCII)
                     .strip()
                     .split(" ");
         } catch (NoSuchFileException e) {
@@ -76,17 +77,17 @@
         }
     }
 
-    /** Before anything is written or made there. */
-    Path roomFor(Path p) throws IOException {
-        Path inner = inner(p);
-        if (fault(inner)[0].equals("full")) {
+    /** Throws if the disk is full; called before anything is written or created. Returns the underlying path. */
+    Path checkSpace(Path path) throws IOException {
+        Path unwrapped = unwrap(path);
+        if (currentFault(unwrapped)[0].equals("full")) {
             throw new IOException("No space left on device");
         }
-        return inner;
+        return unwrapped;
     }
 
-    void sync(Path inner) throws IOException {
-        String[] fault = fault(inner);
+    void sync(Path unwrapped) throws IOException {
+        String[] fault = currentFault(unwrapped);
         if (fault[0].equals("broken")) {
             throw new IOException("Input/output error");
         }
@@ -99,40 +100,40 @@
         }
     }
 
-    // ---- Paths: those of the system underneath, that say that they are ours
+    // ---- Paths: proxies of the underlying paths that report this file system
     // ------------------------------------------------
 
-    private record Outer(FaultyDisk disk, Path of) implements InvocationHandler {
+    private record WrappedPath(FaultyDisk disk, Path delegate) implements InvocationHandler {
 
         @Override
-        public Object invoke(Object proxy, java.lang.reflect.Method m, Object[] args) throws Throwable {
-            if (m.getName().equals("getFileSystem")) {
-                return disk.whole;
+        public Object invoke(Object proxy, java.lang.reflect.Method method, Object[] args) throws Throwable {
+            if (method.getName().equals("getFileSystem")) {
+                return disk.fileSystem;
             }
             Object[] given = args == null ? new Object[0] : args.clone();
             for (int i = 0; i < given.length; i++) {
-                given[i] = given[i] instanceof Path p ? inner(p) : given[i];
+                given[i] = given[i] instanceof Path path ? unwrap(path) : given[i];
             }
             Object result;
             try {
-                result = m.invoke(of, given);
+                result = method.invoke(delegate, given);
             } catch (InvocationTargetException e) {
                 throw e.getCause();
             }
-            return result instanceof Path p
-                    ? disk.outer(p)
-                    : result instanceof Iterator<?> all ? disk.outer(all) : result;
+            return result instanceof Path path
+                    ? disk.wrap(path)
+                    : result instanceof Iterator<?> all ? disk.wrap(all) : result;
         }
     }
 
-    Path outer(Path p) {
-        return p == null
+    Path wrap(Path path) {
+        return path == null
                 ? null
                 : (Path) Proxy.newProxyInstance(
-                        FaultyDisk.class.getClassLoader(), new Class<?>[] {Path.class}, new Outer(this, p));
+                        FaultyDisk.class.getClassLoader(), new Class<?>[] {Path.class}, new WrappedPath(this, path));
     }
 
-    private Iterator<Path> outer(Iterator<?> all) {
+    private Iterator<Path> wrap(Iterator<?> all) {
         return new Iterator<>() {
             @Override
             public boolean hasNext() {
@@ -141,141 +142,143 @@
 
             @Override
             public Path next() {
-                return outer((Path) all.next());
+                return wrap((Path) all.next());
             }
         };
     }
 
-    static Path inner(Path p) {
-        return Proxy.isProxyClass(p.getClass()) && Proxy.getInvocationHandler(p) instanceof Outer o ? o.of() : p;
+    static Path unwrap(Path path) {
+        return Proxy.isProxyClass(path.getClass()) && Proxy.getInvocationHandler(path) instanceof WrappedPath wrapped
+                ? wrapped.delegate()
+                : path;
     }
 
     // ---- Files ------------------------------------------------------------
 
     @Override
-    public FileChannel newFileChannel(Path p, Set<? extends OpenOption> how, FileAttribute<?>... with)
+    public FileChannel newFileChannel(Path path, Set<? extends OpenOption> options, FileAttribute<?>... attributes)
             throws IOException {
-        Path inner = how.contains(StandardOpenOption.WRITE) || how.contains(StandardOpenOption.APPEND)
-                ? forWriting(p)
-                : inner(p);
-        return new FaultyFileChannel(this, under.newFileChannel(inner, how, with), inner);
+        Path unwrapped = options.contains(StandardOpenOption.WRITE) || options.contains(StandardOpenOption.APPEND)
+                ? forWriting(path)
+                : unwrap(path);
+        return new FaultyFileChannel(this, delegate.newFileChannel(unwrapped, options, attributes), unwrapped);
     }
 
-    /** A full disk still opens what is there already. */
-    private Path forWriting(Path p) throws IOException {
+    /** Returns the underlying path of a file to write; a full disk still opens files that exist. */
+    private Path forWriting(Path path) throws IOException {
         try {
-            under.checkAccess(inner(p));
-            return inner(p);
+            delegate.checkAccess(unwrap(path));
+            return unwrap(path);
         } catch (NoSuchFileException e) {
-            return roomFor(p);
+            return checkSpace(path);
         }
     }
 
     @Override
-    public SeekableByteChannel newByteChannel(Path p, Set<? extends OpenOption> how, FileAttribute<?>... with)
-            throws IOException {
-        return how.contains(StandardOpenOption.WRITE) || how.contains(StandardOpenOption.APPEND)
-                ? newFileChannel(p, how, with)
-                : under.newByteChannel(inner(p), how, with);
+    public SeekableByteChannel newByteChannel(
+            Path path, Set<? extends OpenOption> options, FileAttribute<?>... attributes) throws IOException {
+        return options.contains(StandardOpenOption.WRITE) || options.contains(StandardOpenOption.APPEND)
+                ? newFileChannel(path, options, attributes)
+                : delegate.newByteChannel(unwrap(path), options, attributes);
     }
 
     @Override
-    public DirectoryStream<Path> newDirectoryStream(Path p, DirectoryStream.Filter<? super Path> filter)
+    public DirectoryStream<Path> newDirectoryStream(Path path, DirectoryStream.Filter<? super Path> filter)
             throws IOException {
-        DirectoryStream<Path> of = under.newDirectoryStream(inner(p), x -> filter.accept(outer(x)));
+        DirectoryStream<Path> stream = delegate.newDirectoryStream(unwrap(path), x -> filter.accept(wrap(x)));
         return new DirectoryStream<>() {
             @Override
             public Iterator<Path> iterator() {
-                return outer(of.iterator());
+                return wrap(stream.iterator());
             }
 
             @Override
             public void close() throws IOException {
-                of.close();
+                stream.close();
             }
         };
     }
 
     @Override
-    public void createDirectory(Path p, FileAttribute<?>... with) throws IOException {
-        under.createDirectory(roomFor(p), with);
+    public void createDirectory(Path path, FileAttribute<?>... attributes) throws IOException {
+        delegate.createDirectory(checkSpace(path), attributes);
     }
 
     @Override
-    public void copy(Path from, Path to, CopyOption... how) throws IOException {
-        under.copy(inner(from), roomFor(to), how);
+    public void copy(Path from, Path to, CopyOption... options) throws IOException {
+        delegate.copy(unwrap(from), checkSpace(to), options);
     }
 
     @Override
-    public void move(Path from, Path to, CopyOption... how) throws IOException {
-        under.move(inner(from), inner(to), how);
+    public void move(Path from, Path to, CopyOption... options) throws IOException {
+        delegate.move(unwrap(from), unwrap(to), options);
     }
 
     @Override
-    public void delete(Path p) throws IOException {
-        under.delete(inner(p));
+    public void delete(Path path) throws IOException {
+        delegate.delete(unwrap(path));
     }
 
     @Override
-    public boolean isSameFile(Path a, Path b) throws IOException {
-        return under.isSameFile(inner(a), inner(b));
+    public boolean isSameFile(Path first, Path second) throws IOException {
+        return delegate.isSameFile(unwrap(first), unwrap(second));
     }
 
     @Override
-    public boolean isHidden(Path p) throws IOException {
-        return under.isHidden(inner(p));
+    public boolean isHidden(Path path) throws IOException {
+        return delegate.isHidden(unwrap(path));
     }
 
     @Override
-    public FileStore getFileStore(Path p) throws IOException {
-        return under.getFileStore(inner(p));
+    public FileStore getFileStore(Path path) throws IOException {
+        return delegate.getFileStore(unwrap(path));
     }
 
     @Override
-    public void checkAccess(Path p, AccessMode... modes) throws IOException {
-        under.checkAccess(inner(p), modes);
+    public void checkAccess(Path path, AccessMode... modes) throws IOException {
+        delegate.checkAccess(unwrap(path), modes);
     }
 
     @Override
-    public <V extends FileAttributeView> V getFileAttributeView(Path p, Class<V> type, LinkOption... how) {
-        return under.getFileAttributeView(inner(p), type, how);
+    public <V extends FileAttributeView> V getFileAttributeView(Path path, Class<V> type, LinkOption... options) {
+        return delegate.getFileAttributeView(unwrap(path), type, options);
     }
 
     @Override
-    public <A extends BasicFileAttributes> A readAttributes(Path p, Class<A> type, LinkOption... how)
+    public <A extends BasicFileAttributes> A readAttributes(Path path, Class<A> type, LinkOption... options)
             throws IOException {
-        return under.readAttributes(inner(p), type, how);
+        return delegate.readAttributes(unwrap(path), type, options);
     }
 
     @Override
-    public Map<String, Object> readAttributes(Path p, String which, LinkOption... how) throws IOException {
-        return under.readAttributes(inner(p), which, how);
+    public Map<String, Object> readAttributes(Path path, String which, LinkOption... options) throws IOException {
+        return delegate.readAttributes(unwrap(path), which, options);
     }
 
     @Override
-    public void setAttribute(Path p, String which, Object value, LinkOption... how) throws IOException {
-        under.setAttribute(inner(p), which, value, how);
+    public void setAttribute(Path path, String which, Object value, LinkOption... options) throws IOException {
+        delegate.setAttribute(unwrap(path), which, value, options);
     }
 
-    // ---- The system as a whole ------------------------------------------------------------
+    // ---- The file system as a whole ------------------------------------------------------------
 
     @Override
     public String getScheme() {
-        return under.getScheme();
+        return delegate.getScheme();
     }
 
     @Override
     public FileSystem newFileSystem(URI uri, Map<String, ?> env) throws IOException {
-        return under.newFileSystem(uri, env);
+        return delegate.newFileSystem(uri, env);
     }
 
     @Override
     public FileSystem getFileSystem(URI uri) {
-        return whole;
+        return fileSystem;
     }
 
     @Override
     public Path getPath(URI uri) {
-        return outer(under.getPath(uri));
+        return wrap(delegate.getPath(uri));
     }
 }
--- a/src/main/java/pepperdock/faultinjection/FaultyFileChannel.java
+++ b/src/main/java/pepperdock/faultinjection/FaultyFileChannel.java
@@ -9,107 +9,107 @@
 import java.nio.channels.WritableByteChannel;
 import java.nio.file.Path;
 
-/** A file of a {@link FaultyDisk}: each write and each sync asks first what is wrong with the disk. */
+/** A file of a {@link FaultyDisk}: each write and each sync checks the current fault of the disk first. */
 final class FaultyFileChannel extends FileChannel {
     private final FaultyDisk disk;
-    private final FileChannel of;
+    private final FileChannel delegate;
     private final Path path;
 
-    FaultyFileChannel(FaultyDisk disk, FileChannel of, Path path) {
+    FaultyFileChannel(FaultyDisk disk, FileChannel delegate, Path path) {
         this.disk = disk;
-        this.of = of;
+        this.delegate = delegate;
         this.path = path;
     }
 
     @Override
-    public int read(ByteBuffer b) throws IOException {
-        return of.read(b);
+    public int read(ByteBuffer buffer) throws IOException {
+        return delegate.read(buffer);
     }
 
     @Override
-    public long read(ByteBuffer[] b, int from, int count) throws IOException {
-        return of.read(b, from, count);
+    public long read(ByteBuffer[] buffers, int from, int count) throws IOException {
+        return delegate.read(buffers, from, count);
     }
 
     @Override
-    public int read(ByteBuffer b, long at) throws IOException {
-        return of.read(b, at);
+    public int read(ByteBuffer buffer, long position) throws IOException {
+        return delegate.read(buffer, position);
     }
 
     @Override
-    public int write(ByteBuffer b) throws IOException {
-        disk.roomFor(path);
-        return of.write(b);
+    public int write(ByteBuffer buffer) throws IOException {
+        disk.checkSpace(path);
+        return delegate.write(buffer);
     }
 
     @Override
-    public long write(ByteBuffer[] b, int from, int count) throws IOException {
-        disk.roomFor(path);
-        return of.write(b, from, count);
+    public long write(ByteBuffer[] buffers, int from, int count) throws IOException {
+        disk.checkSpace(path);
+        return delegate.write(buffers, from, count);
     }
 
     @Override
-    public int write(ByteBuffer b, long at) throws IOException {
-        disk.roomFor(path);
-        return of.write(b, at);
+    public int write(ByteBuffer buffer, long position) throws IOException {
+        disk.checkSpace(path);
+        return delegate.write(buffer, position);
     }
 
     @Override
-    public long transferFrom(ReadableByteChannel from, long at, long count) throws IOException {
-        disk.roomFor(path);
-        return of.transferFrom(from, at, count);
+    public long transferFrom(ReadableByteChannel from, long position, long count) throws IOException {
+        disk.checkSpace(path);
+        return delegate.transferFrom(from, position, count);
     }
 
     @Override
-    public long transferTo(long at, long count, WritableByteChannel to) throws IOException {
-        return of.transferTo(at, count, to);
+    public long transferTo(long position, long count, WritableByteChannel to) throws IOException {
+        return delegate.transferTo(position, count, to);
     }
 
     @Override
     public void force(boolean all) throws IOException {
         disk.sync(path);
-        of.force(all);
+        delegate.force(all);
     }
 
     @Override
     public long position() throws IOException {
-        return of.position();
+        return delegate.position();
     }
 
     @Override
-    public FileChannel position(long at) throws IOException {
-        of.position(at);
+    public FileChannel position(long position) throws IOException {
+        delegate.position(position);
         return this;
     }
 
     @Override
     public long size() throws IOException {
-        return of.size();
+        return delegate.size();
     }
 
     @Override
     public FileChannel truncate(long size) throws IOException {
-        of.truncate(size);
+        delegate.truncate(size);
         return this;
     }
 
     @Override
-    public MappedByteBuffer map(MapMode mode, long at, long size) throws IOException {
-        return of.map(mode, at, size);
+    public MappedByteBuffer map(MapMode mode, long position, long size) throws IOException {
+        return delegate.map(mode, position, size);
     }
 
     @Override
-    public FileLock lock(long at, long size, boolean shared) throws IOException {
-        return of.lock(at, size, shared);
+    public FileLock lock(long position, long size, boolean shared) throws IOException {
+        return delegate.lock(position, size, shared);
     }
 
     @Override
-    public FileLock tryLock(long at, long size, boolean shared) throws IOException {
-        return of.tryLock(at, size, shared);
+    public FileLock tryLock(long position, long size, boolean shared) throws IOException {
+        return delegate.tryLock(position, size, shared);
     }
 
     @Override
     protected void implCloseChannel() throws IOException {
-        of.close();
+        delegate.close();
     }
 }
--- a/src/main/java/pepperdock/faultinjection/FaultyFileSystem.java
+++ b/src/main/java/pepperdock/faultinjection/FaultyFileSystem.java
@@ -11,14 +11,16 @@
 import java.util.Set;
 import java.util.stream.StreamSupport;
 
-/** The file system of a {@link FaultyDisk}: that of the system underneath, with paths that say that they are the disk's. */
+/**
+ * The file system of a {@link FaultyDisk}: delegates to the underlying one, with paths that belong to the faulty disk.
+ */
 final class FaultyFileSystem extends FileSystem {
     private final FaultyDisk disk;
-    private final FileSystem of;
+    private final FileSystem delegate;
 
-    FaultyFileSystem(FaultyDisk disk, FileSystem of) {
+    FaultyFileSystem(FaultyDisk disk, FileSystem delegate) {
         this.disk = disk;
-        this.of = of;
+        this.delegate = delegate;
     }
 
     @Override
@@ -28,59 +30,59 @@
 
     @Override
     public void close() throws IOException {
-        of.close();
+        delegate.close();
     }
 
     @Override
     public boolean isOpen() {
-        return of.isOpen();
+        return delegate.isOpen();
     }
 
     @Override
     public boolean isReadOnly() {
-        return of.isReadOnly();
+        return delegate.isReadOnly();
     }
 
     @Override
     public String getSeparator() {
-        return of.getSeparator();
+        return delegate.getSeparator();
     }
 
     @Override
     public Iterable<Path> getRootDirectories() {
-        return StreamSupport.stream(of.getRootDirectories().spliterator(), false)
-                .map(disk::outer)
+        return StreamSupport.stream(delegate.getRootDirectories().spliterator(), false)
+                .map(disk::wrap)
                 .toList();
     }
 
     @Override
     public Iterable<FileStore> getFileStores() {
-        return of.getFileStores();
+        return delegate.getFileStores();
     }
 
     @Override
     public Set<String> supportedFileAttributeViews() {
-        return of.supportedFileAttributeViews();
+        return delegate.supportedFileAttributeViews();
     }
 
     @Override
     public Path getPath(String first, String... more) {
-        return disk.outer(of.getPath(first, more));
+        return disk.wrap(delegate.getPath(first, more));
     }
 
     @Override
     public PathMatcher getPathMatcher(String pattern) {
-        PathMatcher m = of.getPathMatcher(pattern);
-        return p -> m.matches(FaultyDisk.inner(p));
+        PathMatcher matcher = delegate.getPathMatcher(pattern);
+        return p -> matcher.matches(FaultyDisk.unwrap(p));
     }
 
     @Override
     public UserPrincipalLookupService getUserPrincipalLookupService() {
-        return of.getUserPrincipalLookupService();
+        return delegate.getUserPrincipalLookupService();
     }
 
     @Override
     public WatchService newWatchService() throws IOException {
-        return of.newWatchService();
+        return delegate.newWatchService();
     }
 }
--- a/src/main/java/pepperdock/faultinjection/History.java
+++ b/src/main/java/pepperdock/faultinjection/History.java
@@ -15,15 +15,16 @@
 import pepperdock.events.Events;
 
 /**
- * What happened, in one order and by one clock: each event is written and then shown to whoever listens, under one lock, so
- * that the file and the judgement see the same order. Events come from the threads that read the members' output and from
- * the rig's own. Its size is bounded: past that, the run ends with an error rather than with a history that lacks its end.
+ * The events of a run, in one order and by one clock. Each event is written to the file and then passed to the listener
+ * under one lock, so that the file and the checkers see the same order. Events come from the threads that read the
+ * output of the members, and from the rig itself. The size is bounded: beyond it, the run ends with an error rather
+ * than with an incomplete history.
  */
 final class History implements AutoCloseable {
 
-    private static final long LINES_MOST = 5_000_000;
+    private static final long MAX_EVENTS = 5_000_000;
 
-    private final long began = System.nanoTime();
+    private final long startNs = System.nanoTime();
     private final BufferedWriter out;
     private final Consumer<Event> listener;
     private long lines;
@@ -34,11 +35,11 @@
     }
 
     double now() {
-        return (System.nanoTime() - began) / 1e9;
+        return (System.nanoTime() - startNs) / 1e9;
     }
 
-    /** A line of a member's output; what is not an event is passed over and said so. */
-    void line(String who, String line) {
+    /** Adds a line of a member's output; a line that is not an event is recorded as {@code unreadable}. */
+    void addMemberOutput(String who, String line) {
         JsonObject event;
         try {
             event = JsonParser.parseString(line).getAsJsonObject();
@@ -53,35 +54,35 @@
         add(who, event);
     }
 
-    /** An event of the rig's own. */
-    void rig(String what, Object... keysAndValues) {
+    /** Adds an event of the rig itself. */
+    void addRigEvent(String what, Object... keysAndValues) {
         add(Event.RIG, Events.event(what, keysAndValues));
     }
 
     private synchronized void add(String who, JsonObject event) {
-        JsonObject whole = new JsonObject();
-        whole.addProperty("at", Math.round(now() * 1e6) / 1e6);
-        whole.addProperty("who", who);
-        event.entrySet().forEach(e -> whole.add(e.getKey(), e.getValue()));
-        if (++lines > LINES_MOST) {
-            throw new IllegalStateException("more than " + LINES_MOST + " events");
+        JsonObject withHeader = new JsonObject();
+        withHeader.addProperty("at", Math.round(now() * 1e6) / 1e6);
+        withHeader.addProperty("who", who);
+        event.entrySet().forEach(e -> withHeader.add(e.getKey(), e.getValue()));
+        if (++lines > MAX_EVENTS) {
+            throw new IllegalStateException("more than " + MAX_EVENTS + " events in the history");
         }
         try {
-            out.write(whole.toString());
+            out.write(withHeader.toString());
             out.newLine();
             if (who.equals(Event.RIG)) {
-                // Not lost if the rig is killed, and cheap: the rig's own events are few.
+                // Kept if the rig is killed; this is cheap since the rig's own events are few.
                 out.flush();
             }
         } catch (IOException e) {
             throw new UncheckedIOException(e);
         }
-        listener.accept(Event.read(whole.toString()));
+        listener.accept(Event.read(withHeader.toString()));
     }
 
-    /** Runs what reads the listeners' state, with no event coming between. */
-    synchronized <T> T still(java.util.function.Supplier<T> reads) {
-        return reads.get();
+    /** Reads the listener's state without any event being added meanwhile. */
+    synchronized <T> T runExclusively(java.util.function.Supplier<T> reader) {
+        return reader.get();
     }
 
     @Override
--- a/src/main/java/pepperdock/faultinjection/LinkFaults.java
+++ b/src/main/java/pepperdock/faultinjection/LinkFaults.java
@@ -8,133 +8,161 @@
 import java.util.stream.Collectors;
 
 /**
- * What lies on each ordered pair of members: the faults in force, and their sum. Faults on one pair add up: any cut cuts,
- * losses multiply, delays add, the least rate holds. Pure: the chance comes in as a {@link Random}, time not at all.
+ * The active faults on each ordered pair of members, and their combined effect: any cut cuts, losses multiply, delays
+ * add, and the lowest rate applies. Pure: randomness is passed in as a {@link Random}, and time is not used.
  */
 final class LinkFaults {
 
-    /** From one member to another; the way back is another pair. */
+    /** A link from one member to another; the reverse direction is another pair. */
     record Pair(String from, String to) {}
 
     /** What a fault does to a link. */
     enum Kind {
-        /** Nothing gets through, of datagrams or streams; what was sent on a stream waits. */
+        /** No datagrams or stream bytes pass; what was sent on a stream waits. */
         CUT,
-        /** That share of datagrams is lost. */
+        /** This share of datagrams is lost. */
         LOSS,
-        /** That share of datagrams comes twice. */
+        /** This share of datagrams arrives twice. */
         DUPLICATE,
-        /** Everything takes so many seconds longer; datagrams up to {@code spread} more, drawn for each. */
+        /**
+         * Everything is delayed by this number of seconds; each datagram by a random time of up to {@code spread} more.
+         */
         DELAY,
-        /** That share of datagrams takes {@code spread} seconds longer, so that later ones come first. */
+        /** This share of datagrams is delayed by {@code spread} seconds, so that later ones overtake them. */
         REORDER,
-        /** Streams carry so many bytes a second at most. */
+        /** Streams carry at most this number of bytes per second. */
         THROTTLE,
         /** Streams carry nothing; datagrams pass. */
         STALL
     }
 
-    /** Pairs as a history has them. */
-    static String text(Set<Pair> pairs) {
+    /** Formats pairs as they stand in a history. */
+    static String formatPairs(Set<Pair> pairs) {
         return pairs.stream().map(p -> p.from() + ">" + p.to()).collect(Collectors.joining(" "));
     }
 
-    /** The same read back. */
-    static Set<Pair> pairs(String text) {
+    /** Parses pairs as written by {@link #formatPairs}. */
+    static Set<Pair> parsePairs(String text) {
         Set<Pair> pairs = new LinkedHashSet<>();
-        for (String one : text.isEmpty() ? new String[0] : text.split(" ")) {
-            int at = one.indexOf('>');
-            pairs.add(new Pair(one.substring(0, at), one.substring(at + 1)));
+        for (String pair : text.isEmpty() ? new String[0] : text.split(" ")) {
+            int separator = pair.indexOf('>');
+            pairs.add(new Pair(pair.substring(0, separator), pair.substring(separator + 1)));
         }
         return pairs;
     }
 
-    /** {@code amount} is a share, seconds or bytes a second, by kind; {@code spread} is in seconds. */
+    /**
+     * A fault on links. {@code amount} is a share, seconds or bytes per second, depending on the kind; {@code spread}
+     * is in seconds.
+     */
     record Fault(Kind kind, Set<Pair> pairs, double amount, double spread) {}
 
-    /** The sum of all faults on a pair. {@code rate} is in bytes a second, infinite where nothing throttles. */
+    /**
+     * The combined effect of all faults on a pair. {@code loss}, {@code duplicate} and {@code reorder} are shares of
+     * datagrams; {@code rate} is in bytes per second, infinite if nothing throttles.
+     */
     record Effect(
             boolean cut,
             boolean stalled,
             double loss,
-            double twice,
+            double duplicate,
             double delay,
             double jitter,
-            double late,
-            double lateBy,
+            double reorder,
+            double reorderS,
             double rate) {
 
         static final Effect NONE = new Effect(false, false, 0, 0, 0, 0, 0, 0, Double.POSITIVE_INFINITY);
 
-        boolean streamStands() {
+        boolean streamBlocked() {
             return cut || stalled;
         }
 
-        private Effect and(Fault f) {
-            return switch (f.kind()) {
-                case CUT -> new Effect(true, stalled, loss, twice, delay, jitter, late, lateBy, rate);
-                case STALL -> new Effect(cut, true, loss, twice, delay, jitter, late, lateBy, rate);
-                case LOSS -> new Effect(cut, stalled, either(loss, f), twice, delay, jitter, late, lateBy, rate);
-                case DUPLICATE -> new Effect(cut, stalled, loss, either(twice, f), delay, jitter, late, lateBy, rate);
+        private Effect and(Fault fault) {
+            return switch (fault.kind()) {
+                case CUT -> new Effect(true, stalled, loss, duplicate, delay, jitter, reorder, reorderS, rate);
+                case STALL -> new Effect(cut, true, loss, duplicate, delay, jitter, reorder, reorderS, rate);
+                case LOSS ->
+                    new Effect(cut, stalled, combine(loss, fault), duplicate, delay, jitter, reorder, reorderS, rate);
+                case DUPLICATE ->
+                    new Effect(cut, stalled, loss, combine(duplicate, fault), delay, jitter, reorder, reorderS, rate);
                 case DELAY ->
-                    new Effect(cut, stalled, loss, twice, delay + f.amount(), jitter + f.spread(), late, lateBy, rate);
+                    new Effect(
+                            cut,
+                            stalled,
+                            loss,
+                            duplicate,
+                            delay + fault.amount(),
+                            jitter + fault.spread(),
+                            reorder,
+                            reorderS,
+                            rate);
                 case REORDER ->
                     new Effect(
                             cut,
                             stalled,
                             loss,
-                            twice,
+                            duplicate,
                             delay,
                             jitter,
-                            either(late, f),
-                            Math.max(lateBy, f.spread()),
+                            combine(reorder, fault),
+                            Math.max(reorderS, fault.spread()),
                             rate);
                 case THROTTLE ->
-                    new Effect(cut, stalled, loss, twice, delay, jitter, late, lateBy, Math.min(rate, f.amount()));
+                    new Effect(
+                            cut,
+                            stalled,
+                            loss,
+                            duplicate,
+                            delay,
+                            jitter,
+                            reorder,
+                            reorderS,
+                            Math.min(rate, fault.amount()));
             };
         }
 
-        private static double either(double share, Fault f) {
-            return 1 - (1 - share) * (1 - f.amount());
+        private static double combine(double share, Fault fault) {
+            return 1 - (1 - share) * (1 - fault.amount());
         }
 
-        /** When each copy of a datagram arrives, in seconds from now; none where it is lost. */
-        double[] fate(Random chance) {
-            if (cut || chance.nextDouble() < loss) {
+        /** Returns when each copy of a datagram arrives, in seconds from now; an empty array if it is lost. */
+        double[] arrivalDelays(Random random) {
+            if (cut || random.nextDouble() < loss) {
                 return new double[0];
             }
-            double[] copies = new double[chance.nextDouble() < twice ? 2 : 1];
+            double[] copies = new double[random.nextDouble() < duplicate ? 2 : 1];
             for (int i = 0; i < copies.length; i++) {
-                copies[i] = delay + jitter * chance.nextDouble() + (chance.nextDouble() < late ? lateBy : 0);
+                copies[i] = delay + jitter * random.nextDouble() + (random.nextDouble() < reorder ? reorderS : 0);
             }
             return copies;
         }
     }
 
     private final Map<Integer, Fault> inForce = new LinkedHashMap<>();
-    private final Map<Pair, Effect> sums = new LinkedHashMap<>();
+    private final Map<Pair, Effect> effects = new LinkedHashMap<>();
 
-    /** Puts a fault in force under a number; one that stands under it already is replaced. */
-    void on(int number, Fault fault) {
+    /** Begins a fault under a number, replacing an active one of the same number. */
+    void begin(int number, Fault fault) {
         inForce.put(number, fault);
-        sums.clear();
+        effects.clear();
     }
 
-    /** Ends a fault; one that is not in force is passed over. */
-    void off(int number) {
+    /** Ends a fault; has no effect if none of this number is active. */
+    void end(int number) {
         inForce.remove(number);
-        sums.clear();
+        effects.clear();
     }
 
-    Effect on(Pair pair) {
-        return sums.computeIfAbsent(pair, p -> {
-            Effect sum = Effect.NONE;
-            for (Fault f : inForce.values()) {
-                if (f.pairs().contains(p)) {
-                    sum = sum.and(f);
+    Effect effectOn(Pair pair) {
+        return effects.computeIfAbsent(pair, p -> {
+            Effect effect = Effect.NONE;
+            for (Fault fault : inForce.values()) {
+                if (fault.pairs().contains(p)) {
+                    effect = effect.and(fault);
                 }
             }
-            return sum;
+            return effect;
         });
     }
 }
--- a/src/main/java/pepperdock/faultinjection/MembersChecker.java
+++ b/src/main/java/pepperdock/faultinjection/MembersChecker.java
@@ -9,27 +9,27 @@
 import java.util.Set;
 
 /**
- * Checks a history of membership. Always a finding: a change published twice or out of its order, or that does not begin where
- * the last one ended; an incarnation that goes back; more sent than the budget. At the end, or where {@code settled} is awaited:
- * all that run see each other alive, under each one's newest generation, and nobody else: so a refutation that is lost shows, and
- * a member that died or came back and is believed otherwise. Two processes may have one name: then one of them has to have it
- * in all views, the same in each.
+ * Checks a history of membership. Always a finding: a change published twice, out of order, or from a state other than
+ * the last published one; an incarnation that decreases; more traffic than the budget. At the end, or where {@code
+ * settled} is awaited, all running processes must see each other alive under their newest generations, and nobody else.
+ * This detects a lost refutation, and a member that died or came back and is still believed to be in its former state.
+ * If two processes have the same name, one of them must hold it, and the same one in all views.
  *
- * <p>Whether a running member may be declared faulty depends on the script. In the strict form of the checker it is a finding.
- * Otherwise it is counted by what had befallen the member until then, and a finding only where that was nothing beyond what is
- * promised to be tolerated.
+ * <p>Whether a running member may be declared faulty depends on the script. In the strict form of the checker it is a
+ * finding. Otherwise it is counted by the faults that the member has been exposed to, and a finding only if these were
+ * no more than membership promises to tolerate.
  */
 final class MembersChecker implements Checker {
 
-    /** Counted at the relay, in spans of about a second; a span may hold a second's worth more that was saved up. */
-    private static final double SAVED_S = 1.1;
+    /** Traffic is counted at the relay in spans of about a second; a span may hold one more second of unused budget. */
+    private static final double BURST_ALLOWANCE_S = 1.1;
 
     private static final String CHECKER = "members";
 
     private final boolean strict;
     private final List<Finding> found = new ArrayList<>();
     private final MembershipViews views = new MembershipViews();
-    /** By name: all generations ever started, and those that any view has had. */
+    /** By name: all generations that were started, and those that any view has published. */
     private final Map<String, Set<String>> started = new HashMap<>();
 
     private final Map<String, Set<String>> published = new HashMap<>();
@@ -38,13 +38,13 @@
     private final Map<String, Double> endedAt = new HashMap<>();
     private final Map<String, double[]> budgets = new HashMap<>();
     private final MembershipMetrics metrics = new MembershipMetrics();
-    /** Seen since the fleet was first together. */
+    /** Rosters seen since the fleet first agreed. */
     private final Set<Long> rosters = new HashSet<>();
 
-    private boolean gathered;
-    private long last;
-    private double at;
-    private double faultAt = Double.NaN;
+    private boolean assembled;
+    private long lastEventNumber;
+    private double lastEventAt;
+    private double lastFaultAt = Double.NaN;
     private boolean agreed;
 
     MembersChecker(boolean strict) {
@@ -52,18 +52,18 @@
     }
 
     @Override
-    public void see(long number, Event event) {
-        last = number;
-        metrics.memberSeconds += (event.at() - at) * views.processesUp();
-        at = event.at();
-        if (event.ofRig()) {
+    public void onEvent(long number, Event event) {
+        lastEventNumber = number;
+        metrics.memberSeconds += (event.at() - lastEventAt) * views.processesUp();
+        lastEventAt = event.at();
+        if (event.isRigEvent()) {
             onRigEvent(number, event);
         } else {
             onMemberEvent(number, event);
         }
     }
 
-    private void find(long number, String what) {
+    private void addFinding(long number, String what) {
         found.add(new Finding(CHECKER, number, what));
     }
 
@@ -77,13 +77,13 @@
                 views.forget(event.text("member"));
             }
             case "reached" -> {
-                gathered = true;
+                assembled = true;
                 rosters.addAll(views.rosters());
             }
             case "stop", "cont" -> onPause(event);
             case "fault on", "fault off" -> {
                 onFault(event);
-                onLinkFault((int) event.whole("number"), event);
+                onLinkFault((int) event.integer("number"), event);
             }
             case "start", "reset", "clock" -> onFault(event);
             case "traffic" -> onTraffic(number, event);
@@ -118,45 +118,45 @@
         if (budget == null) {
             return;
         }
-        double span = event.number("over_s") + SAVED_S;
+        double span = event.number("over_s") + BURST_ALLOWANCE_S;
         metrics.datagrams.recordValue(Math.round(event.number("datagrams") / event.number("over_s")));
         long bytes = Math.round(event.number("bytes") / event.number("over_s"));
         metrics.bytes.recordValue(bytes);
-        if (gathered) {
-            metrics.bytesTogether.recordValue(bytes);
+        if (assembled) {
+            metrics.bytesAfterAssembly.recordValue(bytes);
         }
         if (event.number("datagrams") > budget[0] * span || event.number("bytes") > budget[1] * span) {
-            find(number, event.text("member") + " sent more than its budget");
+            addFinding(number, event.text("member") + " sent more than its budget");
         }
     }
 
     private void onFault(Event event) {
         metrics.faults++;
-        faultAt = event.at();
+        lastFaultAt = event.at();
         agreed = false;
     }
 
     private void onLinkFault(int number, Event event) {
         if (event.what().equals("fault off")) {
-            exposures.values().forEach(exposure -> exposure.off(number));
+            exposures.values().forEach(exposure -> exposure.endFault(number));
             return;
         }
         LinkFaults.Kind kind = LinkFaults.Kind.valueOf(event.text("kind").toUpperCase(Locale.ROOT));
         Map<String, Set<LinkFaults.Pair>> touched = new HashMap<>();
-        for (LinkFaults.Pair pair : LinkFaults.pairs(event.text("links"))) {
+        for (LinkFaults.Pair pair : LinkFaults.parsePairs(event.text("links"))) {
             touched.computeIfAbsent(pair.from(), key -> new HashSet<>()).add(pair);
             if (kind != LinkFaults.Kind.CUT) {
                 touched.computeIfAbsent(pair.to(), key -> new HashSet<>()).add(pair);
             }
         }
-        touched.forEach((process, pairs) ->
-                exposure(process).on(process, number, new LinkFaults.Fault(kind, pairs, event.number("amount"), 0)));
+        touched.forEach((process, pairs) -> exposure(process)
+                .beginFault(process, number, new LinkFaults.Fault(kind, pairs, event.number("amount"), 0)));
     }
 
-    /** What befalls this process adds to what came before, unless all was well again with it. */
+    /** Returns the exposure that new faults of this process add to: a new one if the process had fully recovered. */
     private FaultExposure exposure(String process) {
         FaultExposure exposure = exposures.get(process);
-        if (exposure == null || exposure.over() && views.isUp(process) && views.isSeenByAll(process)) {
+        if (exposure == null || exposure.isOver() && views.isUp(process) && views.isSeenByAll(process)) {
             exposure = new FaultExposure();
             exposures.put(process, exposure);
         }
@@ -169,7 +169,7 @@
         switch (event.what()) {
             case "life" -> onStart(event);
             case "told" -> {
-                if (gathered) {
+                if (assembled) {
                     rosters.add(views.viewOf(event.who()).roster());
                 }
             }
@@ -183,9 +183,9 @@
     }
 
     private void noteAgreement(Event event) {
-        if (!agreed && !Double.isNaN(faultAt) && views.agree()) {
+        if (!agreed && !Double.isNaN(lastFaultAt) && views.allAgree()) {
             agreed = true;
-            metrics.agreementMs.recordValue(Math.round((event.at() - faultAt) * 1e3));
+            metrics.agreementMs.recordValue(Math.round((event.at() - lastFaultAt) * 1e3));
         }
     }
 
@@ -201,50 +201,50 @@
         String name = event.text("name");
         metrics.changes++;
         checkSequence(number, event);
-        MembershipViews.Held held =
-                new MembershipViews.Held(event.text("life"), event.whole("incarnation"), event.text("to"));
-        views.change(event.who(), name, held);
-        published.computeIfAbsent(name, key -> new HashSet<>()).add(held.generation());
-        if (held.state().equals("GONE") && !event.text("why").startsWith("another life")) {
-            onVerdict(number, event, name, held.generation());
+        MembershipViews.MemberEntry entry =
+                new MembershipViews.MemberEntry(event.text("life"), event.integer("incarnation"), event.text("to"));
+        views.change(event.who(), name, entry);
+        published.computeIfAbsent(name, key -> new HashSet<>()).add(entry.generation());
+        if (entry.state().equals("GONE") && !event.text("why").startsWith("another life")) {
+            onVerdict(number, event, name, entry.generation());
         }
     }
 
-    /** Whether a change follows the one before it, of that view and of that member. */
+    /** Checks that a change continues the sequence of its view and the last state of its member. */
     private void checkSequence(long number, Event event) {
         String viewer = event.who();
         String name = event.text("name");
         MembershipViews.View view = views.viewOf(viewer);
-        if (event.whole("no") != view.number() + 1) {
-            find(number, viewer + " told change " + event.whole("no") + " after " + view.number());
+        if (event.integer("no") != view.number() + 1) {
+            addFinding(number, viewer + " published change " + event.integer("no") + " after " + view.number());
         }
-        view.setNumber(event.whole("no"));
-        MembershipViews.Held before = view.get(name);
+        view.setNumber(event.integer("no"));
+        MembershipViews.MemberEntry before = view.get(name);
         String from = event.text("from");
         if (!from.equals(before == null ? "" : before.state())) {
-            find(
+            addFinding(
                     number,
-                    viewer + " told a change of " + name + " from " + from + ", which it had told as "
+                    viewer + " published a change of " + name + " from " + from + ", which it had published as "
                             + (before == null ? "unknown" : before.state()));
         }
-        if (before != null && event.whole("incarnation") < before.incarnation()) {
-            find(
+        if (before != null && event.integer("incarnation") < before.incarnation()) {
+            addFinding(
                     number,
-                    viewer + " saw the incarnation of " + name + " go back from " + before.incarnation() + " to "
-                            + event.whole("incarnation"));
+                    viewer + " saw the incarnation of " + name + " decrease from " + before.incarnation() + " to "
+                            + event.integer("incarnation"));
         }
     }
 
-    /** A member was declared faulty: falsely, or after its death. */
+    /** Records that a member was declared faulty: while it was running, or after its end. */
     private void onVerdict(long number, Event event, String name, String generation) {
         if (views.running(name).contains(generation)) {
             String process = views.processOf(generation);
-            String why = exposures
+            String cause = exposures
                     .getOrDefault(process, new FaultExposure())
-                    .why(event.at(), toleratedPauseS.get(process), views.processesEver() - 1);
-            metrics.falseVerdicts(why);
-            if (strict || why.equals(FaultExposure.BORNE)) {
-                find(number, event.who() + " called " + name + " gone, which was running");
+                    .cause(event.at(), toleratedPauseS.get(process), views.processesEver() - 1);
+            metrics.countFalseVerdict(cause);
+            if (strict || cause.equals(FaultExposure.TOLERATED)) {
+                addFinding(number, event.who() + " declared " + name + " faulty while it was running");
             }
         } else if (endedAt.containsKey(name) && views.running(name).isEmpty()) {
             metrics.detectionMs.recordValue(Math.round((event.at() - endedAt.get(name)) * 1e3));
@@ -256,10 +256,10 @@
     @Override
     public Boolean holds(String condition, Set<String> members) {
         return switch (condition) {
-            case "settled" -> views.agree();
-            case "gone" -> views.seenAway(members);
-            case "cut off" -> views.seenSuspect(members);
-            case "replaced" -> views.seenReplaced(members);
+            case "settled" -> views.allAgree();
+            case "gone" -> views.areSeenGone(members);
+            case "cut off" -> views.areSeenSuspect(members);
+            case "replaced" -> views.areSeenReplaced(members);
             default -> null;
         };
     }
@@ -269,15 +269,16 @@
         List<Finding> all = new ArrayList<>(found);
         String disagreement = atEnd && views.processesUp() > 0 ? views.disagreement() : null;
         if (disagreement != null) {
-            all.add(new Finding(CHECKER, last, "views never met: " + disagreement));
+            all.add(new Finding(CHECKER, lastEventNumber, "views did not converge: " + disagreement));
         }
         if (atEnd) {
             published.forEach((name, generations) -> generations.stream()
                     .filter(generation -> !started.getOrDefault(name, Set.of()).contains(generation))
                     .forEach(generation -> all.add(new Finding(
                             CHECKER,
-                            last,
-                            name + " was told of in life " + generation + ", which no process of that name has had"))));
+                            lastEventNumber,
+                            name + " was published with generation " + generation
+                                    + ", which no process of that name has had"))));
         }
         return all;
     }
@@ -287,7 +288,7 @@
         return total().lines();
     }
 
-    /** The metrics of the run so far. */
+    /** Returns the metrics of the run so far. */
     MembershipMetrics total() {
         MembershipMetrics all = new MembershipMetrics();
         all.add(metrics);
--- a/src/main/java/pepperdock/faultinjection/MembershipMetrics.java
+++ b/src/main/java/pepperdock/faultinjection/MembershipMetrics.java
@@ -7,34 +7,34 @@
 import java.util.stream.Collectors;
 import org.HdrHistogram.Histogram;
 
-/** Metrics of a run of membership, and of several runs together. */
+/** Metrics of membership in one run, or in several runs combined. */
 final class MembershipMetrics {
 
-    /** From a death to each member's verdict on it. */
+    /** Time from the end of a process until each member declares it faulty. */
     final Histogram detectionMs = new Histogram(3);
-    /** From the last fault until all views agree. */
+    /** Time from the last fault until all views agree. */
     final Histogram agreementMs = new Histogram(3);
-    /** Of a member in a second. */
+    /** Datagrams that a member sends in a second. */
     final Histogram datagrams = new Histogram(3);
-    /** Of a member in a second. */
+    /** Bytes that a member sends in a second. */
     final Histogram bytes = new Histogram(3);
-    /** The same, since the fleet was first together. */
-    final Histogram bytesTogether = new Histogram(3);
-    /** Different rosters seen by anybody since the fleet was first together, in each run. */
+    /** Bytes that a member sends in a second, since the fleet first agreed. */
+    final Histogram bytesAfterAssembly = new Histogram(3);
+    /** Number of different rosters in all views since the fleet first agreed, in each run. */
     final Histogram rosters = new Histogram(3);
 
     double memberSeconds;
     long changes;
     long faults;
-    /** Running members declared faulty. */
+    /** Number of times that a running member was declared faulty. */
     long falseVerdicts;
-    /** Of these, by what had befallen the member. */
+    /** The same by cause: the faults that the member had been exposed to. */
     final Map<String, Long> falseVerdictsByCause = new TreeMap<>();
 
     long refutations;
 
     /** Counts a running member that was declared faulty. */
-    void falseVerdicts(String cause) {
+    void countFalseVerdict(String cause) {
         falseVerdicts++;
         falseVerdictsByCause.merge(cause, 1L, Long::sum);
     }
@@ -46,7 +46,7 @@
         agreementMs.add(other.agreementMs);
         datagrams.add(other.datagrams);
         bytes.add(other.bytes);
-        bytesTogether.add(other.bytesTogether);
+        bytesAfterAssembly.add(other.bytesAfterAssembly);
         rosters.add(other.rosters);
         memberSeconds += other.memberSeconds;
         changes += other.changes;
@@ -55,13 +55,13 @@
         refutations += other.refutations;
     }
 
-    /** The metrics as text, a line each. */
+    /** Returns the metrics as text, one per line. */
     List<String> lines() {
         return List.of(
-                "true deaths noticed " + seconds(detectionMs),
+                "ended processes detected " + seconds(detectionMs),
                 String.format(
                         Locale.ROOT,
-                        "running members called gone %d times in %.3f member-hours, refuted %d times%s",
+                        "running members declared faulty %d times in %.3f member-hours, refuted %d times%s",
                         falseVerdicts,
                         memberSeconds / 3600,
                         refutations,
@@ -71,28 +71,28 @@
                                         + falseVerdictsByCause.entrySet().stream()
                                                 .map(cause -> cause.getKey() + ' ' + cause.getValue())
                                                 .collect(Collectors.joining(", "))),
-                String.format(Locale.ROOT, "changes told %d, faults and ends of faults %d", changes, faults),
-                "all agreed after the last fault " + seconds(agreementMs),
-                "rosters seen in a run, once together: " + plain(rosters),
-                "datagrams a second of a member: " + plain(datagrams),
-                "bytes a second of a member: " + plain(bytes),
-                "bytes a second of a member, once together: " + plain(bytesTogether));
+                String.format(Locale.ROOT, "published changes %d, beginnings and ends of faults %d", changes, faults),
+                "all views agreed after the last fault " + seconds(agreementMs),
+                "different rosters in a run after the fleet first agreed: " + distribution(rosters),
+                "datagrams per second and member: " + distribution(datagrams),
+                "bytes per second and member: " + distribution(bytes),
+                "bytes per second and member after the fleet first agreed: " + distribution(bytesAfterAssembly));
     }
 
     private static String seconds(Histogram histogram) {
         return String.format(
                 Locale.ROOT,
-                "%d times: median %.2f s, p99 %.2f s, worst %.2f s",
+                "%d times: median %.2f s, p99 %.2f s, maximum %.2f s",
                 histogram.getTotalCount(),
                 histogram.getValueAtPercentile(50) / 1e3,
                 histogram.getValueAtPercentile(99) / 1e3,
                 histogram.getMaxValue() / 1e3);
     }
 
-    private static String plain(Histogram histogram) {
+    private static String distribution(Histogram histogram) {
         return String.format(
                 Locale.ROOT,
-                "median %d, p99 %d, most %d",
+                "median %d, p99 %d, maximum %d",
                 histogram.getValueAtPercentile(50),
                 histogram.getValueAtPercentile(99),
                 histogram.getMaxValue());
--- a/src/main/java/pepperdock/faultinjection/MembershipSimulation.java
+++ b/src/main/java/pepperdock/faultinjection/MembershipSimulation.java
@@ -25,78 +25,81 @@
 import pepperdock.membership.transport.MembershipEvents;
 
 /**
- * A script played in simulated time: the real machines of membership, the rig's own links between them, one queue of events.
- * Gives the same history as the rig for the same checkers, the same each time. Datagrams take half a millisecond to one and a
- * half, streams as long for each message; processes take no time at all.
+ * Runs a script in simulated time: the real membership state machines, the link faults of the rig and one event queue.
+ * It produces the same kind of history as a run with real processes, for the same checkers, and the same history for
+ * the same seed. A datagram takes 0.5 ms to 1.5 ms, and so does each message of a stream; processing takes no time.
  */
 final class MembershipSimulation {
 
     private static final String FLEET = "simulated-fleet";
-    private static final double LEAST_S = 0.0005;
-    private static final double SPREAD_S = 0.001;
-    private static final double LOOK_S = 0.1;
-    /** What a stopped process's socket holds; more is lost, as in a kernel. */
-    private static final int HELD_MOST = 500;
+    private static final double MIN_LATENCY_S = 0.0005;
+    private static final double LATENCY_SPREAD_S = 0.001;
+    private static final double POLL_INTERVAL_S = 0.1;
+    /** Number of tasks held for a stopped process, like a socket buffer; further ones are dropped, as in a kernel. */
+    private static final int MAX_HELD_TASKS = 500;
 
-    private record Due(double at, long no, Runnable task) {}
+    private record ScheduledTask(double at, long sequence, Runnable task) {}
 
-    /** A process. */
+    /** A simulated process. */
     private final class Node {
         private final String name;
         private final String address;
-        private Membership machine;
+        private Membership membership;
         private boolean up;
         private boolean stopped;
-        private long life;
-        private long[] counted = new long[4];
-        private double countedAt;
-        /** Its clock: as fast as ours within a thousandth, and begun whenever. */
-        private double clockAhead = 1e6 * chance.nextDouble();
+        private long runNumber;
+        private long[] lastCounts = new long[4];
+        private double lastCountsAt;
+        /** Offset of its clock, which starts at an arbitrary time and runs as fast as the simulation within 0.1 %. */
+        private double clockOffsetS = 1e6 * random.nextDouble();
 
-        private final double clockRate = 1 + 0.002 * (chance.nextDouble() - 0.5);
-        private final Deque<Runnable> held = new ArrayDeque<>();
+        private final double clockRate = 1 + 0.002 * (random.nextDouble() - 0.5);
+        private final Deque<Runnable> heldTasks = new ArrayDeque<>();
         private final Events events;
 
         Node(String name) {
             this.name = name;
             int number = Relay.number(name);
             address = "10.0." + (number >> 8) + '.' + (number & 255) + ":7400";
-            events = Events.to(e -> tell(name, e));
+            events = Events.to(e -> publishEvent(name, e));
         }
 
         double clock() {
-            return clockAhead + now * clockRate;
+            return clockOffsetS + now * clockRate;
         }
 
-        /** Runs on this process now, or when it goes on, or never where it has ended meanwhile. */
-        void on(Runnable task) {
-            long then = life;
-            if (machine == null) {
+        /**
+         * Runs the task on this process now, or when the process continues; drops it if the process has ended
+         * meanwhile.
+         */
+        void execute(Runnable task) {
+            long runAtCall = runNumber;
+            if (membership == null) {
                 return;
             }
             if (up && stopped) {
-                if (held.size() < HELD_MOST) {
-                    held.add(() -> {
-                        if (then == life && up) {
+                if (heldTasks.size() < MAX_HELD_TASKS) {
+                    heldTasks.add(() -> {
+                        if (runAtCall == runNumber && up) {
                             task.run();
                         }
                     });
                 }
-            } else if (up && then == life) {
+            } else if (up && runAtCall == runNumber) {
                 task.run();
-                carryOut();
+                performOutputs();
             }
         }
 
-        private void carryOut() {
-            List<MembershipOutput> outputs = machine.takeOutputs();
+        private void performOutputs() {
+            List<MembershipOutput> outputs = membership.takeOutputs();
             for (MembershipOutput output : outputs) {
                 if (output instanceof MembershipOutput.SendDatagram datagram) {
-                    datagram(this, datagram);
+                    sendDatagram(this, datagram);
                 } else if (output instanceof MembershipOutput.OpenExchange exchange) {
-                    Node to = byAddress(exchange.address());
+                    Node to = nodeByAddress(exchange.address());
                     if (to != null) {
-                        stream(this, to, machine.openExchange());
+                        sendOnStream(this, to, membership.openExchange());
                     }
                 } else {
                     MembershipEvents.publish(events, output);
@@ -109,96 +112,102 @@
     private final Script script;
     private final MembershipSettings settings;
     private final Consumer<Event> listener;
-    private final Random chance;
+    private final Random random;
     private final LinkFaults links = new LinkFaults();
     private final Map<String, Node> nodes = new LinkedHashMap<>();
-    private final PriorityQueue<Due> queue =
-            new PriorityQueue<>(Comparator.comparingDouble(Due::at).thenComparingLong(Due::no));
+    private final PriorityQueue<ScheduledTask> queue = new PriorityQueue<>(
+            Comparator.comparingDouble(ScheduledTask::at).thenComparingLong(ScheduledTask::sequence));
     private final Map<String, Node> addresses = new HashMap<>();
-    private long count;
+    private long scheduledTasks;
     private double now;
 
     MembershipSimulation(Script script, MembershipSettings settings, Consumer<Event> listener) {
         this.script = script;
         this.settings = settings;
         this.listener = listener;
-        chance = new Random(script.seed() * 31 + 7);
-        script.names().forEach(n -> {
-            Node node = new Node(n);
-            nodes.put(n, node);
+        random = new Random(script.seed() * 31 + 7);
+        script.names().forEach(name -> {
+            Node node = new Node(name);
+            nodes.put(name, node);
             addresses.put(node.address, node);
         });
     }
 
-    private Node byAddress(String address) {
+    private Node nodeByAddress(String address) {
         return addresses.get(address);
     }
 
-    private void at(double when, Runnable task) {
-        queue.add(new Due(when, count++, task));
+    private void schedule(double when, Runnable task) {
+        queue.add(new ScheduledTask(when, scheduledTasks++, task));
     }
 
-    private void tell(String who, JsonObject event) {
-        JsonObject whole = new JsonObject();
-        whole.addProperty("at", now);
-        whole.addProperty("who", who);
-        event.entrySet().forEach(e -> whole.add(e.getKey(), e.getValue()));
-        listener.accept(new Event(now, who, event.get("what").getAsString(), whole));
+    private void publishEvent(String who, JsonObject event) {
+        JsonObject withHeader = new JsonObject();
+        withHeader.addProperty("at", now);
+        withHeader.addProperty("who", who);
+        event.entrySet().forEach(e -> withHeader.add(e.getKey(), e.getValue()));
+        listener.accept(new Event(now, who, event.get("what").getAsString(), withHeader));
     }
 
-    private void rig(String what, Object... keysAndValues) {
-        tell(Event.RIG, Events.event(what, keysAndValues));
+    private void publishRigEvent(String what, Object... keysAndValues) {
+        publishEvent(Event.RIG, Events.event(what, keysAndValues));
     }
 
-    private void datagram(Node from, MembershipOutput.SendDatagram datagram) {
-        Node to = byAddress(datagram.address());
+    private void sendDatagram(Node from, MembershipOutput.SendDatagram datagram) {
+        Node to = nodeByAddress(datagram.address());
         if (to == null || to == from) {
             return;
         }
-        for (double in : links.on(new Pair(from.name, to.name)).fate(chance)) {
-            at(
-                    now + LEAST_S + SPREAD_S * chance.nextDouble() + in,
-                    () -> to.on(() -> to.machine.onDatagram(datagram.message(), to.clock())));
+        for (double delay : links.effectOn(new Pair(from.name, to.name)).arrivalDelays(random)) {
+            schedule(
+                    now + MIN_LATENCY_S + LATENCY_SPREAD_S * random.nextDouble() + delay,
+                    () -> to.execute(() -> to.membership.onDatagram(datagram.message(), to.clock())));
         }
     }
 
-    /** One message of a stream; the answer goes back the same way. A stream that stands is given up. */
-    private void stream(Node from, Node to, Message m) {
-        Pair way = new Pair(from.name, to.name);
-        if (links.on(way).streamStands()
-                || links.on(new Pair(to.name, from.name)).streamStands()) {
+    /**
+     * Sends one message of a stream; the reply takes the same way back. The message is dropped if the stream is
+     * blocked.
+     */
+    private void sendOnStream(Node from, Node to, Message message) {
+        Pair pair = new Pair(from.name, to.name);
+        if (links.effectOn(pair).streamBlocked()
+                || links.effectOn(new Pair(to.name, from.name)).streamBlocked()) {
             return;
         }
-        at(
-                now + LEAST_S + SPREAD_S * chance.nextDouble() + links.on(way).delay(),
-                () -> to.on(() -> {
-                    Message back = to.machine.onStreamMessage(m, to.clock());
-                    if (back != null) {
-                        stream(to, from, back);
+        schedule(
+                now
+                        + MIN_LATENCY_S
+                        + LATENCY_SPREAD_S * random.nextDouble()
+                        + links.effectOn(pair).delay(),
+                () -> to.execute(() -> {
+                    Message reply = to.membership.onStreamMessage(message, to.clock());
+                    if (reply != null) {
+                        sendOnStream(to, from, reply);
                     }
                 }));
     }
 
     private void start(List<String> names, String folder) {
-        List<String> down = names.stream().filter(n -> !nodes.get(n).up).toList();
+        List<String> down = names.stream().filter(name -> !nodes.get(name).up).toList();
         if (down.isEmpty()) {
             return;
         }
-        rig("start", "members", String.join(",", down), "folder", folder);
+        publishRigEvent("start", "members", String.join(",", down), "folder", folder);
         for (String name : down) {
-            Node n = nodes.get(name);
-            n.up = true;
-            n.stopped = false;
-            n.held.clear();
-            n.life++;
-            n.machine = null;
+            Node node = nodes.get(name);
+            node.up = true;
+            node.stopped = false;
+            node.heldTasks.clear();
+            node.runNumber++;
+            node.membership = null;
             int number = Relay.number(name);
             MemberRecord memberRecord = new MemberRecord(
                     script.named(name),
-                    chance.nextLong(),
+                    random.nextLong(),
                     0,
                     RecordStatus.ALIVE,
-                    n.address,
+                    node.address,
                     script.zones().get((number - 1) % script.zones().size()),
                     "m" + ((number - 1) % script.machines() + 1));
             List<String> seeds = script
@@ -207,88 +216,89 @@
                     .stream()
                     .map(s -> nodes.get(s).address)
                     .toList();
-            // A start takes a while, and never the same.
-            double begins = now + 0.3 + 0.2 * chance.nextDouble();
-            long life = n.life;
-            at(begins, () -> {
-                if (n.life == life && n.up) {
-                    n.machine = new Membership(settings, FLEET, memberRecord, seeds, chance.nextLong(), n.clock());
-                    n.counted = new long[4];
-                    n.countedAt = now;
-                    MembershipEvents.processStarted(n.events, memberRecord, settings);
-                    n.events.write("ready");
-                    n.on(() -> {});
-                    ticks(n, life);
+            // Starting a process takes a different time at each start.
+            double startsAt = now + 0.3 + 0.2 * random.nextDouble();
+            long runNumber = node.runNumber;
+            schedule(startsAt, () -> {
+                if (node.runNumber == runNumber && node.up) {
+                    node.membership =
+                            new Membership(settings, FLEET, memberRecord, seeds, random.nextLong(), node.clock());
+                    node.lastCounts = new long[4];
+                    node.lastCountsAt = now;
+                    MembershipEvents.processStarted(node.events, memberRecord, settings);
+                    node.events.write("ready");
+                    node.execute(() -> {});
+                    scheduleTick(node, runNumber);
                 }
             });
         }
     }
 
-    private void ticks(Node n, long life) {
-        at(now + settings.tickS() / n.clockRate, () -> {
-            if (n.life != life || !n.up) {
+    private void scheduleTick(Node node, long runNumber) {
+        schedule(now + settings.tickS() / node.clockRate, () -> {
+            if (node.runNumber != runNumber || !node.up) {
                 return;
             }
-            if (n.stopped) {
-                // The timer falls due once, when the process goes on.
-                n.held.add(() -> n.machine.tick(n.clock()));
-                n.held.add(() -> ticks(n, life));
+            if (node.stopped) {
+                // The timer fires once when the process continues.
+                node.heldTasks.add(() -> node.membership.tick(node.clock()));
+                node.heldTasks.add(() -> scheduleTick(node, runNumber));
                 return;
             }
-            n.on(() -> n.machine.tick(n.clock()));
-            if (now - n.countedAt >= 1) {
-                long[] c = n.machine.counts();
-                rig(
+            node.execute(() -> node.membership.tick(node.clock()));
+            if (now - node.lastCountsAt >= 1) {
+                long[] counts = node.membership.counts();
+                publishRigEvent(
                         "traffic",
                         "member",
-                        n.name,
+                        node.name,
                         "over_s",
-                        now - n.countedAt,
+                        now - node.lastCountsAt,
                         "datagrams",
-                        c[0] - n.counted[0],
+                        counts[0] - node.lastCounts[0],
                         "bytes",
-                        c[1] - n.counted[1]);
-                n.counted = c;
-                n.countedAt = now;
+                        counts[1] - node.lastCounts[1]);
+                node.lastCounts = counts;
+                node.lastCountsAt = now;
             }
-            ticks(n, life);
+            scheduleTick(node, runNumber);
         });
     }
 
-    private void signal(Timetable.Sent what, List<String> names) {
+    private void signal(FaultSchedule.ProcessSignal signal, List<String> names) {
         List<String> up = names.stream().filter(m -> nodes.get(m).up).toList();
         if (up.isEmpty()) {
             return;
         }
-        rig(what.name().toLowerCase(Locale.ROOT), "members", String.join(",", up));
+        publishRigEvent(signal.name().toLowerCase(Locale.ROOT), "members", String.join(",", up));
         for (String name : up) {
-            Node n = nodes.get(name);
-            switch (what) {
-                case STOP -> n.stopped = true;
+            Node node = nodes.get(name);
+            switch (signal) {
+                case STOP -> node.stopped = true;
                 case CONT -> {
-                    n.stopped = false;
-                    n.countedAt = now;
-                    if (n.machine != null) {
-                        n.counted = n.machine.counts();
+                    node.stopped = false;
+                    node.lastCountsAt = now;
+                    if (node.membership != null) {
+                        node.lastCounts = node.membership.counts();
                     }
-                    List<Runnable> all = List.copyOf(n.held);
-                    n.held.clear();
-                    all.forEach(n::on);
+                    List<Runnable> all = List.copyOf(node.heldTasks);
+                    node.heldTasks.clear();
+                    all.forEach(node::execute);
                 }
                 case KILL, TERM -> {
-                    if (what == Timetable.Sent.TERM && !n.stopped && n.machine != null) {
-                        n.on(() -> n.machine.leave(n.clock()));
+                    if (signal == FaultSchedule.ProcessSignal.TERM && !node.stopped && node.membership != null) {
+                        node.execute(() -> node.membership.leave(node.clock()));
                     }
-                    n.up = false;
-                    rig("exit", "member", name, "status", 0);
+                    node.up = false;
+                    publishRigEvent("exit", "member", name, "status", 0);
                 }
             }
         }
     }
 
-    private void step(Timetable.Step step) {
-        if (step instanceof Timetable.On on) {
-            rig(
+    private void step(FaultSchedule.Step step) {
+        if (step instanceof FaultSchedule.BeginFault on) {
+            publishRigEvent(
                     "fault on",
                     "number",
                     on.number(),
@@ -297,24 +307,26 @@
                     "amount",
                     on.fault().amount(),
                     "links",
-                    LinkFaults.text(on.fault().pairs()));
-            links.on(on.number(), on.fault());
-        } else if (step instanceof Timetable.Off off) {
-            rig("fault off", "number", off.number());
-            links.off(off.number());
-        } else if (step instanceof Timetable.Signal s) {
-            signal(s.what(), s.members());
-        } else if (step instanceof Timetable.Start s) {
-            start(s.members(), s.emptyFolder() ? "empty" : "kept");
-        } else if (step instanceof Timetable.Clock c) {
-            rig("clock", "members", String.join(",", c.members()), "by_s", c.byS());
-            c.members().forEach(m -> nodes.get(m).clockAhead += c.byS());
+                    LinkFaults.formatPairs(on.fault().pairs()));
+            links.begin(on.number(), on.fault());
+        } else if (step instanceof FaultSchedule.EndFault off) {
+            publishRigEvent("fault off", "number", off.number());
+            links.end(off.number());
+        } else if (step instanceof FaultSchedule.SendSignal signal) {
+            signal(signal.signal(), signal.members());
+        } else if (step instanceof FaultSchedule.StartMembers start) {
+            start(start.members(), start.emptyFolder() ? "empty" : "kept");
+        } else if (step instanceof FaultSchedule.AdvanceClock clock) {
+            publishRigEvent("clock", "members", String.join(",", clock.members()), "by_s", clock.byS());
+            clock.members().forEach(m -> nodes.get(m).clockOffsetS += clock.byS());
         }
     }
 
-    /** Plays all; returns what was never reached, in words, or null. */
-    String play(Checkers judge) {
-        rig(
+    /**
+     * Runs the whole script; returns a description of the condition that was not reached, or null if all were reached.
+     */
+    String play(Checkers checkers) {
+        publishRigEvent(
                 "script",
                 "seed",
                 script.seed(),
@@ -323,35 +335,35 @@
                 "checkers",
                 String.join(",", script.checkers()));
         start(script.names(), "kept");
-        for (Timetable.Phase phase : Timetable.of(script).phases()) {
+        for (FaultSchedule.Phase phase : FaultSchedule.of(script).phases()) {
             double base = now;
-            for (Timetable.Timed t : phase.steps()) {
-                run(base + t.at());
-                step(t.step());
+            for (FaultSchedule.TimedStep timed : phase.steps()) {
+                run(base + timed.at());
+                step(timed.step());
             }
-            Script.Await then = phase.then() != null
-                    ? phase.then()
-                    : new Script.Await("settled", new Script.Targets(script.names(), 0));
-            Set<String> whom = Set.copyOf(then.whom().names());
-            double until = Math.min(now + script.settleS(), script.mostS());
-            while (!judge.holds(then.condition(), whom)) {
+            Script.AwaitAction awaited = phase.awaited() != null
+                    ? phase.awaited()
+                    : new Script.AwaitAction("settled", new Script.Targets(script.names(), 0));
+            Set<String> members = Set.copyOf(awaited.targets().names());
+            double until = Math.min(now + script.settleTimeoutS(), script.maxDurationS());
+            while (!checkers.holds(awaited.condition(), members)) {
                 if (now >= until) {
-                    String members = whom.stream().sorted().collect(Collectors.joining(","));
-                    rig("not reached", "awaited", then.condition(), "members", members);
-                    return "never reached: " + then.condition() + " of " + members;
+                    String names = members.stream().sorted().collect(Collectors.joining(","));
+                    publishRigEvent("not reached", "awaited", awaited.condition(), "members", names);
+                    return "condition not reached: " + awaited.condition() + " for members " + names;
                 }
-                run(now + LOOK_S);
+                run(now + POLL_INTERVAL_S);
             }
-            rig("reached", "awaited", then.condition());
+            publishRigEvent("reached", "awaited", awaited.condition());
         }
         return null;
     }
 
     private void run(double until) {
         while (!queue.isEmpty() && queue.peek().at() <= until) {
-            Due d = queue.poll();
-            now = d.at();
-            d.task().run();
+            ScheduledTask next = queue.poll();
+            now = next.at();
+            next.task().run();
         }
         now = until;
     }
--- a/src/main/java/pepperdock/faultinjection/MembershipViews.java
+++ b/src/main/java/pepperdock/faultinjection/MembershipViews.java
@@ -12,33 +12,33 @@
 import java.util.function.BiPredicate;
 
 /**
- * The view that each process has published, beside which processes run: where a view differs from that, and whether all agree.
- * Kept up to date event by event. States are the texts of events.
+ * The view that each process has published, together with the running processes: where a view differs from these, and
+ * whether all views agree. Updated with each event. States are the texts of events.
  */
 final class MembershipViews {
 
     private static final Hasher64 HASH = Hashing.xxh3_64();
 
-    /** A member as a view has it. */
-    record Held(String generation, long incarnation, String state) {
+    /** A member as a view shows it. */
+    record MemberEntry(String generation, long incarnation, String state) {
 
-        /** Whether it is faulty or has left. */
-        boolean away() {
+        /** Returns whether it is faulty or has left. */
+        boolean isGoneOrLeft() {
             return state.equals("GONE") || state.equals("LEFT");
         }
 
-        private boolean here() {
+        private boolean isHere() {
             return state.equals("HERE");
         }
     }
 
-    /** One process's view, as it published it. */
+    /** The view of one process, as published. */
     static final class View {
         private long number;
         private long roster;
-        private final Map<String, Held> members = new TreeMap<>();
+        private final Map<String, MemberEntry> members = new TreeMap<>();
 
-        /** The number of its last change. */
+        /** Returns the number of its last change. */
         long number() {
             return number;
         }
@@ -47,36 +47,36 @@
             number = newNumber;
         }
 
-        /** A digest of the members that it has as neither faulty nor left. */
+        /** Returns a digest of the members that are neither faulty nor left in this view. */
         long roster() {
             return roster;
         }
 
-        /** Null where the view does not have it. */
-        Held get(String name) {
+        /** Returns a member, or null if the view does not contain it. */
+        MemberEntry get(String name) {
             return members.get(name);
         }
     }
 
     private final Map<String, View> views = new TreeMap<>();
-    /** The name that each process has had, its own as a rule; and each process's newest generation. */
+    /** The name of each process, as a rule its own; and the newest generation of each process. */
     private final Map<String, String> names = new TreeMap<>();
 
     private final Map<String, String> generations = new TreeMap<>();
-    /** By name: generations of processes that run. */
+    /** By name: generations of running processes. */
     private final Map<String, Set<String>> running = new TreeMap<>();
 
     private final Set<String> up = new HashSet<>();
-    /** By viewer: whom it sees otherwise than it is. */
-    private final Map<String, Set<String>> wrong = new TreeMap<>();
-    /** By name: how many see it otherwise than it is; and the sum of them. */
-    private final Map<String, Integer> wrongOf = new HashMap<>();
+    /** By viewer: the names of members that it sees in a wrong state. */
+    private final Map<String, Set<String>> mistakesByViewer = new TreeMap<>();
+    /** By name: the number of viewers that see it in a wrong state; and the total of these. */
+    private final Map<String, Integer> mistakesByName = new HashMap<>();
 
-    private int wrongs;
+    private int mistakeCount;
 
     // ---- Processes ------------------------------------------------------------
 
-    /** A process of that name has started, with an empty view. */
+    /** Adds a process that has started with this name and an empty view. */
     void started(String process, String name, String generation) {
         ended(process);
         views.put(process, new View());
@@ -87,7 +87,7 @@
         compareAll(process);
     }
 
-    /** A process no longer runs. */
+    /** Removes a process that no longer runs. */
     void ended(String process) {
         if (up.remove(process)) {
             running.get(names.get(process)).remove(generations.get(process));
@@ -95,7 +95,7 @@
         }
     }
 
-    /** A process that has ended has no view any more. */
+    /** Removes the view of a process that has ended. */
     void forget(String process) {
         views.remove(process);
     }
@@ -104,7 +104,7 @@
         return up.size();
     }
 
-    /** Processes that have ever started. */
+    /** Returns the number of processes that have ever started. */
     int processesEver() {
         return names.size();
     }
@@ -113,17 +113,17 @@
         return up.contains(process);
     }
 
-    /** The name that a process has had; its own where it has not started. */
+    /** Returns the name of a process; its own if it has not started. */
     String nameOf(String process) {
         return names.getOrDefault(process, process);
     }
 
-    /** Generations of processes of that name that run. */
+    /** Returns the generations of running processes of this name. */
     Set<String> running(String name) {
         return running.getOrDefault(name, Set.of());
     }
 
-    /** The running process of that generation. */
+    /** Returns the running process of this generation. */
     String processOf(String generation) {
         return up.stream()
                 .filter(process -> generation.equals(generations.get(process)))
@@ -133,60 +133,60 @@
 
     // ---- Views ------------------------------------------------------------
 
-    /** The view of a process, new where it has none. */
+    /** Returns the view of a process, a new one if it has none. */
     View viewOf(String process) {
         return views.computeIfAbsent(process, key -> new View());
     }
 
-    /** The rosters of all views. */
+    /** Returns the rosters of all views. */
     Set<Long> rosters() {
         Set<Long> rosters = new HashSet<>();
         views.values().forEach(view -> rosters.add(view.roster));
         return rosters;
     }
 
-    /** A process has published that it sees a member so. */
-    void change(String process, String name, Held held) {
+    /** Records that a process has published this state of a member. */
+    void change(String process, String name, MemberEntry entry) {
         View view = viewOf(process);
-        Held before = view.members.put(name, held);
+        MemberEntry before = view.members.put(name, entry);
         if (up.contains(process)) {
             compare(process, name);
         }
-        view.roster ^= rosterDigest(name, before) ^ rosterDigest(name, held);
+        view.roster ^= rosterDigest(name, before) ^ rosterDigest(name, entry);
     }
 
-    /** A member's part of a roster: rosters are told apart by the digests of those in them. */
-    private static long rosterDigest(String name, Held held) {
-        return held == null || held.away() ? 0 : HASH.hashCharsToLong(name + '/' + held.generation());
+    /** Returns a member's contribution to the digest of a roster. */
+    private static long rosterDigest(String name, MemberEntry entry) {
+        return entry == null || entry.isGoneOrLeft() ? 0 : HASH.hashCharsToLong(name + '/' + entry.generation());
     }
 
     // ---- Agreement ------------------------------------------------------------
 
-    private boolean isWrong(String viewer, String name) {
-        Held held = views.get(viewer).get(name);
+    private boolean isMistaken(String viewer, String name) {
+        MemberEntry entry = views.get(viewer).get(name);
         Set<String> runningGenerations = running(name);
         return runningGenerations.isEmpty()
-                ? held != null && !held.away()
-                : held == null || !held.here() || !runningGenerations.contains(held.generation());
+                ? entry != null && !entry.isGoneOrLeft()
+                : entry == null || !entry.isHere() || !runningGenerations.contains(entry.generation());
     }
 
     private void compare(String viewer, String name) {
-        Set<String> mistaken = wrong.computeIfAbsent(viewer, key -> new HashSet<>());
-        if (isWrong(viewer, name) ? mistaken.add(name) : mistaken.remove(name)) {
-            count(name, mistaken.contains(name) ? 1 : -1);
+        Set<String> mistaken = mistakesByViewer.computeIfAbsent(viewer, key -> new HashSet<>());
+        if (isMistaken(viewer, name) ? mistaken.add(name) : mistaken.remove(name)) {
+            addMistakes(name, mistaken.contains(name) ? 1 : -1);
         }
     }
 
-    private void count(String name, int more) {
-        wrongs += more;
-        wrongOf.merge(name, more, Integer::sum);
+    private void addMistakes(String name, int more) {
+        mistakeCount += more;
+        mistakesByName.merge(name, more, Integer::sum);
     }
 
-    /** A process has started or ended: compares what all see of its name, and what it sees. */
+    /** Compares what all see of the name of a process that has started or ended, and what that process sees. */
     private void compareAll(String process) {
-        Set<String> own = wrong.remove(process);
+        Set<String> own = mistakesByViewer.remove(process);
         if (own != null) {
-            own.forEach(name -> count(name, -1));
+            own.forEach(name -> addMistakes(name, -1));
         }
         if (up.contains(process)) {
             running.keySet().forEach(name -> compare(process, name));
@@ -194,50 +194,54 @@
         up.forEach(viewer -> compare(viewer, names.get(process)));
     }
 
-    /** Whether all that run see this process as it is. */
+    /** Returns whether all running processes see this process in its true state. */
     boolean isSeenByAll(String process) {
-        return wrongOf.getOrDefault(names.get(process), 0) == 0;
+        return mistakesByName.getOrDefault(names.get(process), 0) == 0;
     }
 
-    /** Whether all views agree, and with what is. */
-    boolean agree() {
-        return wrongs == 0 && divided() == null;
+    /** Returns whether all views agree with each other and with the running processes. */
+    boolean allAgree() {
+        return mistakeCount == 0 && disputedName() == null;
     }
 
-    /** What keeps the views from being one and true; null where nothing does. */
+    /** Returns a description of a difference that keeps the views from agreeing; null if there is none. */
     String disagreement() {
-        for (Map.Entry<String, Set<String>> mistaken : wrong.entrySet()) {
+        for (Map.Entry<String, Set<String>> mistaken : mistakesByViewer.entrySet()) {
             if (!mistaken.getValue().isEmpty()) {
-                return mistake(mistaken.getKey(), mistaken.getValue().iterator().next());
+                return describeMistake(
+                        mistaken.getKey(), mistaken.getValue().iterator().next());
             }
         }
-        return divided();
+        return disputedName();
     }
 
-    private String mistake(String viewer, String name) {
-        Held held = views.get(viewer).get(name);
+    private String describeMistake(String viewer, String name) {
+        MemberEntry entry = views.get(viewer).get(name);
         Set<String> runningGenerations = running(name);
         return viewer + " sees " + name + ' '
-                + (held == null
+                + (entry == null
                         ? "not at all"
-                        : held.state().toLowerCase(Locale.ROOT) + " in life " + held.generation())
+                        : entry.state().toLowerCase(Locale.ROOT) + " in generation " + entry.generation())
                 + ", and it is "
                 + (runningGenerations.isEmpty()
                         ? "not running"
-                        : "running in life " + String.join(" and ", runningGenerations));
+                        : "running in generation " + String.join(" and ", runningGenerations));
     }
 
-    /** A name that several processes have, and that does not belong to the same one in all views; null where there is none. */
-    private String divided() {
+    /**
+     * Returns a description of a name that several processes have and that not all views assign to the same one; null
+     * if there is none.
+     */
+    private String disputedName() {
         for (Map.Entry<String, Set<String>> sameName : running.entrySet()) {
             if (sameName.getValue().size() > 1) {
                 Set<String> holders = new TreeSet<>();
                 for (String viewer : up) {
-                    Held held = views.get(viewer).get(sameName.getKey());
-                    holders.add(held == null ? "" : held.generation());
+                    MemberEntry entry = views.get(viewer).get(sameName.getKey());
+                    holders.add(entry == null ? "" : entry.generation());
                 }
                 if (holders.size() > 1) {
-                    return sameName.getKey() + " is one process in some views and another in others: lives " + holders;
+                    return sameName.getKey() + " is a different process in different views: generations " + holders;
                 }
             }
         }
@@ -246,38 +250,39 @@
 
     // ---- Conditions that a script awaits ------------------------------------------------------------
 
-    /** Whether all other processes see these as faulty or left. */
-    boolean seenAway(Set<String> processes) {
-        return seenByOthers(processes, (held, process) -> held.away());
+    /** Returns whether all other processes see these as faulty or left. */
+    boolean areSeenGone(Set<String> processes) {
+        return seenByOthers(processes, (entry, process) -> entry.isGoneOrLeft());
     }
 
-    /** Whether all other processes see these as replaced by a process that is alive. */
-    boolean seenReplaced(Set<String> processes) {
+    /** Returns whether all other processes see these as replaced by a process that is alive. */
+    boolean areSeenReplaced(Set<String> processes) {
         return seenByOthers(
-                processes, (held, process) -> held.here() && !held.generation().equals(generations.get(process)));
+                processes,
+                (entry, process) -> entry.isHere() && !entry.generation().equals(generations.get(process)));
     }
 
-    private boolean seenByOthers(Set<String> processes, BiPredicate<Held, String> so) {
+    private boolean seenByOthers(Set<String> processes, BiPredicate<MemberEntry, String> condition) {
         return up.stream()
                 .filter(viewer -> !processes.contains(viewer))
                 .allMatch(viewer -> processes.stream().allMatch(process -> {
-                    Held held = held(viewer, process);
-                    return held != null && so.test(held, process);
+                    MemberEntry entry = entry(viewer, process);
+                    return entry != null && condition.test(entry, process);
                 }));
     }
 
-    /** Whether each of these is seen as suspect by all others, these among them. */
-    boolean seenSuspect(Set<String> processes) {
+    /** Returns whether each of these is seen as suspect by all others, including the others among these. */
+    boolean areSeenSuspect(Set<String> processes) {
         return processes.stream()
                 .allMatch(process -> up.stream()
                         .filter(viewer -> !viewer.equals(process))
                         .allMatch(viewer -> {
-                            Held held = held(viewer, process);
-                            return held != null && held.state().equals("CUT_OFF");
+                            MemberEntry entry = entry(viewer, process);
+                            return entry != null && entry.state().equals("CUT_OFF");
                         }));
     }
 
-    private Held held(String viewer, String process) {
+    private MemberEntry entry(String viewer, String process) {
         return views.containsKey(viewer) ? views.get(viewer).get(nameOf(process)) : null;
     }
 }
--- a/src/main/java/pepperdock/faultinjection/Outcome.java
+++ b/src/main/java/pepperdock/faultinjection/Outcome.java
@@ -3,17 +3,17 @@
 import java.util.List;
 
 /**
- * What came of a run. {@code counts} is false where the machine was late by more than the script allows: then neither
- * findings nor their absence say anything of the program.
+ * The result of a run. {@code counts} is false if the machine was late by more than the script allows: then neither
+ * findings nor their absence say anything about the program.
  */
 public record Outcome(boolean counts, List<String> findings, List<String> metrics, double lateS) {
 
-    /** Whether the run counts and nothing was found. */
+    /** Returns whether the run counts and nothing was found. */
     public boolean passed() {
         return counts && findings.isEmpty();
     }
 
-    /** The verdict in a word. */
+    /** Returns the verdict: {@code passed}, {@code failed} or {@code does not count}. */
     public String verdict() {
         return !counts ? "does not count" : findings.isEmpty() ? "passed" : "failed";
     }
--- a/src/main/java/pepperdock/faultinjection/ProcessChecker.java
+++ b/src/main/java/pepperdock/faultinjection/ProcessChecker.java
@@ -7,57 +7,57 @@
 import java.util.Set;
 
 /**
- * Holds for every run: a process ends only when the script ends it, and each that was started says that it is ready unless it
- * is ended before. {@code settled}: all that should run are ready.
+ * Checks the processes of any run: a process ends only when the script ends it, and each started process reports that
+ * it is ready, unless it is ended before. {@code settled}: all processes that should run are ready.
  */
 final class ProcessChecker implements Checker {
 
-    private enum At {
+    private enum State {
         STARTED,
         READY,
         ENDING,
         ENDED
     }
 
-    private final Map<String, At> at = new LinkedHashMap<>();
+    private final Map<String, State> states = new LinkedHashMap<>();
     private final List<Finding> found = new ArrayList<>();
-    private long last;
+    private long lastEventNumber;
 
     @Override
-    public void see(long number, Event e) {
-        last = number;
-        if (!e.ofRig()) {
-            if (e.what().equals("ready")) {
-                at.computeIfPresent(e.who(), (m, was) -> was == At.STARTED ? At.READY : was);
+    public void onEvent(long number, Event event) {
+        lastEventNumber = number;
+        if (!event.isRigEvent()) {
+            if (event.what().equals("ready")) {
+                states.computeIfPresent(event.who(), (m, was) -> was == State.STARTED ? State.READY : was);
             }
             return;
         }
-        switch (e.what()) {
-            case "start" -> set(e, At.STARTED);
-            case "kill", "term", "end" -> set(e, At.ENDING);
+        switch (event.what()) {
+            case "start" -> setStates(event, State.STARTED);
+            case "kill", "term", "end" -> setStates(event, State.ENDING);
             case "exit" -> {
-                String member = e.text("member");
-                if (at.get(member) != At.ENDING) {
+                String member = event.text("member");
+                if (states.get(member) != State.ENDING) {
                     found.add(new Finding(
-                            "processes", number, member + " ended by itself, with status " + e.text("status")));
+                            "processes", number, member + " exited unexpectedly with status " + event.text("status")));
                 }
-                at.put(member, At.ENDED);
+                states.put(member, State.ENDED);
             }
             default -> {}
         }
     }
 
-    private void set(Event e, At next) {
-        for (String m : e.members()) {
-            at.put(m, next);
+    private void setStates(Event event, State next) {
+        for (String member : event.members()) {
+            states.put(member, next);
         }
     }
 
     @Override
     public Boolean holds(String condition, Set<String> members) {
         return switch (condition) {
-            case "settled" -> !at.containsValue(At.STARTED);
-            case "ready" -> members.stream().allMatch(m -> at.get(m) == At.READY);
+            case "settled" -> !states.containsValue(State.STARTED);
+            case "ready" -> members.stream().allMatch(m -> states.get(m) == State.READY);
             default -> null;
         };
     }
@@ -66,9 +66,9 @@
     public List<Finding> findings(boolean atEnd) {
         List<Finding> all = new ArrayList<>(found);
         if (atEnd) {
-            at.forEach((m, a) -> {
-                if (a == At.STARTED) {
-                    all.add(new Finding("processes", last, m + " was never ready"));
+            states.forEach((m, a) -> {
+                if (a == State.STARTED) {
+                    all.add(new Finding("processes", lastEventNumber, m + " did not become ready"));
                 }
             });
         }
--- a/src/main/java/pepperdock/faultinjection/Relay.java
+++ b/src/main/java/pepperdock/faultinjection/Relay.java
@@ -24,20 +24,22 @@
 import pepperdock.faultinjection.LinkFaults.Pair;
 
 /**
- * The sockets between members: for each ordered pair an address of its own, where what comes is handed on to the receiver's
- * own address, or not, as {@link LinkFaults} says. One thread with one selector owns all of it; {@link #execute} hands it work.
+ * The sockets between members. Each ordered pair has an address of its own; what arrives there is forwarded to the
+ * address of the receiver, or dropped, as {@link LinkFaults} determines. One thread with one selector owns everything;
+ * {@link #execute} passes work to it.
  *
- * <p>Member number k is at 127.B.0.k, and what it sends to member m goes to 127.B.k.m at the same port. A stream belongs to
- * the pair that opened it one way, and to the pair the other way round for the way back. Where a stream stands, its bytes
- * wait in the kernel; a stream opened meanwhile is accepted, since the kernel does so, and led on afterwards.
+ * <p>Member number k is at 127.B.0.k, and sends to member m through 127.B.k.m at the same port. A stream belongs to the
+ * pair that opened it in one direction, and to the reversed pair in the other. While a stream is blocked, its bytes
+ * wait in the kernel. A stream opened meanwhile is accepted, as the kernel would do, and connected to the receiver
+ * afterwards.
  */
 final class Relay implements AutoCloseable {
 
-    private static final int DATAGRAM_MOST = 65_507;
-    private static final long HELD_MOST = 64L << 20;
-    private static final int STREAMS_MOST = 5000;
+    private static final int MAX_DATAGRAM_BYTES = 65_507;
+    private static final long MAX_HELD_BYTES = 64L << 20;
+    private static final int MAX_STREAMS = 5000;
 
-    /** What a member sent through here, and what became of it. */
+    /** Counts what a member sent through the relay, and what was lost of it. */
     static final class Traffic {
         long datagrams;
         long bytes;
@@ -46,38 +48,38 @@
         long streamBytes;
     }
 
-    /** A port to lay links to, for streams or for datagrams. */
-    record Laid(int number, boolean stream) {}
+    /** A port that links lead to, for streams or for datagrams. */
+    record RelayPort(int number, boolean stream) {}
 
-    private record Delayed(double due, long no, Runnable then) {}
+    private record Delayed(double due, long sequence, Runnable task) {}
 
-    /** What a key has attached: called when it is ready. */
+    /** Attachment of a selection key: called when the key is ready. */
     interface Ready {
         void ready(SelectionKey key) throws IOException;
     }
 
     private final int block;
     private final LinkFaults links = new LinkFaults();
-    private final Random chance;
+    private final Random random;
     private final Selector selector;
     private final Thread thread;
     private final Queue<Runnable> tasks = new ConcurrentLinkedQueue<>();
     private final PriorityQueue<Delayed> delayed =
-            new PriorityQueue<>(Comparator.comparingDouble(Delayed::due).thenComparingLong(Delayed::no));
-    private final Map<String, List<SelectableChannel>> into = new HashMap<>();
-    private final Map<String, List<Laid>> laid = new HashMap<>();
+            new PriorityQueue<>(Comparator.comparingDouble(Delayed::due).thenComparingLong(Delayed::sequence));
+    private final Map<String, List<SelectableChannel>> listeners = new HashMap<>();
+    private final Map<String, List<RelayPort>> openPorts = new HashMap<>();
     private final Set<RelayStream> streams = new LinkedHashSet<>();
     private final Map<String, Traffic> traffic = new HashMap<>();
-    private final ByteBuffer scratch = ByteBuffer.allocateDirect(DATAGRAM_MOST);
-    private long held;
-    private long count;
+    private final ByteBuffer scratch = ByteBuffer.allocateDirect(MAX_DATAGRAM_BYTES);
+    private long heldBytes;
+    private long delayedCount;
     private volatile boolean closed;
-    private volatile Exception failed;
+    private volatile Exception failure;
 
-    /** {@code block} is the second number of all addresses. */
+    /** Starts a relay; {@code block} is the second byte of all addresses. */
     Relay(int block, long seed) throws IOException {
         this.block = block;
-        chance = new Random(seed);
+        random = new Random(seed);
         selector = Selector.open();
         thread = new Thread(this::run, "relay");
         thread.setDaemon(true);
@@ -101,38 +103,40 @@
         selector.wakeup();
     }
 
-    void on(int number, LinkFaults.Fault fault) {
+    void beginFault(int number, LinkFaults.Fault fault) {
         execute(() -> {
-            links.on(number, fault);
-            List.copyOf(streams).forEach(RelayStream::look);
+            links.begin(number, fault);
+            List.copyOf(streams).forEach(RelayStream::update);
         });
     }
 
-    void off(int number) {
+    void endFault(int number) {
         execute(() -> {
-            links.off(number);
-            List.copyOf(streams).forEach(RelayStream::look);
+            links.end(number);
+            List.copyOf(streams).forEach(RelayStream::update);
         });
     }
 
     void reset(Set<Pair> pairs) {
-        execute(() -> List.copyOf(streams).stream().filter(s -> s.of(pairs)).forEach(RelayStream::reset));
+        execute(() -> List.copyOf(streams).stream()
+                .filter(stream -> stream.belongsTo(pairs))
+                .forEach(RelayStream::reset));
     }
 
-    /** Each member's traffic since the last call, given on the relay's thread. */
-    void taken(java.util.function.Consumer<Map<String, Traffic>> to) {
+    /** Passes each member's traffic since the last call to the receiver, on the thread of the relay. */
+    void takeTraffic(java.util.function.Consumer<Map<String, Traffic>> receiver) {
         execute(() -> {
-            to.accept(Map.copyOf(traffic));
+            receiver.accept(Map.copyOf(traffic));
             traffic.clear();
         });
     }
 
     /**
-     * Lays links into one member from all others, at these ports; those that lay there at other ports are taken up. Called by
-     * one thread only.
+     * Opens links into one member from all others at these ports, and closes those at its former ports. Must be called
+     * by one thread only.
      */
-    void lay(String to, List<String> members, List<Laid> ports) throws IOException {
-        if (ports.equals(laid.put(to, List.copyOf(ports)))) {
+    void openLinks(String to, List<String> members, List<RelayPort> ports) throws IOException {
+        if (ports.equals(openPorts.put(to, List.copyOf(ports)))) {
             return;
         }
         List<SelectableChannel> opened = new ArrayList<>();
@@ -141,23 +145,23 @@
                 continue;
             }
             Pair pair = new Pair(from, to);
-            for (Laid port : ports) {
-                InetSocketAddress here = new InetSocketAddress(host(block, number(from), number(to)), port.number());
-                InetSocketAddress there = new InetSocketAddress(host(block, number(to)), port.number());
+            for (RelayPort port : ports) {
+                InetSocketAddress local = new InetSocketAddress(host(block, number(from), number(to)), port.number());
+                InetSocketAddress receiver = new InetSocketAddress(host(block, number(to)), port.number());
                 SelectableChannel channel;
                 Ready ready;
                 if (port.stream()) {
                     ServerSocketChannel server = ServerSocketChannel.open();
                     server.setOption(StandardSocketOptions.SO_REUSEADDR, true);
-                    server.bind(here, 512);
+                    server.bind(local, 512);
                     channel = server;
-                    ready = key -> accept(server, pair, there);
+                    ready = key -> accept(server, pair, receiver);
                 } else {
                     DatagramChannel socket = DatagramChannel.open();
                     socket.setOption(StandardSocketOptions.SO_RCVBUF, 1 << 19);
-                    socket.bind(here);
+                    socket.bind(local);
                     channel = socket;
-                    ready = key -> receive(socket, pair, there);
+                    ready = key -> receive(socket, pair, receiver);
                 }
                 opened.add(channel);
                 channel.configureBlocking(false);
@@ -174,9 +178,9 @@
             }
         }
         execute(() -> {
-            List<SelectableChannel> before = into.put(to, opened);
-            if (before != null) {
-                before.forEach(Relay::close);
+            List<SelectableChannel> previous = listeners.put(to, opened);
+            if (previous != null) {
+                previous.forEach(Relay::close);
             }
         });
     }
@@ -189,11 +193,11 @@
         return System.nanoTime() / 1e9;
     }
 
-    void later(double seconds, Runnable then) {
+    void schedule(double seconds, Runnable task) {
         if (seconds <= 0) {
-            then.run();
+            task.run();
         } else {
-            delayed.add(new Delayed(now() + seconds, count++, then));
+            delayed.add(new Delayed(now() + seconds, delayedCount++, task));
         }
     }
 
@@ -228,19 +232,22 @@
                 }
                 selector.selectedKeys().clear();
                 while (!delayed.isEmpty() && delayed.peek().due() <= now()) {
-                    delayed.poll().then().run();
+                    delayed.poll().task().run();
                 }
             } catch (IOException | RuntimeException e) {
-                failed = e;
+                failure = e;
                 return;
             }
         }
     }
 
-    /** Fails where the relay's thread has: nothing gets through any more, and a run that goes on would judge that. */
-    void check() throws IOException {
-        if (failed != null) {
-            throw new IOException("the relay can't go on", failed);
+    /**
+     * Throws if the thread of the relay has failed: nothing is forwarded any more, and checkers would judge the effects
+     * of that.
+     */
+    void checkRunning() throws IOException {
+        if (failure != null) {
+            throw new IOException("the thread of the relay failed", failure);
         }
     }
 
@@ -253,18 +260,18 @@
             Traffic sent = traffic(pair.from());
             sent.datagrams++;
             sent.bytes += scratch.remaining();
-            double[] copies = links.on(pair).fate(chance);
-            if (copies.length == 0 || held > HELD_MOST) {
+            double[] copies = links.effectOn(pair).arrivalDelays(random);
+            if (copies.length == 0 || heldBytes > MAX_HELD_BYTES) {
                 sent.lost++;
             } else if (copies.length == 1 && copies[0] == 0) {
                 send(socket, scratch, to);
             } else {
                 byte[] bytes = new byte[scratch.remaining()];
                 scratch.get(bytes);
-                for (double in : copies) {
-                    held += bytes.length;
-                    later(in, () -> {
-                        held -= bytes.length;
+                for (double delay : copies) {
+                    heldBytes += bytes.length;
+                    schedule(delay, () -> {
+                        heldBytes -= bytes.length;
                         send(socket, ByteBuffer.wrap(bytes), to);
                     });
                 }
@@ -279,32 +286,32 @@
                 socket.send(bytes, to);
             }
         } catch (IOException e) {
-            // As on any network: lost, and nobody told.
+            // Lost without notice, as on any network.
         }
     }
 
     // ---- Streams ------------------------------------------------------------
 
     private void accept(ServerSocketChannel server, Pair pair, InetSocketAddress to) throws IOException {
-        for (SocketChannel c = server.accept(); c != null; c = server.accept()) {
-            if (streams.size() >= STREAMS_MOST) {
-                close(c);
+        for (SocketChannel channel = server.accept(); channel != null; channel = server.accept()) {
+            if (streams.size() >= MAX_STREAMS) {
+                close(channel);
                 continue;
             }
-            c.configureBlocking(false);
-            c.setOption(StandardSocketOptions.TCP_NODELAY, true);
+            channel.configureBlocking(false);
+            channel.setOption(StandardSocketOptions.TCP_NODELAY, true);
             traffic(pair.from()).streams++;
-            RelayStream s = new RelayStream(this, pair, c, to);
-            streams.add(s);
-            s.look();
+            RelayStream stream = new RelayStream(this, pair, channel, to);
+            streams.add(stream);
+            stream.update();
         }
     }
 
-    static void close(SelectableChannel c) {
+    static void close(SelectableChannel channel) {
         try {
-            c.close();
+            channel.close();
         } catch (IOException e) {
-            // Nothing is to be done about it, and nothing depends on it.
+            // Nothing depends on the channel any more.
         }
     }
 
@@ -319,7 +326,7 @@
             }
             selector.close();
         } catch (IOException e) {
-            // The program ends with it.
+            // The program ends afterwards, which closes everything.
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         }
--- a/src/main/java/pepperdock/faultinjection/RelayStream.java
+++ b/src/main/java/pepperdock/faultinjection/RelayStream.java
@@ -11,64 +11,67 @@
 import pepperdock.faultinjection.LinkFaults.Effect;
 import pepperdock.faultinjection.LinkFaults.Pair;
 
-/** One stream through a {@link Relay}: two halves, each with the links of its way. On the relay's thread. */
+/**
+ * One stream through a {@link Relay}: two halves, one for each direction with its link faults. Used on the thread of
+ * the relay only.
+ */
 final class RelayStream {
 
-    private static final int CHUNK = 1 << 16;
-    /** Bytes that one half holds at most; the rest waits in the kernel. */
-    private static final int HELD_MOST = 1 << 18;
+    private static final int CHUNK_BYTES = 1 << 16;
+    /** Maximum number of bytes that one half holds; further ones wait in the kernel. */
+    private static final int MAX_HELD_BYTES = 1 << 18;
 
     private final Relay relay;
     private final InetSocketAddress to;
-    private final Half there;
-    private final Half back;
-    private SocketChannel far;
+    private final Half forward;
+    private final Half backward;
+    private SocketChannel receiverChannel;
 
-    RelayStream(Relay relay, Pair pair, SocketChannel near, InetSocketAddress to) {
+    RelayStream(Relay relay, Pair pair, SocketChannel senderChannel, InetSocketAddress to) {
         this.relay = relay;
         this.to = to;
-        there = new Half(this, pair, near);
-        back = new Half(this, new Pair(pair.to(), pair.from()), null);
-        back.into = near;
+        forward = new Half(this, pair, senderChannel);
+        backward = new Half(this, new Pair(pair.to(), pair.from()), null);
+        backward.into = senderChannel;
     }
 
-    /** Looks anew at what the links let through. */
-    void look() {
+    /** Connects or continues the stream as far as the link faults allow now. */
+    void update() {
         try {
-            if (far == null) {
-                if (relay.links().on(there.pair).cut()
-                        || relay.links().on(back.pair).cut()) {
+            if (receiverChannel == null) {
+                if (relay.links().effectOn(forward.pair).cut()
+                        || relay.links().effectOn(backward.pair).cut()) {
                     return;
                 }
-                far = SocketChannel.open();
-                far.configureBlocking(false);
-                far.setOption(StandardSocketOptions.TCP_NODELAY, true);
-                far.connect(to);
-                far.register(relay.selector(), SelectionKey.OP_CONNECT, (Relay.Ready) key -> connected());
-            } else if (far.isConnected()) {
-                there.pump();
-                back.pump();
+                receiverChannel = SocketChannel.open();
+                receiverChannel.configureBlocking(false);
+                receiverChannel.setOption(StandardSocketOptions.TCP_NODELAY, true);
+                receiverChannel.connect(to);
+                receiverChannel.register(relay.selector(), SelectionKey.OP_CONNECT, (Relay.Ready) key -> onConnected());
+            } else if (receiverChannel.isConnected()) {
+                forward.pump();
+                backward.pump();
             }
         } catch (IOException e) {
             reset();
         }
     }
 
-    private void connected() {
+    private void onConnected() {
         try {
-            far.finishConnect();
-            there.into = far;
-            back.from = far;
-            far.register(relay.selector(), 0, (Relay.Ready) key -> moved(back, there, key));
-            there.from.register(relay.selector(), 0, (Relay.Ready) key -> moved(there, back, key));
-            look();
+            receiverChannel.finishConnect();
+            forward.into = receiverChannel;
+            backward.from = receiverChannel;
+            receiverChannel.register(relay.selector(), 0, (Relay.Ready) key -> onReady(backward, forward, key));
+            forward.from.register(relay.selector(), 0, (Relay.Ready) key -> onReady(forward, backward, key));
+            update();
         } catch (IOException e) {
             reset();
         }
     }
 
-    /** A channel that one half reads and the other writes is ready. */
-    private void moved(Half reads, Half writes, SelectionKey key) {
+    /** Handles a ready channel, which one half reads and the other writes. */
+    private void onReady(Half reads, Half writes, SelectionKey key) {
         try {
             if (key.isReadable()) {
                 reads.read();
@@ -81,46 +84,46 @@
         }
     }
 
-    /** Ends both ways as a broken connection does. */
+    /** Resets the stream in both directions, like a broken connection. */
     void reset() {
         relay.ended(this);
-        for (SocketChannel c : new SocketChannel[] {there.from, far}) {
-            if (c != null) {
+        for (SocketChannel channel : new SocketChannel[] {forward.from, receiverChannel}) {
+            if (channel != null) {
                 try {
-                    c.setOption(StandardSocketOptions.SO_LINGER, 0);
+                    channel.setOption(StandardSocketOptions.SO_LINGER, 0);
                 } catch (IOException e) {
-                    // Closed already.
+                    // The channel is closed already.
                 }
-                Relay.close(c);
+                Relay.close(channel);
             }
         }
     }
 
-    /** Whether it belongs to one of these pairs, one way. */
-    boolean of(Set<Pair> pairs) {
-        return pairs.contains(there.pair);
+    /** Returns whether the stream was opened on one of these pairs. */
+    boolean belongsTo(Set<Pair> pairs) {
+        return pairs.contains(forward.pair);
     }
 
-    void shut() {
-        if (there.shut && back.shut) {
+    void closeIfBothShut() {
+        if (forward.shut && backward.shut) {
             relay.ended(this);
-            Relay.close(there.from);
-            Relay.close(far);
+            Relay.close(forward.from);
+            Relay.close(receiverChannel);
         }
     }
 
     private record Chunk(double due, ByteBuffer bytes) {}
 
-    /** One way of a stream. */
+    /** One direction of a stream. */
     private static final class Half {
         private final RelayStream stream;
         private final Pair pair;
         private final ArrayDeque<Chunk> chunks = new ArrayDeque<>();
         private SocketChannel from;
         private SocketChannel into;
-        private int waiting;
-        private double free;
-        private boolean ended;
+        private int heldBytes;
+        private double rateFreeAt;
+        private boolean inputEnded;
         private boolean shut;
 
         Half(RelayStream stream, Pair pair, SocketChannel from) {
@@ -130,60 +133,60 @@
         }
 
         void read() throws IOException {
-            Effect e = stream.relay.links().on(pair);
-            if (e.streamStands() || ended || waiting >= HELD_MOST) {
-                interests();
+            Effect effect = stream.relay.links().effectOn(pair);
+            if (effect.streamBlocked() || inputEnded || heldBytes >= MAX_HELD_BYTES) {
+                updateInterests();
                 return;
             }
-            ByteBuffer b = ByteBuffer.allocate(CHUNK);
-            int n = from.read(b);
-            if (n < 0) {
-                ended = true;
-            } else if (n > 0) {
-                stream.relay.traffic(pair.from()).streamBytes += n;
-                free = Math.max(free, Relay.now()) + n / e.rate();
-                double due = free + e.delay();
-                chunks.add(new Chunk(due, b.flip()));
-                waiting += n;
+            ByteBuffer buffer = ByteBuffer.allocate(CHUNK_BYTES);
+            int count = from.read(buffer);
+            if (count < 0) {
+                inputEnded = true;
+            } else if (count > 0) {
+                stream.relay.traffic(pair.from()).streamBytes += count;
+                rateFreeAt = Math.max(rateFreeAt, Relay.now()) + count / effect.rate();
+                double due = rateFreeAt + effect.delay();
+                chunks.add(new Chunk(due, buffer.flip()));
+                heldBytes += count;
             }
             pump();
         }
 
-        /** Writes what is due, unless the stream stands. */
+        /** Writes the chunks that are due, unless the stream is blocked. */
         void pump() throws IOException {
-            while (!chunks.isEmpty() && !stream.relay.links().on(pair).streamStands()) {
+            while (!chunks.isEmpty() && !stream.relay.links().effectOn(pair).streamBlocked()) {
                 Chunk first = chunks.peek();
                 double wait = first.due() - Relay.now();
                 if (wait > 0) {
-                    stream.relay.later(wait, stream::look);
+                    stream.relay.schedule(wait, stream::update);
                     break;
                 }
-                waiting -= into.write(first.bytes());
+                heldBytes -= into.write(first.bytes());
                 if (first.bytes().hasRemaining()) {
                     break;
                 }
                 chunks.poll();
             }
-            if (ended && chunks.isEmpty() && !shut) {
+            if (inputEnded && chunks.isEmpty() && !shut) {
                 shut = true;
                 into.shutdownOutput();
-                stream.shut();
+                stream.closeIfBothShut();
             }
-            interests();
+            updateInterests();
         }
 
-        /** What to be woken for: both channels serve two halves, so each half sets only its own bits. */
-        private void interests() {
-            boolean stands = stream.relay.links().on(pair).streamStands();
-            set(from, SelectionKey.OP_READ, !stands && !ended && waiting < HELD_MOST);
-            set(
+        /** Updates the interest operations. Both channels serve two halves, so each half sets only its own bits. */
+        private void updateInterests() {
+            boolean blocked = stream.relay.links().effectOn(pair).streamBlocked();
+            setInterest(from, SelectionKey.OP_READ, !blocked && !inputEnded && heldBytes < MAX_HELD_BYTES);
+            setInterest(
                     into,
                     SelectionKey.OP_WRITE,
-                    !stands && !chunks.isEmpty() && chunks.peek().due() <= Relay.now());
+                    !blocked && !chunks.isEmpty() && chunks.peek().due() <= Relay.now());
         }
 
-        private void set(SocketChannel c, int bit, boolean on) {
-            SelectionKey key = c.keyFor(stream.relay.selector());
+        private void setInterest(SocketChannel channel, int bit, boolean on) {
+            SelectionKey key = channel.keyFor(stream.relay.selector());
             if (key != null && key.isValid()) {
                 key.interestOps(on ? key.interestOps() | bit : key.interestOps() & ~bit);
             }
--- a/src/main/java/pepperdock/faultinjection/Report.java
+++ b/src/main/java/pepperdock/faultinjection/Report.java
@@ -13,53 +13,56 @@
 import java.util.TreeMap;
 
 /**
- * A run in words, and as one page with a timeline by member. The page holds all that it needs, the plot library included, and
- * asks nothing of any network.
+ * Renders a run as text, and as one HTML page with a timeline for each member. The page contains all that it needs, the
+ * plot library included, and makes no network requests.
  */
 public final class Report {
 
-    private static final String PLOTS = "META-INF/resources/webjars/echarts/5.3.1/dist/echarts.min.js";
-    private static final int MARKS_MOST = 20_000;
-    /** The program's events that would only fill a page. */
-    private static final List<String> UNMARKED = List.of("count");
+    private static final String PLOT_LIBRARY = "META-INF/resources/webjars/echarts/5.3.1/dist/echarts.min.js";
+    private static final int MAX_MARKS = 20_000;
+    /** Events of the program that are too frequent to be marked on the page. */
+    private static final List<String> EVENTS_WITHOUT_MARK = List.of("count");
 
     private Report() {}
 
-    /** The run as lines of text: what was done, how many events of each kind came, the metrics and the findings. */
+    /**
+     * Returns the run as lines of text: the events of the rig, the number of events of each kind, the metrics and the
+     * findings.
+     */
     public static List<String> text(Path history, Outcome outcome) throws IOException {
         List<String> lines = new ArrayList<>();
         Map<String, Integer> counts = new TreeMap<>();
         for (Event event : History.read(history)) {
-            if (event.ofRig()
+            if (event.isRigEvent()
                     && !event.what().equals("traffic")
                     && !event.what().equals("late")) {
-                lines.add(words(event));
-            } else if (!event.ofRig()) {
+                lines.add(describe(event));
+            } else if (!event.isRigEvent()) {
                 counts.merge(event.what(), 1, Integer::sum);
             }
         }
         lines.add("events: " + counts);
-        lines.add(String.format(Locale.ROOT, "the machine was late by %.3f s in all", outcome.lateS()));
+        lines.add(String.format(Locale.ROOT, "the machine was late by %.3f s in total", outcome.lateS()));
         lines.addAll(outcome.metrics());
         outcome.findings().forEach(f -> lines.add("FOUND " + f));
         return lines;
     }
 
-    private static String words(Event event) {
-        StringBuilder words = new StringBuilder(String.format(Locale.ROOT, "%9.3f  %s", event.at(), event.what()));
+    private static String describe(Event event) {
+        StringBuilder line = new StringBuilder(String.format(Locale.ROOT, "%9.3f  %s", event.at(), event.what()));
         event.keys().entrySet().forEach(k -> {
             if (!List.of("at", "who", "what").contains(k.getKey())) {
                 String value = k.getValue().getAsString();
-                words.append("  ")
+                line.append("  ")
                         .append(k.getKey())
                         .append('=')
                         .append(value.length() > 100 ? value.substring(0, 100) + "..." : value);
             }
         });
-        return words.toString();
+        return line.toString();
     }
 
-    /** The run as one HTML page with a timeline of each member. */
+    /** Returns the run as one HTML page with a timeline for each member. */
     public static String html(Path history, Outcome outcome) throws IOException {
         JsonObject data = new Timelines().data(History.read(history));
         data.addProperty("verdict", outcome.verdict());
@@ -68,7 +71,7 @@
         outcome.metrics().forEach(words::add);
         data.add("words", words);
         return resource("/pepperdock/faultinjection/report.html")
-                .replace("/*PLOTS*/", resource('/' + PLOTS))
+                .replace("/*PLOTS*/", resource('/' + PLOT_LIBRARY))
                 .replace("/*DATA*/null", data.toString().replace("</", "<\\/"));
     }
 
@@ -84,13 +87,13 @@
         JsonObject data(List<Event> events) {
             double end = events.isEmpty() ? 0 : events.get(events.size() - 1).at();
             for (Event event : events) {
-                if (event.ofRig()) {
-                    ofRig(event);
+                if (event.isRigEvent()) {
+                    addRigEvent(event);
                 } else {
-                    ofMember(event);
+                    addMemberEvent(event);
                 }
             }
-            faults.values().forEach(on -> fault(on, end));
+            faults.values().forEach(on -> addFaultBar(on, end));
             now.forEach((member, state) -> bars.add(bar(member, state, since.get(member), end, "")));
             members.add("faults");
             JsonObject data = new JsonObject();
@@ -100,16 +103,16 @@
             return data;
         }
 
-        private void ofMember(Event event) {
-            if (!UNMARKED.contains(event.what()) && marks.size() < MARKS_MOST) {
+        private void addMemberEvent(Event event) {
+            if (!EVENTS_WITHOUT_MARK.contains(event.what()) && marks.size() < MAX_MARKS) {
                 marks.add(mark(event, event.who()));
             }
             if (event.what().equals("ready") && "starting".equals(now.get(event.who()))) {
-                turn(event.who(), "up", event.at());
+                setState(event.who(), "up", event.at());
             }
         }
 
-        private void ofRig(Event event) {
+        private void addRigEvent(Event event) {
             switch (event.what()) {
                 case "script" ->
                     List.of(event.members()).forEach(member -> {
@@ -117,43 +120,43 @@
                         since.put(member, event.at());
                         now.put(member, "down");
                     });
-                case "start" -> turnAll(event, "starting");
-                case "stop" -> turnAll(event, "stopped");
-                case "cont" -> turnAll(event, "up");
-                case "exit" -> turn(event.text("member"), "down", event.at());
-                case "fault on" -> faults.put(event.whole("number"), event);
-                case "fault off" -> fault(faults.remove(event.whole("number")), event.at());
+                case "start" -> setStates(event, "starting");
+                case "stop" -> setStates(event, "stopped");
+                case "cont" -> setStates(event, "up");
+                case "exit" -> setState(event.text("member"), "down", event.at());
+                case "fault on" -> faults.put(event.integer("number"), event);
+                case "fault off" -> addFaultBar(faults.remove(event.integer("number")), event.at());
                 case "reset", "late", "reached", "not reached" -> marks.add(mark(event, "faults"));
                 default -> {}
             }
         }
 
-        private void turnAll(Event event, String next) {
+        private void setStates(Event event, String next) {
             for (String member : event.members()) {
-                turn(member, next, event.at());
+                setState(member, next, event.at());
             }
         }
 
-        private void turn(String member, String next, double at) {
+        private void setState(String member, String next, double at) {
             bars.add(bar(member, now.getOrDefault(member, "down"), since.getOrDefault(member, 0.0), at, ""));
             since.put(member, at);
             now.put(member, next);
         }
 
-        private void fault(Event on, double to) {
+        private void addFaultBar(Event on, double to) {
             if (on != null) {
-                bars.add(bar("faults", on.text("kind"), on.at(), to, words(on)));
+                bars.add(bar("faults", on.text("kind"), on.at(), to, describe(on)));
             }
         }
     }
 
-    private static JsonObject bar(String row, String state, double from, double to, String words) {
+    private static JsonObject bar(String row, String state, double from, double to, String description) {
         JsonObject bar = new JsonObject();
         bar.addProperty("row", row);
         bar.addProperty("state", state);
         bar.addProperty("from", from);
         bar.addProperty("to", to);
-        bar.addProperty("words", words);
+        bar.addProperty("words", description);
         return bar;
     }
 
@@ -162,14 +165,14 @@
         mark.addProperty("row", row);
         mark.addProperty("at", event.at());
         mark.addProperty("what", event.what());
-        mark.addProperty("words", words(event));
+        mark.addProperty("words", describe(event));
         return mark;
     }
 
     private static String resource(String name) throws IOException {
         try (InputStream in = Report.class.getResourceAsStream(name)) {
             if (in == null) {
-                throw new IOException("no " + name + " in the jar");
+                throw new IOException("resource " + name + " is missing in the jar");
             }
             return new String(in.readAllBytes(), StandardCharsets.UTF_8);
         }
--- a/src/main/java/pepperdock/faultinjection/Script.java
+++ b/src/main/java/pepperdock/faultinjection/Script.java
@@ -6,12 +6,12 @@
 import java.util.Map;
 
 /**
- * A rig's file, read and checked: the fleet, its members' configuration, the checkers, and the acts in their order. An act
- * has a time counted from the last {@code await}, a fault, whom it befalls, how long it lasts, and whether it flips. See
- * {@code docs/rig.md} for the keys.
+ * A script file, read and validated: the fleet, the configuration of its members, the checkers, and the actions in
+ * order. An action has a time counted from the last {@code await}, a fault, its targets, a duration, and whether it
+ * flips on and off. See {@code docs/rig.md} for the keys.
  *
- * @param config the configuration of a member, with {@code {name}} and the like in its texts
- * @param own by member, what goes before the same keys of {@code config}
+ * @param config the configuration of a member, with placeholders such as {@code {name}} in its texts
+ * @param own by member, the keys that override those of {@code config}
  */
 record Script(
         long seed,
@@ -22,33 +22,48 @@
         JsonObject own,
         List<Port> ports,
         List<String> checkers,
-        double mostS,
-        double settleS,
-        double lateMost,
-        List<Action> acts) {
+        double maxDurationS,
+        double settleTimeoutS,
+        double maxLatenessS,
+        List<Action> actions) {
 
-    /** Bounds of any run, and of one with real processes: this is a rig for one machine. */
-    static final int MEMBERS_MOST = 2000;
+    /** Bounds of any run, and of a run with real processes, which all share one machine. */
+    static final int MAX_MEMBERS = 2000;
 
-    static final int PROCESSES_MOST = 60;
-    static final double SECONDS_MOST = 7200;
+    static final int MAX_PROCESSES = 60;
+    static final double MAX_SECONDS = 7200;
 
-    /** A port that each member listens on, in the configuration as {@code {port:NAME}}, for streams, datagrams or both. */
+    /** A port that each member listens on, {@code {port:NAME}} in the configuration, for streams, datagrams or both. */
     record Port(String name, boolean streams, boolean datagrams) {}
 
-    /** Whom: by name, or so many drawn; every member where both are empty. A share of them is read as a number. */
-    record Targets(List<String> names, int drawn) {
+    /**
+     * Targets of a fault: members by name, or a number of members chosen at random (a share is converted to a number);
+     * all members if names are empty and the number is 0.
+     */
+    record Targets(List<String> names, int randomCount) {
         static final Targets ALL = new Targets(List.of(), 0);
     }
 
-    /** One line of the script. */
-    sealed interface Action permits Await, OnLinks, Partition, Reset, Heal, OnProcesses, OnDisks, OnClocks, Draw {}
+    /** One entry of the script. */
+    sealed interface Action
+            permits AwaitAction,
+                    LinkFaultAction,
+                    PartitionAction,
+                    ResetAction,
+                    HealAction,
+                    ProcessFaultAction,
+                    DiskFaultAction,
+                    ClockFaultAction,
+                    RandomFaultsAction {}
+
+    /** Waits until the checkers confirm the condition for these members; later times count from then. */
+    record AwaitAction(String condition, Targets targets) implements Action {}
 
-    /** Go on only once the checkers say that this holds, of these members; times count anew from here. */
-    record Await(String condition, Targets whom) implements Action {}
-
-    /** A fault on links. {@code lastS} infinite: to the end. {@code flipS} above 0: on and off by turns of that length. */
-    record OnLinks(
+    /**
+     * A fault on links. An infinite {@code durationS} lasts to the end of the run; with {@code flipIntervalS} above 0,
+     * the fault is switched on and off at that interval.
+     */
+    record LinkFaultAction(
             double at,
             LinkFaults.Kind kind,
             double amount,
@@ -56,21 +71,26 @@
             Targets from,
             Targets to,
             boolean both,
-            double lastS,
-            double flipS)
+            double durationS,
+            double flipIntervalS)
             implements Action {}
 
-    /** Groups that do not reach each other; named, or so many of the same size, drawn. {@code moveS}: drawn anew so often. */
-    record Partition(double at, List<List<String>> groups, int drawn, double lastS, double moveS) implements Action {}
+    /**
+     * Groups that cannot reach each other: named, or a number of equal groups chosen at random, and chosen again every
+     * {@code moveIntervalS} if that is above 0.
+     */
+    record PartitionAction(
+            double at, List<List<String>> groups, int randomCount, double durationS, double moveIntervalS)
+            implements Action {}
 
-    /** Streams of these links are reset. */
-    record Reset(double at, Targets from, Targets to, boolean both) implements Action {}
+    /** Resets the streams of these links. */
+    record ResetAction(double at, Targets from, Targets to, boolean both) implements Action {}
 
-    /** All faults on links that have no end of their own end. */
-    record Heal(double at) implements Action {}
+    /** Ends all faults on links that have no end of their own. */
+    record HealAction(double at) implements Action {}
 
     /** What is done to a process. */
-    enum What {
+    enum ProcessAction {
         STOP,
         CONTINUE,
         KILL,
@@ -79,29 +99,61 @@
     }
 
     /**
-     * What befalls processes. A stop, kill or term of some length ends with going on, or a start. {@code apartS}: one after
-     * the other, so far apart.
+     * A fault of processes. With a finite duration, a stopped process is continued, and a killed or terminated one
+     * started again, at its end. {@code staggerS} is the time between one member and the next.
      */
-    record OnProcesses(
-            double at, What what, Targets whom, double lastS, double apartS, boolean emptyFolder, boolean newPorts)
+    record ProcessFaultAction(
+            double at,
+            ProcessAction action,
+            Targets targets,
+            double durationS,
+            double staggerS,
+            boolean emptyFolder,
+            boolean newPorts)
             implements Action {}
 
-    /** What is with the disks of members: {@code full}, {@code broken}, or {@code slow}, each sync by so many seconds. */
-    record OnDisks(double at, String is, double byS, Targets whom, double lastS) implements Action {}
+    /**
+     * A fault of the disks of members: {@code full}, {@code broken}, or {@code slow}, which delays each sync by {@code
+     * byS} seconds.
+     */
+    record DiskFaultAction(double at, String diskFault, double byS, Targets targets, double durationS)
+            implements Action {}
 
-    /** The clocks by which members measure time go forward at once; in simulated time only. */
-    record OnClocks(double at, Targets whom, double byS) implements Action {}
+    /** Moves the clocks of members forward at once; in simulated time only. */
+    record ClockFaultAction(double at, Targets targets, double byS) implements Action {}
 
-    /** Faults drawn for so long: one every so often, each of a kind from the list, lasting between the two. */
-    record Draw(double at, double forS, double everyS, List<String> kinds, double leastS, double mostS, int mostMembers)
+    /**
+     * Random faults over {@code durationS} seconds: one every {@code intervalS}, of a random kind from the list, with a
+     * random duration between the bounds.
+     */
+    record RandomFaultsAction(
+            double at,
+            double durationS,
+            double intervalS,
+            List<String> kinds,
+            double minDurationS,
+            double maxDurationS,
+            int maxMembers)
             implements Action {}
 
-    /** The same with another seed. */
+    /** Returns the same script with another seed. */
     Script seeded(long other) {
-        return new Script(other, names, zones, machines, config, own, ports, checkers, mostS, settleS, lateMost, acts);
+        return new Script(
+                other,
+                names,
+                zones,
+                machines,
+                config,
+                own,
+                ports,
+                checkers,
+                maxDurationS,
+                settleTimeoutS,
+                maxLatenessS,
+                actions);
     }
 
-    /** The configuration of one member, its own keys put in. */
+    /** Returns the configuration of one member, with its own keys merged in. */
     JsonObject configOf(String member) {
         JsonObject all = config.deepCopy();
         if (own.has(member)) {
@@ -122,7 +174,7 @@
         }
     }
 
-    /** The name that a member has in the fleet: another's where its own keys say so. */
+    /** Returns the name that a member has in the fleet: the name of another member if its own keys set it. */
     String named(String member) {
         return own.has(member) && own.getAsJsonObject(member).has("name")
                 ? own.getAsJsonObject(member).get("name").getAsString()
