--- a/src/main/java/pepperdock/faultinjection/ScriptReader.java
+++ b/src/main/java/pepperdock/faultinjection/ScriptReader.java
@@ -14,10 +14,10 @@
 import pepperdock.faultinjection.Script.Action;
 import pepperdock.faultinjection.Script.Port;
 
-/** Reads a rig's file, and checks it; a complaint names the faulty key. */
+/** Reads and validates a script file; an error names the invalid key. */
 final class ScriptReader {
 
-    static final int ACTS_MOST = 10_000;
+    static final int MAX_ACTIONS = 10_000;
     private static final String[] KEYS = {
         "seed",
         "members",
@@ -40,57 +40,59 @@
         return read(file, 0);
     }
 
-    /** {@code members} goes before the file's own count where it is above 0. */
+    /** Reads a script; a {@code members} above 0 overrides the file's own number of members. */
     static Script read(Path file, int members) {
         try {
-            ConfigReader all = ConfigReader.of("", Config.parse(Files.readString(file), file.toString()));
+            ConfigReader reader = ConfigReader.of("", Config.parse(Files.readString(file), file.toString()));
             return read(
-                    members > 0 ? all.with("members", new JsonPrimitive(members)) : all,
+                    members > 0 ? reader.with("members", new JsonPrimitive(members)) : reader,
                     file.toAbsolutePath().getParent());
         } catch (IOException e) {
-            throw new ConfigException(file.toString(), "can't be read");
+            throw new ConfigException(file.toString(), "cannot be read");
         }
     }
 
-    /** {@code folder} is where the file lies: its {@code base} is found from there. */
-    static Script read(ConfigReader k, Path folder) {
-        k.only(KEYS);
-        int n = k.whole("members", 1, Script.MEMBERS_MOST);
-        List<String> names = IntStream.rangeClosed(1, n).mapToObj(i -> "g" + i).toList();
-        JsonObject config = config(k, folder);
-        JsonObject own = own(k, names);
-        List<Port> ports = k.objects("ports").stream().map(ScriptReader::port).toList();
-        List<Action> acts = acts(k, names);
+    /** Reads a script; {@code folder} is the folder of the file, against which {@code base} is resolved. */
+    static Script read(ConfigReader keys, Path folder) {
+        keys.only(KEYS);
+        int memberCount = keys.whole("members", 1, Script.MAX_MEMBERS);
+        List<String> names =
+                IntStream.rangeClosed(1, memberCount).mapToObj(i -> "g" + i).toList();
+        JsonObject config = config(keys, folder);
+        JsonObject own = own(keys, names);
+        List<Port> ports =
+                keys.objects("ports").stream().map(ScriptReader::port).toList();
+        List<Action> actions = actions(keys, names);
         return new Script(
-                (long) k.number("seed", 1),
+                (long) keys.number("seed", 1),
                 names,
-                k.has("zones") ? List.copyOf(k.texts("zones")) : List.of("z"),
-                k.whole("machines", 1, Script.MEMBERS_MOST, n),
+                keys.has("zones") ? List.copyOf(keys.texts("zones")) : List.of("z"),
+                keys.whole("machines", 1, Script.MAX_MEMBERS, memberCount),
                 config,
                 own,
                 ports,
-                List.copyOf(k.texts("checkers")),
-                seconds(k, "most_s", 300, Script.SECONDS_MOST),
-                seconds(k, "settle_s", 60, Script.SECONDS_MOST),
-                seconds(k, "late_most_s", 1, Script.SECONDS_MOST),
-                acts);
+                List.copyOf(keys.texts("checkers")),
+                seconds(keys, "most_s", 300, Script.MAX_SECONDS),
+                seconds(keys, "settle_s", 60, Script.MAX_SECONDS),
+                seconds(keys, "late_most_s", 1, Script.MAX_SECONDS),
+                actions);
     }
 
-    /** The configuration of a member: that of {@code base}, and over it the file's own. */
-    private static JsonObject config(ConfigReader k, Path folder) {
+    /** Returns the configuration of a member: that of {@code base}, overridden by the keys of the file itself. */
+    private static JsonObject config(ConfigReader keys, Path folder) {
         JsonObject config = new JsonObject();
-        if (k.has("base")) {
-            Path base = folder.resolve(k.text("base"));
+        if (keys.has("base")) {
+            Path base = folder.resolve(keys.text("base"));
             try {
                 addAll(
                         config,
-                        Config.parse(Files.readString(base), k.key("base")).getAsJsonObject());
+                        Config.parse(Files.readString(base), keys.key("base")).getAsJsonObject());
             } catch (IOException | IllegalStateException e) {
-                throw new ConfigException(k.key("base"), "no configuration can be read from " + base);
+                throw new ConfigException(keys.key("base"), "cannot read a configuration from " + base);
             }
         }
-        if (k.has("config")) {
-            addAll(config, Config.parse(k.json("config"), k.key("config")).getAsJsonObject());
+        if (keys.has("config")) {
+            addAll(config, Config.parse(keys.json("config"), keys.key("config")).getAsJsonObject());
         }
         return config;
     }
@@ -99,43 +101,43 @@
         from.entrySet().forEach(e -> to.add(e.getKey(), e.getValue()));
     }
 
-    private static JsonObject own(ConfigReader k, List<String> names) {
-        ConfigReader own = k.within("own");
+    private static JsonObject own(ConfigReader keys, List<String> names) {
+        ConfigReader own = keys.within("own");
         for (String name : own.names()) {
             if (!names.contains(name)) {
-                throw new ConfigException(own.key(name), "no such member");
+                throw new ConfigException(own.key(name), "unknown member");
             }
             own.within(name);
         }
-        return k.has("own") ? Config.parse(k.json("own"), k.key("own")).getAsJsonObject() : new JsonObject();
+        return keys.has("own") ? Config.parse(keys.json("own"), keys.key("own")).getAsJsonObject() : new JsonObject();
     }
 
-    private static Port port(ConfigReader p) {
-        p.only("name", "for");
-        String kind = p.text("for");
+    private static Port port(ConfigReader keys) {
+        keys.only("name", "for");
+        String kind = keys.text("for");
         if (!List.of("streams", "datagrams", "both").contains(kind)) {
-            throw new ConfigException(p.key("for"), "neither streams, datagrams nor both");
+            throw new ConfigException(keys.key("for"), "expected streams, datagrams or both");
         }
-        return new Port(p.text("name"), !kind.equals("datagrams"), !kind.equals("streams"));
+        return new Port(keys.text("name"), !kind.equals("datagrams"), !kind.equals("streams"));
     }
 
-    private static List<Action> acts(ConfigReader k, List<String> names) {
-        List<Action> acts = new ArrayList<>();
-        for (ConfigReader act : k.objects("script")) {
-            acts.add(new ActReader(act, names).read());
+    private static List<Action> actions(ConfigReader keys, List<String> names) {
+        List<Action> actions = new ArrayList<>();
+        for (ConfigReader action : keys.objects("script")) {
+            actions.add(new ActionReader(action, names).read());
         }
-        if (acts.size() > ACTS_MOST) {
-            throw new ConfigException(k.key("script"), "more than " + ACTS_MOST + " acts");
+        if (actions.size() > MAX_ACTIONS) {
+            throw new ConfigException(keys.key("script"), "more than " + MAX_ACTIONS + " actions");
         }
-        return List.copyOf(acts);
+        return List.copyOf(actions);
     }
 
-    /** A number of seconds from 0 to {@code most}; {@code otherwise} where there is none. */
-    static double seconds(ConfigReader k, String name, double otherwise, double most) {
-        double s = k.number(name, otherwise);
-        if (!(s >= 0 && s <= most)) {
-            throw new ConfigException(k.key(name), "not a number of seconds from 0 to " + most);
+    /** Returns a number of seconds from 0 to {@code max}, or {@code defaultValue} if the key is missing. */
+    static double seconds(ConfigReader keys, String name, double defaultValue, double max) {
+        double seconds = keys.number(name, defaultValue);
+        if (!(seconds >= 0 && seconds <= max)) {
+            throw new ConfigException(keys.key(name), "must be a number of seconds from 0 to " + max);
         }
-        return s;
+        return seconds;
     }
 }
--- a/src/main/java/pepperdock/faultinjection/Seeds.java
+++ b/src/main/java/pepperdock/faultinjection/Seeds.java
@@ -15,10 +15,10 @@
 import pepperdock.config.MembersConfig;
 import pepperdock.membership.MembershipSettings;
 
-/** A script in simulated time over many seeds, side by side, each seed by itself the same as ever. */
+/** Runs a script in simulated time over many seeds in parallel; the run of a seed is always the same. */
 public final class Seeds {
 
-    /** What is left out of membership, to see its worth. */
+    /** Safeguards of membership that are switched off, to measure their effect. */
     public enum Arm {
         FULL,
         NO_SELF_DOUBT,
@@ -45,7 +45,7 @@
         }
     }
 
-    private record Run(long seed, List<String> findings, MembershipMetrics metrics, long processorNs) {}
+    private record SeedRun(long seed, List<String> findings, MembershipMetrics metrics, long processorNs) {}
 
     private Seeds() {}
 
@@ -53,7 +53,10 @@
         return ManagementFactory.getThreadMXBean().getCurrentThreadCpuTime();
     }
 
-    /** Plays so many seeds from the first on; {@code members} goes before the script's own count where it is above 0. */
+    /**
+     * Runs {@code count} seeds from {@code first} on; {@code members} above 0 overrides the number of members in the
+     * script.
+     */
     public static Outcome run(Path file, long first, int count, int members, Arm arm, int threads)
             throws IOException, InterruptedException {
         Script script = ScriptReader.read(file, members);
@@ -61,14 +64,14 @@
                 arm.of(MembersConfig.timings(new ConfigReader("config", script.config()).needed("members")));
         ExecutorService pool = Executors.newFixedThreadPool(threads);
         try {
-            List<Future<Run>> runs = new ArrayList<>();
+            List<Future<SeedRun>> runs = new ArrayList<>();
             for (int i = 0; i < count; i++) {
-                Script drawn = script.seeded(first + i);
-                runs.add(pool.submit(() -> play(drawn, settings)));
+                Script seeded = script.seeded(first + i);
+                runs.add(pool.submit(() -> play(seeded, settings)));
             }
-            List<Run> ended = new ArrayList<>();
-            for (Future<Run> run : runs) {
-                ended.add(run.get());
+            List<SeedRun> finished = new ArrayList<>();
+            for (Future<SeedRun> run : runs) {
+                finished.add(run.get());
             }
             String title = String.format(
                     Locale.ROOT,
@@ -77,49 +80,49 @@
                     first,
                     script.names().size(),
                     arm.name().toLowerCase(Locale.ROOT));
-            return outcome(title, ended);
+            return outcome(title, finished);
         } catch (ExecutionException e) {
             if (e.getCause() instanceof ConfigException c) {
                 throw c;
             }
-            throw new IllegalStateException("a seed could not be played", e.getCause());
+            throw new IllegalStateException("the simulation of a seed failed", e.getCause());
         } finally {
             pool.shutdownNow();
         }
     }
 
-    private static Run play(Script script, MembershipSettings settings) throws Exception {
-        long began = processorNs();
+    private static SeedRun play(Script script, MembershipSettings settings) throws Exception {
+        long startNs = processorNs();
         Checkers checkers = new Checkers(script.checkers());
-        String unmet = new MembershipSimulation(script, settings, checkers::see).play(checkers);
+        String notReached = new MembershipSimulation(script, settings, checkers::onEvent).play(checkers);
         List<String> findings = new ArrayList<>(
                 checkers.findings(true).stream().map(Checker.Finding::what).toList());
-        if (unmet != null) {
-            findings.add(unmet);
+        if (notReached != null) {
+            findings.add(notReached);
         }
-        return new Run(script.seed(), findings, checkers.membershipMetrics(), processorNs() - began);
+        return new SeedRun(script.seed(), findings, checkers.membershipMetrics(), processorNs() - startNs);
     }
 
-    /** The runs taken together, with the first findings of each. */
-    private static Outcome outcome(String title, List<Run> runs) {
+    /** Combines the runs into one outcome with their metrics and the first two findings of each failed run. */
+    private static Outcome outcome(String title, List<SeedRun> runs) {
         MembershipMetrics all = new MembershipMetrics();
         List<String> findings = new ArrayList<>();
         int failed = 0;
         long processorNs = 0;
-        for (Run run : runs) {
+        for (SeedRun run : runs) {
             if (run.metrics() != null) {
                 all.add(run.metrics());
             }
             processorNs += run.processorNs();
             failed += run.findings().isEmpty() ? 0 : 1;
-            run.findings().stream().limit(2).forEach(x -> findings.add("seed " + run.seed() + ": " + x));
+            run.findings().stream().limit(2).forEach(finding -> findings.add("seed " + run.seed() + ": " + finding));
         }
         List<String> metrics = new ArrayList<>();
         metrics.add(String.format(Locale.ROOT, "%s: %d failed", title, failed));
         metrics.addAll(all.lines());
         metrics.add(String.format(
                 Locale.ROOT,
-                "processor time of the playing, its checkers included: %.1f s, %.3f ms a member and second",
+                "processor time of the simulation including checkers: %.1f s, %.3f ms per member and second",
                 processorNs / 1e9,
                 processorNs / 1e6 / Math.max(1, all.memberSeconds)));
         return new Outcome(true, findings, metrics, 0);
--- a/src/test/java/pepperdock/faultinjection/FaultInjectionRunIT.java
+++ b/src/test/java/pepperdock/faultinjection/FaultInjectionRunIT.java
@@ -11,7 +11,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** The rig on the built jar. */
+/** Runs fault injection on the built jar. */
 class FaultInjectionRunIT {
 
     private static final String JAVA =
@@ -33,7 +33,7 @@
             JAVA, "-Xmx56m", "-XX:+UseSerialGC", "-XX:TieredStopAtLevel=1", "-jar", "target/pepperdock.jar", "serve");
 
     @Test
-    void aFleetIsStartedHurtJudgedAndEnded() throws Exception {
+    void runsAFleetWithFaultsAndChecksIt() throws Exception {
         Outcome outcome = FaultInjectionRun.run(script("""
                 {"await": "settled"},
                 {"fault": "stop", "members": ["g3"], "for": 0.3},
@@ -45,8 +45,10 @@
         List<Event> events = History.read(folder.resolve("run").resolve(FaultInjectionRun.HISTORY));
         assertEquals(5, events.stream().filter(e -> e.what().equals("ready")).count());
         assertEquals(
-                5, events.stream().filter(e -> e.what().equals("exit")).count(), "each ended, also at the run's end");
-        assertTrue(Files.exists(folder.resolve("run/g1/state/snapshot")), "the store lies in the member's own folder");
+                5,
+                events.stream().filter(e -> e.what().equals("exit")).count(),
+                "each process ended, at the latest at the end of the run");
+        assertTrue(Files.exists(folder.resolve("run/g1/state/snapshot")), "the store is in the folder of the member");
         assertEquals(
                 outcome.findings(),
                 FaultInjectionRun.check(folder.resolve("run").resolve(FaultInjectionRun.HISTORY), null)
@@ -56,7 +58,7 @@
     }
 
     @Test
-    void aMemberWhoseDiskIsFullCannotBeginAnewAndOneWhoseDiskIsSlowCan() throws Exception {
+    void memberRestartsOnASlowDiskButNotOnAFullOne() throws Exception {
         Outcome outcome = FaultInjectionRun.run(script("""
                 {"await": "settled"},
                 {"fault": "disk", "is": "slow", "by_s": 0.01, "members": ["g1"]},
@@ -66,7 +68,7 @@
                 {"fault": "kill", "members": ["g2"], "for": 0.1, "folder": "empty"}
                 """), null, folder.resolve("run"), MEMBER);
         assertTrue(
-                outcome.findings().stream().anyMatch(f -> f.contains("g2 ended by itself")),
+                outcome.findings().stream().anyMatch(f -> f.contains("g2 exited unexpectedly with status")),
                 outcome.findings().toString());
         assertTrue(Files.readString(folder.resolve("run/g2/log")).contains("No space left on device"));
         assertTrue(
@@ -75,18 +77,18 @@
     }
 
     @Test
-    void aMemberThatEndsByItselfIsFound() throws Exception {
+    void findsAMemberThatExitsUnexpectedly() throws Exception {
         Path file = script("");
         Files.writeString(file, Files.readString(file).replace("\"leader\": \"g1\"", "\"leader\": \"nobody\""));
         Outcome outcome = FaultInjectionRun.run(file, null, folder.resolve("run"), MEMBER);
         assertTrue(
-                outcome.findings().stream().anyMatch(f -> f.contains("ended by itself, with status 2")),
+                outcome.findings().stream().anyMatch(f -> f.contains("exited unexpectedly with status 2")),
                 outcome.findings().toString());
         assertFalse(outcome.passed());
     }
 
     @Test
-    void noMemberOutlivesARigThatIsKilledNotEvenAStoppedOne() throws Exception {
+    void killingTheRigEndsAllMembersIncludingAStoppedOne() throws Exception {
         Process rig = new ProcessBuilder(
                         JAVA,
                         "-jar",
@@ -104,7 +106,7 @@
         try {
             Path history = folder.resolve("run").resolve(FaultInjectionRun.HISTORY);
             List<ProcessHandle> members = List.of();
-            // The guard and three members; a stopped one is told of in the history only when the rig flushes it.
+            // The guard and three members. The history shows a stop only once the rig has flushed it.
             while (members.size() < 4) {
                 assertTrue(rig.isAlive(), Files.readString(folder.resolve("out")));
                 Thread.sleep(20);
--- a/src/test/java/pepperdock/faultinjection/FaultyDiskTest.java
+++ b/src/test/java/pepperdock/faultinjection/FaultyDiskTest.java
@@ -19,7 +19,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** A member's disk that is full, broken or slow, without the member. */
+/** Tests a disk that is full, broken or slow, without a member. */
 class FaultyDiskTest {
 
     @TempDir
@@ -30,12 +30,12 @@
                 .getFileSystem(URI.create("file:///"));
     }
 
-    private void says(String what) throws IOException {
-        Files.writeString(folder.resolve("disk"), what);
+    private void setFault(String fault) throws IOException {
+        Files.writeString(folder.resolve("disk"), fault);
     }
 
     @Test
-    void aSoundDiskDoesWhatTheOneUnderneathDoes() throws Exception {
+    void diskWithoutFaultBehavesLikeTheUnderlyingOne() throws Exception {
         Path state = disk().getPath(folder.toString(), "state");
         Files.createDirectories(state.resolve("a"));
         Files.write(state.resolve("a").resolve("x"), new byte[] {1, 2, 3});
@@ -50,21 +50,21 @@
     }
 
     @Test
-    void aFullDiskTakesNothingMoreABrokenOneSyncsNothingAndWhatLiesElsewhereIsUntouched() throws Exception {
+    void fullDiskRejectsWritesBrokenDiskRejectsSyncsAndOtherFoldersAreUnaffected() throws Exception {
         Path state = Files.createDirectories(disk().getPath(folder.toString(), "state"));
         try (FileChannel file =
                 FileChannel.open(state.resolve("log"), StandardOpenOption.CREATE, StandardOpenOption.WRITE)) {
-            says("full");
+            setFault("full");
             assertThrows(IOException.class, () -> file.write(ByteBuffer.wrap(new byte[1])));
             file.force(true);
             assertThrows(IOException.class, () -> Files.writeString(state.resolve("new"), "x"));
             Files.writeString(disk().getPath(folder.toString(), "elsewhere"), "x");
-            says("broken");
+            setFault("broken");
             assertEquals(1, file.write(ByteBuffer.wrap(new byte[1])));
             assertThrows(IOException.class, () -> file.force(true));
-            says("");
+            setFault("");
             file.force(true);
-            says("slow 0.001");
+            setFault("slow 0.001");
             file.force(false);
         }
         assertEquals(1, Files.size(folder.resolve("state/log")));
--- a/src/test/java/pepperdock/faultinjection/MembersCheckerTest.java
+++ b/src/test/java/pepperdock/faultinjection/MembersCheckerTest.java
@@ -9,7 +9,7 @@
 import org.junit.jupiter.api.Test;
 import pepperdock.events.Events;
 
-/** The checker finds each fault that is planted in a history, and none in the same history without it. */
+/** The checker finds each violation that is planted in a history, and none in the same history without it. */
 class MembersCheckerTest {
 
     private final List<Event> history = new ArrayList<>();
@@ -64,7 +64,7 @@
     private List<String> found(boolean strict) {
         Checker checker = new MembersChecker(strict);
         for (int i = 0; i < history.size(); i++) {
-            checker.see(i + 1, history.get(i));
+            checker.onEvent(i + 1, history.get(i));
         }
         return checker.findings(true).stream().map(Checker.Finding::what).toList();
     }
@@ -74,7 +74,7 @@
         assertTrue(found.stream().anyMatch(f -> f.contains(what)), found.toString());
     }
 
-    /** b dies, is called gone, and comes back in its next life; with whatever a then tells. */
+    /** b dies, is declared faulty, and comes back in its next generation; a test adds what a publishes then. */
     private void bDiesAndReturns() {
         rig("kill", "members", "b");
         rig("exit", "member", "b", "status", 137);
@@ -86,7 +86,7 @@
     }
 
     @Test
-    void aSoundHistoryHasNothing() {
+    void findsNothingInACorrectHistory() {
         bDiesAndReturns();
         change("a", 4, "b", "b2", 1, "GONE", "HERE");
         rig("traffic", "member", "a", "over_s", 1, "datagrams", 20, "bytes", 900);
@@ -95,57 +95,57 @@
 
     /** A stale record overwrites a newer one, so that a view goes back in time. */
     @Test
-    void anIncarnationThatGoesBack() {
+    void findsADecreasingIncarnation() {
         change("a", 3, "b", "b1", 4, "HERE", "CUT_OFF");
         change("a", 4, "b", "b1", 3, "CUT_OFF", "HERE");
-        assertFound("go back from 4 to 3");
+        assertFound("decrease from 4 to 3");
     }
 
     /** A member restarts, and another one never learns of the new process. */
     @Test
-    void aDeadMemberBelievedAfterItsReturn() {
+    void findsAViewThatMissesARestart() {
         bDiesAndReturns();
-        assertFound("a sees b gone in life b1, and it is running in life b2");
+        assertFound("a sees b gone in generation b1, and it is running in generation b2");
     }
 
     /** A member restarts, and a late message brings back the process that ended. */
     @Test
-    void anOlderLifeBelievedAfterItsReturn() {
+    void findsAnOlderGenerationSeenAfterARestart() {
         bDiesAndReturns();
         change("a", 4, "b", "b1", 1, "GONE", "HERE");
-        assertFound("a sees b here in life b1, and it is running in life b2");
+        assertFound("a sees b here in generation b1, and it is running in generation b2");
     }
 
     /** A view publishes a change twice, leaves one out, and begins one at a state that it never published. */
     @Test
-    void aChangeToldTwiceOrOutOfOrderOrFromSomewhereElse() {
+    void findsAChangePublishedTwiceOrOutOfOrderOrFromAnotherState() {
         change("a", 2, "b", "b1", 0, "HERE", "SLOW");
-        assertFound("told change 2 after 2");
+        assertFound("published change 2 after 2");
         change("a", 4, "b", "b1", 0, "SLOW", "HERE");
-        assertFound("told change 4 after 2");
+        assertFound("published change 4 after 2");
         change("a", 5, "b", "b1", 0, "CUT_OFF", "HERE");
-        assertFound("from CUT_OFF, which it had told as HERE");
+        assertFound("from CUT_OFF, which it had published as HERE");
     }
 
     /** A member refutes a false verdict, and the other one never hears of it. */
     @Test
-    void aRefutationThatIsLost() {
+    void findsALostRefutation() {
         change("a", 3, "b", "b1", 0, "HERE", "GONE");
         member("b", "refuted", "why", "called gone", "amount", 1);
-        assertFound("views never met: a sees b gone");
+        assertFound("views did not converge: a sees b gone");
     }
 
     /** A member dies and nobody ever detects it. */
     @Test
-    void aDeadMemberThatNobodyMisses() {
+    void findsAnUndetectedDeath() {
         rig("kill", "members", "b");
         rig("exit", "member", "b", "status", 137);
-        assertFound("a sees b here in life b1, and it is not running");
+        assertFound("a sees b here in generation b1, and it is not running");
     }
 
     /** A member sends more datagrams in a second than its budget allows. */
     @Test
-    void aBudgetExceeded() {
+    void findsAnExceededBudget() {
         rig("traffic", "member", "b", "over_s", 1, "datagrams", 22, "bytes", 900);
         assertFound("b sent more than its budget");
     }
@@ -155,13 +155,13 @@
      * finds it.
      */
     @Test
-    void aRunningMemberCalledGoneIsAFindingOfTheStrictFormOnly() {
+    void onlyTheStrictFormFindsAFalseVerdictAfterALongPause() {
         rig("stop", "members", "b");
         at += 10;
         change("a", 3, "b", "b1", 0, "HERE", "GONE");
         change("a", 4, "b", "b1", 1, "GONE", "HERE");
         assertEquals(List.of(), found(false));
-        assertEquals(List.of("a called b gone, which was running"), found(true));
+        assertEquals(List.of("a declared b faulty while it was running"), found(true));
     }
 
     /**
@@ -169,7 +169,7 @@
      * apart.
      */
     @Test
-    void whyARunningMemberWasCalledGoneIsToldByWhatHadBefallenIt() {
+    void countsFalseVerdictsByCause() {
         rig("fault on", "number", 1, "kind", "cut", "amount", 0, "links", "a>b b>a");
         change("a", 3, "b", "b1", 0, "HERE", "GONE");
         change("a", 4, "b", "b1", 1, "GONE", "HERE");
@@ -180,9 +180,9 @@
         rig("cont", "members", "b");
         change("a", 6, "b", "b1", 2, "GONE", "HERE");
         Checker checker = new MembersChecker(false);
-        history.forEach(e -> checker.see(1, e));
+        history.forEach(e -> checker.onEvent(1, e));
         assertTrue(
-                checker.metrics().get(1).endsWith(": most links out of it cut 1, stopped longer than is borne 1"),
+                checker.metrics().get(1).endsWith(": most outgoing links cut 1, paused longer than tolerated 1"),
                 checker.metrics().get(1));
         assertEquals(List.of(), checker.findings(false));
     }
@@ -191,33 +191,33 @@
      * A member is declared faulty after loss and a pause that membership promises to tolerate: a finding in any form.
      */
     @Test
-    void aRunningMemberCalledGoneForWhatIsPromisedToBeBorne() {
+    void findsAFalseVerdictAfterToleratedFaults() {
         rig("fault on", "number", 2, "kind", "loss", "amount", 0.3, "links", "a>b b>a");
         rig("stop", "members", "b");
         at += 4;
         rig("cont", "members", "b");
         change("a", 3, "b", "b1", 0, "HERE", "GONE");
         change("a", 4, "b", "b1", 1, "GONE", "HERE");
-        assertEquals(List.of("a called b gone, which was running"), found(false));
+        assertEquals(List.of("a declared b faulty while it was running"), found(false));
     }
 
     /** Two processes have one name, and two views do not agree on which of them holds it. */
     @Test
-    void aNameThatIsOneProcessHereAndAnotherThere() {
+    void findsANameHeldByDifferentProcesses() {
         rig("start", "members", "c");
         life("c", "b", "c1");
         change("c", 1, "a", "a1", 0, "", "HERE");
         change("c", 2, "b", "b1", 0, "", "HERE");
-        assertEquals(List.of(), found(false), "it stays out");
+        assertEquals(List.of(), found(false), "c does not claim the name");
         change("c", 3, "b", "b1", 0, "HERE", "GONE");
         change("c", 4, "b", "c1", 1, "GONE", "HERE");
-        assertFound("b is one process in some views and another in others: lives [b1, c1]");
+        assertFound("b is a different process in different views: generations [b1, c1]");
     }
 
     /** A view publishes a process that never existed. */
     @Test
-    void aLifeThatNoProcessHasHad() {
+    void findsAGenerationThatNeverExisted() {
         change("a", 3, "b", "b9", 1, "HERE", "GONE");
-        assertFound("b was told of in life b9");
+        assertFound("b was published with generation b9");
     }
 }
--- a/src/test/java/pepperdock/faultinjection/MembersIT.java
+++ b/src/test/java/pepperdock/faultinjection/MembersIT.java
@@ -12,10 +12,13 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** The hard cases of membership on five real processes each, in short form; a machine that is late is given another try. */
+/**
+ * Runs the hard cases of membership, shortened, on five real processes each. A run on which the machine was late is
+ * repeated.
+ */
 class MembersIT {
 
-    private static final int TRIES = 3;
+    private static final int MAX_TRIES = 3;
     private static final List<String> MEMBER = List.of(
             Path.of(System.getProperty("java.home"), "bin", "java").toString(),
             "-Xmx56m",
@@ -29,9 +32,9 @@
     @TempDir
     Path folder;
 
-    private Outcome played(String name) throws Exception {
+    private Outcome runWithRetries(String name) throws Exception {
         Outcome outcome = null;
-        for (int i = 0; i < TRIES && (outcome == null || !outcome.counts()); i++) {
+        for (int i = 0; i < MAX_TRIES && (outcome == null || !outcome.counts()); i++) {
             outcome = FaultInjectionRun.run(
                     Path.of("deploy/rig/" + name + ".json"), null, folder.resolve(name + i), MEMBER);
         }
@@ -39,19 +42,19 @@
     }
 
     @Test
-    void nobodyWhoRunsIsCalledGoneWhereNobodyNeedBeAndAllAgreeAfterwards() throws Exception {
-        ExecutorService all = Executors.newFixedThreadPool(3);
+    void hardCasesCauseNoFalseVerdictsAndAllViewsConverge() throws Exception {
+        ExecutorService pool = Executors.newFixedThreadPool(3);
         try {
             List<Future<Outcome>> runs = new ArrayList<>();
             for (String name : List.of("members-hold", "members-fall", "members-twice")) {
-                runs.add(all.submit(() -> played(name)));
+                runs.add(pool.submit(() -> runWithRetries(name)));
             }
             for (Future<Outcome> run : runs) {
                 assertEquals(List.of(), run.get().findings());
-                assertTrue(run.get().counts(), "the machine was late in each of " + TRIES + " tries");
+                assertTrue(run.get().counts(), "the machine was late in each of " + MAX_TRIES + " tries");
             }
         } finally {
-            all.shutdownNow();
+            pool.shutdownNow();
         }
     }
 }
--- a/src/test/java/pepperdock/faultinjection/MembershipSimulationTest.java
+++ b/src/test/java/pepperdock/faultinjection/MembershipSimulationTest.java
@@ -13,7 +13,10 @@
 import pepperdock.config.ConfigReader;
 import pepperdock.membership.MembershipSettings;
 
-/** Membership in simulated time, at its default timings: the hard cases over seeds, each fault found once among them. */
+/**
+ * Tests membership in simulated time with its default timings: hard cases over several seeds, among them each fault that
+ * was found once.
+ */
 class MembershipSimulationTest {
 
     private static final MembershipSettings SETTINGS = MembershipSettings.of(0.5, 3, 3);
@@ -31,18 +34,19 @@
                 Path.of("."));
     }
 
-    /** What was found over so many seeds, and the figures of all. */
+    /** Returns the findings over this number of seeds, and adds the metrics of all runs. */
     private static List<String> found(Script script, MembershipSettings settings, int seeds, MembershipMetrics all) {
         List<String> found = new ArrayList<>();
         for (int seed = 1; seed <= seeds; seed++) {
-            Checkers judge = new Checkers(script.checkers());
-            String unmet = new MembershipSimulation(script.seeded(seed), settings, judge::see).play(judge);
-            String of = "seed " + seed + ": ";
-            judge.findings(true).forEach(f -> found.add(of + f.what()));
+            Checkers checkerSet = new Checkers(script.checkers());
+            String unmet =
+                    new MembershipSimulation(script.seeded(seed), settings, checkerSet::onEvent).play(checkerSet);
+            String prefix = "seed " + seed + ": ";
+            checkerSet.findings(true).forEach(f -> found.add(prefix + f.what()));
             if (unmet != null) {
-                found.add(of + unmet);
+                found.add(prefix + unmet);
             }
-            all.add(judge.membershipMetrics());
+            all.add(checkerSet.membershipMetrics());
         }
         return found;
     }
@@ -54,23 +58,23 @@
     @ParameterizedTest(name = "{0}")
     @CsvSource(delimiter = '|', textBlock = """
             a pause under the bound         | {'fault':'stop','members':1,'for':4.5}, {'at':12,'fault':'stop','members':1,'for':0.2}
-            it ends while one is cut off    | {'fault':'stop','members':['g5'],'for':4.9}, {'at':4,'fault':'cut','from':['g2'],'both':true,'for':4}
-            and cut off just before its end | {'fault':'stop','members':['g5'],'for':4.9}, {'at':4.8,'fault':'cut','from':['g2'],'both':true,'for':4}
-            five of ten paused in step      | {'fault':'stop','members':5,'for':4.5}
-            all paused in step              | {'fault':'stop','for':20}
-            everybody late                  | {'fault':'stop','for':0.3,'apart_s':0.05}, {'at':1,'fault':'stop','for':1}, {'at':3,'fault':'stop','for':2}
+            pause ends while one is cut off | {'fault':'stop','members':['g5'],'for':4.9}, {'at':4,'fault':'cut','from':['g2'],'both':true,'for':4}
+            cut off just before a pause ends| {'fault':'stop','members':['g5'],'for':4.9}, {'at':4.8,'fault':'cut','from':['g2'],'both':true,'for':4}
+            five of ten paused together     | {'fault':'stop','members':5,'for':4.5}
+            all paused together             | {'fault':'stop','for':20}
+            all delayed by short pauses     | {'fault':'stop','for':0.3,'apart_s':0.05}, {'at':1,'fault':'stop','for':1}, {'at':3,'fault':'stop','for':2}
             a third of all datagrams lost   | {'fault':'loss','share':0.3,'for':30}
             one link cut one way            | {'fault':'cut','from':['g2'],'to':['g3'],'for':30}
             all links into one cut          | {'fault':'cut','to':['g3'],'for':30}
-            a flip-flop out of one          | {'fault':'cut','from':['g3'],'for':20,'flip_s':1}
-            a flip-flop into one            | {'fault':'cut','to':['g3'],'for':20,'flip_s':1}
+            flipping cut out of one member  | {'fault':'cut','from':['g3'],'for':20,'flip_s':1}
+            flipping cut into one member    | {'fault':'cut','to':['g3'],'for':20,'flip_s':1}
             A reaches B only through C      | {'fault':'cut','from':['g1'],'to':['g2'],'both':true,'for':30}
-            halves                          | {'fault':'partition','into':2,'for':30}
+            partition into halves           | {'fault':'partition','into':2,'for':30}
             a clock an hour ahead at once   | {'fault':'clock','members':1,'by_s':3600}
             all clocks an hour ahead        | {'fault':'clock','by_s':3600}
-            thirds                          | {'fault':'partition','into':3,'for':30}
+            partition into thirds           | {'fault':'partition','into':3,'for':30}
             """)
-    void nobodyWhoRunsIsCalledGone(String name, String acts) {
+    void toleratedFaultsCauseNoFalseVerdict(String name, String acts) {
         assertEquals(List.of(), found(script(10, true, acts), SETTINGS, 10, new MembershipMetrics()));
     }
 
@@ -92,7 +96,7 @@
             the first seed gone for good    | {'fault':'kill','members':['g1']}, {'at':10,'fault':'kill','members':['g7'],'for':1}
             drawn faults                    | {'fault':'drawn','for':120,'every_s':4,'most_members':2}
             """)
-    void viewsMeetAgainAfterwards(String name, String acts) {
+    void viewsConvergeAfterFailures(String name, String acts) {
         assertEquals(List.of(), found(script(10, false, acts), SETTINGS, 10, new MembershipMetrics()));
     }
 
@@ -101,7 +105,7 @@
      * faulty.
      */
     @Test
-    void aFleetOfSixtyLosesAThirdWithinItsBudgetAndInOneChange() {
+    void sixtyMembersDetectTheLossOfAThird() {
         MembershipMetrics metrics = new MembershipMetrics();
         assertEquals(List.of(), found(script(60, false, "{'fault':'kill','members':20}"), SETTINGS, 2, metrics));
         assertEquals(2 * 20 * 40, metrics.detectionMs.getTotalCount());
@@ -109,56 +113,59 @@
     }
 
     /**
-     * Sixty members that join at once have more to tell each other than a small budget carries. Probes and their answers go
-     * before it: nobody is in doubt for want of budget, the fleet settles, and a death is noticed as ever.
+     * Sixty members that join at once have more to tell each other than a small budget allows. Probes and their replies
+     * take precedence: no member is suspected for lack of budget, the fleet settles, and a death is detected as usual.
      */
     @Test
-    void aFleetOfSixtyJoinsAtOnceWithinASmallBudget() {
+    void sixtyMembersJoinAtOnceWithASmallBudget() {
         MembershipSettings small =
                 new MembershipSettings(0.5, 3, 3, 8, 0.75, 2, 3, 0.5, 30, 3600, 50, 15_000, 2000, true);
-        MembershipMetrics figures = new MembershipMetrics();
-        assertEquals(List.of(), found(script(60, true, "{'fault':'kill','members':1}"), small, 2, figures));
-        assertEquals(2 * 59, figures.detectionMs.getTotalCount());
-        assertTrue(figures.detectionMs.getMaxValue() < 7_500, figures.lines()::toString);
+        MembershipMetrics metrics = new MembershipMetrics();
+        assertEquals(List.of(), found(script(60, true, "{'fault':'kill','members':1}"), small, 2, metrics));
+        assertEquals(2 * 59, metrics.detectionMs.getTotalCount());
+        assertTrue(metrics.detectionMs.getMaxValue() < 7_500, metrics.lines()::toString);
     }
 
-    /** Joining, ten deaths and whatever is exchanged for it: in no second more than half as much again as the budget. */
+    /** While members join and ten die, no member sends more than 1.5 times its budget in any second. */
     @Test
-    void aFleetOfHundredAndFiftyKeepsItsBudgetInEverySecond() {
-        MembershipMetrics figures = new MembershipMetrics();
-        assertEquals(List.of(), found(script(150, true, "{'fault':'kill','members':10}"), SETTINGS, 1, figures));
-        assertEquals(10 * 140, figures.detectionMs.getTotalCount());
-        assertTrue(figures.bytes.getMaxValue() <= 1.5 * SETTINGS.bytesPerS(), figures.lines()::toString);
+    void fleetOf150StaysWithinItsBudgetInEverySecond() {
+        MembershipMetrics metrics = new MembershipMetrics();
+        assertEquals(List.of(), found(script(150, true, "{'fault':'kill','members':10}"), SETTINGS, 1, metrics));
+        assertEquals(10 * 140, metrics.detectionMs.getTotalCount());
+        assertTrue(metrics.bytes.getMaxValue() <= 1.5 * SETTINGS.bytesPerS(), metrics.lines()::toString);
     }
 
-    /** A member that hears nothing accuses all others: it doubts itself, or several must agree; without both they are gone. */
+    /**
+     * A member that receives nothing suspects all others. It doubts itself, and several observers must agree; only
+     * without both safeguards are the others declared faulty.
+     */
     @Test
-    void oneThatHearsNothingBringsDownOthersOnlyWhereBothGuardsAreLeftOut() {
-        String deaf = "{'fault':'cut','to':['g3'],'for':20}";
-        assertEquals(0, falseGone(Seeds.Arm.FULL, deaf));
-        assertEquals(0, falseGone(Seeds.Arm.NO_SELF_DOUBT, deaf));
-        assertEquals(0, falseGone(Seeds.Arm.ONE_OBSERVER, deaf));
-        assertTrue(falseGone(Seeds.Arm.PLAIN, deaf) > 0);
+    void deafMemberCausesFalseVerdictsOnlyWithoutBothSafeguards() {
+        String receivesNothing = "{'fault':'cut','to':['g3'],'for':20}";
+        assertEquals(0, falseVerdicts(Seeds.Arm.FULL, receivesNothing));
+        assertEquals(0, falseVerdicts(Seeds.Arm.NO_SELF_DOUBT, receivesNothing));
+        assertEquals(0, falseVerdicts(Seeds.Arm.ONE_OBSERVER, receivesNothing));
+        assertTrue(falseVerdicts(Seeds.Arm.PLAIN, receivesNothing) > 0);
     }
 
-    private static long falseGone(Seeds.Arm arm, String acts) {
+    private static long falseVerdicts(Seeds.Arm arm, String acts) {
         MembershipMetrics metrics = new MembershipMetrics();
         found(script(10, false, acts), arm.of(SETTINGS), 5, metrics);
         return metrics.falseVerdicts;
     }
 
     @Test
-    void theSameSeedGivesTheSameHistory() {
+    void sameSeedGivesSameHistory() {
         Script script = script(8, false, "{'fault':'drawn','for':60,'every_s':3,'most_members':2}");
         List<String> first = new ArrayList<>();
         List<String> second = new ArrayList<>();
         for (List<String> to : List.of(first, second)) {
-            Checkers judge = new Checkers(script.checkers());
+            Checkers checkerSet = new Checkers(script.checkers());
             new MembershipSimulation(script, SETTINGS, e -> {
-                        judge.see(e);
+                        checkerSet.onEvent(e);
                         to.add(e.toString());
                     })
-                    .play(judge);
+                    .play(checkerSet);
         }
         assertTrue(first.size() > 500);
         assertEquals(first, second);
--- a/src/test/java/pepperdock/faultinjection/RelayTest.java
+++ b/src/test/java/pepperdock/faultinjection/RelayTest.java
@@ -25,12 +25,12 @@
 import pepperdock.faultinjection.LinkFaults.Kind;
 import pepperdock.faultinjection.LinkFaults.Pair;
 
-/** Real sockets through the relay. */
+/** Tests real sockets through the relay. */
 class RelayTest {
 
     private static final int DATAGRAMS = 7300;
     private static final int STREAMS = 7301;
-    private static final Set<Pair> THERE = Set.of(new Pair("g1", "g2"));
+    private static final Set<Pair> FORWARD = Set.of(new Pair("g1", "g2"));
 
     private FaultInjectionRun.Claim claim;
     private Relay relay;
@@ -40,14 +40,16 @@
 
     @BeforeEach
     void open() throws IOException {
-        claim = FaultInjectionRun.Claim.any();
+        claim = FaultInjectionRun.Claim.acquire();
         relay = new Relay(claim.block(), 1);
         one = new DatagramSocket(new InetSocketAddress(Relay.host(claim.block(), 1), DATAGRAMS));
         two = new DatagramSocket(new InetSocketAddress(Relay.host(claim.block(), 2), DATAGRAMS));
         server = new ServerSocket(STREAMS, 5, InetAddress.getByName(Relay.host(claim.block(), 2)));
         for (String to : List.of("g1", "g2")) {
-            relay.lay(
-                    to, List.of("g1", "g2"), List.of(new Relay.Laid(DATAGRAMS, false), new Relay.Laid(STREAMS, true)));
+            relay.openLinks(
+                    to,
+                    List.of("g1", "g2"),
+                    List.of(new Relay.RelayPort(DATAGRAMS, false), new Relay.RelayPort(STREAMS, true)));
         }
         one.setSoTimeout(30_000);
         two.setSoTimeout(30_000);
@@ -74,19 +76,22 @@
         return new String(p.getData(), 0, p.getLength(), StandardCharsets.US_ASCII);
     }
 
-    /** Has the relay's thread come by here: what was asked of it before is in force. */
-    private void inForce() throws Exception {
+    /** Waits until the relay has executed all earlier tasks, so that faults set before are active. */
+    private void awaitRelay() throws Exception {
         CompletableFuture<Void> done = new CompletableFuture<>();
         relay.execute(() -> done.complete(null));
         done.get(30, TimeUnit.SECONDS);
     }
 
-    /** Waits until the relay has read so many datagrams of the first member; returns how many of them it lost. */
+    /**
+     * Waits until the relay has read this number of datagrams from the first member; returns how many of them it
+     * dropped.
+     */
     private long read(int count) throws Exception {
         long lost = 0;
         for (long read = 0; read < count; ) {
             CompletableFuture<Relay.Traffic> some = new CompletableFuture<>();
-            relay.taken(all -> some.complete(all.getOrDefault("g1", new Relay.Traffic())));
+            relay.takeTraffic(all -> some.complete(all.getOrDefault("g1", new Relay.Traffic())));
             read += some.get(30, TimeUnit.SECONDS).datagrams;
             lost += some.get().lost;
         }
@@ -94,28 +99,28 @@
     }
 
     @Test
-    void aCutOneWayLosesWhatIsSentThatWayAndNothingElse() throws Exception {
-        relay.on(1, new Fault(Kind.CUT, THERE, 0, 0));
-        inForce();
+    void oneWayCutDropsOnlyThatDirection() throws Exception {
+        relay.beginFault(1, new Fault(Kind.CUT, FORWARD, 0, 0));
+        awaitRelay();
         send(one, 1, 2, "lost");
         send(two, 2, 1, "back");
         assertEquals("back", received(one));
         assertEquals(1, read(1));
-        relay.off(1);
-        inForce();
+        relay.endFault(1);
+        awaitRelay();
         send(one, 1, 2, "there");
         assertEquals("there", received(two));
     }
 
     @Test
-    void aDelayedDatagramArrivesInTheEndAndADoubledOneTwice() throws Exception {
-        relay.on(1, new Fault(Kind.DELAY, THERE, 0.5, 0));
-        inForce();
+    void delayedDatagramArrivesLateAndDuplicatedOneTwice() throws Exception {
+        relay.beginFault(1, new Fault(Kind.DELAY, FORWARD, 0.5, 0));
+        awaitRelay();
         send(one, 1, 2, "slow");
         assertEquals(0, read(1));
-        relay.off(1);
-        relay.on(2, new Fault(Kind.DUPLICATE, THERE, 1, 0));
-        inForce();
+        relay.endFault(1);
+        relay.beginFault(2, new Fault(Kind.DUPLICATE, FORWARD, 1, 0));
+        awaitRelay();
         send(one, 1, 2, "quick");
         List<String> got = new ArrayList<>(List.of(received(two), received(two), received(two)));
         assertTrue(got.remove("slow"));
@@ -123,14 +128,14 @@
     }
 
     @Test
-    void aStreamStandsWhileCutAndGoesOnWholeAndEndsAsItWasEnded() throws Exception {
+    void streamWaitsWhileCutThenDeliversAllBytesAndCanBeReset() throws Exception {
         try (Socket near = new Socket(Relay.host(claim.block(), 1, 2), STREAMS);
                 Socket far = server.accept()) {
             near.getOutputStream().write(1);
             assertEquals(1, far.getInputStream().read());
-            relay.on(1, new Fault(Kind.CUT, THERE, 0, 0));
-            relay.on(2, new Fault(Kind.THROTTLE, Set.of(new Pair("g2", "g1")), 1 << 20, 0));
-            inForce();
+            relay.beginFault(1, new Fault(Kind.CUT, FORWARD, 0, 0));
+            relay.beginFault(2, new Fault(Kind.THROTTLE, Set.of(new Pair("g2", "g1")), 1 << 20, 0));
+            awaitRelay();
             far.getOutputStream().write(new byte[300_000]);
             assertEquals(300_000, near.getInputStream().readNBytes(300_000).length);
             near.getOutputStream().write(new byte[100_000]);
@@ -139,16 +144,16 @@
             assertThrows(
                     SocketTimeoutException.class, () -> far.getInputStream().read());
             far.setSoTimeout(30_000);
-            relay.off(1);
+            relay.endFault(1);
             assertEquals(100_000, far.getInputStream().readAllBytes().length);
         }
         try (Socket near = new Socket(Relay.host(claim.block(), 1, 2), STREAMS);
                 Socket far = server.accept()) {
             near.setSoTimeout(30_000);
-            relay.reset(THERE);
+            relay.reset(FORWARD);
             assertThrows(IOException.class, () -> {
                 near.getInputStream().read();
-                throw new AssertionError("ended, not reset");
+                throw new AssertionError("the stream ended without a reset");
             });
             assertTrue(far.isConnected());
         }
