--- a/src/main/java/pepperdock/cli/LabCommand.java
+++ b/src/main/java/pepperdock/cli/LabCommand.java
@@ -16,7 +16,7 @@
 import pepperdock.faultinjection.FaultInjectionRun;
 import pepperdock.faultinjection.Outcome;
 import pepperdock.faultinjection.Report;
-import pepperdock.faultinjection.Seeds;
+import pepperdock.faultinjection.SeedSweep;
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Model.CommandSpec;
 import picocli.CommandLine.Option;
@@ -152,7 +152,7 @@
                 defaultValue = "FULL",
                 description =
                         "What is left out, to see its worth:" + " ${COMPLETION-CANDIDATES}. Default: ${DEFAULT-VALUE}")
-        private Seeds.Arm arm;
+        private SeedSweep.Arm arm;
 
         @Option(names = "--threads", paramLabel = "N", description = "Seeds played side by side. Default: one a core.")
         private int threads = Runtime.getRuntime().availableProcessors();
@@ -162,7 +162,7 @@
 
         @Override
         public Integer call() throws IOException, InterruptedException {
-            Outcome outcome = Seeds.run(file, from, seeds, members, arm, threads);
+            Outcome outcome = SeedSweep.run(file, from, seeds, members, arm, threads);
             PrintWriter out = spec.commandLine().getOut();
             outcome.metrics().forEach(out::println);
             outcome.findings().stream().limit(20).forEach(f -> out.println("FOUND " + f));
--- a/src/main/java/pepperdock/faultinjection/Seeds.java
+++ b/src/main/java/pepperdock/faultinjection/SeedSweep.java
@@ -16,7 +16,7 @@
 import pepperdock.membership.MembershipSettings;
 
 /** Runs a script in simulated time over many seeds in parallel; the run of a seed is always the same. */
-public final class Seeds {
+public final class SeedSweep {
 
     /** Safeguards of membership that are switched off, to measure their effect. */
     public enum Arm {
@@ -47,7 +47,7 @@
 
     private record SeedRun(long seed, List<String> findings, MembershipMetrics metrics, long processorNs) {}
 
-    private Seeds() {}
+    private SeedSweep() {}
 
     private static long processorNs() {
         return ManagementFactory.getThreadMXBean().getCurrentThreadCpuTime();
--- a/src/test/java/pepperdock/faultinjection/MembershipSimulationTest.java
+++ b/src/test/java/pepperdock/faultinjection/MembershipSimulationTest.java
@@ -142,13 +142,13 @@
     @Test
     void deafMemberCausesFalseVerdictsOnlyWithoutBothSafeguards() {
         String receivesNothing = "{'fault':'cut','to':['g3'],'for':20}";
-        assertEquals(0, falseVerdicts(Seeds.Arm.FULL, receivesNothing));
-        assertEquals(0, falseVerdicts(Seeds.Arm.NO_SELF_DOUBT, receivesNothing));
-        assertEquals(0, falseVerdicts(Seeds.Arm.ONE_OBSERVER, receivesNothing));
-        assertTrue(falseVerdicts(Seeds.Arm.PLAIN, receivesNothing) > 0);
+        assertEquals(0, falseVerdicts(SeedSweep.Arm.FULL, receivesNothing));
+        assertEquals(0, falseVerdicts(SeedSweep.Arm.NO_SELF_DOUBT, receivesNothing));
+        assertEquals(0, falseVerdicts(SeedSweep.Arm.ONE_OBSERVER, receivesNothing));
+        assertTrue(falseVerdicts(SeedSweep.Arm.PLAIN, receivesNothing) > 0);
     }
 
-    private static long falseVerdicts(Seeds.Arm arm, String acts) {
+    private static long falseVerdicts(SeedSweep.Arm arm, String acts) {
         MembershipMetrics metrics = new MembershipMetrics();
         found(script(10, false, acts), arm.of(SETTINGS), 5, metrics);
         return metrics.falseVerdicts;
