--- a/src/main/java/pepperdock/cli/LabCommand.java
+++ b/src/main/java/pepperdock/cli/LabCommand.java
@@ -47,7 +47,7 @@
     private static int tell(PrintWriter out, Outcome outcome, Path history) throws IOException {
         Report.text(history, outcome).forEach(out::println);
         out.println(outcome.verdict());
-        return outcome.passed() ? 0 : outcome.counts() ? 1 : NOT_COUNTED;
+        return outcome.passed() ? 0 : outcome.valid() ? 1 : NOT_COUNTED;
     }
 
     /** Plays a script. */
--- a/src/main/java/pepperdock/faultinjection/FaultInjectionRun.java
+++ b/src/main/java/pepperdock/faultinjection/FaultInjectionRun.java
@@ -68,19 +68,19 @@
                                         history.toString(), "not the history of a run: it has no event script")));
         events.forEach(checkerSet::onEvent);
         double lateS = 0;
-        boolean counts = true;
+        boolean valid = true;
         for (Event e : events) {
             if (e.isRigEvent() && e.what().equals("late")) {
                 lateS += e.number("by");
             } else if (e.isRigEvent() && e.what().equals("verdict")) {
-                counts = !e.text("verdict").equals("does not count");
+                valid = !e.text("verdict").equals("does not count");
             }
         }
         List<String> findings = new ArrayList<>(describe(checkerSet.findings(true)));
         events.stream()
                 .filter(e -> e.isRigEvent() && e.what().equals("not reached"))
                 .forEach(e -> findings.add(notReached(e.text("awaited"), e.text("members"))));
-        return new Outcome(counts, findings, checkerSet.metrics(), lateS);
+        return new Outcome(valid, findings, checkerSet.metrics(), lateS);
     }
 
     private static List<String> describe(List<Checker.Finding> findings) {
--- a/src/test/java/pepperdock/faultinjection/MembersIT.java
+++ b/src/test/java/pepperdock/faultinjection/MembersIT.java
@@ -34,7 +34,7 @@
 
     private Outcome runWithRetries(String name) throws Exception {
         Outcome outcome = null;
-        for (int i = 0; i < MAX_TRIES && (outcome == null || !outcome.counts()); i++) {
+        for (int i = 0; i < MAX_TRIES && (outcome == null || !outcome.valid()); i++) {
             outcome = FaultInjectionRun.run(
                     Path.of("deploy/rig/" + name + ".json"), null, folder.resolve(name + i), MEMBER);
         }
@@ -51,7 +51,7 @@
             }
             for (Future<Outcome> run : runs) {
                 assertEquals(List.of(), run.get().findings());
-                assertTrue(run.get().counts(), "the machine was late in each of " + MAX_TRIES + " tries");
+                assertTrue(run.get().valid(), "the machine was late in each of " + MAX_TRIES + " tries");
             }
         } finally {
             pool.shutdownNow();
