--- a/src/main/java/pepperdock/faultinjection/ChildProcesses.java
+++ b/src/main/java/pepperdock/faultinjection/ChildProcesses.java
@@ -87,7 +87,7 @@
         List<String> toStart = new ArrayList<>();
         for (String name : names) {
             Child child = children.get(name);
-            if (up(name) && (!child.ending || !child.process.waitFor(EXIT_TIMEOUT_S, TimeUnit.SECONDS))) {
+            if (isUp(name) && (!child.ending || !child.process.waitFor(EXIT_TIMEOUT_S, TimeUnit.SECONDS))) {
                 history.addRigEvent("still there", "member", name);
                 continue;
             }
@@ -191,7 +191,7 @@
 
     /** Sends a signal to those of these members that run. */
     void signal(FaultSchedule.ProcessSignal signal, List<String> names) throws IOException {
-        List<String> up = names.stream().filter(this::up).toList();
+        List<String> up = names.stream().filter(this::isUp).toList();
         if (!up.isEmpty()) {
             String signalName = signal.name();
             history.addRigEvent(signalName.toLowerCase(java.util.Locale.ROOT), "members", String.join(",", up));
@@ -217,15 +217,15 @@
         }
     }
 
-    boolean up(String name) {
+    boolean isUp(String name) {
         Process process = children.get(name).process;
         return process != null && process.isAlive();
     }
 
     /** Records how much processor time each running process has used since its start. */
-    void processorTimes() {
+    void recordProcessorTimes() {
         children.forEach((name, child) -> {
-            if (up(name)) {
+            if (isUp(name)) {
                 ProcessHandle.Info info = child.process.info();
                 if (info.totalCpuDuration().isPresent()) {
                     history.addRigEvent(
@@ -258,18 +258,20 @@
 
     private String placeholderValue(String name, Matcher placeholder) {
         int number = Relay.number(name);
-        String of = placeholder.group(2);
+        String argument = placeholder.group(2);
         return switch (placeholder.group(1)) {
             case "name" -> name;
             case "number" -> String.valueOf(number);
             case "host" -> Relay.host(block, number);
-            case "host_of" -> Relay.host(block, Relay.number(of));
+            case "host_of" -> Relay.host(block, Relay.number(argument));
             case "zone" -> script.zones().get((number - 1) % script.zones().size());
             case "machine" -> "m" + ((number - 1) % script.machines() + 1);
             case "folder" ->
                 folder.resolve(name).resolve(FaultyDisk.STATE_FOLDER).toString();
-            case "port" -> String.valueOf(port(name, of));
-            case "port_of" -> String.valueOf(port(of.substring(0, of.indexOf('.')), of.substring(of.indexOf('.') + 1)));
+            case "port" -> String.valueOf(port(name, argument));
+            case "port_of" ->
+                String.valueOf(port(
+                        argument.substring(0, argument.indexOf('.')), argument.substring(argument.indexOf('.') + 1)));
             default -> throw new IllegalArgumentException(placeholder.group());
         };
     }
--- a/src/main/java/pepperdock/faultinjection/FaultInjectionRun.java
+++ b/src/main/java/pepperdock/faultinjection/FaultInjectionRun.java
@@ -99,7 +99,7 @@
             throw new ConfigException("script", "fault clock needs simulated time: processes use the system clock");
         }
         Checkers checkerSet = new Checkers(script.checkers());
-        List<String> unmet = new ArrayList<>();
+        List<String> unreachedConditions = new ArrayList<>();
         try (Claim claim = Claim.acquire();
                 History history = new History(folder.resolve(HISTORY), checkerSet::onEvent);
                 Relay relay = new Relay(claim.block, script.seed());
@@ -123,20 +123,20 @@
                     String.join(",", script.checkers()));
             double lateS;
             try (SchedulingDelayMonitor delayMonitor = new SchedulingDelayMonitor(history)) {
-                play(steps, checkerSet, history, relay, children, unmet);
+                play(steps, checkerSet, history, relay, children, unreachedConditions);
                 lateS = delayMonitor.totalLateS();
             }
-            children.processorTimes();
+            children.recordProcessorTimes();
             children.signal(FaultSchedule.ProcessSignal.CONT, script.names());
             children.signal(FaultSchedule.ProcessSignal.TERM, script.names());
             double until = history.now() + 10;
-            while (script.names().stream().anyMatch(children::up) && history.now() < until) {
+            while (script.names().stream().anyMatch(children::isUp) && history.now() < until) {
                 Thread.sleep(POLL_INTERVAL_MS);
             }
             children.killAll();
             Runtime.getRuntime().removeShutdownHook(hook);
             List<String> findings = new ArrayList<>(describe(checkerSet.findings(true)));
-            findings.addAll(unmet);
+            findings.addAll(unreachedConditions);
             Outcome outcome = new Outcome(lateS <= script.maxLatenessS(), findings, checkerSet.metrics(), lateS);
             history.addRigEvent("verdict", "verdict", outcome.verdict());
             return outcome;
@@ -149,7 +149,7 @@
             History history,
             Relay relay,
             ChildProcesses children,
-            List<String> unmet)
+            List<String> unreachedConditions)
             throws IOException, InterruptedException {
         double lastTraffic = history.now();
         children.start(script.names(), false, false);
@@ -160,7 +160,7 @@
                         wait > 0;
                         wait = base + timed.at() - history.now()) {
                     Thread.sleep((long) Math.min(wait * 1e3 + 1, 200));
-                    lastTraffic = traffic(history, relay, lastTraffic);
+                    lastTraffic = recordTraffic(history, relay, lastTraffic);
                 }
                 step(timed.step(), history, relay, children);
             }
@@ -173,29 +173,29 @@
                 if (history.now() >= until) {
                     String names = members.stream().sorted().collect(Collectors.joining(","));
                     history.addRigEvent("not reached", "awaited", awaited.condition(), "members", names);
-                    unmet.add(notReached(awaited.condition(), names));
+                    unreachedConditions.add(notReached(awaited.condition(), names));
                     return;
                 }
                 Thread.sleep(POLL_INTERVAL_MS);
-                lastTraffic = traffic(history, relay, lastTraffic);
+                lastTraffic = recordTraffic(history, relay, lastTraffic);
             }
             history.addRigEvent("reached", "awaited", awaited.condition());
         }
     }
 
     /** Records once a second what each member has sent since the last time, as counted by the relay. */
-    private static double traffic(History history, Relay relay, double last) throws IOException {
+    private static double recordTraffic(History history, Relay relay, double lastTraffic) throws IOException {
         relay.checkRunning();
         double now = history.now();
-        if (now - last < 1) {
-            return last;
+        if (now - lastTraffic < 1) {
+            return lastTraffic;
         }
         relay.takeTraffic(all -> all.forEach((member, t) -> history.addRigEvent(
                 "traffic",
                 "member",
                 member,
                 "over_s",
-                Math.round((now - last) * 1e3) / 1e3,
+                Math.round((now - lastTraffic) * 1e3) / 1e3,
                 "datagrams",
                 t.datagrams,
                 "bytes",
@@ -211,12 +211,12 @@
 
     private static void step(FaultSchedule.Step step, History history, Relay relay, ChildProcesses children)
             throws IOException, InterruptedException {
-        if (step instanceof FaultSchedule.BeginFault on) {
-            LinkFaults.Fault fault = on.fault();
+        if (step instanceof FaultSchedule.BeginFault begin) {
+            LinkFaults.Fault fault = begin.fault();
             history.addRigEvent(
                     "fault on",
                     "number",
-                    on.number(),
+                    begin.number(),
                     "kind",
                     fault.kind().name().toLowerCase(Locale.ROOT),
                     "amount",
@@ -225,13 +225,13 @@
                     fault.spread(),
                     "links",
                     LinkFaults.formatPairs(fault.pairs()));
-            relay.beginFault(on.number(), fault);
-        } else if (step instanceof FaultSchedule.EndFault off) {
-            history.addRigEvent("fault off", "number", off.number());
-            relay.endFault(off.number());
-        } else if (step instanceof FaultSchedule.ResetStreams cut) {
-            history.addRigEvent("reset", "links", LinkFaults.formatPairs(cut.pairs()));
-            relay.reset(cut.pairs());
+            relay.beginFault(begin.number(), fault);
+        } else if (step instanceof FaultSchedule.EndFault end) {
+            history.addRigEvent("fault off", "number", end.number());
+            relay.endFault(end.number());
+        } else if (step instanceof FaultSchedule.ResetStreams reset) {
+            history.addRigEvent("reset", "links", LinkFaults.formatPairs(reset.pairs()));
+            relay.reset(reset.pairs());
         } else if (step instanceof FaultSchedule.SendSignal signal) {
             children.signal(signal.signal(), signal.members());
         } else if (step instanceof FaultSchedule.StartMembers start) {
@@ -242,7 +242,7 @@
     }
 
     /** A block of addresses that no other rig on this machine uses: the holder of its first port owns it. */
-    record Claim(int block, ServerSocket held) implements AutoCloseable {
+    record Claim(int block, ServerSocket socket) implements AutoCloseable {
 
         static Claim acquire() throws IOException {
             int first = (int) (ProcessHandle.current().pid() % BLOCKS);
@@ -260,7 +260,7 @@
 
         @Override
         public void close() throws IOException {
-            held.close();
+            socket.close();
         }
     }
 }
--- a/src/main/java/pepperdock/faultinjection/MembersChecker.java
+++ b/src/main/java/pepperdock/faultinjection/MembersChecker.java
@@ -142,14 +142,16 @@
             return;
         }
         LinkFaults.Kind kind = LinkFaults.Kind.valueOf(event.text("kind").toUpperCase(Locale.ROOT));
-        Map<String, Set<LinkFaults.Pair>> touched = new HashMap<>();
+        Map<String, Set<LinkFaults.Pair>> pairsByProcess = new HashMap<>();
         for (LinkFaults.Pair pair : LinkFaults.parsePairs(event.text("links"))) {
-            touched.computeIfAbsent(pair.from(), key -> new HashSet<>()).add(pair);
+            pairsByProcess.computeIfAbsent(pair.from(), key -> new HashSet<>()).add(pair);
             if (kind != LinkFaults.Kind.CUT) {
-                touched.computeIfAbsent(pair.to(), key -> new HashSet<>()).add(pair);
+                pairsByProcess
+                        .computeIfAbsent(pair.to(), key -> new HashSet<>())
+                        .add(pair);
             }
         }
-        touched.forEach((process, pairs) -> exposure(process)
+        pairsByProcess.forEach((process, pairs) -> exposure(process)
                 .beginFault(process, number, new LinkFaults.Fault(kind, pairs, event.number("amount"), 0)));
     }
 
@@ -176,13 +178,13 @@
             case "refuted" -> metrics.refutations++;
             case "change" -> {
                 onChange(number, event);
-                noteAgreement(event);
+                recordAgreement(event);
             }
             default -> {}
         }
     }
 
-    private void noteAgreement(Event event) {
+    private void recordAgreement(Event event) {
         if (!agreed && !Double.isNaN(lastFaultAt) && views.allAgree()) {
             agreed = true;
             metrics.agreementMs.recordValue(Math.round((event.at() - lastFaultAt) * 1e3));
--- a/src/main/java/pepperdock/faultinjection/MembershipSimulation.java
+++ b/src/main/java/pepperdock/faultinjection/MembershipSimulation.java
@@ -297,21 +297,21 @@
     }
 
     private void step(FaultSchedule.Step step) {
-        if (step instanceof FaultSchedule.BeginFault on) {
+        if (step instanceof FaultSchedule.BeginFault begin) {
             publishRigEvent(
                     "fault on",
                     "number",
-                    on.number(),
+                    begin.number(),
                     "kind",
-                    on.fault().kind().name().toLowerCase(Locale.ROOT),
+                    begin.fault().kind().name().toLowerCase(Locale.ROOT),
                     "amount",
-                    on.fault().amount(),
+                    begin.fault().amount(),
                     "links",
-                    LinkFaults.formatPairs(on.fault().pairs()));
-            links.begin(on.number(), on.fault());
-        } else if (step instanceof FaultSchedule.EndFault off) {
-            publishRigEvent("fault off", "number", off.number());
-            links.end(off.number());
+                    LinkFaults.formatPairs(begin.fault().pairs()));
+            links.begin(begin.number(), begin.fault());
+        } else if (step instanceof FaultSchedule.EndFault end) {
+            publishRigEvent("fault off", "number", end.number());
+            links.end(end.number());
         } else if (step instanceof FaultSchedule.SendSignal signal) {
             signal(signal.signal(), signal.members());
         } else if (step instanceof FaultSchedule.StartMembers start) {
--- a/src/main/java/pepperdock/faultinjection/Relay.java
+++ b/src/main/java/pepperdock/faultinjection/Relay.java
@@ -209,7 +209,7 @@
         return selector;
     }
 
-    void ended(RelayStream stream) {
+    void remove(RelayStream stream) {
         streams.remove(stream);
     }
 
--- a/src/main/java/pepperdock/faultinjection/RelayStream.java
+++ b/src/main/java/pepperdock/faultinjection/RelayStream.java
@@ -12,26 +12,26 @@
 import pepperdock.faultinjection.LinkFaults.Pair;
 
 /**
- * One stream through a {@link Relay}: two halves, one for each direction with its link faults. Used on the thread of
+ * One stream through a {@link Relay}: one {@link Direction} for each way, with its link faults. Used on the thread of
  * the relay only.
  */
 final class RelayStream {
 
     private static final int CHUNK_BYTES = 1 << 16;
-    /** Maximum number of bytes that one half holds; further ones wait in the kernel. */
+    /** Maximum number of bytes that one direction holds; further ones wait in the kernel. */
     private static final int MAX_HELD_BYTES = 1 << 18;
 
     private final Relay relay;
     private final InetSocketAddress to;
-    private final Half forward;
-    private final Half backward;
+    private final Direction forward;
+    private final Direction backward;
     private SocketChannel receiverChannel;
 
     RelayStream(Relay relay, Pair pair, SocketChannel senderChannel, InetSocketAddress to) {
         this.relay = relay;
         this.to = to;
-        forward = new Half(this, pair, senderChannel);
-        backward = new Half(this, new Pair(pair.to(), pair.from()), null);
+        forward = new Direction(this, pair, senderChannel);
+        backward = new Direction(this, new Pair(pair.to(), pair.from()), null);
         backward.into = senderChannel;
     }
 
@@ -70,14 +70,14 @@
         }
     }
 
-    /** Handles a ready channel, which one half reads and the other writes. */
-    private void onReady(Half reads, Half writes, SelectionKey key) {
+    /** Handles a ready channel, which one direction reads and the other writes. */
+    private void onReady(Direction reading, Direction writing, SelectionKey key) {
         try {
             if (key.isReadable()) {
-                reads.read();
+                reading.read();
             }
             if (key.isValid() && key.isWritable()) {
-                writes.pump();
+                writing.pump();
             }
         } catch (IOException e) {
             reset();
@@ -86,7 +86,7 @@
 
     /** Resets the stream in both directions, like a broken connection. */
     void reset() {
-        relay.ended(this);
+        relay.remove(this);
         for (SocketChannel channel : new SocketChannel[] {forward.from, receiverChannel}) {
             if (channel != null) {
                 try {
@@ -106,7 +106,7 @@
 
     void closeIfBothShut() {
         if (forward.shut && backward.shut) {
-            relay.ended(this);
+            relay.remove(this);
             Relay.close(forward.from);
             Relay.close(receiverChannel);
         }
@@ -115,7 +115,7 @@
     private record Chunk(double due, ByteBuffer bytes) {}
 
     /** One direction of a stream. */
-    private static final class Half {
+    private static final class Direction {
         private final RelayStream stream;
         private final Pair pair;
         private final ArrayDeque<Chunk> chunks = new ArrayDeque<>();
@@ -126,7 +126,7 @@
         private boolean inputEnded;
         private boolean shut;
 
-        Half(RelayStream stream, Pair pair, SocketChannel from) {
+        Direction(RelayStream stream, Pair pair, SocketChannel from) {
             this.stream = stream;
             this.pair = pair;
             this.from = from;
@@ -175,7 +175,7 @@
             updateInterests();
         }
 
-        /** Updates the interest operations. Both channels serve two halves, so each half sets only its own bits. */
+        /** Updates the interest operations. Both channels serve two directions, so each sets only its own bits. */
         private void updateInterests() {
             boolean blocked = stream.relay.links().effectOn(pair).streamBlocked();
             setInterest(from, SelectionKey.OP_READ, !blocked && !inputEnded && heldBytes < MAX_HELD_BYTES);
--- a/src/main/java/pepperdock/faultinjection/Report.java
+++ b/src/main/java/pepperdock/faultinjection/Report.java
@@ -80,9 +80,9 @@
         private final JsonArray members = new JsonArray();
         private final JsonArray bars = new JsonArray();
         private final JsonArray marks = new JsonArray();
-        private final Map<String, Double> since = new TreeMap<>();
-        private final Map<String, String> now = new TreeMap<>();
-        private final Map<Long, Event> faults = new TreeMap<>();
+        private final Map<String, Double> stateSince = new TreeMap<>();
+        private final Map<String, String> states = new TreeMap<>();
+        private final Map<Long, Event> activeFaults = new TreeMap<>();
 
         JsonObject data(List<Event> events) {
             double end = events.isEmpty() ? 0 : events.get(events.size() - 1).at();
@@ -93,8 +93,8 @@
                     addMemberEvent(event);
                 }
             }
-            faults.values().forEach(on -> addFaultBar(on, end));
-            now.forEach((member, state) -> bars.add(bar(member, state, since.get(member), end, "")));
+            activeFaults.values().forEach(on -> addFaultBar(on, end));
+            states.forEach((member, state) -> bars.add(bar(member, state, stateSince.get(member), end, "")));
             members.add("faults");
             JsonObject data = new JsonObject();
             data.add("members", members);
@@ -107,7 +107,7 @@
             if (!EVENTS_WITHOUT_MARK.contains(event.what()) && marks.size() < MAX_MARKS) {
                 marks.add(mark(event, event.who()));
             }
-            if (event.what().equals("ready") && "starting".equals(now.get(event.who()))) {
+            if (event.what().equals("ready") && "starting".equals(states.get(event.who()))) {
                 setState(event.who(), "up", event.at());
             }
         }
@@ -117,15 +117,15 @@
                 case "script" ->
                     List.of(event.members()).forEach(member -> {
                         members.add(member);
-                        since.put(member, event.at());
-                        now.put(member, "down");
+                        stateSince.put(member, event.at());
+                        states.put(member, "down");
                     });
                 case "start" -> setStates(event, "starting");
                 case "stop" -> setStates(event, "stopped");
                 case "cont" -> setStates(event, "up");
                 case "exit" -> setState(event.text("member"), "down", event.at());
-                case "fault on" -> faults.put(event.integer("number"), event);
-                case "fault off" -> addFaultBar(faults.remove(event.integer("number")), event.at());
+                case "fault on" -> activeFaults.put(event.integer("number"), event);
+                case "fault off" -> addFaultBar(activeFaults.remove(event.integer("number")), event.at());
                 case "reset", "late", "reached", "not reached" -> marks.add(mark(event, "faults"));
                 default -> {}
             }
@@ -138,14 +138,14 @@
         }
 
         private void setState(String member, String next, double at) {
-            bars.add(bar(member, now.getOrDefault(member, "down"), since.getOrDefault(member, 0.0), at, ""));
-            since.put(member, at);
-            now.put(member, next);
+            bars.add(bar(member, states.getOrDefault(member, "down"), stateSince.getOrDefault(member, 0.0), at, ""));
+            stateSince.put(member, at);
+            states.put(member, next);
         }
 
-        private void addFaultBar(Event on, double to) {
-            if (on != null) {
-                bars.add(bar("faults", on.text("kind"), on.at(), to, describe(on)));
+        private void addFaultBar(Event begin, double to) {
+            if (begin != null) {
+                bars.add(bar("faults", begin.text("kind"), begin.at(), to, describe(begin)));
             }
         }
     }
--- a/src/main/java/pepperdock/faultinjection/Script.java
+++ b/src/main/java/pepperdock/faultinjection/Script.java
@@ -89,7 +89,7 @@
     /** Ends all faults on links that have no end of their own. */
     record HealAction(double at) implements Action {}
 
-    /** What is done to a process. */
+    /** Action on a process. */
     enum ProcessAction {
         STOP,
         CONTINUE,
--- a/src/test/java/pepperdock/faultinjection/RelayTest.java
+++ b/src/test/java/pepperdock/faultinjection/RelayTest.java
@@ -34,16 +34,16 @@
 
     private FaultInjectionRun.Claim claim;
     private Relay relay;
-    private DatagramSocket one;
-    private DatagramSocket two;
+    private DatagramSocket firstMember;
+    private DatagramSocket secondMember;
     private ServerSocket server;
 
     @BeforeEach
     void open() throws IOException {
         claim = FaultInjectionRun.Claim.acquire();
         relay = new Relay(claim.block(), 1);
-        one = new DatagramSocket(new InetSocketAddress(Relay.host(claim.block(), 1), DATAGRAMS));
-        two = new DatagramSocket(new InetSocketAddress(Relay.host(claim.block(), 2), DATAGRAMS));
+        firstMember = new DatagramSocket(new InetSocketAddress(Relay.host(claim.block(), 1), DATAGRAMS));
+        secondMember = new DatagramSocket(new InetSocketAddress(Relay.host(claim.block(), 2), DATAGRAMS));
         server = new ServerSocket(STREAMS, 5, InetAddress.getByName(Relay.host(claim.block(), 2)));
         for (String to : List.of("g1", "g2")) {
             relay.openLinks(
@@ -51,15 +51,15 @@
                     List.of("g1", "g2"),
                     List.of(new Relay.RelayPort(DATAGRAMS, false), new Relay.RelayPort(STREAMS, true)));
         }
-        one.setSoTimeout(30_000);
-        two.setSoTimeout(30_000);
+        firstMember.setSoTimeout(30_000);
+        secondMember.setSoTimeout(30_000);
     }
 
     @AfterEach
     void close() throws IOException {
         relay.close();
-        one.close();
-        two.close();
+        firstMember.close();
+        secondMember.close();
         server.close();
         claim.close();
     }
@@ -102,27 +102,28 @@
     void oneWayCutDropsOnlyThatDirection() throws Exception {
         relay.beginFault(1, new Fault(Kind.CUT, FORWARD, 0, 0));
         awaitRelay();
-        send(one, 1, 2, "lost");
-        send(two, 2, 1, "back");
-        assertEquals("back", received(one));
+        send(firstMember, 1, 2, "lost");
+        send(secondMember, 2, 1, "back");
+        assertEquals("back", received(firstMember));
         assertEquals(1, read(1));
         relay.endFault(1);
         awaitRelay();
-        send(one, 1, 2, "there");
-        assertEquals("there", received(two));
+        send(firstMember, 1, 2, "there");
+        assertEquals("there", received(secondMember));
     }
 
     @Test
     void delayedDatagramArrivesLateAndDuplicatedOneTwice() throws Exception {
         relay.beginFault(1, new Fault(Kind.DELAY, FORWARD, 0.5, 0));
         awaitRelay();
-        send(one, 1, 2, "slow");
+        send(firstMember, 1, 2, "slow");
         assertEquals(0, read(1));
         relay.endFault(1);
         relay.beginFault(2, new Fault(Kind.DUPLICATE, FORWARD, 1, 0));
         awaitRelay();
-        send(one, 1, 2, "quick");
-        List<String> got = new ArrayList<>(List.of(received(two), received(two), received(two)));
+        send(firstMember, 1, 2, "quick");
+        List<String> got =
+                new ArrayList<>(List.of(received(secondMember), received(secondMember), received(secondMember)));
         assertTrue(got.remove("slow"));
         assertEquals(List.of("quick", "quick"), got);
     }
