--- a/src/main/java/pepperdock/cli/LabCommand.java
+++ b/src/main/java/pepperdock/cli/LabCommand.java
@@ -16,7 +16,7 @@
 import pepperdock.faultinjection.FaultInjectionRun;
 import pepperdock.faultinjection.Outcome;
 import pepperdock.faultinjection.Report;
-import pepperdock.faultinjection.Seeds;
+import pepperdock.faultinjection.SeedSweep;
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Model.CommandSpec;
 import picocli.CommandLine.Option;
@@ -48,7 +48,7 @@
     private static int printOutcome(PrintWriter out, Outcome outcome, Path history) throws IOException {
         Report.text(history, outcome).forEach(out::println);
         out.println(outcome.verdict());
-        return outcome.passed() ? 0 : outcome.counts() ? 1 : NOT_COUNTED;
+        return outcome.passed() ? 0 : outcome.valid() ? 1 : NOT_COUNTED;
     }
 
     /** Plays a script of faults on a fleet of processes. */
@@ -153,7 +153,7 @@
                 defaultValue = "FULL",
                 description = "Which parts of the protocol are left out, to measure their effect:"
                         + " ${COMPLETION-CANDIDATES}. Default: ${DEFAULT-VALUE}")
-        private Seeds.Arm arm;
+        private SeedSweep.Arm arm;
 
         @Option(
                 names = "--threads",
@@ -166,7 +166,7 @@
 
         @Override
         public Integer call() throws IOException, InterruptedException {
-            Outcome outcome = Seeds.run(file, from, seeds, members, arm, threads);
+            Outcome outcome = SeedSweep.run(file, from, seeds, members, arm, threads);
             PrintWriter out = spec.commandLine().getOut();
             outcome.metrics().forEach(out::println);
             outcome.findings().stream().limit(20).forEach(finding -> out.println("FOUND " + finding));
