--- a/src/main/java/pepperdock/simulator/JsonLine.java
+++ b/src/main/java/pepperdock/simulator/JsonLine.java
@@ -12,15 +12,15 @@
 import java.util.Map;
 
 /**
- * The fields of the current line, one JSON object, by name. Reused from line to line, to spare allocations. Fields of another
- * type than text, number, object or array are skipped. Accessors throw {@link IllegalArgumentException} for a field that is
- * missing or of another type. Not thread-safe.
+ * Holds the fields of the current line, one JSON object, by name. One instance is reused for all lines, to save
+ * allocations. Fields of another type than text, number, object or array are skipped. Accessors throw
+ * {@link IllegalArgumentException} for a field that is missing or of another type. Not thread-safe.
  */
 final class JsonLine {
 
     private final Map<String, Object> fields = new HashMap<>();
 
-    /** Replaces the fields by those of another line; throws for anything but one JSON object. */
+    /** Replaces the fields by those of another line; throws if the line is not exactly one JSON object. */
     void read(String text) throws IOException {
         fields.clear();
         JsonReader reader = new JsonReader(new StringReader(text));
@@ -40,11 +40,11 @@
         }
         reader.endObject();
         if (reader.peek() != JsonToken.END_DOCUMENT) {
-            throw new IllegalArgumentException("not one JSON object");
+            throw new IllegalArgumentException("unexpected text after the JSON object");
         }
     }
 
-    /** A {@link Long}, or a {@link Double} where the text has a fraction or an exponent. */
+    /** Returns a {@link Double} if the text has a fraction or an exponent, and a {@link Long} otherwise. */
     private static Object parseNumber(String text) {
         for (int i = 0; i < text.length(); i++) {
             if (".eE".indexOf(text.charAt(i)) >= 0) {
@@ -54,7 +54,7 @@
         return Long.parseLong(text);
     }
 
-    /** Whether the line has a field of that name. */
+    /** Returns whether the line has a field of that name. */
     boolean has(String name) {
         return fields.get(name) != null;
     }
@@ -62,10 +62,10 @@
     private <T> T field(String name, Class<T> type) {
         Object value = fields.get(name);
         if (value == null) {
-            throw new IllegalArgumentException("missing " + name);
+            throw new IllegalArgumentException("missing field " + name);
         }
         if (!type.isInstance(value)) {
-            throw new IllegalArgumentException("wrong type of " + name);
+            throw new IllegalArgumentException("wrong type of field " + name);
         }
         return type.cast(value);
     }
@@ -82,12 +82,12 @@
         return field(name, Number.class).longValue();
     }
 
-    /** A field that is an object or an array. */
+    /** Returns a field that is an object or an array. */
     JsonElement element(String name) {
         return field(name, JsonElement.class);
     }
 
-    /** A field that is an array of numbers; null when it is missing or something else. */
+    /** Returns a field that is an array of numbers; null if it is missing or of another type. */
     double[] numbersOrNull(String name) {
         if (!(fields.get(name) instanceof JsonArray array)) {
             return null;
--- a/src/main/java/pepperdock/simulator/SimulatedGatherer.java
+++ b/src/main/java/pepperdock/simulator/SimulatedGatherer.java
@@ -6,13 +6,15 @@
 import pepperdock.scheduler.SchedulerActions;
 import pepperdock.scheduler.SchedulerSettings;
 
-/** One gatherer of the simulated fleet: its scheduler, whose decisions are written to the simulator. Not thread-safe. */
+/**
+ * One gatherer of the simulated fleet: runs its scheduler and writes its decisions to the simulator. Not thread-safe.
+ */
 final class SimulatedGatherer implements SchedulerActions {
 
     private final SimulatorProtocol protocol;
     private final int number;
     private Scheduler scheduler;
-    /** Whether the current batch has begun for this gatherer, which is with its first event. */
+    /** Whether the current batch has begun for this gatherer; its first event in the batch begins it. */
     private boolean inBatch;
 
     SimulatedGatherer(SimulatorProtocol protocol, int number) {
@@ -20,7 +22,7 @@
         this.number = number;
     }
 
-    /** Creates the scheduler, before the first event. */
+    /** Creates the scheduler; must be called before the first event. */
     void start(SchedulerSettings settings, long seed) {
         scheduler = Scheduler.create(settings, seed, this);
     }
@@ -39,7 +41,7 @@
         inBatch = false;
     }
 
-    /** Delivers an event; a fault of the scheduler is reported for this gatherer alone. */
+    /** Delivers an event; an exception of the scheduler is reported for this gatherer only. */
     void deliver(Consumer<Scheduler> event) {
         try {
             event.accept(scheduler);
--- a/src/main/java/pepperdock/simulator/SimulatorAdapter.java
+++ b/src/main/java/pepperdock/simulator/SimulatorAdapter.java
@@ -20,8 +20,8 @@
 import pepperdock.simulator.SimulatorProtocol.Command;
 
 /**
- * Serves a simulator of fleets: delivers its events to the schedulers of the simulated gatherers, in batches, and writes their
- * decisions. Gatherers share nothing. Runs on the caller's thread until the input ends.
+ * Connects schedulers to a fleet simulator: delivers its events to the schedulers of the simulated gatherers, in
+ * batches, and writes their decisions. Gatherers share nothing. Runs on the caller's thread until the input ends.
  */
 public final class SimulatorAdapter {
 
@@ -30,18 +30,18 @@
     private final BufferedReader in;
     private final PrintStream err;
     private final SimulatorProtocol protocol;
-    /** Endpoints by the number that lists name them by, as many gatherers receive the same list. */
+    /** Endpoints by the number under which endpoint lists refer to them, as many gatherers receive the same list. */
     private final Map<Integer, List<Endpoint>> endpointsByNumber = new HashMap<>();
 
     private final Map<Integer, SimulatedGatherer> gatherers = new HashMap<>();
-    /** Those with an event in the current batch, in the order of their first. */
+    /** Gatherers with an event in the current batch, in the order of their first event. */
     private final List<SimulatedGatherer> inBatch = new ArrayList<>();
 
     private double batchTime;
     private long batchNumber;
     private boolean batchOpen;
 
-    /** Creates an adapter; faults of the input go to {@code err}. */
+    /** Creates an adapter; errors in the input are reported to {@code err}. */
     public SimulatorAdapter(InputStream in, OutputStream out, PrintStream err) {
         this.in = new BufferedReader(new InputStreamReader(in, StandardCharsets.UTF_8), BUFFER_CHARS);
         this.err = err;
@@ -49,7 +49,7 @@
                 new BufferedWriter(new OutputStreamWriter(out, StandardCharsets.UTF_8), BUFFER_CHARS));
     }
 
-    /** Serves until the input ends; returns the exit status: 0, or 1 after a line that can't be used. */
+    /** Serves until the input ends; returns the exit status: 0, or 1 after an invalid line. */
     public int run() {
         long lineNumber = 0;
         try {
@@ -94,7 +94,7 @@
             case HEALTH_CHECK_RESULT -> gatherer().deliver(protocol.healthCheckResult());
             case QUERY_CANCELLED -> gatherer().deliver(protocol.queryCancelled());
             case TIMER -> gatherer().deliver(protocol.timer());
-            // Nothing in them that a scheduler decides by, but a batch begins with them as with any event.
+            // The scheduler needs nothing from them, but like any event they begin the batch of their gatherer.
             case HEAD_RECEIVED, MESSAGE -> gatherer();
         }
     }
@@ -115,7 +115,7 @@
         batchOpen = false;
     }
 
-    /** Starts a gatherer; an earlier one of that number ends, with all that it had. */
+    /** Starts a gatherer; an earlier one of that number is removed with all its state. */
     private void startGatherer() {
         int number = protocol.gatherer();
         inBatch.remove(gatherers.remove(number));
@@ -136,7 +136,7 @@
         gatherer.deliver(scheduler -> scheduler.onEndpointList(kind, endpoints));
     }
 
-    /** The gatherer that the current line is for, with the batch begun. */
+    /** Returns the gatherer that the current line is for, after beginning its batch if needed. */
     private SimulatedGatherer gatherer() {
         SimulatedGatherer gatherer = gatherers.get(protocol.gatherer());
         if (gatherer == null) {
--- a/src/main/java/pepperdock/simulator/SimulatorProtocol.java
+++ b/src/main/java/pepperdock/simulator/SimulatorProtocol.java
@@ -26,20 +26,20 @@
 import pepperdock.scheduler.SchedulerSettings;
 
 /**
- * Codec of the simulator's wire: decodes the current line into events of the scheduler, and encodes its decisions. The only
- * class that knows the names of commands, fields and values on that wire.
+ * Codec of the simulator's wire: decodes the current line into events of the scheduler, and encodes its decisions. The
+ * only class that knows the names of commands, fields and values on that wire.
  *
- * <p>Use: {@link #read} a line, look at its {@link #commandName} and {@link Command}, then call the decoder of that command.
- * Decoders throw {@link IllegalArgumentException} for a missing, mistyped or unknown field. Encoders throw
+ * <p>Use: {@link #read} a line, look at its {@link #commandName} and {@link Command}, then call the decoder of that
+ * command. Decoders throw {@link IllegalArgumentException} for a missing, mistyped or unknown field. Encoders throw
  * {@link UncheckedIOException}, and write to a buffer that {@link #writeEndOfBatch} flushes. Not thread-safe.
  */
 final class SimulatorProtocol {
 
-    /** What a line says. */
+    /** The kind of a line. */
     enum Command {
         BEGIN_BATCH("Tick"),
         END_BATCH("Commit"),
-        /** Endpoints under a number, by which endpoint lists name them. */
+        /** Defines endpoints under a number, by which endpoint lists refer to them. */
         ENDPOINTS("Page"),
         START_GATHERER("Attach"),
         STOP_GATHERER("Down"),
@@ -68,7 +68,7 @@
             return commands;
         }
 
-        /** The command of that name; null for an unknown one. */
+        /** Returns the command of that name; null if there is none. */
         static Command ofOrNull(String wireName) {
             return BY_NAME.get(wireName);
         }
@@ -97,7 +97,7 @@
     private static final String BATCH_NUMBER = "n";
     private static final String GATHERER = "Mixer";
     private static final String ENDPOINT = "Searcher";
-    /** Id of a query or of a part. */
+    /** The id of a query or of a part. */
     private static final String ID = "Tid";
 
     private static final String ATTEMPT = "SeqNo";
@@ -122,46 +122,47 @@
         line.read(text);
     }
 
-    /** Name of the current line's command, known or not. */
+    /** Returns the name of the current line's command, known or not. */
     String commandName() {
         return line.text(COMMAND);
     }
 
-    /** Time of the batch that begins, in seconds. */
+    /** Returns the time of the batch that begins, in seconds. */
     double batchTime() {
         return line.number("ClockS");
     }
 
-    /** Number of the batch that begins. */
+    /** Returns the number of the batch that begins. */
     long batchNumber() {
         return line.integer(BATCH_NUMBER);
     }
 
-    /** Number of the gatherer that the event is for. */
+    /** Returns the number of the gatherer that the event is for. */
     int gatherer() {
         return (int) line.integer(GATHERER);
     }
 
-    /** The fault of an event for a gatherer that was not started. */
+    /** Returns the error for an event of a gatherer that was not started. */
     static IllegalArgumentException unknownGatherer() {
         return new IllegalArgumentException("event for a " + GATHERER + " that is not attached");
     }
 
-    /** Number of the endpoints that the line gives or names. */
+    /** Returns the number under which the line defines endpoints or refers to them. */
     int endpointsNumber() {
         return (int) line.integer(ENDPOINTS_NUMBER);
     }
 
-    /** The fault of a list that names endpoints that no line gave. */
+    /** Returns the error for an endpoint list that refers to endpoints that no line has defined. */
     static IllegalArgumentException unknownEndpoints() {
-        return new IllegalArgumentException("Targets names a " + ENDPOINTS_NUMBER + " never given");
+        return new IllegalArgumentException(
+                "Targets refers to a " + ENDPOINTS_NUMBER + " that no earlier line defined");
     }
 
-    /** The endpoints that the line gives. */
+    /** Returns the endpoints that the line defines. */
     List<Endpoint> endpoints() {
         JsonElement array = line.element(ENDPOINTS);
         if (!array.isJsonArray()) {
-            throw new IllegalArgumentException("wrong type of " + ENDPOINTS);
+            throw new IllegalArgumentException("wrong type of field " + ENDPOINTS);
         }
         List<Endpoint> endpoints = new ArrayList<>();
         for (JsonElement element : array.getAsJsonArray()) {
@@ -181,23 +182,23 @@
                 keys.number("BootTimeS", 0));
     }
 
-    /** What an endpoint list means. */
+    /** Returns the kind of the endpoint list. */
     EndpointListKind endpointListKind() {
         return known(LIST_KINDS, line.text("How"), "How");
     }
 
-    /** Seed of a gatherer that starts. */
+    /** Returns the seed of a gatherer that starts. */
     long seed() {
         return line.integer("Salt");
     }
 
-    /** Settings of a gatherer that starts. */
+    /** Returns the settings of a gatherer that starts. */
     SchedulerSettings settings() {
         return DeploymentSettingsReader.read(ConfigReader.of(SETTINGS, line.element(SETTINGS)))
                 .scheduler();
     }
 
-    /** A query that has arrived, or, where the line names a shard, a part of one. */
+    /** Returns the arrival of a part if the line names a shard, and of a query otherwise. */
     Consumer<Scheduler> arrival() {
         long id = line.integer(ID);
         long sequenceNumber = line.integer("QueryNo");
@@ -214,7 +215,7 @@
                 id, queryClass, tenant, idempotencyKey, remainingS, sequenceNumber, (int) weightOrPartCount));
     }
 
-    /** The outcome of an attempt. */
+    /** Returns the outcome of an attempt. */
     Consumer<Scheduler> attemptResult() {
         long partId = line.integer(ID);
         int attempt = (int) line.integer(ATTEMPT);
@@ -225,7 +226,7 @@
                 new AttemptResult(partId, attempt, endpoint, outcome, elapsedS, loadReport()));
     }
 
-    /** The outcome of a health check. */
+    /** Returns the outcome of a health check. */
     Consumer<Scheduler> healthCheckResult() {
         String endpoint = line.text(ENDPOINT);
         AttemptOutcome outcome = outcome();
@@ -234,13 +235,13 @@
                 scheduler.onHealthCheckResult(new HealthCheckResult(endpoint, outcome, elapsedS, loadReport()));
     }
 
-    /** A query whose client has disconnected. */
+    /** Returns the cancellation of a query whose client has disconnected. */
     Consumer<Scheduler> queryCancelled() {
         long queryId = line.integer(ID);
         return scheduler -> scheduler.onQueryCancelled(queryId);
     }
 
-    /** A timer that has expired. */
+    /** Returns the expiry of a timer. */
     Consumer<Scheduler> timer() {
         String token = line.text(TIMER_TOKEN);
         return scheduler -> scheduler.onTimer(token);
@@ -250,7 +251,9 @@
         return known(OUTCOMES, line.text("Code").toUpperCase(Locale.ROOT), "Code");
     }
 
-    /** Read while the event is delivered, so that a fault in it is a fault of that gatherer alone. */
+    /**
+     * Decodes the load report. Called while the event is delivered, so that an error in it affects that gatherer only.
+     */
     private LoadReport loadReport() {
         return LoadReport.of(line.numbersOrNull(REPORT));
     }
@@ -258,12 +261,12 @@
     private static <T> T known(Map<String, T> names, String name, String field) {
         T value = names.get(name);
         if (value == null) {
-            throw new IllegalArgumentException("unknown " + field + " " + name);
+            throw new IllegalArgumentException("unknown value of field " + field + ": " + name);
         }
         return value;
     }
 
-    /** Starts an attempt, abandoned at {@code until}, in seconds. */
+    /** Starts an attempt, which is abandoned at the time {@code until}, in seconds. */
     void writeSendAttempt(int gatherer, long partId, String endpoint, double until) {
         write("Try", gatherer, json -> {
             json.name(ID).value(partId);
@@ -312,7 +315,7 @@
         });
     }
 
-    /** Asks for a complete list, and for its changes from then on. */
+    /** Asks for a complete list, and for its changes after that. */
     void writeWatchEndpointList(int gatherer) {
         write("KeepInformed", gatherer, json -> json.name(COMPLETE).value(true));
     }
@@ -321,7 +324,7 @@
         write("Print", gatherer, json -> json.name(TEXT).value(text));
     }
 
-    /** The scheduler of a gatherer has thrown. */
+    /** Reports that the scheduler of a gatherer has thrown. */
     void writeFault(int gatherer, String text) {
         write("Broken", gatherer, json -> json.name(TEXT).value(text));
     }
--- a/src/test/java/pepperdock/simulator/SimulatorAdapterIT.java
+++ b/src/test/java/pepperdock/simulator/SimulatorAdapterIT.java
@@ -9,7 +9,7 @@
 import java.util.concurrent.TimeUnit;
 import org.junit.jupiter.api.Test;
 
-/** Drives the built jar over the wire with hand-written lines. */
+/** Runs the built jar and feeds it hand-written lines of the wire protocol. */
 class SimulatorAdapterIT {
 
     private static final String ENV = """
@@ -30,9 +30,9 @@
             {"cmd":"Commit"}
             """;
 
-    private record Ran(int status, List<String> out, List<String> err) {}
+    private record RunResult(int status, List<String> out, List<String> err) {}
 
-    private static Ran run(String input) throws Exception {
+    private static RunResult run(String input) throws Exception {
         Process process = new ProcessBuilder(
                         Path.of(System.getProperty("java.home"), "bin", "java").toString(),
                         "-jar",
@@ -48,18 +48,18 @@
                 .lines()
                 .toList();
         assertTrue(process.waitFor(30, TimeUnit.SECONDS));
-        return new Ran(process.exitValue(), out, err);
+        return new RunResult(process.exitValue(), out, err);
     }
 
     /** A gatherer starts, a query of one part arrives, its attempt is answered, and the query with it. */
     @Test
     void servesAQueryFromStartToAnswer() throws Exception {
-        Ran ran = run(START + QUERY + """
+        RunResult result = run(START + QUERY + """
                 {"cmd":"Tick","ClockS":2.1,"n":3}
                 {"cmd":"AttemptEnd","Mixer":4,"Tid":11,"SeqNo":0,"Searcher":"s:1","Code":"ok","SpentS":0.1,"Settled":true,"Report":null}
                 {"cmd":"Commit"}
                 """);
-        assertEquals(0, ran.status());
+        assertEquals(0, result.status());
         assertEquals(
                 List.of(
                         "{\"cmd\":\"Eor\",\"n\":1}",
@@ -68,16 +68,16 @@
                         "{\"cmd\":\"Eor\",\"n\":2}",
                         "{\"cmd\":\"Conclude\",\"Mixer\":4,\"Tid\":10,\"Whole\":true}",
                         "{\"cmd\":\"Eor\",\"n\":3}"),
-                ran.out());
+                result.out());
     }
 
     /**
-     * A gatherer restarts with a query in flight. A cancellation of that query, and a timer set before the restart, still come: both
-     * concern nothing that the new incarnation knows.
+     * A gatherer restarts with a query in flight. A cancellation of that query and a timer set before the restart still
+     * arrive; the new incarnation knows neither and must ignore both.
      */
     @Test
     void restartDiscardsStateAndIgnoresIdsOfTheEarlierIncarnation() throws Exception {
-        Ran ran = run(START + QUERY + """
+        RunResult result = run(START + QUERY + """
                 {"cmd":"Tick","ClockS":2.1,"n":3}
                 {"cmd":"Down","Mixer":4}
                 {"cmd":"Attach","Mixer":4,"Salt":10,"Env":%s}
@@ -86,57 +86,60 @@
                 {"cmd":"Bell","Mixer":4,"Cookie":"sweep"}
                 {"cmd":"Commit"}
                 """.formatted(ENV));
-        assertEquals(0, ran.status());
-        assertEquals("{\"cmd\":\"Eor\",\"n\":2}", ran.out().get(3));
+        assertEquals(0, result.status());
+        assertEquals("{\"cmd\":\"Eor\",\"n\":2}", result.out().get(3));
         assertEquals(
                 List.of("{\"cmd\":\"Eor\",\"n\":3}"),
-                ran.out().subList(4, ran.out().size()));
+                result.out().subList(4, result.out().size()));
     }
 
     /**
-     * The simulator sends a line that is cut off, lacks a field, or makes no sense at this point. The run ends with one message.
+     * The simulator sends a line that is truncated, lacks a field or is not valid at this point. The run ends with one
+     * message.
      */
     @Test
-    void unusableLineEndsTheRunWithOneMessageThatNamesIt() throws Exception {
+    void invalidLineEndsTheRunWithOneMessageThatNamesIt() throws Exception {
         String[][] cases = {
             {"{\"cmd\":\"Tick\",\"ClockS\":", "line 6"},
             {"[1]", "not a JSON object"},
-            {"{\"cmd\":\"Tick\",\"n\":2}", "missing ClockS"},
+            {"{\"cmd\":\"Tick\",\"n\":2}", "missing field ClockS"},
             {"{\"cmd\":\"Tick\",\"ClockS\":2.0,\"n\":2}\n{\"cmd\":\"Nonsense\",\"Mixer\":4}", "unknown event Nonsense"},
-            {"{\"cmd\":\"Tick\",\"ClockS\":2.0,\"n\":2}\n{\"cmd\":\"Aborted\",\"Mixer\":4}", "missing Tid"},
+            {"{\"cmd\":\"Tick\",\"ClockS\":2.0,\"n\":2}\n{\"cmd\":\"Aborted\",\"Mixer\":4}", "missing field Tid"},
             {"{\"cmd\":\"Tick\",\"ClockS\":2.0,\"n\":2}\n{\"cmd\":\"Aborted\",\"Mixer\":5,\"Tid\":1}", "not attached"},
             {"{\"cmd\":\"Commit\"}", "outside a batch"},
         };
         for (String[] bad : cases) {
-            Ran ran = run(START + bad[0] + "\n");
-            assertNotZero(ran.status());
-            assertEquals(1, ran.err().size(), String.join("\n", ran.err()));
+            RunResult result = run(START + bad[0] + "\n");
+            assertNotZero(result.status());
+            assertEquals(1, result.err().size(), String.join("\n", result.err()));
             assertTrue(
-                    ran.err().get(0).startsWith("drill: line ")
-                            && ran.err().get(0).contains(bad[1]),
-                    ran.err().get(0));
+                    result.err().get(0).startsWith("drill: line ")
+                            && result.err().get(0).contains(bad[1]),
+                    result.err().get(0));
         }
     }
 
     /**
-     * A query names a class that the settings do not have, so that the scheduler throws. The simulator is told so for that
-     * gatherer, and the run goes on.
+     * A query names a class that the settings do not have, so the scheduler throws. The fault is reported to the
+     * simulator for that gatherer, and the run continues.
      */
     @Test
     void schedulerFaultIsReportedForItsGatherer() throws Exception {
-        Ran ran = run(START + QUERY.replace("\"Profile\":0", "\"Profile\":7"));
-        assertEquals(0, ran.status());
+        RunResult result = run(START + QUERY.replace("\"Profile\":0", "\"Profile\":7"));
+        assertEquals(0, result.status());
         assertTrue(
-                ran.out().stream().anyMatch(line -> line.startsWith("{\"cmd\":\"Broken\",\"Mixer\":4,\"NoteText\":")),
-                String.join("\n", ran.out()));
+                result.out().stream()
+                        .anyMatch(line -> line.startsWith("{\"cmd\":\"Broken\",\"Mixer\":4,\"NoteText\":")),
+                String.join("\n", result.out()));
     }
 
     /**
-     * A worker never answers a call, which times out. The connection may be dead, so it is closed before the next call goes there.
+     * A worker never answers a call, which times out. The connection may be dead, so it is closed before the next call
+     * goes there.
      */
     @Test
     void connectionOfAnUnansweredCallIsClosedBeforeTheNextCall() throws Exception {
-        Ran ran = run(START + QUERY + """
+        RunResult result = run(START + QUERY + """
                 {"cmd":"Tick","ClockS":3.9,"n":3}
                 {"cmd":"Bell","Mixer":4,"Cookie":"sweep"}
                 {"cmd":"Commit"}
@@ -150,11 +153,11 @@
                 + QUERY.replace("\"Tid\":1", "\"Tid\":2")
                         .replace("\"QueryNo\":1", "\"QueryNo\":2")
                         .replace("\"ClockS\":2.0,\"n\":2", "\"ClockS\":9.0,\"n\":6"));
-        assertEquals(0, ran.status());
-        int drop = ran.out().indexOf("{\"cmd\":\"DropConns\",\"Mixer\":4,\"Searcher\":\"s:1\"}");
+        assertEquals(0, result.status());
+        int drop = result.out().indexOf("{\"cmd\":\"DropConns\",\"Mixer\":4,\"Searcher\":\"s:1\"}");
         assertTrue(
-                drop > 0 && ran.out().get(drop + 1).startsWith("{\"cmd\":\"Try\",\"Mixer\":4,\"Tid\":21,"),
-                String.join("\n", ran.out()));
+                drop > 0 && result.out().get(drop + 1).startsWith("{\"cmd\":\"Try\",\"Mixer\":4,\"Tid\":21,"),
+                String.join("\n", result.out()));
     }
 
     private static void assertNotZero(int status) {
