--- a/src/main/java/pepperdock/simulation/SimulatedFleet.java
+++ b/src/main/java/pepperdock/simulation/SimulatedFleet.java
@@ -27,16 +27,19 @@
 import pepperdock.scheduler.SchedulerLimits;
 import pepperdock.scheduler.SchedulerSettings;
 
-/** A day of a fleet in simulated time: nodes in a ring, gatherers, queries of three classes like the platform's. */
+/**
+ * Simulates a day of a fleet: worker nodes in a ring, gatherers, and queries of three classes like those of the
+ * platform.
+ */
 public final class SimulatedFleet {
 
     /**
-     * What a day is drawn from.
+     * The parameters of a simulated day.
      *
-     * @param load offered work over the capacity of all nodes, calls included
-     * @param speeds least and greatest speed of a node, the common one being 1; drawn evenly between
-     * @param slowShare share of nodes that are besides {@code slowBy} times slower all day
-     * @param plan the planner in service, or null for equal shares
+     * @param load offered work, including the cost of calls, divided by the capacity of all nodes
+     * @param speeds least and greatest speed of a node, relative to the usual speed of 1; drawn uniformly between them
+     * @param slowShare share of the nodes that are additionally {@code slowBy} times slower all day
+     * @param plan the settings of the planner, or null for equal shares without a planner
      */
     public record Day(
             int nodes,
@@ -49,19 +52,22 @@
             long seed,
             PlanConfig plan) {}
 
-    /** What came of it: worth served in time over worth asked for, latencies of answers in seconds, the fullest node. */
+    /**
+     * The result of a day: the value served in time divided by the value requested, latencies of answers in seconds, and
+     * the utilisation of the busiest node.
+     */
     public record Result(double service, double median, double p99, double utilisation, int queries, int unanswered) {}
 
     private static final int CORES = 2;
     private static final double CALL_S = 0.054;
     private static final int BATCH = 8;
-    private static final int RANGES_A_NODE = 3;
+    private static final int RANGES_PER_NODE = 3;
     private static final int SEARCH_PARTS = 36;
-    private static final double DELAY_S = 0.0003;
+    private static final double NETWORK_DELAY_S = 0.0003;
     private static final double WARM_UP_S = 10;
     private static final double[] SHARE = {0.4, 0.2, 0.4};
     private static final double[] PART_S = {0.125, 0.14, 0.1};
-    private static final double CV = 0.35;
+    private static final double WORK_VARIATION = 0.35;
     private static final List<QueryClass> CLASSES = List.of(
             new QueryClass(1.5, 3, 3, 0.1, RetrySafety.IDEMPOTENT, 0, 0.6, 1, 0.95, 0),
             new QueryClass(2.5, 6, 5, 0.3, RetrySafety.IDEMPOTENT, 0, 1, 1, 0.9, 0),
@@ -69,15 +75,15 @@
 
     private final Day day;
     private final ManualClock clock = new ManualClock(1000);
-    private final Map<String, Node> nodes = new HashMap<>();
+    private final Map<String, WorkerNode> nodes = new HashMap<>();
     private final List<Gatherer> gatherers = new ArrayList<>();
     private final SplittableRandom arrivals;
     private final SplittableRandom shapes;
     private final SplittableRandom work;
     private final int ranges;
     private final List<Double> latencies = new ArrayList<>();
-    private double asked;
-    private double served;
+    private double requestedValue;
+    private double servedValue;
     private int queries;
     private int unanswered;
     private long nextId;
@@ -89,15 +95,15 @@
         arrivals = root.split();
         shapes = root.split();
         work = root.split();
-        ranges = RANGES_A_NODE * day.nodes();
+        ranges = RANGES_PER_NODE * day.nodes();
         List<WorkerEndpoint> hosts = new ArrayList<>();
         double capacity = 0;
         for (int n = 0; n < day.nodes(); n++) {
             double speed = day.speeds()[0] + (day.speeds()[1] - day.speeds()[0]) * build.nextDouble();
             speed /= build.nextDouble() < day.slowShare() ? day.slowBy() : 1;
             capacity += CORES * speed;
-            Node node =
-                    new Node("n" + n, new Node.Kind(CORES, speed, 17 * CORES, CALL_S, 0.001, 1300, 15, 0.3, 10), clock);
+            WorkerNode node = new WorkerNode(
+                    "n" + n, new WorkerNode.Kind(CORES, speed, 17 * CORES, CALL_S, 0.001, 1300, 15, 0.3, 10), clock);
             nodes.put(node.id, node);
             hosts.add(new WorkerEndpoint(node.id, "", 0, 0, n, EndpointState.HEALTHY, 1, 0));
         }
@@ -105,7 +111,7 @@
         double rate = day.load()
                 * capacity
                 / (SHARE[0] * queryS(0, parts) + SHARE[1] * queryS(1, reportParts()) + SHARE[2] * queryS(2, 1));
-        int held = (int) Math.max(
+        int maxHeld = (int) Math.max(
                 3 * (1 + parts), 2 * rate / day.gatherers() * (1 + SHARE[0] * parts + SHARE[1] * reportParts()));
         SchedulerSettings settings = new SchedulerSettings(
                 day.gatherers(),
@@ -117,75 +123,78 @@
                 1,
                 List.of(),
                 new ReplicaLayout(ranges, day.nodes(), 2, BATCH),
-                new SchedulerLimits(true, true, false, 4, held, 1),
+                new SchedulerLimits(true, true, false, 4, maxHeld, 1),
                 new ProtocolRules(0.02, 0.5, 0.16, 14, 2, 1, 0, 0, 0, 10));
         for (int g = 0; g < day.gatherers(); g++) {
-            Gatherer core = new Gatherer(settings, day.seed() * 31 + g, clock, new Wire(g), () -> {});
-            wires.get(g).core = core;
+            Gatherer core = new Gatherer(settings, day.seed() * 31 + g, clock, new NodeConnections(g), () -> {});
+            connections.get(g).core = core;
             gatherers.add(core);
             if (day.plan() != null) {
                 new PlannerThread(day.plan(), settings.layout(), clock, core, Runnable::run, Runnable::run).start();
             }
             core.onEndpointList(EndpointListKind.COMPLETE, hosts);
         }
-        arrive(rate);
+        scheduleArrival(rate);
     }
 
-    private final List<Wire> wires = new ArrayList<>();
+    private final List<NodeConnections> connections = new ArrayList<>();
 
     private int reportParts() {
         return Math.min(7, ranges);
     }
 
-    /** Work of a query with so many parts: two holders a range in a row, so a call for every {@code RANGES_A_NODE} or so. */
+    /**
+     * Returns the work of a query with that many parts. Two neighbouring nodes hold each range, so about one call is
+     * made for every {@code RANGES_PER_NODE} parts.
+     */
     private double queryS(int queryClass, int parts) {
         return parts * PART_S[queryClass]
-                + CALL_S * Math.min(parts, Math.min(day.nodes(), parts / (double) RANGES_A_NODE + 2));
+                + CALL_S * Math.min(parts, Math.min(day.nodes(), parts / (double) RANGES_PER_NODE + 2));
     }
 
-    /** Plays a day; the same for the same day. */
+    /** Simulates a day; equal days give equal results. */
     public static Result play(Day day) {
         SimulatedFleet fleet = new SimulatedFleet(day);
         fleet.clock.advance(day.lengthS() + 10);
-        double fullest = fleet.nodes.values().stream()
-                .mapToDouble(n -> n.worked() / CORES / day.lengthS())
+        double greatestUtilisation = fleet.nodes.values().stream()
+                .mapToDouble(n -> n.coreSeconds() / CORES / day.lengthS())
                 .max()
                 .orElse(0);
         double[] sorted = fleet.latencies.stream().mapToDouble(x -> x).sorted().toArray();
         return new Result(
-                fleet.served / Math.max(1e-9, fleet.asked),
-                at(sorted, 0.5),
-                at(sorted, 0.99),
-                fullest,
+                fleet.servedValue / Math.max(1e-9, fleet.requestedValue),
+                quantile(sorted, 0.5),
+                quantile(sorted, 0.99),
+                greatestUtilisation,
                 fleet.queries,
                 fleet.unanswered);
     }
 
-    private static double at(double[] sorted, double share) {
+    private static double quantile(double[] sorted, double share) {
         return sorted.length == 0 ? Double.NaN : sorted[(int) Math.min(sorted.length - 1, share * sorted.length)];
     }
 
-    /** Open loop: the next query comes when it comes, whatever became of the last. */
-    private void arrive(double rate) {
+    /** Schedules the next arrival. Open loop: arrivals do not depend on how earlier queries end. */
+    private void scheduleArrival(double rate) {
         clock.after(-Math.log(1 - arrivals.nextDouble()) / rate, () -> {
             if (clock.now() < 1000 + day.lengthS()) {
-                ask(gatherers.get(arrivals.nextInt(gatherers.size())));
-                arrive(rate);
+                submitQuery(gatherers.get(arrivals.nextInt(gatherers.size())));
+                scheduleArrival(rate);
             }
         });
     }
 
-    private void ask(Gatherer core) {
-        double dice = shapes.nextDouble();
-        int queryClass = dice < SHARE[0] ? 0 : dice < SHARE[0] + SHARE[1] ? 1 : 2;
+    private void submitQuery(Gatherer core) {
+        double draw = shapes.nextDouble();
+        int queryClass = draw < SHARE[0] ? 0 : draw < SHARE[0] + SHARE[1] ? 1 : 2;
         int count = queryClass == 0 ? Math.min(SEARCH_PARTS, ranges) : queryClass == 1 ? reportParts() : 1;
         List<QueryRequest.RequestedPart> parts = requestedParts(queryClass, count);
         QueryClass c = CLASSES.get(queryClass);
-        double at = clock.now();
-        boolean counted = at > 1000 + WARM_UP_S;
+        double submittedAt = clock.now();
+        boolean counted = submittedAt > 1000 + WARM_UP_S;
         if (counted) {
             queries++;
-            asked += c.priorityWeight() * count;
+            requestedValue += c.priorityWeight() * count;
         }
         String id = "q" + nextId++;
         core.submit(
@@ -194,16 +203,16 @@
                     @Override
                     public void onAnswer(Query q, boolean whole) {
                         if (counted) {
-                            double in = q.parts().stream()
+                            double weightAnswered = q.parts().stream()
                                     .filter(p -> p.value() != null)
                                     .mapToDouble(p -> p.weight())
                                     .sum();
-                            double took = clock.now() - at;
-                            latencies.add(took);
-                            served += c.priorityWeight()
+                            double latencyS = clock.now() - submittedAt;
+                            latencies.add(latencyS);
+                            servedValue += c.priorityWeight()
                                     * count
-                                    * (took <= c.latencyObjectiveS() ? 1 : c.lateAnswerWeight())
-                                    * (whole ? 1 : c.partialAnswerWeight() * in);
+                                    * (latencyS <= c.latencyObjectiveS() ? 1 : c.lateAnswerWeight())
+                                    * (whole ? 1 : c.partialAnswerWeight() * weightAnswered);
                         }
                     }
 
@@ -219,7 +228,7 @@
                 });
     }
 
-    /** Adjacent ranges from a drawn one on; in the first class the weights fall along the ranges. */
+    /** Returns adjacent ranges from a randomly drawn one; in the first class the weights decrease along the ranges. */
     private List<QueryRequest.RequestedPart> requestedParts(int queryClass, int count) {
         int first = shapes.nextInt(ranges);
         double[] weights = new double[count];
@@ -234,33 +243,33 @@
         return parts;
     }
 
-    /** One gatherer's connections to the nodes. */
-    private final class Wire extends InertBackend {
+    /** The connections of one gatherer to the nodes. */
+    private final class NodeConnections extends InertBackend {
         private final int gatherer;
         private Gatherer core;
 
-        Wire(int gatherer) {
+        NodeConnections(int gatherer) {
             this.gatherer = gatherer;
-            wires.add(this);
+            connections.add(this);
         }
 
         @Override
         public void sendCall(String worker, List<Attempt> call) {
             double partsS = 0;
             for (Attempt a : call) {
-                double sigma = Math.sqrt(Math.log(1 + CV * CV));
+                double sigma = Math.sqrt(Math.log(1 + WORK_VARIATION * WORK_VARIATION));
                 partsS += PART_S[a.part().query().request().queryClass()]
                         * Math.exp(sigma * normal() - sigma * sigma / 2);
             }
             double workS = partsS;
             clock.after(
-                    DELAY_S,
+                    NETWORK_DELAY_S,
                     () -> nodes.get(worker)
                             .call(
                                     gatherer,
                                     workS,
                                     outcome -> clock.after(
-                                            DELAY_S,
+                                            NETWORK_DELAY_S,
                                             () -> call.forEach(a -> core.onAttemptEnded(
                                                     a,
                                                     outcome,
--- a/src/main/java/pepperdock/simulation/raft/Disk.java
+++ b/src/main/java/pepperdock/simulation/raft/Disk.java
@@ -10,46 +10,46 @@
 import pepperdock.store.raft.RaftOutput.Write;
 import pepperdock.store.raft.RaftSnapshot;
 
-/** What a disk has synced, and the writes that it has not. */
+/** A simulated disk: its synced contents, and the writes that are not synced yet. */
 class Disk {
 
     private HardState hardState = PersistedState.NOTHING.hardState();
     private RaftSnapshot snapshot;
     private final List<RaftLogEntry> entries = new ArrayList<>();
-    final Deque<Write> open = new ArrayDeque<>();
+    final Deque<Write> pending = new ArrayDeque<>();
 
-    Disk(PersistedState begins) {
-        hardState = begins.hardState();
-        snapshot = begins.snapshot();
-        entries.addAll(begins.entries());
+    Disk(PersistedState initial) {
+        hardState = initial.hardState();
+        snapshot = initial.snapshot();
+        entries.addAll(initial.entries());
     }
 
-    /** Syncs the first write that is not; returns its number. */
+    /** Syncs the oldest pending write; returns its number. */
     long sync() {
-        Write w = open.poll();
-        keep(w);
-        return w.number();
+        Write write = pending.poll();
+        store(write);
+        return write.number();
     }
 
-    /** The process ends: so many of the open writes have got to the disk all the same, the rest has not. */
+    /** Ends the process: the first {@code kept} pending writes still reach the disk, the others are lost. */
     void crash(int kept) {
-        for (int i = 0; i < kept && !open.isEmpty(); i++) {
-            keep(open.poll());
+        for (int i = 0; i < kept && !pending.isEmpty(); i++) {
+            store(pending.poll());
         }
-        open.clear();
+        pending.clear();
     }
 
-    private void keep(Write w) {
-        if (w.hardState() != null) {
-            hardState = w.hardState();
+    private void store(Write write) {
+        if (write.hardState() != null) {
+            hardState = write.hardState();
         }
-        if (w.truncateFrom() > 0) {
-            entries.removeIf(e -> e.index() >= w.truncateFrom());
+        if (write.truncateFrom() > 0) {
+            entries.removeIf(e -> e.index() >= write.truncateFrom());
         }
-        if (w.snapshot() != null) {
-            snapshot = w.snapshot();
+        if (write.snapshot() != null) {
+            snapshot = write.snapshot();
         }
-        for (RaftLogEntry e : w.entries()) {
+        for (RaftLogEntry e : write.entries()) {
             entries.removeIf(x -> x.index() >= e.index());
             entries.add(e);
         }
@@ -59,7 +59,7 @@
         return new PersistedState(hardState, snapshot, List.copyOf(entries));
     }
 
-    /** The term of what it holds at an index; -1 where that is nothing, -2 where a snapshot stands for it. */
+    /** Returns the term of the entry at an index; -1 if there is none, -2 if the snapshot covers the index. */
     long term(long index) {
         for (RaftLogEntry e : entries) {
             if (e.index() == index) {
--- a/src/main/java/pepperdock/simulation/raft/Explorer.java
+++ b/src/main/java/pepperdock/simulation/raft/Explorer.java
@@ -7,12 +7,12 @@
 import java.util.Random;
 import java.util.function.LongFunction;
 
-/** Walks of steps drawn by seeds, and the shortening of one that fails. */
+/** Runs walks of steps drawn from seeds, and shortens a walk that fails. */
 public final class Explorer {
 
-    /** How often each kind of step comes, as parts of the sum of all. */
+    /** How often each kind of step is drawn, as weights relative to their sum. */
     public enum Mix {
-        /** A bit of everything. */
+        /** All kinds of steps. */
         ALL(Map.ofEntries(
                 Map.entry(Step.Kind.TICK, 90),
                 Map.entry(Step.Kind.DELIVER, 500),
@@ -35,7 +35,7 @@
                 Map.entry(Step.Kind.CALM, 40),
                 Map.entry(Step.Kind.HASTE, 12),
                 Map.entry(Step.Kind.AGAIN, 12))),
-        /** One leader after the other, most of whom don't get far. */
+        /** Frequent elections, with leaders that mostly replicate little. */
         ELECTIONS(Map.of(
                 Step.Kind.HASTE,
                 10,
@@ -53,7 +53,7 @@
                 6,
                 Step.Kind.TICK,
                 4)),
-        /** Peers that fall behind what is kept, and answers that come late. */
+        /** Peers that fall behind the compacted log, and responses that arrive late. */
         SNAPSHOTS(Map.of(
                 Step.Kind.PROPOSE,
                 60,
@@ -76,22 +76,22 @@
                 Step.Kind.AGAIN,
                 2));
 
-        @SuppressWarnings("ImmutableEnumChecker") // Filled in the constructor and only read after it.
-        private final EnumMap<Step.Kind, Integer> parts;
+        @SuppressWarnings("ImmutableEnumChecker") // Filled in the constructor and only read afterwards.
+        private final EnumMap<Step.Kind, Integer> weights;
 
         private final int sum;
 
-        Mix(Map<Step.Kind, Integer> parts) {
-            this.parts = new EnumMap<>(parts);
-            sum = parts.values().stream().mapToInt(Integer::intValue).sum();
+        Mix(Map<Step.Kind, Integer> weights) {
+            this.weights = new EnumMap<>(weights);
+            sum = weights.values().stream().mapToInt(Integer::intValue).sum();
         }
 
-        private Step drawn(Random chance) {
-            int x = chance.nextInt(sum);
-            for (Map.Entry<Step.Kind, Integer> p : parts.entrySet()) {
-                x -= p.getValue();
-                if (x < 0) {
-                    return new Step(p.getKey(), chance.nextInt(1 << 20), chance.nextInt(1 << 20));
+        private Step drawStep(Random random) {
+            int remaining = random.nextInt(sum);
+            for (Map.Entry<Step.Kind, Integer> p : weights.entrySet()) {
+                remaining -= p.getValue();
+                if (remaining < 0) {
+                    return new Step(p.getKey(), random.nextInt(1 << 20), random.nextInt(1 << 20));
                 }
             }
             throw new IllegalStateException();
@@ -99,53 +99,58 @@
     }
 
     private static final int SETTLE_ROUNDS = 120;
-    private static final int SHORTER_TRIES = 4000;
+    private static final int MAX_SHORTENING_TRIES = 4000;
 
-    /** What a walk found, empty where nothing; its steps up to there; and what it saw. */
+    /**
+     * The result of a walk: the violations, if any, the steps taken until then, and the counts of {@link World#counts}.
+     */
     public record Walk(long seed, List<String> violations, List<Step> steps, long[] counts) {}
 
-    private final LongFunction<World> worlds;
+    private final LongFunction<World> groups;
     private final Mix mix;
 
-    /** {@code worlds} makes a new one for a seed, the same for the same. */
-    public Explorer(LongFunction<World> worlds, Mix mix) {
-        this.worlds = worlds;
+    /** Creates an explorer; {@code groups} must return a new, equal group whenever it is called with the same seed. */
+    public Explorer(LongFunction<World> groups, Mix mix) {
+        this.groups = groups;
         this.mix = mix;
     }
 
-    /** Draws that many steps from the seed and plays them. */
+    /** Draws that many steps from the seed and runs them. */
     public Walk walk(long seed, int length) {
-        Random chance = new Random(seed * 7919 + 13);
+        Random random = new Random(seed * 7919 + 13);
         List<Step> steps = new ArrayList<>();
         for (int i = 0; i < length; i++) {
-            steps.add(mix.drawn(chance));
+            steps.add(mix.drawStep(random));
         }
         return play(seed, steps);
     }
 
-    /** Plays steps up to the first finding, and where there is none to a settled end. */
+    /** Runs steps until the first violation; if there is none, lets the group settle and checks it again. */
     public Walk play(long seed, List<Step> steps) {
-        World world = worlds.apply(seed);
+        World group = groups.apply(seed);
         int taken = 0;
         try {
-            while (taken < steps.size() && world.violations().isEmpty()) {
-                world.take(steps.get(taken++));
+            while (taken < steps.size() && group.violations().isEmpty()) {
+                group.take(steps.get(taken++));
             }
-            if (world.violations().isEmpty()) {
-                world.settle(SETTLE_ROUNDS);
+            if (group.violations().isEmpty()) {
+                group.settle(SETTLE_ROUNDS);
             }
         } catch (IllegalStateException | IllegalArgumentException | IndexOutOfBoundsException e) {
-            world.violations().add("the machine broke: " + e);
+            group.violations().add("an exception was thrown: " + e);
         }
-        return new Walk(seed, List.copyOf(world.violations()), List.copyOf(steps.subList(0, taken)), world.counts());
+        return new Walk(seed, List.copyOf(group.violations()), List.copyOf(steps.subList(0, taken)), group.counts());
     }
 
-    /** A shorter walk that still fails: parts are left out, large ones first, as long as something is found. */
+    /**
+     * Returns a shorter walk that still fails, by removing runs of steps, long runs first, as long as a violation
+     * remains.
+     */
     public Walk shortened(Walk failing) {
         Walk best = failing;
         int tries = 0;
         for (int part = best.steps().size() / 2; part >= 1; part /= 2) {
-            for (int from = 0; from < best.steps().size() && tries < SHORTER_TRIES; ) {
+            for (int from = 0; from < best.steps().size() && tries < MAX_SHORTENING_TRIES; ) {
                 List<Step> rest = new ArrayList<>(best.steps().subList(0, from));
                 rest.addAll(best.steps()
                         .subList(
--- a/src/main/java/pepperdock/simulation/raft/Invariants.java
+++ b/src/main/java/pepperdock/simulation/raft/Invariants.java
@@ -11,7 +11,7 @@
 import pepperdock.store.raft.RaftPeerState;
 import pepperdock.store.raft.RaftSnapshot;
 
-/** What must hold of all processes together, checked by what is known from outside of them; the violations found. */
+/** Checks the invariants of all processes together, by what is visible from outside of them, and records violations. */
 final class Invariants {
 
     private record Applied(long term, long state) {}
@@ -30,37 +30,37 @@
         return violations;
     }
 
-    void violation(String what) {
-        violations.add(what);
+    void violation(String text) {
+        violations.add(text);
     }
 
-    /** Index up to which entries are known to be committed. */
+    /** Returns the index up to which entries are known to be committed. */
     long committed() {
         return committed;
     }
 
-    /** Terms with a leader, entries committed, reads answered. */
+    /** Returns the numbers of terms with a leader, of entries committed and of reads answered. */
     long[] counts() {
         return new long[] {leaders.size(), committed, readsAnswered};
     }
 
-    /** A read is asked for now; returns its token. */
-    long readAsked() {
+    /** Registers a read that is requested now; returns its token. */
+    long registerRead() {
         long token = reads.size() + 1L;
         reads.put(token, committed);
         return token;
     }
 
-    /** A process has put a snapshot in place of what it held. */
-    void restored(World.Node node, RaftSnapshot snapshot) {
+    /** Checks a snapshot that a process has installed. */
+    void checkSnapshot(World.Node node, RaftSnapshot snapshot) {
         Applied known = applied.get(node.applied);
         if (known == null || known.state() != node.state || known.term() != snapshot.term()) {
-            violations.add("a snapshot of " + node.applied + " that is not what was applied");
+            violations.add("the snapshot at index " + node.applied + " differs from the state that was applied there");
         }
     }
 
-    /** Notes how far a process knows its log to be committed. */
-    void committed(World.Node node) {
+    /** Records the index up to which a process knows its log to be committed. */
+    void recordCommitted(World.Node node) {
         if (node.raft.commitIndex() > committed) {
             for (long i = committed + 1; i <= node.raft.commitIndex(); i++) {
                 committedTerm.put(i, node.raft.termAt(i));
@@ -69,63 +69,66 @@
         }
     }
 
-    /** A read is answered by what is applied up to that index. */
-    void readAnswered(long token, long index) {
+    /** Checks a read that is answered from the state applied up to that index. */
+    void checkRead(long token, long index) {
         readsAnswered++;
         if (index < reads.get(token)) {
-            violations.add("a read at " + index + ", when " + reads.get(token) + " was committed before it came");
+            violations.add("a read was answered at index " + index + ", but index " + reads.get(token)
+                    + " had been committed before it was requested");
         }
     }
 
-    void sent(World.Node node, RaftOutput.Send send) {
-        if (send.message() instanceof RaftMessage.VoteResponse v && !v.preVote() && v.granted()) {
-            Long before = votes.putIfAbsent(List.of(node.id, v.term()), send.to());
+    void checkSent(World.Node node, RaftOutput.Send send) {
+        if (send.message() instanceof RaftMessage.VoteResponse vote && !vote.preVote() && vote.granted()) {
+            Long before = votes.putIfAbsent(List.of(node.id, vote.term()), send.to());
             if (before != null && before != send.to()) {
-                violations.add(node.id + " has voted for " + before + " and " + send.to() + " in term " + v.term());
+                violations.add("node " + node.id + " has voted for " + before + " and " + send.to() + " in term "
+                        + vote.term());
             }
-            if (node.disk.saved().hardState().term() < v.term()) {
-                violations.add(node.id + " has voted in term " + v.term() + ", of which its disk does not know");
+            if (node.disk.saved().hardState().term() < vote.term()) {
+                violations.add("node " + node.id + " has voted in term " + vote.term()
+                        + ", but its disk does not hold that term");
             }
         }
-        if (send.message() instanceof RaftMessage.AppendResponse a
-                && a.success()
-                && a.term() == node.raft.term()
-                && node.disk.lastIndex() < a.index()) {
-            violations.add(
-                    node.id + " says that it holds " + a.index() + ", and its disk holds " + node.disk.lastIndex());
+        if (send.message() instanceof RaftMessage.AppendResponse response
+                && response.success()
+                && response.term() == node.raft.term()
+                && node.disk.lastIndex() < response.index()) {
+            violations.add("node " + node.id + " acknowledged entries up to index " + response.index()
+                    + ", but its disk holds entries up to index " + node.disk.lastIndex());
         }
     }
 
-    void wrote(World.Node node, RaftOutput.Write w) {
-        for (RaftLogEntry e : w.entries()) {
-            int sum = java.util.Arrays.hashCode(e.data()) * 31
-                    + (e.configuration() == null ? 0 : e.configuration().hashCode());
-            long before = node.raft.termAt(e.index() - 1);
+    void checkWritten(World.Node node, RaftOutput.Write write) {
+        for (RaftLogEntry entry : write.entries()) {
+            int hash = java.util.Arrays.hashCode(entry.data()) * 31
+                    + (entry.configuration() == null ? 0 : entry.configuration().hashCode());
+            long before = node.raft.termAt(entry.index() - 1);
             if (before >= 0) {
-                Integer known = entries.putIfAbsent(List.of(e.index(), e.term(), before), sum);
-                if (known != null && known != sum) {
-                    violations.add("two entries of term " + e.term() + " at " + e.index());
+                Integer known = entries.putIfAbsent(List.of(entry.index(), entry.term(), before), hash);
+                if (known != null && known != hash) {
+                    violations.add("two different entries of term " + entry.term() + " at index " + entry.index());
                 }
             }
-            if (e.configuration() != null
-                    && e.term() == node.raft.term()
+            if (entry.configuration() != null
+                    && entry.term() == node.raft.term()
                     && node.raft.state() == RaftPeerState.LEADER) {
-                long unsettled = w.entries().stream()
+                long uncommittedChanges = write.entries().stream()
                         .filter(x -> x.configuration() != null && x.index() > node.raft.commitIndex())
                         .count();
-                if (unsettled > 1 || !settledBefore(node, e.index())) {
-                    violations.add("two changes of members at once, the second at " + e.index());
+                if (uncommittedChanges > 1 || !noEarlierUncommittedChange(node, entry.index())) {
+                    violations.add("two membership changes at once, the second at index " + entry.index());
                 }
             }
         }
     }
 
-    /** Whether no other entry that changes members lies between what is committed and this one. */
-    private boolean settledBefore(World.Node node, long index) {
+    /** Returns whether no other membership change lies between the last committed entry and this one. */
+    private boolean noEarlierUncommittedChange(World.Node node, long index) {
         return node.disk.saved().entries().stream()
                         .noneMatch(x ->
                                 x.configuration() != null && x.index() > node.raft.commitIndex() && x.index() < index)
-                && node.disk.open.stream()
+                && node.disk.pending.stream()
                         .flatMap(w -> w.entries().stream())
                         .noneMatch(x -> x.configuration() != null
                                 && x.index() > node.raft.commitIndex()
@@ -133,30 +136,30 @@
                                 && node.raft.termAt(x.index()) == x.term());
     }
 
-    /** An entry was applied, after all up to {@code before}; the process has folded it into its state. */
-    void applied(World.Node node, RaftLogEntry e, long before) {
-        if (e.index() != before + 1) {
-            violations.add(node.id + " applied " + e.index() + " after " + before);
+    /** Checks an entry that a process has applied to its state, after all entries up to {@code before}. */
+    void checkApplied(World.Node node, RaftLogEntry entry, long before) {
+        if (entry.index() != before + 1) {
+            violations.add("node " + node.id + " applied index " + entry.index() + " after index " + before);
         }
-        Applied known = applied.putIfAbsent(e.index(), new Applied(e.term(), node.state));
-        if (known != null && (known.term() != e.term() || known.state() != node.state)) {
-            violations.add(node.id + " applied an entry of term " + e.term() + " at " + e.index()
-                    + ", where another of term " + known.term() + " was applied");
+        Applied known = applied.putIfAbsent(entry.index(), new Applied(entry.term(), node.state));
+        if (known != null && (known.term() != entry.term() || known.state() != node.state)) {
+            violations.add("node " + node.id + " applied an entry of term " + entry.term() + " at index "
+                    + entry.index() + ", where a different entry of term " + known.term() + " was applied before");
         }
     }
 
-    void stateChanged(World.Node node, RaftOutput.StateChange r) {
-        if (r.state() != RaftPeerState.LEADER) {
+    void checkStateChange(World.Node node, RaftOutput.StateChange change) {
+        if (change.state() != RaftPeerState.LEADER) {
             return;
         }
-        Long before = leaders.putIfAbsent(r.term(), node.id);
+        Long before = leaders.putIfAbsent(change.term(), node.id);
         if (before != null && before != node.id) {
-            violations.add("two leaders in term " + r.term() + ": " + before + " and " + node.id);
+            violations.add("two leaders in term " + change.term() + ": " + before + " and " + node.id);
         }
         for (long i = 1; i <= committed; i++) {
             long term = node.raft.termAt(i);
             if (i > node.raft.lastIndex() || term >= 0 && term != committedTerm.get(i)) {
-                violations.add("the leader of term " + r.term() + " has not what was committed at " + i);
+                violations.add("the leader of term " + change.term() + " lacks the committed entry at index " + i);
                 return;
             }
         }
--- a/src/main/java/pepperdock/simulation/raft/Step.java
+++ b/src/main/java/pepperdock/simulation/raft/Step.java
@@ -1,12 +1,15 @@
 package pepperdock.simulation.raft;
 
 /**
- * One thing that happens. The numbers are taken modulo whatever there is when it happens, so that any part of a script is a
- * script: that is what lets a failing one be shortened.
+ * One step of a simulation. Its numbers are taken modulo the number of choices at the time of the step, so that any
+ * subsequence of a script is a valid script; this allows a failing script to be shortened.
  */
 public record Step(Kind kind, int a, int b) {
 
-    /** What happens; {@code a} says to whom, {@code b} what of it. */
+    /**
+     * The kind of a step; {@code a} selects the node or message that it affects, {@code b} a detail such as a second
+     * node.
+     */
     public enum Kind {
         TICK,
         DELIVER,
@@ -26,11 +29,11 @@
         ADD,
         PROMOTE,
         REMOVE,
-        /** Everybody ticks once, and all that is under way arrives and is synced. */
+        /** Every node ticks once, and all messages in flight are delivered and all pending writes synced. */
         CALM,
-        /** One ticks as often as it takes to lose its patience. */
+        /** One node ticks until its election timeout has expired. */
         HASTE,
-        /** One crashes and starts at once. */
+        /** One node crashes and restarts at once. */
         AGAIN
     }
 
@@ -39,7 +42,7 @@
         return kind + " " + a + " " + b;
     }
 
-    /** The same read back. */
+    /** Parses a step from the text that {@link #toString} returns. */
     public static Step read(String line) {
         String[] words = line.strip().split(" ");
         return new Step(Kind.valueOf(words[0]), Integer.parseInt(words[1]), Integer.parseInt(words[2]));
--- a/src/main/java/pepperdock/simulation/raft/World.java
+++ b/src/main/java/pepperdock/simulation/raft/World.java
@@ -19,26 +19,26 @@
 import pepperdock.store.raft.VoterConfiguration;
 
 /**
- * A few processes, their disks, and what is on the way between them; one {@link Step} at a time, and the checks after each:
- * one leader a term, one vote a term, logs that agree where they share an entry, a leader that has all that was committed,
- * the same applied everywhere in the same order, nothing said of the disk that the disk does not hold, members changed one vote
- * at a time, reads no older than what was committed when they came. The protected methods are where tests plant faults.
+ * Simulates a Raft group: its processes, their disks and the messages in flight. It takes one {@link Step} at a time
+ * and then checks: one leader and one vote per node in a term, logs that agree where they share an entry, leaders with
+ * all committed entries, the same entries applied in the same order everywhere, no entry acknowledged before the disk
+ * holds it, membership changes by one vote, and reads not older than their request. Tests override protected methods.
  */
 public class World {
 
-    private static final int MESSAGES_MOST = 400;
-    /** Turns of messages and answers in a calm moment. */
-    private static final int ARRIVALS = 50;
+    private static final int MAX_MESSAGES = 400;
+    /** Maximum rounds of messages and responses in one calm round. */
+    private static final int MAX_ROUNDS = 50;
 
-    /** A process that may be running, on its disk. */
+    /** A process, running or not, and its disk. */
     static final class Node {
         final int number;
         long id;
         Disk disk;
         RaftServer raft;
-        /** Its own fold over what it applied, and how far that goes. */
+        /** The state machine: a hash over all entries applied. */
         long state;
-
+        /** The index of the last entry applied. */
         long applied;
 
         Node(int number, Disk disk, long id) {
@@ -59,7 +59,7 @@
     private long nextId = 1;
     private long nextData = 1;
 
-    /** So many processes, of which the first so many begin as voters of one group. */
+    /** Creates a group of {@code nodes} processes, of which the first {@code voters} start as voters. */
     public World(int nodes, int voters, RaftSettings settings, long seed) {
         this.settings = settings;
         seeds = new Random(seed);
@@ -68,58 +68,58 @@
             first = first.with(new RaftPeer(nextId + i, "k" + (i + 1), "", true));
         }
         for (int i = 0; i < nodes; i++) {
-            PersistedState begins = i >= voters
+            PersistedState initial = i >= voters
                     ? PersistedState.NOTHING
                     : new PersistedState(
                             PersistedState.NOTHING.hardState(), new RaftSnapshot(0, 0, first, bytes(0)), List.of());
-            this.nodes.add(new Node(i, new Disk(begins), nextId++));
+            this.nodes.add(new Node(i, new Disk(initial), nextId++));
         }
         this.nodes.forEach(this::start);
     }
 
-    // ---- Where tests plant faults ------------------------------------------------------------
+    // ---- Overridden by tests to inject faults ------------------------------------------------------------
 
     protected RaftServer newRaft(long id, RaftSettings of, PersistedState saved, long seed) {
         return new RaftServer(id, of, saved, seed);
     }
 
-    /** What a process finds when it starts again. */
+    /** Returns the state that a process reads from its disk when it restarts. */
     protected PersistedState persisted(PersistedState synced) {
         return synced;
     }
 
-    /** The id of the disk that takes the place of a lost one. */
+    /** Returns the id of the node whose disk replaces a lost one. */
     protected long idAfterLoss(long lost, long fresh) {
         return fresh;
     }
 
-    /** Whether what a process is told to be synced is. */
+    /** Returns whether a write that is reported as synced really is. */
     protected boolean syncs() {
         return true;
     }
 
-    /** How a leader is asked for a read. */
+    /** Requests a read from a leader. */
     protected void read(RaftServer raft, long token) {
         raft.read(token);
     }
 
-    // ---- One step ------------------------------------------------------------
+    // ---- Steps ------------------------------------------------------------
 
     /** Takes one step and checks the invariants after it; a step that does not apply now does nothing. */
-    public void take(Step s) {
-        Node node = nodes.get(Math.floorMod(s.a(), nodes.size()));
+    public void take(Step step) {
+        Node node = nodes.get(Math.floorMod(step.a(), nodes.size()));
         RaftServer raft = node.raft;
-        switch (s.kind()) {
-            case DELIVER, DROP, TWICE -> deliver(s);
-            case CALM -> calm();
+        switch (step.kind()) {
+            case DELIVER, DROP, TWICE -> deliver(step);
+            case CALM -> runCalmRound();
             case START -> {
                 if (raft == null) {
                     start(node);
                 }
             }
             case CUT, HEAL -> {
-                List<Integer> pair = List.of(node.number, Math.floorMod(s.b(), nodes.size()));
-                if (s.kind() == Step.Kind.CUT) {
+                List<Integer> pair = List.of(node.number, Math.floorMod(step.b(), nodes.size()));
+                if (step.kind() == Step.Kind.CUT) {
                     cutLinks.add(pair);
                 } else {
                     cutLinks.clear();
@@ -127,14 +127,14 @@
             }
             default -> {
                 if (raft != null) {
-                    at(node, raft, s);
+                    takeOnRunning(node, raft, step);
                 }
             }
         }
     }
 
-    private void at(Node node, RaftServer raft, Step s) {
-        switch (s.kind()) {
+    private void takeOnRunning(Node node, RaftServer raft, Step step) {
+        switch (step.kind()) {
             case TICK -> raft.tick();
             case HASTE -> {
                 for (int i = 0; i < 2 * settings.electionTicks(); i++) {
@@ -142,14 +142,14 @@
                 }
             }
             case AGAIN -> {
-                crash(node, s.b());
+                crash(node, step.b());
                 start(node);
             }
             case SYNC -> sync(node);
             case PROPOSE -> raft.propose(bytes(nextData++));
-            case READ -> read(raft, invariants.readAsked());
+            case READ -> read(raft, invariants.registerRead());
             case COMPACT -> compact(node, raft);
-            case CRASH -> crash(node, s.b());
+            case CRASH -> crash(node, step.b());
             case LOSE -> {
                 crash(node, 0);
                 node.disk = new Disk(PersistedState.NOTHING);
@@ -157,12 +157,12 @@
             }
             case FAIL -> {
                 raft.failed();
-                node.disk.open.clear();
+                node.disk.pending.clear();
             }
-            case TRANSFER -> raft.transfer(nodes.get(Math.floorMod(s.b(), nodes.size())).id);
-            default -> change(raft, s);
+            case TRANSFER -> raft.transfer(nodes.get(Math.floorMod(step.b(), nodes.size())).id);
+            default -> change(raft, step);
         }
-        after(node);
+        processOutputs(node);
     }
 
     private void compact(Node node, RaftServer raft) {
@@ -173,14 +173,14 @@
 
     private boolean snapshotBehind(Node node) {
         return node.disk.saved().snapshot().index() < node.applied
-                && node.disk.open.stream()
+                && node.disk.pending.stream()
                         .noneMatch(w -> w.snapshot() != null && w.snapshot().index() >= node.applied);
     }
 
-    private void change(RaftServer raft, Step s) {
+    private void change(RaftServer raft, Step step) {
         VoterConfiguration now = raft.configuration();
-        Node other = nodes.get(Math.floorMod(s.b(), nodes.size()));
-        switch (s.kind()) {
+        Node other = nodes.get(Math.floorMod(step.b(), nodes.size()));
+        switch (step.kind()) {
             case ADD -> {
                 if (now.peer(other.id) == null) {
                     raft.change(now.with(new RaftPeer(other.id, "k", "", false)));
@@ -194,47 +194,47 @@
             case REMOVE -> {
                 if (now.peers().size() > 1) {
                     raft.change(now.without(now.peers()
-                            .get(Math.floorMod(s.b(), now.peers().size()))
+                            .get(Math.floorMod(step.b(), now.peers().size()))
                             .id()));
                 }
             }
-            default -> throw new IllegalArgumentException(s.toString());
+            default -> throw new IllegalArgumentException(step.toString());
         }
     }
 
-    private void deliver(Step s) {
+    private void deliver(Step step) {
         if (network.isEmpty()) {
             return;
         }
-        int k = Math.floorMod(s.a(), network.size());
-        InFlight m = s.kind() == Step.Kind.TWICE ? network.get(k) : network.remove(k);
-        Node to = nodes.stream().filter(x -> x.id == m.to()).findFirst().orElse(null);
-        Node from = nodes.stream().filter(x -> x.id == m.from()).findFirst().orElse(null);
+        int k = Math.floorMod(step.a(), network.size());
+        InFlight sent = step.kind() == Step.Kind.TWICE ? network.get(k) : network.remove(k);
+        Node to = nodes.stream().filter(x -> x.id == sent.to()).findFirst().orElse(null);
+        Node from = nodes.stream().filter(x -> x.id == sent.from()).findFirst().orElse(null);
         boolean cut = from != null && to != null && cutLinks.contains(List.of(from.number, to.number));
-        if (s.kind() != Step.Kind.DROP && to != null && to.raft != null && !cut) {
-            to.raft.received(m.message());
-            after(to);
+        if (step.kind() != Step.Kind.DROP && to != null && to.raft != null && !cut) {
+            to.raft.received(sent.message());
+            processOutputs(to);
         }
     }
 
     /**
-     * The first message of that kind from one process to another arrives, and again later with TWICE; false where there is none.
-     * For scenes written by hand.
+     * Delivers the first matching message from one process to another, and keeps it for a second delivery if
+     * {@code how} is TWICE. Returns false if there is none. Used by scenarios written by hand.
      */
-    boolean pass(Step.Kind how, int from, int to, Class<? extends RaftMessage> kind, Predicate<RaftMessage> which) {
-        for (InFlight m : network) {
-            if (m.from() == nodes.get(from).id
-                    && m.to() == nodes.get(to).id
-                    && kind.isInstance(m.message())
-                    && which.test(m.message())) {
-                deliver(new Step(how, network.indexOf(m), 0));
+    boolean deliver(Step.Kind how, int from, int to, Class<? extends RaftMessage> kind, Predicate<RaftMessage> which) {
+        for (InFlight sent : network) {
+            if (sent.from() == nodes.get(from).id
+                    && sent.to() == nodes.get(to).id
+                    && kind.isInstance(sent.message())
+                    && which.test(sent.message())) {
+                deliver(new Step(how, network.indexOf(sent), 0));
                 return true;
             }
         }
         return false;
     }
 
-    void loseAll() {
+    void dropAllMessages() {
         network.clear();
     }
 
@@ -249,16 +249,16 @@
         node.state = saved.snapshot().state().length == 0
                 ? 0
                 : ByteBuffer.wrap(saved.snapshot().state()).getLong();
-        after(node);
+        processOutputs(node);
     }
 
     private void sync(Node node) {
-        if (!node.disk.open.isEmpty()) {
-            long number = node.disk.open.peek().number();
+        if (!node.disk.pending.isEmpty()) {
+            long number = node.disk.pending.peek().number();
             if (syncs()) {
                 node.disk.sync();
             } else {
-                node.disk.open.poll();
+                node.disk.pending.poll();
             }
             node.raft.written(number);
         }
@@ -266,41 +266,41 @@
 
     private void crash(Node node, int kept) {
         node.raft = null;
-        node.disk.crash(node.disk.open.isEmpty() ? 0 : Math.floorMod(kept, node.disk.open.size() + 1));
+        node.disk.crash(node.disk.pending.isEmpty() ? 0 : Math.floorMod(kept, node.disk.pending.size() + 1));
     }
 
-    /** Carries out what the machine wants, and checks it. */
-    private void after(Node node) {
+    /** Carries out the outputs of the state machine, and checks them. */
+    private void processOutputs(Node node) {
         if (node.raft == null) {
             return;
         }
         for (RaftOutput o : node.raft.takeOutputs()) {
             if (o instanceof RaftOutput.Send send) {
-                if (network.size() < MESSAGES_MOST) {
+                if (network.size() < MAX_MESSAGES) {
                     network.add(new InFlight(node.id, send.to(), send.message()));
                 }
-                invariants.sent(node, send);
+                invariants.checkSent(node, send);
             } else if (o instanceof RaftOutput.Write w) {
-                node.disk.open.add(w);
-                invariants.wrote(node, w);
+                node.disk.pending.add(w);
+                invariants.checkWritten(node, w);
             } else if (o instanceof RaftOutput.Apply a) {
                 a.entries().forEach(e -> apply(node, e));
             } else if (o instanceof RaftOutput.Restore r) {
                 node.applied = r.snapshot().index();
                 node.state = ByteBuffer.wrap(r.snapshot().state()).getLong();
-                invariants.restored(node, r.snapshot());
+                invariants.checkSnapshot(node, r.snapshot());
             } else if (o instanceof RaftOutput.StateChange r) {
-                invariants.stateChanged(node, r);
+                invariants.checkStateChange(node, r);
             } else if (o instanceof RaftOutput.ReadReady r) {
-                invariants.readAnswered(r.token(), r.index());
+                invariants.checkRead(r.token(), r.index());
             }
         }
-        invariants.committed(node);
+        invariants.recordCommitted(node);
     }
 
-    /** A read is answered by what is applied up to that index. */
-    protected final void answered(long token, long index) {
-        invariants.readAnswered(token, index);
+    /** Checks a read that is answered from the state applied up to that index. */
+    protected final void checkRead(long token, long index) {
+        invariants.checkRead(token, index);
     }
 
     private void apply(Node node, RaftLogEntry e) {
@@ -308,24 +308,24 @@
         node.applied = e.index();
         node.state = node.state * 31
                 + (e.data().length == 0 ? e.term() : ByteBuffer.wrap(e.data()).getLong());
-        invariants.applied(node, e, before);
+        invariants.checkApplied(node, e, before);
     }
 
-    // ---- The end ------------------------------------------------------------
+    // ---- Settling ------------------------------------------------------------
 
-    private void calm() {
-        List<Node> run = nodes.stream().filter(s -> s.raft != null).toList();
-        for (Node s : run) {
+    private void runCalmRound() {
+        List<Node> running = nodes.stream().filter(s -> s.raft != null).toList();
+        for (Node s : running) {
             s.raft.tick();
-            after(s);
+            processOutputs(s);
         }
         for (int i = 0;
-                i < ARRIVALS && (!network.isEmpty() || run.stream().anyMatch(s -> !s.disk.open.isEmpty()));
+                i < MAX_ROUNDS && (!network.isEmpty() || running.stream().anyMatch(s -> !s.disk.pending.isEmpty()));
                 i++) {
-            for (Node s : run) {
-                while (!s.disk.open.isEmpty()) {
+            for (Node s : running) {
+                while (!s.disk.pending.isEmpty()) {
                     sync(s);
-                    after(s);
+                    processOutputs(s);
                 }
             }
             for (int n = network.size(); n > 0; n--) {
@@ -335,22 +335,22 @@
     }
 
     /**
-     * All links heal, all that can run do; so many rounds of ticks, with everything delivered and synced. Where a majority of
-     * those that vote is still there, all that run must come to hold the same.
+     * Heals all links, restarts stopped processes and runs that many rounds of ticks with everything delivered and
+     * synced. If a majority of the voters is available, all running processes must end with the same applied index.
      */
     public void settle(int rounds) {
         cutLinks.clear();
         nodes.stream().filter(s -> s.raft == null).forEach(this::start);
         for (int r = 0; r < rounds; r++) {
-            calm();
+            runCalmRound();
         }
         Node leader = nodes.stream()
                 .filter(s -> s.raft.state() == RaftPeerState.LEADER)
                 .findFirst()
                 .orElse(null);
         if (leader == null) {
-            if (electable()) {
-                invariants.violation("nobody leads in the end, though a majority is there");
+            if (canElectLeader()) {
+                invariants.violation("no leader after all faults were healed, though a majority is available");
             }
             return;
         }
@@ -358,38 +358,38 @@
             if (leader.raft.configuration().peer(s.id) != null
                     && s.raft.state() != RaftPeerState.STORAGE_FAILED
                     && s.applied != leader.applied) {
-                invariants.violation(
-                        s.id + " has applied up to " + s.applied + " in the end, its leader up to " + leader.applied);
+                invariants.violation("node " + s.id + " has applied up to index " + s.applied
+                        + " after all faults were healed, but its leader up to index " + leader.applied);
             }
         }
         if (leader.applied < invariants.committed()) {
-            invariants.violation("what was committed at " + invariants.committed() + " is gone: the leader ends at "
+            invariants.violation("committed index " + invariants.committed() + " is lost: the leader ends at index "
                     + leader.applied);
         }
     }
 
-    /** Whether whoever has the longest log of those that run has a majority of its voters beside it, and can be elected. */
-    private boolean electable() {
-        Set<Long> sound = new HashSet<>();
+    /** Returns whether the working voter with the most recent log has a majority of working voters to elect it. */
+    private boolean canElectLeader() {
+        Set<Long> working = new HashSet<>();
         nodes.stream()
                 .filter(s -> s.raft.state() != RaftPeerState.STORAGE_FAILED)
-                .forEach(s -> sound.add(s.id));
+                .forEach(s -> working.add(s.id));
         return nodes.stream()
-                .filter(s -> sound.contains(s.id) && s.raft.configuration().votes(s.id))
-                .anyMatch(s -> s.raft.configuration().hasMajority(sound::contains)
+                .filter(s -> working.contains(s.id) && s.raft.configuration().votes(s.id))
+                .anyMatch(s -> s.raft.configuration().hasMajority(working::contains)
                         && nodes.stream()
-                                .filter(o -> sound.contains(o.id))
+                                .filter(o -> working.contains(o.id))
                                 .allMatch(o -> o.raft.lastTerm() < s.raft.lastTerm()
                                         || o.raft.lastTerm() == s.raft.lastTerm()
                                                 && o.raft.lastIndex() <= s.raft.lastIndex()));
     }
 
-    /** The violated invariants so far, in words; empty where none was. */
+    /** Returns descriptions of the violations so far; empty if there are none. */
     public List<String> violations() {
         return invariants.violations();
     }
 
-    /** Terms with a leader, entries committed, reads answered: how much a run has seen. */
+    /** Returns the numbers of terms with a leader, committed entries and answered reads, a measure of coverage. */
     public long[] counts() {
         return invariants.counts();
     }
--- a/src/test/java/pepperdock/simulation/ColdFleetMeasure.java
+++ b/src/test/java/pepperdock/simulation/ColdFleetMeasure.java
@@ -6,55 +6,55 @@
 import java.util.Map;
 
 /**
- * Prints the figures of docs/measured/acceptance.md on calls to cold workers. Arguments: seeds, and a text that the names of the
- * days to play contain.
+ * Prints the figures of docs/measured/acceptance.md on calls to cold workers. Arguments: the number of seeds, and a
+ * text that the names of the scenarios to simulate contain.
  */
 final class ColdFleetMeasure {
 
     private ColdFleetMeasure() {}
 
     public static void main(String[] args) {
-        days().forEach((name, day) -> {
+        scenarios().forEach((name, scenario) -> {
             if (name.contains(args[1])) {
-                print(name, day, Integer.parseInt(args[0]));
+                print(name, scenario, Integer.parseInt(args[0]));
             }
         });
     }
 
-    private static Map<String, ColdDay> days() {
-        Map<String, ColdDay> days = new LinkedHashMap<>();
+    private static Map<String, ColdStartScenario> scenarios() {
+        Map<String, ColdStartScenario> scenarios = new LinkedHashMap<>();
         for (int cores : new int[] {1, 2}) {
             for (int instances : new int[] {2, 3, 20, 30, 100}) {
-                add(days, "ledger", ColdDay.ledger(instances, cores));
-                add(days, "single", ColdDay.single(instances, cores));
-                add(days, "mixed", ColdDay.mixed(instances, cores));
+                add(scenarios, "ledger", ColdStartScenario.ledger(instances, cores));
+                add(scenarios, "single", ColdStartScenario.single(instances, cores));
+                add(scenarios, "mixed", ColdStartScenario.mixed(instances, cores));
             }
         }
-        return days;
+        return scenarios;
     }
 
-    private static void add(Map<String, ColdDay> days, String kind, ColdDay day) {
-        String name = kind + " " + day.cores() + " core, " + day.instances() + " instances, ";
-        days.put(name + "usual", day);
-        days.put(name + "eager", day.traffic(1.2, 1.9));
-        days.put(name + "idle", day.traffic(0.1, 1.9));
-        days.put(name + "surge", day.traffic(0.05, 20));
-        days.put(name + "flood", day.traffic(0.8, 25));
-        if (day.instances() >= 20) {
-            days.put(name + "late", day.trouble(10, 0, 0));
-            days.put(name + "restarted", day.trouble(2, 0.7, 0));
-            days.put(name + "lost", day.trouble(2, 0, 0.7));
+    private static void add(Map<String, ColdStartScenario> scenarios, String kind, ColdStartScenario scenario) {
+        String name = kind + " " + scenario.cores() + " core, " + scenario.instances() + " instances, ";
+        scenarios.put(name + "usual", scenario);
+        scenarios.put(name + "eager", scenario.traffic(1.2, 1.9));
+        scenarios.put(name + "idle", scenario.traffic(0.1, 1.9));
+        scenarios.put(name + "surge", scenario.traffic(0.05, 20));
+        scenarios.put(name + "flood", scenario.traffic(0.8, 25));
+        if (scenario.instances() >= 20) {
+            scenarios.put(name + "late", scenario.trouble(10, 0, 0));
+            scenarios.put(name + "restarted", scenario.trouble(2, 0.7, 0));
+            scenarios.put(name + "lost", scenario.trouble(2, 0, 0.7));
         }
     }
 
-    private static void print(String name, ColdDay day, int seeds) {
+    private static void print(String name, ColdStartScenario scenario, int seeds) {
         double[] worst = new double[seeds];
         double toN = 0;
         double sent = 0;
         double served = 0;
         int over = 0;
         for (int s = 0; s < seeds; s++) {
-            ColdFleet.Result r = ColdFleet.play(day, s);
+            ColdFleet.Result r = ColdFleet.play(scenario, s);
             worst[s] = r.worst();
             over += r.worst() > 1 ? 1 : 0;
             toN = Math.max(toN, r.worstToN());
--- a/src/test/java/pepperdock/simulation/ColdWorkersTest.java
+++ b/src/test/java/pepperdock/simulation/ColdWorkersTest.java
@@ -6,86 +6,90 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** The operators' bound on what a cold worker gets from all instances together; the measured form has some hundred seeds. */
+/**
+ * Checks the operators' bound on the parts that a cold worker receives from all instances together. The measurement of
+ * this bound uses some hundred seeds.
+ */
 class ColdWorkersTest {
 
     private static final int SEEDS = 3;
 
-    private static double worst(ColdDay day) {
+    private static double worst(ColdStartScenario scenario) {
         double worst = 0;
         for (int seed = 0; seed < SEEDS; seed++) {
-            worst = Math.max(worst, ColdFleet.play(day, seed).worst());
+            worst = Math.max(worst, ColdFleet.play(scenario, seed).worst());
         }
         return worst;
     }
 
-    private static void staysWithin(ColdDay day) {
-        double worst = worst(day);
-        assertTrue(worst > 0 && worst <= 1, worst + " of the bound: " + day);
+    private static void assertStaysWithinBound(ColdStartScenario scenario) {
+        double worst = worst(scenario);
+        assertTrue(worst > 0 && worst <= 1, worst + " times the bound: " + scenario);
     }
 
     @Test
-    void theSumOfTwoTwentyAndThirtyInstancesStaysWithinTheBound() {
+    void partsFromTwoTwentyOrThirtyInstancesStayWithinTheBound() {
         for (int instances : new int[] {2, 20, 30}) {
-            staysWithin(ColdDay.single(instances, 1));
-            staysWithin(ColdDay.single(instances, 1).traffic(1.2, 1.9));
-            staysWithin(ColdDay.single(instances, 1).traffic(0.05, 20));
+            assertStaysWithinBound(ColdStartScenario.single(instances, 1));
+            assertStaysWithinBound(ColdStartScenario.single(instances, 1).traffic(1.2, 1.9));
+            assertStaysWithinBound(ColdStartScenario.single(instances, 1).traffic(0.05, 20));
         }
-        staysWithin(ColdDay.ledger(30, 2));
+        assertStaysWithinBound(ColdStartScenario.ledger(30, 2));
     }
 
     @Test
-    void soItDoesWithInstancesToldLateReplacedOrLost() {
-        for (ColdDay day : List.of(ColdDay.single(20, 1), ColdDay.single(30, 1))) {
-            staysWithin(day.trouble(10, 0, 0));
-            staysWithin(day.trouble(2, 0.7, 0));
-            staysWithin(day.trouble(2, 0, 0.7));
+    void boundHoldsWithInstancesInformedLateReplacedOrLost() {
+        for (ColdStartScenario scenario : List.of(ColdStartScenario.single(20, 1), ColdStartScenario.single(30, 1))) {
+            assertStaysWithinBound(scenario.trouble(10, 0, 0));
+            assertStaysWithinBound(scenario.trouble(2, 0.7, 0));
+            assertStaysWithinBound(scenario.trouble(2, 0, 0.7));
         }
     }
 
     @Test
-    void soItDoesInAFloodOfLargeQueries() {
+    void boundHoldsUnderOverloadOfLargeQueries() {
         for (int instances : new int[] {2, 20, 30}) {
-            staysWithin(flood(instances));
+            assertStaysWithinBound(overload(instances));
         }
     }
 
-    /** One estimate for all classes followed the lightest, and took ten heavy parts for ten light ones. */
+    /** A single estimate for all classes would follow the lightest, and count ten heavy parts as ten light ones. */
     @Test
-    void soItDoesWhereSomePartsAreTenTimesAsHeavyAsTheRest() {
+    void boundHoldsWhereSomePartsAreTenTimesAsHeavy() {
         for (int seed = 0; seed < 10; seed++) {
-            double worst =
-                    ColdFleet.play(ColdDay.mixed(2, 1).traffic(0.05, 20), seed).worst();
-            assertTrue(worst > 0 && worst <= 1, worst + " of the bound, seed " + seed);
+            double worst = ColdFleet.play(ColdStartScenario.mixed(2, 1).traffic(0.05, 20), seed)
+                    .worst();
+            assertTrue(worst > 0 && worst <= 1, worst + " times the bound, seed " + seed);
         }
     }
 
-    /** The check itself: what breaks the bound is found out. */
+    /** Checks the check itself: a fault that breaks the bound is detected. */
     @Test
-    void instancesThatReckonThatTheyAreAloneBreakTheBound() {
-        breaks(flood(20).with(ColdFleet.Fault.ALONE));
-        breaks(flood(30).with(ColdFleet.Fault.ALONE));
+    void instancesConfiguredAsTheOnlyOneBreakTheBound() {
+        assertBreaksBound(overload(20).with(ColdFleet.Fault.SINGLE_INSTANCE));
+        assertBreaksBound(overload(30).with(ColdFleet.Fault.SINGLE_INSTANCE));
     }
 
     @Test
-    void instancesThatHearOfNoStartTimesBreakTheBound() {
+    void instancesWithoutStartTimesBreakTheBound() {
         for (int instances : new int[] {2, 20, 30}) {
-            breaks(flood(instances).with(ColdFleet.Fault.UNDATED));
+            assertBreaksBound(overload(instances).with(ColdFleet.Fault.NO_START_TIMES));
         }
     }
 
-    /** More than the instances' own ceilings keep from cold workers without the rule. */
-    private static ColdDay flood(int instances) {
-        return ColdDay.ledger(instances, 1).traffic(0.8, 25);
+    /** Returns a scenario whose load exceeds what the instances' own limits keep from cold workers without the rule. */
+    private static ColdStartScenario overload(int instances) {
+        return ColdStartScenario.ledger(instances, 1).traffic(0.8, 25);
     }
 
-    private static void breaks(ColdDay day) {
-        double worst = worst(day);
-        assertTrue(worst > 1, worst + " of the bound: " + day);
+    private static void assertBreaksBound(ColdStartScenario scenario) {
+        double worst = worst(scenario);
+        assertTrue(worst > 1, worst + " times the bound: " + scenario);
     }
 
     @Test
-    void theSameSeedIsTheSameDay() {
-        assertEquals(ColdFleet.play(ColdDay.single(20, 1), 5), ColdFleet.play(ColdDay.single(20, 1), 5));
+    void sameSeedGivesTheSameResult() {
+        assertEquals(
+                ColdFleet.play(ColdStartScenario.single(20, 1), 5), ColdFleet.play(ColdStartScenario.single(20, 1), 5));
     }
 }
--- a/src/test/java/pepperdock/simulation/DecisionTraceDay.java
+++ b/src/test/java/pepperdock/simulation/DecisionTraceDay.java
@@ -26,12 +26,12 @@
 import pepperdock.scheduler.SchedulerSettings;
 
 /**
- * One simulated day of a single scheduler among emulated endpoints, with faults drawn from a seed: every action that the
- * scheduler takes goes, in order and with its time, into one hash.
+ * Simulates one day of a single scheduler with emulated endpoints and faults drawn from a seed. Every action of the
+ * scheduler is added to one hash, in order and with its time.
  */
 final class DecisionTraceDay implements SchedulerActions {
 
-    /** What a day is made of; a name in the file of kept hashes. */
+    /** The load and faults of a day. The names of the constants appear in the file of recorded hashes. */
     enum Kind {
         CALM(0.5, 0, 0, 0, false),
         OVERLOAD(2.5, 0, 0, 0, false),
@@ -55,7 +55,7 @@
         }
     }
 
-    /** The hash of a day's actions, and how often each was taken. */
+    /** The hash of a day's actions, and the number of times that each kind was taken. */
     record Trace(String hash, Map<String, Integer> actionCounts) {}
 
     private static final double START_S = 1000;
@@ -129,7 +129,7 @@
         scheduleRestart();
     }
 
-    /** Plays a day; the same kind and seed give the same trace. */
+    /** Simulates a day; the same kind and seed give the same trace. */
     static Trace play(Kind kind, long seed) {
         DecisionTraceDay day = new DecisionTraceDay(kind, seed);
         day.clock.advance(LENGTH_S + DRAIN_S);
@@ -155,14 +155,14 @@
         return endpoints.values().stream().map(EmulatedEndpoint::listed).toList();
     }
 
-    /** Reports one event in a batch of its own, then lets what the actions caused happen. */
+    /** Reports one event in its own batch, then runs the consequences of the scheduler's actions. */
     private void inBatch(Runnable event) {
         scheduler.beginBatch(clock.now());
         event.run();
         scheduler.endBatch();
-        List<Runnable> caused = List.copyOf(afterBatch);
+        List<Runnable> consequences = List.copyOf(afterBatch);
         afterBatch.clear();
-        caused.forEach(Runnable::run);
+        consequences.forEach(Runnable::run);
     }
 
     private boolean dayIsOver() {
@@ -225,11 +225,11 @@
             }
             for (EmulatedEndpoint endpoint : endpoints.values()) {
                 boolean faulty = faults.nextDouble() < kind.outlierShare;
-                int sort = faults.nextInt(4);
-                endpoint.slowdown = faulty && sort == 0 ? 12 : 1;
-                endpoint.errorShare = faulty && sort == 1 ? 0.8 : 0;
-                endpoint.silent = faulty && sort == 2;
-                endpoint.unreachable = faulty && sort == 3;
+                int faultKind = faults.nextInt(4);
+                endpoint.slowdown = faulty && faultKind == 0 ? 12 : 1;
+                endpoint.errorShare = faulty && faultKind == 1 ? 0.8 : 0;
+                endpoint.silent = faulty && faultKind == 2;
+                endpoint.unreachable = faulty && faultKind == 3;
             }
             scheduleFault();
         });
--- a/src/test/java/pepperdock/simulation/DecisionTraceTest.java
+++ b/src/test/java/pepperdock/simulation/DecisionTraceTest.java
@@ -12,16 +12,17 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * A change of shape must not change a decision. Simulated days are played by seed, and the hash of all actions, in order, is
- * compared with the kept one. A change that is meant to decide differently renews the file in its own commit and says why.
+ * Checks that refactoring does not change a decision: simulates days by seed and compares the hash of all actions, in
+ * order, with the recorded one. A change that is meant to change decisions updates the file in its own commit and gives
+ * the reason.
  */
 class DecisionTraceTest {
 
-    private static final Path KEPT_HASHES = Path.of("src/test/resources/decision-traces.txt");
+    private static final Path RECORDED_HASHES = Path.of("src/test/resources/decision-traces.txt");
     private static final int SEEDS = 3;
 
     @Test
-    void everyActionOfEverySimulatedDayIsTheKeptOne() throws Exception {
+    void actionsOfEverySimulatedDayMatchTheRecordedHash() throws Exception {
         List<String> played = new ArrayList<>();
         for (DecisionTraceDay.Kind kind : DecisionTraceDay.Kind.values()) {
             for (int seed = 1; seed <= SEEDS; seed++) {
@@ -29,15 +30,16 @@
                         + DecisionTraceDay.play(kind, seed).hash());
             }
         }
-        List<String> kept = Files.readAllLines(KEPT_HASHES).stream()
+        List<String> recorded = Files.readAllLines(RECORDED_HASHES).stream()
                 .filter(line -> !line.startsWith("#"))
                 .toList();
-        assertEquals(String.join("\n", kept), String.join("\n", played), "decisions differ from " + KEPT_HASHES);
+        assertEquals(
+                String.join("\n", recorded), String.join("\n", played), "decisions differ from " + RECORDED_HASHES);
     }
 
-    /** A day that asks too little of the scheduler would keep its hash whatever became of the rules. */
+    /** A day that exercises too little of the scheduler would keep its hash even if the rules changed. */
     @Test
-    void theDaysTogetherTakeEveryKindOfAction() {
+    void simulatedDaysTogetherTakeEveryKindOfAction() {
         Set<String> taken = new TreeSet<>();
         for (DecisionTraceDay.Kind kind : DecisionTraceDay.Kind.values()) {
             DecisionTraceDay.Trace trace = DecisionTraceDay.play(kind, 1);
--- a/src/test/java/pepperdock/simulation/raft/ExplorerTest.java
+++ b/src/test/java/pepperdock/simulation/raft/ExplorerTest.java
@@ -17,14 +17,17 @@
 import pepperdock.store.raft.RaftSettings;
 import pepperdock.store.raft.VoterConfiguration;
 
-/** Consensus among crashes, lost disks, cuts and changes: nothing is found, but where a fault is planted. */
+/**
+ * Checks that Raft keeps its invariants under crashes, lost disks, cut links and membership changes, and that injected
+ * faults violate them.
+ */
 class ExplorerTest {
 
     private static final RaftSettings SETTINGS = new RaftSettings(5, 1, 48, 4, 4096, 1);
     private static final int STEPS = 3000;
 
-    private static List<Explorer.Walk> walks(LongFunction<World> worlds, Explorer.Mix mix, int seeds, int steps) {
-        Explorer explorer = new Explorer(worlds, mix);
+    private static List<Explorer.Walk> walks(LongFunction<World> groups, Explorer.Mix mix, int seeds, int steps) {
+        Explorer explorer = new Explorer(groups, mix);
         return LongStream.rangeClosed(1, seeds)
                 .parallel()
                 .mapToObj(s -> explorer.walk(s, steps))
@@ -33,7 +36,7 @@
 
     @ParameterizedTest(name = "{0}: {1} processes, {2} of them voters at first")
     @CsvSource({"ALL, 3, 3", "ALL, 5, 3", "ALL, 5, 5", "ALL, 4, 1", "ELECTIONS, 5, 5", "SNAPSHOTS, 3, 3"})
-    void nothingIsFound(Explorer.Mix mix, int processes, int voters) {
+    void invariantsHoldInAllWalks(Explorer.Mix mix, int processes, int voters) {
         List<Explorer.Walk> walks = walks(seed -> new World(processes, voters, SETTINGS, seed), mix, 200, STEPS);
         for (Explorer.Walk w : walks) {
             assertEquals(List.of(), w.violations(), "seed " + w.seed());
@@ -46,16 +49,17 @@
         });
         assertTrue(
                 sums[0] >= 400 && sums[1] >= 400,
-                "what was played was worth it: " + List.of(sums[0], sums[1], sums[2]));
+                "too few leaders or committed entries to be meaningful (leaders, entries, reads): "
+                        + List.of(sums[0], sums[1], sums[2]));
     }
 
     private static int voters(String fault) {
         return fault.startsWith("commit of an older term") ? 5 : 3;
     }
 
-    private static RaftServer plantedServer(
-            String fault, long id, RaftSettings settings, PersistedState saved, long chance) {
-        return new RaftServer(id, settings, saved, chance) {
+    private static RaftServer serverWithFault(
+            String fault, long id, RaftSettings settings, PersistedState saved, long seed) {
+        return new RaftServer(id, settings, saved, seed) {
             @Override
             protected boolean mayCommit(long index) {
                 return fault.equals("commit of an older term") || super.mayCommit(index);
@@ -75,14 +79,14 @@
         };
     }
 
-    /** A world with one thing wrong in it, or none. */
-    private static World planted(String fault, long seed) {
+    /** Returns a group with that injected fault, or with none if the name is unknown. */
+    private static World groupWithFault(String fault, long seed) {
         return new World(5, voters(fault), SETTINGS, seed) {
             private int syncs;
 
             @Override
-            protected RaftServer newRaft(long id, RaftSettings of, PersistedState saved, long chance) {
-                return plantedServer(fault, id, of, saved, chance);
+            protected RaftServer newRaft(long id, RaftSettings of, PersistedState saved, long seed) {
+                return serverWithFault(fault, id, of, saved, seed);
             }
 
             @Override
@@ -108,7 +112,7 @@
                 if (!fault.equals("a read from a deposed leader")) {
                     raft.read(token);
                 } else if (raft.state() == RaftPeerState.LEADER) {
-                    answered(token, raft.commitIndex());
+                    checkRead(token, raft.commitIndex());
                 }
             }
         };
@@ -118,14 +122,14 @@
     @CsvSource(delimiter = '|', textBlock = """
             no durable vote               | ELECTIONS | 1000  | 1000 | has voted for
             a vote after a lost disk      | ALL       | 1000  | 3000 | has voted for
-            two changes at once           | ALL       | 200   | 3000 | two changes of members at once
-            a read from a deposed leader  | ALL       | 1500  | 3000 | a read at
+            two changes at once           | ALL       | 200   | 3000 | two membership changes at once
+            a read from a deposed leader  | ALL       | 1500  | 3000 | a read was answered at index
             a sync failure swallowed      | ALL       | 200   | 3000 | its disk holds
             """)
-    void aPlantedFaultIsFound(String fault, Explorer.Mix mix, int seeds, int steps, String as) {
-        List<Explorer.Walk> walks = walks(seed -> planted(fault, seed), mix, seeds, steps);
+    void injectedFaultIsDetected(String fault, Explorer.Mix mix, int seeds, int steps, String message) {
+        List<Explorer.Walk> walks = walks(seed -> groupWithFault(fault, seed), mix, seeds, steps);
         assertTrue(
-                walks.stream().anyMatch(w -> w.violations().stream().anyMatch(f -> f.contains(as))),
+                walks.stream().anyMatch(w -> w.violations().stream().anyMatch(f -> f.contains(message))),
                 walks.stream()
                         .flatMap(w -> w.violations().stream())
                         .distinct()
@@ -134,94 +138,101 @@
                         .toString());
     }
 
-    private static void all(World world, Step.Kind kind, int... nodes) {
+    private static void takeOnEach(World group, Step.Kind kind, int... nodes) {
         for (int s : nodes) {
-            world.take(new Step(kind, s, 0));
+            group.take(new Step(kind, s, 0));
         }
     }
 
-    /** Has one lead, by these others' votes and whatever it takes. */
-    private static void elect(World world, int candidate, int... voters) {
-        for (int i = 0; i < 12 && world.state(candidate) != RaftPeerState.LEADER; i++) {
+    /** Makes the candidate leader, elected by the votes of the given nodes. */
+    private static void elect(World group, int candidate, int... voters) {
+        for (int i = 0; i < 12 && group.state(candidate) != RaftPeerState.LEADER; i++) {
             if (i % 3 == 0) {
-                // Whoever still hears a leader helps nobody to another.
-                all(world, Step.Kind.HASTE, voters);
-                world.loseAll();
-                all(world, Step.Kind.HASTE, candidate);
+                // A voter that still hears from a leader rejects other candidates, so its election timeout must expire.
+                takeOnEach(group, Step.Kind.HASTE, voters);
+                group.dropAllMessages();
+                takeOnEach(group, Step.Kind.HASTE, candidate);
             }
-            all(world, Step.Kind.SYNC, candidate);
+            takeOnEach(group, Step.Kind.SYNC, candidate);
             for (int v : voters) {
-                world.pass(Step.Kind.DELIVER, candidate, v, RaftMessage.RequestVote.class, m -> true);
-                all(world, Step.Kind.SYNC, v, v);
-                world.pass(Step.Kind.DELIVER, v, candidate, RaftMessage.VoteResponse.class, m -> true);
+                group.deliver(Step.Kind.DELIVER, candidate, v, RaftMessage.RequestVote.class, m -> true);
+                takeOnEach(group, Step.Kind.SYNC, v, v);
+                group.deliver(Step.Kind.DELIVER, v, candidate, RaftMessage.VoteResponse.class, m -> true);
             }
-            all(world, Step.Kind.SYNC, candidate);
+            takeOnEach(group, Step.Kind.SYNC, candidate);
         }
-        assertEquals(RaftPeerState.LEADER, world.state(candidate));
-        all(world, Step.Kind.SYNC, candidate, candidate);
+        assertEquals(RaftPeerState.LEADER, group.state(candidate));
+        takeOnEach(group, Step.Kind.SYNC, candidate, candidate);
     }
 
-    /** The thesis, figure 3.7: an entry of an older term on a majority, and a leader after that has never seen it. */
+    /**
+     * Raft thesis, figure 3.7: a majority holds an entry of an older term, and a later leader has never received it.
+     */
     @ParameterizedTest
-    @CsvSource({"commit of an older term, 1", "commit of an older term with nothing planted, 0"})
-    void anOlderTermsEntryIsNotCommittedByCountingItsCopies(String fault, int findings) {
-        World world = planted(fault, 1);
-        elect(world, 0, 1, 2);
-        world.pass(Step.Kind.DELIVER, 0, 1, RaftMessage.AppendEntries.class, m -> true);
-        all(world, Step.Kind.SYNC, 1, 0);
-        all(world, Step.Kind.AGAIN, 0);
-        elect(world, 4, 2, 3);
-        all(world, Step.Kind.AGAIN, 4);
-        elect(world, 0, 1, 2);
+    @CsvSource({"commit of an older term, 1", "commit of an older term without a fault, 0"})
+    void entryOfOlderTermIsNotCommittedByCountingReplicas(String fault, int findings) {
+        World group = groupWithFault(fault, 1);
+        elect(group, 0, 1, 2);
+        group.deliver(Step.Kind.DELIVER, 0, 1, RaftMessage.AppendEntries.class, m -> true);
+        takeOnEach(group, Step.Kind.SYNC, 1, 0);
+        takeOnEach(group, Step.Kind.AGAIN, 0);
+        elect(group, 4, 2, 3);
+        takeOnEach(group, Step.Kind.AGAIN, 4);
+        elect(group, 0, 1, 2);
         for (int follower : new int[] {2, 3}) {
             for (int i = 0; i < 2; i++) {
-                world.pass(Step.Kind.DELIVER, 0, follower, RaftMessage.AppendEntries.class, m -> m.term() >= 3);
-                all(world, Step.Kind.SYNC, follower, follower);
-                world.pass(Step.Kind.DELIVER, follower, 0, RaftMessage.AppendResponse.class, m -> m.term() >= 3);
+                group.deliver(Step.Kind.DELIVER, 0, follower, RaftMessage.AppendEntries.class, m -> m.term() >= 3);
+                takeOnEach(group, Step.Kind.SYNC, follower, follower);
+                group.deliver(Step.Kind.DELIVER, follower, 0, RaftMessage.AppendResponse.class, m -> m.term() >= 3);
             }
         }
-        all(world, Step.Kind.AGAIN, 0);
-        elect(world, 4, 2, 3);
+        takeOnEach(group, Step.Kind.AGAIN, 0);
+        elect(group, 4, 2, 3);
         assertEquals(
                 findings,
-                world.violations().stream()
-                        .filter(f -> f.contains("has not what was committed"))
+                group.violations().stream()
+                        .filter(f -> f.contains("lacks the committed entry"))
                         .count(),
-                world.violations().toString());
-        assertTrue(world.counts()[0] >= 3, "leaders: " + world.counts()[0]);
+                group.violations().toString());
+        assertTrue(group.counts()[0] >= 3, "leaders: " + group.counts()[0]);
     }
 
-    private static void proposeFourEntries(World world) {
+    private static void proposeFourEntries(World group) {
         for (int f = 1; f <= 2; f++) {
             for (int i = 0; i < 3; i++) {
-                world.pass(Step.Kind.DELIVER, 0, f, RaftMessage.AppendEntries.class, m -> true);
-                all(world, Step.Kind.SYNC, f, f);
-                world.pass(Step.Kind.DELIVER, f, 0, RaftMessage.AppendResponse.class, m -> true);
+                group.deliver(Step.Kind.DELIVER, 0, f, RaftMessage.AppendEntries.class, m -> true);
+                takeOnEach(group, Step.Kind.SYNC, f, f);
+                group.deliver(Step.Kind.DELIVER, f, 0, RaftMessage.AppendResponse.class, m -> true);
             }
         }
-        all(world, Step.Kind.PROPOSE, 0, 0, 0, 0);
-        all(world, Step.Kind.SYNC, 0, 0, 0, 0);
+        takeOnEach(group, Step.Kind.PROPOSE, 0, 0, 0, 0);
+        takeOnEach(group, Step.Kind.SYNC, 0, 0, 0, 0);
     }
 
-    /** The second follower takes all but the last, and the leader compacts what it has applied. */
-    private static void replicateAllButTheLastAndCompact(World world) {
+    /**
+     * Replicates all entries but the last to the second follower, and compacts the entries that the leader has applied.
+     */
+    private static void replicateAllButTheLastAndCompact(World group) {
         for (int i = 0; i < 3; i++) {
-            world.pass(
+            group.deliver(
                     Step.Kind.DELIVER,
                     0,
                     2,
                     RaftMessage.AppendEntries.class,
                     m -> !((RaftMessage.AppendEntries) m).entries().isEmpty());
-            all(world, Step.Kind.SYNC, 2);
-            world.pass(Step.Kind.DELIVER, 2, 0, RaftMessage.AppendResponse.class, m -> true);
+            takeOnEach(group, Step.Kind.SYNC, 2);
+            group.deliver(Step.Kind.DELIVER, 2, 0, RaftMessage.AppendResponse.class, m -> true);
         }
-        all(world, Step.Kind.COMPACT, 0);
+        takeOnEach(group, Step.Kind.COMPACT, 0);
     }
 
-    /** The first follower gets the third entry before the first, rejects it, and then gets all, up to the fourth, and the snapshot. */
-    private static void deliverOutOfOrderWithALateSnapshot(World world) {
-        world.take(new Step(Step.Kind.TICK, 2, 0));
-        world.pass(
+    /**
+     * Delivers the third entry to the first follower before the first, which it rejects, then all entries up to the
+     * fourth, and the snapshot.
+     */
+    private static void deliverOutOfOrderWithALateSnapshot(World group) {
+        group.take(new Step(Step.Kind.TICK, 2, 0));
+        group.deliver(
                 Step.Kind.TWICE,
                 0,
                 1,
@@ -229,7 +240,7 @@
                 m -> ((RaftMessage.AppendEntries) m).prevIndex() == 3);
         for (int prev = 1; prev <= 4; prev++) {
             int at = prev;
-            world.pass(
+            group.deliver(
                     Step.Kind.DELIVER,
                     0,
                     1,
@@ -237,16 +248,16 @@
                     m -> ((RaftMessage.AppendEntries) m).prevIndex() == at
                             && !((RaftMessage.AppendEntries) m).entries().isEmpty());
         }
-        world.pass(
+        group.deliver(
                 Step.Kind.DELIVER,
                 1,
                 0,
                 RaftMessage.AppendResponse.class,
                 m -> !((RaftMessage.AppendResponse) m).success());
-        world.pass(Step.Kind.DELIVER, 0, 1, RaftMessage.InstallSnapshot.class, m -> true);
-        all(world, Step.Kind.SYNC, 1, 1, 1, 1, 1, 1);
+        group.deliver(Step.Kind.DELIVER, 0, 1, RaftMessage.InstallSnapshot.class, m -> true);
+        takeOnEach(group, Step.Kind.SYNC, 1, 1, 1, 1, 1, 1);
         for (int i = 0; i < 6; i++) {
-            world.pass(
+            group.deliver(
                     Step.Kind.DELIVER,
                     1,
                     0,
@@ -255,29 +266,30 @@
         }
     }
 
-    /** A snapshot that is late: what the follower has beyond it is promised already. */
+    /** A snapshot arrives late: the follower has already acknowledged entries after it, and must keep them. */
     @ParameterizedTest
     @CsvSource({"a snapshot over newer entries, 1", "nothing, 0"})
-    void aLateSnapshotDoesNotTakeAwayWhatIsNewer(String fault, int findings) {
-        World world = planted(fault, 1);
-        elect(world, 0, 1, 2);
-        proposeFourEntries(world);
-        replicateAllButTheLastAndCompact(world);
-        deliverOutOfOrderWithALateSnapshot(world);
-        assertEquals(5, world.counts()[1], "committed, by the leader and this one");
-        all(world, Step.Kind.CRASH, 0);
-        elect(world, 1, 2);
+    void lateSnapshotDoesNotRemoveNewerEntries(String fault, int findings) {
+        World group = groupWithFault(fault, 1);
+        elect(group, 0, 1, 2);
+        proposeFourEntries(group);
+        replicateAllButTheLastAndCompact(group);
+        deliverOutOfOrderWithALateSnapshot(group);
+        assertEquals(5, group.counts()[1], "entries committed by the leader and this follower");
+        takeOnEach(group, Step.Kind.CRASH, 0);
+        elect(group, 1, 2);
         assertEquals(
                 findings,
-                world.violations().stream()
-                        .filter(f -> f.contains("has not what was committed"))
+                group.violations().stream()
+                        .filter(f -> f.contains("lacks the committed entry"))
                         .count(),
-                world.violations().toString());
+                group.violations().toString());
     }
 
     @Test
-    void aFailingWalkIsShortenedToAScriptThatPlaysAgain() {
-        Explorer explorer = new Explorer(seed -> planted("a read from a deposed leader", seed), Explorer.Mix.ALL);
+    void failingWalkIsShortenedToAScriptThatReproducesIt() {
+        Explorer explorer =
+                new Explorer(seed -> groupWithFault("a read from a deposed leader", seed), Explorer.Mix.ALL);
         Explorer.Walk failing = LongStream.rangeClosed(1, 600)
                 .mapToObj(s -> explorer.walk(s, STEPS))
                 .filter(w -> !w.violations().isEmpty())
