--- a/src/main/java/pepperdock/simulation/distribution/ByteMeter.java
+++ b/src/main/java/pepperdock/simulation/distribution/ByteMeter.java
@@ -1,6 +1,9 @@
 package pepperdock.simulation.distribution;
 
-/** Bytes over time: how many in each whole second, and the most in any second that begins at a tenth of one. */
+/**
+ * Measures bytes over time: the sum of each whole second, and the maximum over one-second windows that begin every
+ * 100 ms.
+ */
 final class ByteMeter {
 
     private static final int SLOT_MILLIS = 100;
@@ -8,22 +11,22 @@
 
     private final long[] slots = new long[SLOTS];
     private final Samples perSecond = new Samples();
-    /** Whole seconds before this don't count among {@link #perSecond}. */
-    private final long from;
+    /** Whole seconds before this time, in milliseconds, are left out of {@link #perSecond}. */
+    private final long fromMillis;
 
     private long slot;
     private long sum;
-    private long most;
+    private long maxPerSecond;
 
-    ByteMeter(long from) {
-        this.from = from;
+    ByteMeter(long fromMillis) {
+        this.fromMillis = fromMillis;
     }
 
     void add(long now, int bytes) {
         advance(now / SLOT_MILLIS);
         slots[(int) (slot % SLOTS)] += bytes;
         sum += bytes;
-        most = Math.max(most, sum);
+        maxPerSecond = Math.max(maxPerSecond, sum);
     }
 
     /** Ends the measurement. */
@@ -31,8 +34,8 @@
         advance(now / SLOT_MILLIS);
     }
 
-    long most() {
-        return most;
+    long maxPerSecond() {
+        return maxPerSecond;
     }
 
     Samples perSecond() {
@@ -42,7 +45,7 @@
     private void advance(long to) {
         while (slot < to) {
             slot++;
-            if (slot % SLOTS == 0 && slot * SLOT_MILLIS > from) {
+            if (slot % SLOTS == 0 && slot * SLOT_MILLIS > fromMillis) {
                 perSecond.add(sum);
             }
             sum -= slots[(int) (slot % SLOTS)];
--- a/src/main/java/pepperdock/simulation/distribution/ByteStream.java
+++ b/src/main/java/pepperdock/simulation/distribution/ByteStream.java
@@ -5,13 +5,13 @@
 import java.util.function.Consumer;
 
 /**
- * One direction of a connection: in order, at a rate, nothing lost while both ends are there. What a cut stops is held until
- * the cut heals.
+ * One direction of a connection: delivers messages in order and at a limited rate, and loses none while both ends
+ * exist. Messages that a cut stops are held until the cut heals.
  */
 final class ByteStream<M> {
 
-    /** 8 Mbit/s for one stream. */
-    private static final int BYTES_PER_MILLI = 1000;
+    /** The rate of one stream: 8 Mbit/s. */
+    private static final int BYTES_PER_MILLISECOND = 1000;
 
     private final Timeline time;
     private final Network network;
@@ -32,7 +32,7 @@
     }
 
     void send(M message, int bytes) {
-        sentUntil = Math.max(sentUntil, time.now()) + (bytes + BYTES_PER_MILLI - 1) / BYTES_PER_MILLI;
+        sentUntil = Math.max(sentUntil, time.now()) + (bytes + BYTES_PER_MILLISECOND - 1) / BYTES_PER_MILLISECOND;
         lastArrival = Math.max(lastArrival, sentUntil + network.delay(from, to));
         time.at(lastArrival, () -> arrive(message));
     }
--- a/src/main/java/pepperdock/simulation/distribution/Command.java
+++ b/src/main/java/pepperdock/simulation/distribution/Command.java
@@ -8,10 +8,10 @@
 import pepperdock.distribution.ConfigurationItem;
 
 /**
- * What an operator asks for, as an entry of the log.
+ * A configuration change that an operator requests, as an entry of the log.
  *
- * @param id by which a repetition is known: it changes nothing
- * @param format of the configuration from here on
+ * @param id identifies the command; a repetition with the same id has no effect
+ * @param format the format of the configuration from this change on
  */
 public record Command(long id, int format, List<Change> changes) {
 
@@ -21,11 +21,11 @@
     }
 
     byte[] encoded() {
-        int bytes = 16;
+        int length = 16;
         for (Change change : changes) {
-            bytes += 9 + utf8(change.key()).length + value(change).length;
+            length += 9 + utf8(change.key()).length + value(change).length;
         }
-        ByteBuffer to = ByteBuffer.allocate(bytes).putLong(id).putInt(format).putInt(changes.size());
+        ByteBuffer to = ByteBuffer.allocate(length).putLong(id).putInt(format).putInt(changes.size());
         for (Change change : changes) {
             byte[] key = utf8(change.key());
             byte[] value = value(change);
@@ -43,17 +43,17 @@
         List<Change> changes = new ArrayList<>();
         for (int i = 0; i < count; i++) {
             boolean put = from.get() == 1;
-            String key = new String(part(from), StandardCharsets.UTF_8);
-            byte[] value = part(from);
+            String key = new String(readBytes(from), StandardCharsets.UTF_8);
+            byte[] value = readBytes(from);
             changes.add(put ? new Change.Put(new ConfigurationItem(key, value)) : new Change.Remove(key));
         }
         return new Command(id, format, changes);
     }
 
-    private static byte[] part(ByteBuffer from) {
-        byte[] part = new byte[from.getInt()];
-        from.get(part);
-        return part;
+    private static byte[] readBytes(ByteBuffer from) {
+        byte[] bytes = new byte[from.getInt()];
+        from.get(bytes);
+        return bytes;
     }
 
     private static byte[] utf8(String key) {
--- a/src/main/java/pepperdock/simulation/distribution/Connection.java
+++ b/src/main/java/pepperdock/simulation/distribution/Connection.java
@@ -27,8 +27,11 @@
                 new ByteStream<>(time, network, control.place(), gatherer.place(), m -> gatherer.received(this, m));
     }
 
-    /** Opens it where both directions pass; a machine that is gone answers nothing, one without the process refuses. */
-    void begin() {
+    /**
+     * Opens the connection if both directions pass. A machine that is down does not answer; a machine whose process is
+     * down refuses.
+     */
+    void open() {
         Place here = gatherer.place();
         Place there = control.place();
         if (!network.passes(here, there) || !network.passes(there, here) || !control.answers()) {
@@ -48,8 +51,8 @@
         return number;
     }
 
-    /** Whether both ends have it. */
-    boolean open() {
+    /** Returns whether it is open at both ends. */
+    boolean isOpen() {
         return openAtGatherer && openAtControl;
     }
 
@@ -61,7 +64,7 @@
         return toGatherer;
     }
 
-    /** The gatherer has closed it, or its process has ended; the other end hears of it if it can. */
+    /** Closes it at the gatherer, also when its process ends; the other end is notified if the link passes. */
     void closeByGatherer() {
         openAtGatherer = false;
         toGatherer.close();
@@ -83,8 +86,8 @@
         closeByControl();
     }
 
-    /** The control machine is gone without a word. */
-    void silentFromControl() {
+    /** Ends the connection at a control machine that has failed; the gatherer is not notified. */
+    void failSilentlyAtControl() {
         openAtControl = false;
         toControl.close();
         toGatherer.close();
--- a/src/main/java/pepperdock/simulation/distribution/ControlGroup.java
+++ b/src/main/java/pepperdock/simulation/distribution/ControlGroup.java
@@ -11,35 +11,35 @@
 import pepperdock.store.raft.RaftPeer;
 import pepperdock.store.raft.RaftSettings;
 
-/** The control machines together: what they say to each other, and who of them votes. */
+/** The group of control machines: the messages between them, and their membership and votes. */
 final class ControlGroup {
 
     private static final int TICK_MILLIS = 100;
     private static final int PUBLISH_MILLIS = 50;
-    private static final int STEWARD_MILLIS = 500;
+    private static final int MEMBERSHIP_CHECK_MILLIS = 500;
     private static final int VOTERS = 3;
     private static final int RETRY_MILLIS = 1000;
 
     private final Timeline time;
     private final Network network;
-    private final Random chance;
+    private final Random random;
     private final History history;
     private final Function<ControlNode, Publisher> publishers;
     private final List<ControlNode> nodes = new ArrayList<>();
-    private final List<Long> lost = new ArrayList<>();
+    private final List<Long> lostIds = new ArrayList<>();
     private long nextId;
 
-    /** One machine at each place; all but the last vote. */
+    /** Creates one machine at each place; the first three vote. */
     ControlGroup(
             Timeline time,
             Network network,
-            Random chance,
+            Random random,
             History history,
             List<Place> places,
             Function<ControlNode, Publisher> publishers) {
         this.time = time;
         this.network = network;
-        this.chance = chance;
+        this.random = random;
         this.history = history;
         this.publishers = publishers;
         pepperdock.store.raft.VoterConfiguration first = pepperdock.store.raft.VoterConfiguration.NONE;
@@ -58,10 +58,10 @@
             time.every(TICK_MILLIS, 1 + 7L * i, node::tick);
             time.every(PUBLISH_MILLIS, 3 + 11L * i, node::publish);
         }
-        time.every(STEWARD_MILLIS, STEWARD_MILLIS, this::tendMembers);
+        time.every(MEMBERSHIP_CHECK_MILLIS, MEMBERSHIP_CHECK_MILLIS, this::repairMembership);
     }
 
-    // ---- What nodes and scripts see ------------------------------------------------------------
+    // ---- State for nodes and fault schedules ------------------------------------------------------------
 
     List<ControlNode> nodes() {
         return nodes;
@@ -75,8 +75,8 @@
         return time.now();
     }
 
-    Random chance() {
-        return chance;
+    Random random() {
+        return random;
     }
 
     RaftSettings raftSettings() {
@@ -87,7 +87,7 @@
         return publishers.apply(node);
     }
 
-    /** The one that leads in the newest term; null where none does. */
+    /** Returns the leader of the newest term; null if there is none. */
     ControlNode leader() {
         ControlNode leader = null;
         for (ControlNode node : nodes) {
@@ -117,18 +117,21 @@
 
     // ---- Operators ------------------------------------------------------------
 
-    /** An operator asks for this until it is acknowledged, of whoever leads; with the planted fault that is at once. */
-    void ask(Command command, boolean acknowledgedAtOnce) {
+    /**
+     * Submits a command of an operator to the current leader, and repeats it until it is acknowledged. With the
+     * injected fault it is acknowledged at once.
+     */
+    void submit(Command command, boolean acknowledgedAtOnce) {
         history.add(new Event.Proposed(time.now(), command.id()));
         if (acknowledgedAtOnce && leader() != null) {
             leader().propose(command);
             history.add(new Event.Acknowledged(time.now(), command.id()));
         } else {
-            attempt(command);
+            propose(command);
         }
     }
 
-    private void attempt(Command command) {
+    private void propose(Command command) {
         ControlNode leader = leader();
         if (leader != null && !leader.has(command.id())) {
             leader.propose(command);
@@ -136,44 +139,47 @@
         awaitSettled(command, leader, time.now() + RETRY_MILLIS);
     }
 
-    private void awaitSettled(Command command, ControlNode asked, long until) {
-        if (asked != null && asked.up() && asked.has(command.id())) {
+    private void awaitSettled(Command command, ControlNode proposedTo, long until) {
+        if (proposedTo != null && proposedTo.up() && proposedTo.has(command.id())) {
             history.add(new Event.Acknowledged(time.now(), command.id()));
         } else if (time.now() >= until) {
-            attempt(command);
+            propose(command);
         } else {
-            time.after(10, () -> awaitSettled(command, asked, until));
+            time.after(10, () -> awaitSettled(command, proposedTo, until));
         }
     }
 
     // ---- Members ------------------------------------------------------------
 
-    /** The disk of this one is lost for good; what comes in its place is another peer. */
+    /** Loses the disk of a node for good; the machine that replaces it is another peer. */
     void loseDisk(ControlNode node) {
-        lost.add(node.id());
-        node.vanish();
+        lostIds.add(node.id());
+        node.failSilently();
         node.replaceDisk(++nextId);
     }
 
-    /** One step towards three voters and a standby, where a disk was lost: the standby votes, the lost one goes, the new comes. */
-    private void tendMembers() {
+    /**
+     * Takes one step back to three voters and a standby after a disk was lost: makes the standby a voter, removes the
+     * lost peer, or adds the new one.
+     */
+    private void repairMembership() {
         ControlNode leader = leader();
         if (leader == null || !leader.raft().configurationCommitted()) {
             return;
         }
         pepperdock.store.raft.VoterConfiguration now = leader.raft().configuration();
-        RaftPeer gone = now.peers().stream()
-                .filter(p -> lost.contains(p.id()))
+        RaftPeer lostPeer = now.peers().stream()
+                .filter(p -> lostIds.contains(p.id()))
                 .findFirst()
                 .orElse(null);
-        if (gone != null && gone.votes() && now.voters().size() <= VOTERS) {
+        if (lostPeer != null && lostPeer.votes() && now.voters().size() <= VOTERS) {
             now.peers().stream()
                     .filter(p -> !p.votes()
                             && leader.raft().matchIndex(p.id()) >= leader.raft().commitIndex())
                     .findFirst()
                     .ifPresent(p -> leader.change(now.with(new RaftPeer(p.id(), p.name(), p.address(), true))));
-        } else if (gone != null) {
-            leader.change(now.without(gone.id()));
+        } else if (lostPeer != null) {
+            leader.change(now.without(lostPeer.id()));
         } else {
             nodes.stream()
                     .filter(n -> n.up() && now.peer(n.id()) == null)
@@ -183,9 +189,9 @@
         }
     }
 
-    // ---- What all agree on ------------------------------------------------------------
+    // ---- Newest version ------------------------------------------------------------
 
-    /** The newest version that any running machine has applied. */
+    /** Returns the newest version that any running machine has applied. */
     ConfigurationSnapshot newest() {
         ConfigurationSnapshot newest = ConfigurationSnapshot.NONE;
         for (ControlNode node : nodes) {
--- a/src/main/java/pepperdock/simulation/distribution/ControlNode.java
+++ b/src/main/java/pepperdock/simulation/distribution/ControlNode.java
@@ -24,42 +24,42 @@
 import pepperdock.store.raft.RaftServer;
 import pepperdock.store.raft.RaftSnapshot;
 
-/** A control machine: its part of the consensus, its disk, and the publisher that the committed log feeds. */
+/** A control machine: its consensus node, its disk, and the publisher of the committed log. */
 final class ControlNode implements VersionSource, PublisherOutput {
 
-    /** The log's first and only incarnation in the simulation. */
+    /** The epoch of the log: the simulation has only one. */
     private static final long EPOCH = 1;
 
     private static final int SYNC_MILLIS = 5;
     private static final int CONFIRM_TICKS = 5;
-    /** Never confirmed, so that any difference to now is large. */
+    /** The confirmation time before the first confirmation; any difference to the present is large. */
     private static final long NEVER = Long.MIN_VALUE / 2;
 
     private final ControlGroup group;
     private final Place place;
     private final TreeMap<Long, Connection> connections = new TreeMap<>();
     private final Deque<Runnable> inbox = new ArrayDeque<>();
-    private final ByteMeter streams = new ByteMeter(Simulation.WARM_MILLIS);
+    private final ByteMeter streams = new ByteMeter(Simulation.WARM_UP_MILLIS);
     private long id;
     private LogDisk disk;
     /** Null while the process is down. */
     private RaftServer raft;
 
     private Publisher publisher;
-    /** Counts the starts, so that what was planned for an earlier one is not done in a later one. */
-    private int life;
-    /** The machine is not there: nothing answers. */
-    private boolean gone;
-    /** The process stands still, and the kernel goes on to take connections and bytes. */
-    private boolean stopped;
-    /** What subscribers send is taken, and nothing is passed on to them. */
-    private boolean passesNothing;
-    /** Serves this list in place of the log's, and takes itself for confirmed. */
-    private List<ConfigurationSnapshot> oldDisk;
+    /** The number of starts, so that actions scheduled by an earlier incarnation are not run in a later one. */
+    private int incarnation;
+    /** Whether the machine is down, so that nothing answers. */
+    private boolean down;
+    /** Whether the process is paused, while the kernel still accepts connections and bytes. */
+    private boolean paused;
+    /** Whether messages of subscribers are accepted but nothing is sent to them. */
+    private boolean discardsOutput;
+    /** If set, the versions served in place of those of the log; the machine then reports itself as confirmed. */
+    private List<ConfigurationSnapshot> staleVersions;
 
     private List<ConfigurationSnapshot> settled = new ArrayList<>();
     private Set<Long> commands = new HashSet<>();
-    private final Map<Long, Long> readAskedAt = new HashMap<>();
+    private final Map<Long, Long> readRequestedAt = new HashMap<>();
     private long reads;
     private int ticks;
     private long confirmedAt = NEVER;
@@ -72,7 +72,7 @@
                 PersistedState.NOTHING.hardState(), new RaftSnapshot(0, 0, first, new byte[0]), List.of()));
     }
 
-    // ---- What the world sees ------------------------------------------------------------
+    // ---- State for the simulation ------------------------------------------------------------
 
     Place place() {
         return place;
@@ -92,7 +92,7 @@
     }
 
     boolean leads() {
-        return raft != null && !stopped && raft.state() == RaftPeerState.LEADER;
+        return raft != null && !paused && raft.state() == RaftPeerState.LEADER;
     }
 
     Publisher publisher() {
@@ -111,85 +111,85 @@
         return streams;
     }
 
-    /** Whether the machine's kernel answers. */
+    /** Returns whether the machine's kernel answers. */
     boolean answers() {
-        return !gone;
+        return !down;
     }
 
-    // ---- Life ------------------------------------------------------------
+    // ---- Start, stop and faults ------------------------------------------------------------
 
     void start() {
-        gone = false;
+        down = false;
         if (raft != null) {
             return;
         }
-        life++;
+        incarnation++;
         PersistedState saved = disk.saved();
-        raft = new RaftServer(id, group.raftSettings(), saved, group.chance().nextLong());
+        raft = new RaftServer(id, group.raftSettings(), saved, group.random().nextLong());
         settled = new ArrayList<>();
         commands = new HashSet<>();
-        readAskedAt.clear();
+        readRequestedAt.clear();
         confirmedAt = NEVER;
         publisher = group.publisher(this);
-        after();
+        processOutputs();
     }
 
-    /** The process ends, and what was not synced is lost. */
+    /** Ends the process; writes that are not synced are lost. */
     void crash() {
         raft = null;
         publisher = null;
-        stopped = false;
+        paused = false;
         inbox.clear();
         List<Connection> open = List.copyOf(connections.values());
         connections.clear();
         open.forEach(Connection::resetByControl);
     }
 
-    /** The machine goes: nobody is told. */
-    void vanish() {
+    /** Takes the machine down without notifying the other ends of its connections. */
+    void failSilently() {
         List<Connection> open = List.copyOf(connections.values());
         connections.clear();
-        open.forEach(Connection::silentFromControl);
+        open.forEach(Connection::failSilentlyAtControl);
         crash();
-        gone = true;
+        down = true;
     }
 
-    /** A new machine of the same name with a new disk, which is another peer. */
-    void replaceDisk(long freshId) {
-        id = freshId;
+    /** Replaces the machine by a new one of the same name with an empty disk, which is another peer. */
+    void replaceDisk(long newId) {
+        id = newId;
         disk = new LogDisk(PersistedState.NOTHING);
     }
 
-    void stop() {
-        stopped = true;
+    void pause() {
+        paused = true;
     }
 
-    void goOn() {
-        stopped = false;
-        while (!inbox.isEmpty() && !stopped && raft != null) {
+    void resume() {
+        paused = false;
+        while (!inbox.isEmpty() && !paused && raft != null) {
             inbox.removeFirst().run();
         }
     }
 
-    void passNothing(boolean nothing) {
-        passesNothing = nothing;
+    void discardOutput(boolean discard) {
+        discardsOutput = discard;
     }
 
-    /** From now on the publisher is fed by this alone; null ends that. */
-    void serveOldDisk(List<ConfigurationSnapshot> versions) {
-        oldDisk = versions;
+    /** Serves only these versions from now on, as after a restart with an old disk; null returns to the log. */
+    void serveStaleVersions(List<ConfigurationSnapshot> versions) {
+        staleVersions = versions;
         List<Connection> open = List.copyOf(connections.values());
         connections.clear();
         open.forEach(Connection::resetByControl);
         publisher = raft == null ? null : group.publisher(this);
     }
 
-    /** Runs this in the process: at once, after it goes on, or never where it is down. */
+    /** Runs an action in the process: at once, after a pause ends, or never if the process is down. */
     private void inProcess(Runnable action) {
         if (raft == null) {
             return;
         }
-        if (stopped) {
+        if (paused) {
             inbox.addLast(action);
         } else {
             action.run();
@@ -199,21 +199,21 @@
     // ---- Consensus ------------------------------------------------------------
 
     void tick() {
-        if (raft == null || stopped) {
+        if (raft == null || paused) {
             return;
         }
         raft.tick();
         if (++ticks % CONFIRM_TICKS == 0 && raft.state() == RaftPeerState.LEADER) {
-            readAskedAt.put(++reads, group.now());
+            readRequestedAt.put(++reads, group.now());
             raft.read(reads);
         }
-        after();
+        processOutputs();
     }
 
     void received(RaftMessage message) {
         inProcess(() -> {
             raft.received(message);
-            after();
+            processOutputs();
             boolean fromLeader = message instanceof RaftMessage.AppendEntries a
                     && a.term() == raft.term()
                     && raft.leader() == a.from()
@@ -224,53 +224,53 @@
         });
     }
 
-    /** False where this one does not lead. */
+    /** Proposes a command; returns false if this machine is not the leader. */
     boolean propose(Command command) {
-        boolean taken = raft.propose(command.encoded()) > 0;
-        after();
-        return taken;
+        boolean accepted = raft.propose(command.encoded()) > 0;
+        processOutputs();
+        return accepted;
     }
 
     boolean change(pepperdock.store.raft.VoterConfiguration to) {
-        boolean taken = raft.change(to) > 0;
-        after();
-        return taken;
+        boolean accepted = raft.change(to) > 0;
+        processOutputs();
+        return accepted;
     }
 
-    private void after() {
+    private void processOutputs() {
         ConfigurationVersion before = newest().version();
         for (RaftOutput output : raft.takeOutputs()) {
-            carryOut(output);
+            processOutput(output);
         }
-        if (newest().version().newerThan(before) && oldDisk == null) {
+        if (newest().version().newerThan(before) && staleVersions == null) {
             publisher.settled(group.now());
         }
     }
 
-    private void carryOut(RaftOutput output) {
+    private void processOutput(RaftOutput output) {
         if (output instanceof RaftOutput.Send send) {
             group.send(this, send.to(), send.message());
         } else if (output instanceof RaftOutput.Write write) {
-            int during = life;
-            group.time().after(SYNC_MILLIS, () -> synced(write, during));
+            int startedIn = incarnation;
+            group.time().after(SYNC_MILLIS, () -> synced(write, startedIn));
         } else if (output instanceof RaftOutput.Apply apply) {
             apply.entries().forEach(this::apply);
         } else if (output instanceof RaftOutput.ReadReady read) {
-            Long askedAt = readAskedAt.remove(read.token());
-            if (askedAt != null && raft.appliedIndex() >= read.index()) {
-                confirmedAt = Math.max(confirmedAt, askedAt);
+            Long requestedAt = readRequestedAt.remove(read.token());
+            if (requestedAt != null && raft.appliedIndex() >= read.index()) {
+                confirmedAt = Math.max(confirmedAt, requestedAt);
             }
-        } else if (output instanceof RaftOutput.ReadRejected unread) {
-            readAskedAt.remove(unread.token());
+        } else if (output instanceof RaftOutput.ReadRejected rejected) {
+            readRequestedAt.remove(rejected.token());
         }
     }
 
-    private void synced(RaftOutput.Write write, int during) {
-        if (life == during && raft != null) {
-            disk.keep(write);
+    private void synced(RaftOutput.Write write, int startedIn) {
+        if (incarnation == startedIn && raft != null) {
+            disk.store(write);
             inProcess(() -> {
                 raft.written(write.number());
-                after();
+                processOutputs();
             });
         }
     }
@@ -291,7 +291,7 @@
 
     @Override
     public List<ConfigurationSnapshot> after(ConfigurationVersion version) {
-        List<ConfigurationSnapshot> all = oldDisk != null ? oldDisk : settled;
+        List<ConfigurationSnapshot> all = staleVersions != null ? staleVersions : settled;
         int from = all.size();
         while (from > 0 && all.get(from - 1).version().newerThan(version)) {
             from--;
@@ -301,20 +301,20 @@
 
     @Override
     public long confirmedAtMillis() {
-        return oldDisk != null ? group.now() : confirmedAt;
+        return staleVersions != null ? group.now() : confirmedAt;
     }
 
     // ---- Subscribers ------------------------------------------------------------
 
     void publish() {
-        if (publisher != null && !stopped) {
+        if (publisher != null && !paused) {
             publisher.tick(group.now());
         }
     }
 
     void opened(Connection connection) {
         inProcess(() -> {
-            if (connection.open()) {
+            if (connection.isOpen()) {
                 connections.put(connection.number(), connection);
                 publisher.connected(connection.number(), group.now());
             }
@@ -341,7 +341,7 @@
     @Override
     public void send(long connection, FromPublisher message) {
         Connection to = connections.get(connection);
-        if (to != null && !passesNothing) {
+        if (to != null && !discardsOutput) {
             streams.add(group.now(), message.bytes());
             to.toGatherer().send(message, message.bytes());
         }
--- a/src/main/java/pepperdock/simulation/distribution/DistributionInvariants.java
+++ b/src/main/java/pepperdock/simulation/distribution/DistributionInvariants.java
@@ -13,43 +13,43 @@
 import pepperdock.distribution.Subscriber;
 import pepperdock.simulation.distribution.Finding.Promise;
 
-/** Judges a course by its history and by what is there at its end. */
+/** Checks a run by its history and by its state at the end. */
 final class DistributionInvariants {
 
-    /** In any second, for control, at a gatherer. */
+    /** The budget of a gatherer for control traffic in any second. */
     static final int BUDGET_BYTES = 15_000;
 
-    static final int IN_FORCE_MILLIS = 11_000;
-    /** The control machine in a cut-off region may take itself for confirmed for an election's time. */
+    static final int MAX_IN_FORCE_MILLIS = 11_000;
+    /** The control machine in a cut-off region may consider itself confirmed for the duration of an election. */
     private static final int AGE_SLACK_MILLIS = 4000;
 
-    private final Simulation world;
+    private final Simulation simulation;
     private final History history;
-    private final List<Finding> found = new ArrayList<>();
+    private final List<Finding> findings = new ArrayList<>();
 
-    private DistributionInvariants(Simulation world) {
-        this.world = world;
-        history = world.history();
+    private DistributionInvariants(Simulation simulation) {
+        this.simulation = simulation;
+        history = simulation.history();
     }
 
-    static List<Finding> all(Simulation world, DistributionMetrics figures) {
-        DistributionInvariants checks = new DistributionInvariants(world);
-        checks.neverBackwards();
-        checks.neverHalf();
-        checks.allLevel();
-        checks.acknowledgedChangesStay();
-        checks.savedVersionsStay();
-        checks.ageTold();
-        checks.withinBudget();
-        checks.withinTime(figures);
-        return checks.found;
+    static List<Finding> all(Simulation simulation, DistributionMetrics metrics) {
+        DistributionInvariants checks = new DistributionInvariants(simulation);
+        checks.checkNeverBackwards();
+        checks.checkNeverHalf();
+        checks.checkAllLevel();
+        checks.checkAcknowledgedChangesStay();
+        checks.checkSavedVersionsStay();
+        checks.checkAgeReported();
+        checks.checkWithinBudget();
+        checks.checkWithinTime(metrics);
+        return checks.findings;
     }
 
-    private void found(Promise promise, long at, String what) {
-        found.add(new Finding(promise, at, what));
+    private void addFinding(Promise promise, long at, String description) {
+        findings.add(new Finding(promise, at, description));
     }
 
-    private void neverBackwards() {
+    private void checkNeverBackwards() {
         Map<String, ConfigurationVersion> newest = new HashMap<>();
         for (Event event : history.events()) {
             if (event instanceof Event.Stopped stopped && stopped.diskLost()) {
@@ -57,115 +57,125 @@
             } else if (event instanceof Event.InForce next) {
                 ConfigurationVersion before = newest.getOrDefault(next.gatherer(), ConfigurationVersion.NONE);
                 if (before.newerThan(next.version())) {
-                    found(
+                    addFinding(
                             Promise.NEVER_BACKWARDS,
                             next.at(),
-                            next.gatherer() + " has " + next.version() + " in force after " + before);
+                            next.gatherer() + " put version " + next.version() + " in force after the newer version "
+                                    + before);
                 }
                 newest.put(next.gatherer(), next.version());
             }
         }
     }
 
-    private void neverHalf() {
+    private void checkNeverHalf() {
         Map<ConfigurationVersion, ConfigurationDigest> settled = new HashMap<>();
         for (Event event : history.events()) {
             if (event instanceof Event.Settled s) {
                 ConfigurationDigest before = settled.putIfAbsent(s.version(), s.digest());
                 if (before != null && !before.equals(s.digest())) {
-                    found(Promise.NEVER_HALF, s.at(), "two settled contents of " + s.version());
+                    addFinding(
+                            Promise.NEVER_HALF,
+                            s.at(),
+                            "two different contents were settled as version " + s.version());
                 }
             } else if (event instanceof Event.InForce next && !next.digest().equals(settled.get(next.version()))) {
-                found(
+                addFinding(
                         Promise.NEVER_HALF,
                         next.at(),
-                        next.gatherer() + " has something in force as " + next.version() + " that was not settled");
+                        next.gatherer() + " put contents in force as version " + next.version()
+                                + " that were not settled as that version");
             }
         }
     }
 
-    private void allLevel() {
-        ConfigurationSnapshot newest = world.newest();
-        for (GathererNode gatherer : world.gatherers()) {
+    private void checkAllLevel() {
+        ConfigurationSnapshot newest = simulation.newest();
+        for (GathererNode gatherer : simulation.gatherers()) {
             Subscriber subscriber = gatherer.subscriber();
             if (subscriber == null) {
-                found(Promise.ALL_LEVEL, world.now(), gatherer.place().name() + " is down");
+                addFinding(Promise.ALL_LEVEL, simulation.now(), gatherer.place().name() + " is down at the end");
             } else if (!subscriber.inForce().digest().equals(newest.digest())
                     || subscriber.durability() != Durability.SAVED) {
-                found(
+                addFinding(
                         Promise.ALL_LEVEL,
-                        world.now(),
-                        gatherer.place().name() + " has " + subscriber.inForce().version() + " in force, "
-                                + subscriber.durability() + ", where " + newest.version() + " is settled");
+                        simulation.now(),
+                        gatherer.place().name() + " has version "
+                                + subscriber.inForce().version()
+                                + " in force with durability " + subscriber.durability()
+                                + " at the end, but the newest settled version is " + newest.version());
             }
         }
     }
 
-    private void acknowledgedChangesStay() {
+    private void checkAcknowledgedChangesStay() {
         Set<Long> acknowledged = history.of(Event.Acknowledged.class)
                 .map(Event.Acknowledged::command)
                 .collect(Collectors.toSet());
-        for (GathererNode gatherer : world.gatherers()) {
+        for (GathererNode gatherer : simulation.gatherers()) {
             if (gatherer.up()) {
                 ConfigurationSnapshot inForce = gatherer.subscriber().inForce();
                 for (long command : acknowledged) {
                     if (inForce.item(Simulation.marker(command)).isEmpty()) {
-                        found(
+                        addFinding(
                                 Promise.NOTHING_ACKNOWLEDGED_LOST,
-                                world.now(),
-                                gatherer.place().name() + " does not have change " + command);
+                                simulation.now(),
+                                gatherer.place().name() + " does not have the acknowledged change " + command);
                     }
                 }
             }
         }
     }
 
-    private void savedVersionsStay() {
-        Map<String, ConfigurationVersion> told = new HashMap<>();
+    private void checkSavedVersionsStay() {
+        Map<String, ConfigurationVersion> reported = new HashMap<>();
         for (Event event : history.events()) {
-            if (event instanceof Event.Said said && said.durability() != Durability.MEMORY_ONLY) {
-                told.put(said.gatherer(), said.version());
+            if (event instanceof Event.VersionReported report && report.durability() != Durability.MEMORY_ONLY) {
+                reported.put(report.gatherer(), report.version());
             } else if (event instanceof Event.Stopped stopped && stopped.diskLost()) {
-                told.remove(stopped.gatherer());
+                reported.remove(stopped.gatherer());
             } else if (event instanceof Event.Started started) {
-                ConfigurationVersion before = told.getOrDefault(started.gatherer(), ConfigurationVersion.NONE);
+                ConfigurationVersion before = reported.getOrDefault(started.gatherer(), ConfigurationVersion.NONE);
                 if (before.newerThan(started.onDisk())) {
-                    found(
+                    addFinding(
                             Promise.NOTHING_ACKNOWLEDGED_LOST,
                             started.at(),
-                            started.gatherer() + " said that its disk knows of " + before + ", and finds "
+                            started.gatherer() + " reported version " + before
+                                    + " as saved, but started with a disk that holds version "
                                     + started.onDisk());
                 }
             }
         }
     }
 
-    private void ageTold() {
-        history.of(Event.Aged.class)
+    private void checkAgeReported() {
+        history.of(Event.AgeReported.class)
                 .filter(a -> Math.abs(a.ageMillis() - a.cutOffMillis()) > AGE_SLACK_MILLIS)
-                .forEach(a -> found(
+                .forEach(a -> addFinding(
                         Promise.AGE_TOLD,
                         a.at(),
-                        a.gatherer() + " says " + a.ageMillis() + " ms, cut off for " + a.cutOffMillis()));
+                        a.gatherer() + " reports an age of " + a.ageMillis() + " ms, but was cut off for "
+                                + a.cutOffMillis() + " ms"));
     }
 
-    private void withinTime(DistributionMetrics figures) {
-        if (figures.neverInForce() > 0 || figures.each(1) > IN_FORCE_MILLIS) {
-            found(
+    private void checkWithinTime(DistributionMetrics metrics) {
+        if (metrics.neverInForce() > 0 || metrics.each(1) > MAX_IN_FORCE_MILLIS) {
+            addFinding(
                     Promise.WITHIN_TIME,
-                    world.now(),
-                    "a change took " + figures.each(1) + " ms at a gatherer; " + figures.neverInForce()
-                            + " never came");
+                    simulation.now(),
+                    "the slowest change came in force at a gatherer after " + metrics.each(1) + " ms; in "
+                            + metrics.neverInForce() + " cases a change never came in force at a gatherer");
         }
     }
 
-    private void withinBudget() {
-        for (GathererNode gatherer : world.gatherers()) {
-            if (gatherer.bytes().most() > BUDGET_BYTES) {
-                found(
+    private void checkWithinBudget() {
+        for (GathererNode gatherer : simulation.gatherers()) {
+            if (gatherer.bytes().maxPerSecond() > BUDGET_BYTES) {
+                addFinding(
                         Promise.WITHIN_BUDGET,
-                        world.now(),
-                        gatherer.place().name() + " has had " + gatherer.bytes().most() + " bytes in a second");
+                        simulation.now(),
+                        gatherer.place().name() + " transferred "
+                                + gatherer.bytes().maxPerSecond() + " bytes in one second");
             }
         }
     }
--- a/src/main/java/pepperdock/simulation/distribution/DistributionMetrics.java
+++ b/src/main/java/pepperdock/simulation/distribution/DistributionMetrics.java
@@ -6,16 +6,19 @@
 import java.util.Map;
 import pepperdock.distribution.ConfigurationVersion;
 
-/** What a course, or several, measured. Times in milliseconds, of simulated time. */
+/** The measurements of one or more runs. Times are in milliseconds of simulated time. */
 public final class DistributionMetrics {
 
-    /** From asked for to in force everywhere; at who could not be reached, from when it could. */
+    /**
+     * Time from a request to in force everywhere; for an unreachable gatherer it counts from when it could be reached
+     * again.
+     */
     private final Samples everywhere = new Samples();
-    /** The same without that allowance. */
+    /** The same time without that allowance. */
     private final Samples everywhereRaw = new Samples();
-    /** The same at each gatherer. */
+    /** The time with that allowance, for each gatherer. */
     private final Samples each = new Samples();
-    /** From a gatherer's start on an empty disk to its first version. */
+    /** Time from a gatherer's start on an empty disk to its first version. */
     private final Samples firstVersion = new Samples();
 
     private final Samples gathererBytes = new Samples();
@@ -27,27 +30,27 @@
 
     private DistributionMetrics() {}
 
-    /** Of nothing yet. */
+    /** Returns empty metrics. */
     public static DistributionMetrics none() {
         return new DistributionMetrics();
     }
 
-    static DistributionMetrics of(Simulation world) {
-        DistributionMetrics figures = new DistributionMetrics();
-        figures.courses = 1;
-        figures.latencies(world);
-        world.gatherers().forEach(g -> {
-            figures.gathererBytes.addAll(g.bytes().perSecond());
-            figures.gathererMost = Math.max(figures.gathererMost, g.bytes().most());
+    static DistributionMetrics of(Simulation simulation) {
+        DistributionMetrics metrics = new DistributionMetrics();
+        metrics.courses = 1;
+        metrics.latencies(simulation);
+        simulation.gatherers().forEach(g -> {
+            metrics.gathererBytes.addAll(g.bytes().perSecond());
+            metrics.gathererMost = Math.max(metrics.gathererMost, g.bytes().maxPerSecond());
         });
-        world.group().nodes().forEach(n -> {
-            figures.controlBytes.addAll(n.streams().perSecond());
-            figures.controlMost = Math.max(figures.controlMost, n.streams().most());
+        simulation.group().nodes().forEach(n -> {
+            metrics.controlBytes.addAll(n.streams().perSecond());
+            metrics.controlMost = Math.max(metrics.controlMost, n.streams().maxPerSecond());
         });
-        return figures;
+        return metrics;
     }
 
-    /** Takes in those of another course. */
+    /** Adds the measurements of other runs. */
     public void add(DistributionMetrics other) {
         everywhere.addAll(other.everywhere);
         everywhereRaw.addAll(other.everywhereRaw);
@@ -61,111 +64,128 @@
         courses += other.courses;
     }
 
-    /** How many courses these are the figures of. */
+    /** Returns the number of runs measured. */
     public int courses() {
         return courses;
     }
 
-    /** How many changes were measured. */
+    /** Returns the number of changes measured. */
     public int changes() {
         return everywhere.count();
     }
 
-    /** Pairs of a change and a gatherer where the change, or a later one, never came in force. */
+    /**
+     * Returns the number of pairs of a change and a gatherer where neither the change nor a later one came in force.
+     */
     public int neverInForce() {
         return neverInForce;
     }
 
-    /** Quantile of the time until a change was in force everywhere, less the time in which a gatherer was out of reach. */
+    /**
+     * Returns a quantile of the time until a change was in force everywhere, without the time in which a gatherer was
+     * unreachable.
+     */
     public long everywhere(double share) {
         return everywhere.quantile(share);
     }
 
-    /** Quantile of the time until a change was in force everywhere, without that allowance. */
+    /**
+     * Returns a quantile of the time until a change was in force everywhere, including the time in which a gatherer was
+     * unreachable.
+     */
     public long everywhereRaw(double share) {
         return everywhereRaw.quantile(share);
     }
 
-    /** Quantile over gatherers of the time until a change was in force there, with that allowance. */
+    /**
+     * Returns a quantile, over all gatherers, of the time until a change was in force there, without its unreachable
+     * time.
+     */
     public long each(double share) {
         return each.quantile(share);
     }
 
-    /** Quantile of the time from a gatherer's start on an empty disk to its first version. */
+    /** Returns a quantile of the time from a gatherer's start on an empty disk to its first version. */
     public long firstVersion(double share) {
         return firstVersion.quantile(share);
     }
 
-    /** Bytes both ways at a gatherer in whole seconds. */
+    /** Returns a quantile of the bytes per whole second, in both directions, at a gatherer. */
     public long gathererBytes(double share) {
         return gathererBytes.quantile(share);
     }
 
-    /** The most in any second, also one that begins between two. */
+    /** Returns the maximum bytes at a gatherer in any second, including seconds that begin between two whole ones. */
     public long gathererMost() {
         return gathererMost;
     }
 
-    /** Bytes both ways on all streams of a control machine, in whole seconds, without the consensus. */
+    /**
+     * Returns a quantile of the bytes per whole second, in both directions, on all streams of a control machine,
+     * without consensus.
+     */
     public long controlBytes(double share) {
         return controlBytes.quantile(share);
     }
 
-    /** The most in any second at a control machine, also one that begins between two. */
+    /**
+     * Returns the maximum bytes at a control machine in any second, including seconds that begin between two whole
+     * ones.
+     */
     public long controlMost() {
         return controlMost;
     }
 
-    // ---- How ------------------------------------------------------------
+    // ---- Evaluation of the history ------------------------------------------------------------
 
-    private static final class Course {
+    private static final class GathererHistory {
         private final List<Event.InForce> inForce = new ArrayList<>();
-        private final List<Event.Hindered> hindered = new ArrayList<>();
+        private final List<Event.Unreachable> unreachable = new ArrayList<>();
     }
 
-    private void latencies(Simulation world) {
-        Map<String, Course> courses = new HashMap<>();
-        world.gatherers().forEach(g -> courses.put(g.place().name(), new Course()));
+    private void latencies(Simulation simulation) {
+        Map<String, GathererHistory> gatherers = new HashMap<>();
+        simulation.gatherers().forEach(g -> gatherers.put(g.place().name(), new GathererHistory()));
         Map<Long, Long> proposed = new HashMap<>();
         Map<Long, ConfigurationVersion> settled = new HashMap<>();
         Map<String, Long> startedEmpty = new HashMap<>();
-        for (Event event : world.history().events()) {
+        for (Event event : simulation.history().events()) {
             if (event instanceof Event.Proposed p) {
                 proposed.put(p.command(), p.at());
             } else if (event instanceof Event.Settled s) {
                 settled.putIfAbsent(s.command(), s.version());
-            } else if (event instanceof Event.Hindered h) {
-                courses.get(h.gatherer()).hindered.add(h);
+            } else if (event instanceof Event.Unreachable period) {
+                gatherers.get(period.gatherer()).unreachable.add(period);
             } else if (event instanceof Event.Started s && s.onDisk().equals(ConfigurationVersion.NONE)) {
                 startedEmpty.put(s.gatherer(), s.at());
             } else if (event instanceof Event.InForce next) {
-                courses.get(next.gatherer()).inForce.add(next);
+                gatherers.get(next.gatherer()).inForce.add(next);
                 Long startedAt = startedEmpty.remove(next.gatherer());
-                if (startedAt != null && startedAt >= Simulation.WARM_MILLIS) {
+                if (startedAt != null && startedAt >= Simulation.WARM_UP_MILLIS) {
                     firstVersion.add(next.at() - startedAt);
                 }
             }
         }
         proposed.forEach((command, at) -> {
-            if (at >= Simulation.WARM_MILLIS) {
-                latency(courses, at, settled.get(command));
+            if (at >= Simulation.WARM_UP_MILLIS) {
+                latency(gatherers, at, settled.get(command));
             }
         });
     }
 
-    private void latency(Map<String, Course> courses, long proposedAt, ConfigurationVersion version) {
+    private void latency(Map<String, GathererHistory> gatherers, long proposedAt, ConfigurationVersion version) {
         long worst = 0;
         long worstRaw = 0;
-        for (Course course : courses.values()) {
-            Event.InForce first = version == null ? null : first(course, version);
+        for (GathererHistory gatherer : gatherers.values()) {
+            Event.InForce first = version == null ? null : first(gatherer, version);
             if (first == null) {
                 neverInForce++;
                 continue;
             }
             long from = proposedAt;
-            for (Event.Hindered h : course.hindered) {
-                if (h.at() < first.at() && h.until() > from) {
-                    from = Math.min(first.at(), h.until());
+            for (Event.Unreachable period : gatherer.unreachable) {
+                if (period.at() < first.at() && period.until() > from) {
+                    from = Math.min(first.at(), period.until());
                 }
             }
             worst = Math.max(worst, first.at() - from);
@@ -176,8 +196,8 @@
         everywhereRaw.add(worstRaw);
     }
 
-    private static Event.InForce first(Course course, ConfigurationVersion version) {
-        return course.inForce.stream()
+    private static Event.InForce first(GathererHistory gatherer, ConfigurationVersion version) {
+        return gatherer.inForce.stream()
                 .filter(e -> !version.newerThan(e.version()))
                 .findFirst()
                 .orElse(null);
--- a/src/main/java/pepperdock/simulation/distribution/FaultSchedule.java
+++ b/src/main/java/pepperdock/simulation/distribution/FaultSchedule.java
@@ -12,41 +12,45 @@
 final class FaultSchedule {
 
     private static final int SECOND = 1000;
-    /** When the faults begin. */
+    /** The time at which the faults begin. */
     static final int BEGIN = 60 * SECOND;
 
     private static final int HALF_MINUTE = 30 * SECOND;
     private static final int MINUTE = 60 * SECOND;
-    private static final int ONE_WAY = 20 * SECOND;
-    private static final int FIFTY = 50;
+    private static final int ONE_WAY_CUT = 20 * SECOND;
+    private static final int CHANGES_IN_A_MINUTE = 50;
     private static final int MIXED_CASES = 3;
-    /** The leader is lost so soon after a change was asked for, at most: within the round trip that settles it. */
-    private static final int MIDDLE_OF_A_CHANGE = 60;
-
-    private final Simulation world;
-    private final Random chance;
+    /**
+     * Maximum time from the request of a change to the loss of the leader: within the round trip that settles the
+     * change.
+     */
+    private static final int MAX_LEADER_LOSS_DELAY = 60;
+
+    private final Simulation simulation;
+    private final Random random;
     private final Timeline time;
     private final ControlGroup group;
 
     private long begin = BEGIN;
-    /** Several hard cases at a time: what each is to show by itself is not judged. */
+    /** Whether several hard cases run at once, so that properties specific to one of them are not checked. */
     private boolean mixed;
 
-    FaultSchedule(Simulation world, Random chance) {
-        this.world = world;
-        this.chance = chance;
-        time = world.time();
-        group = world.group();
+    FaultSchedule(Simulation simulation, Random random) {
+        this.simulation = simulation;
+        this.random = random;
+        time = simulation.time();
+        group = simulation.group();
     }
 
-    /** Returns when the last fault is over. */
+    /** Schedules the faults of a hard case; returns the time at which the last one is over. */
     long plan(HardCase hardCase) {
         return switch (hardCase) {
             case CALM -> begin + MINUTE;
             case LEADER_LOST -> leaderLost();
             case REGION_CUT -> regionCut();
-            case MACHINE_STOPPED -> leaderFor(HALF_MINUTE, ControlNode::stop, ControlNode::goOn);
-            case MACHINE_PASSES_NOTHING -> leaderFor(HALF_MINUTE, n -> n.passNothing(true), n -> n.passNothing(false));
+            case MACHINE_STOPPED -> withLeaderFor(HALF_MINUTE, ControlNode::pause, ControlNode::resume);
+            case MACHINE_PASSES_NOTHING ->
+                withLeaderFor(HALF_MINUTE, n -> n.discardOutput(true), n -> n.discardOutput(false));
             case ONE_WAY_CUTS -> oneWayCuts();
             case ZONE_LOST, ZONE_RESTART, ALL_RESTART, ALL_NEW, DISK_FULL -> gathererFaults(hardCase);
             case FIFTY_CHANGES -> fiftyChanges();
@@ -73,20 +77,20 @@
         mixed = true;
         List<HardCase> drawn = new ArrayList<>(List.of(HardCase.values()));
         drawn.remove(HardCase.MIXED);
-        Collections.shuffle(drawn, chance);
-        long over = BEGIN;
+        Collections.shuffle(drawn, random);
+        long faultsEnd = BEGIN;
         for (HardCase hardCase : drawn.subList(0, MIXED_CASES)) {
-            begin = (long) BEGIN + chance.nextInt(HALF_MINUTE);
-            over = Math.max(over, plan(hardCase));
+            begin = (long) BEGIN + random.nextInt(HALF_MINUTE);
+            faultsEnd = Math.max(faultsEnd, plan(hardCase));
         }
-        // Whoever depends on several things that fail may wait for the last of them.
-        hindered(g -> true, BEGIN, over);
-        return over;
+        // A gatherer that depends on several failed components may have to wait for the last of them.
+        markUnreachable(g -> true, BEGIN, faultsEnd);
+        return faultsEnd;
     }
 
     // ---- Control machines ------------------------------------------------------------
 
-    /** Does this with the one that leads, as soon as one does. */
+    /** Runs an action with the leader, as soon as there is one. */
     private void withLeader(Consumer<ControlNode> action) {
         ControlNode leader = group.leader();
         if (leader == null) {
@@ -96,7 +100,7 @@
         }
     }
 
-    private long leaderFor(int millis, Consumer<ControlNode> fault, Consumer<ControlNode> repair) {
+    private long withLeaderFor(int millis, Consumer<ControlNode> fault, Consumer<ControlNode> repair) {
         time.at(
                 begin,
                 () -> withLeader(n -> {
@@ -108,9 +112,9 @@
 
     private long leaderLost() {
         time.at(begin, () -> {
-            world.change();
+            simulation.change();
             time.after(
-                    1 + chance.nextInt(MIDDLE_OF_A_CHANGE),
+                    1 + random.nextInt(MAX_LEADER_LOSS_DELAY),
                     () -> withLeader(n -> {
                         group.loseDisk(n);
                         time.after(HALF_MINUTE, n::start);
@@ -122,8 +126,8 @@
     private long allControlAway() {
         time.at(begin, () -> group.nodes().forEach(ControlNode::crash));
         long back = begin + HALF_MINUTE;
-        group.nodes().forEach(n -> time.at(back + chance.nextInt(SECOND), n::start));
-        hindered(g -> true, begin, back + SECOND);
+        group.nodes().forEach(n -> time.at(back + random.nextInt(SECOND), n::start));
+        markUnreachable(g -> true, begin, back + SECOND);
         return back + 5 * SECOND;
     }
 
@@ -132,49 +136,50 @@
         time.at(begin, () -> {
             List<ConfigurationSnapshot> first =
                     List.copyOf(node.after(ConfigurationSnapshot.NONE.version()).subList(0, 2));
-            node.serveOldDisk(first);
+            node.serveStaleVersions(first);
         });
-        time.at(begin + 40 * SECOND, () -> node.serveOldDisk(null));
-        world.gatherers().stream()
-                .filter(g -> chance.nextInt(10) == 0)
-                .forEach(g -> restart(g, begin + chance.nextInt(HALF_MINUTE), 2 * SECOND, chance.nextBoolean()));
+        time.at(begin + 40 * SECOND, () -> node.serveStaleVersions(null));
+        simulation.gatherers().stream()
+                .filter(g -> random.nextInt(10) == 0)
+                .forEach(g -> restart(g, begin + random.nextInt(HALF_MINUTE), 2 * SECOND, random.nextBoolean()));
         return begin + 40 * SECOND;
     }
 
     // ---- Links ------------------------------------------------------------
 
     private void cutFor(Network.Cut cut, long from, long until) {
-        time.at(from, () -> world.network().cut(cut));
-        time.at(until, () -> world.network().heal(cut));
+        time.at(from, () -> simulation.network().cut(cut));
+        time.at(until, () -> simulation.network().heal(cut));
     }
 
     private long regionCut() {
-        String region = "r" + (1 + chance.nextInt(3));
-        long until = begin + world.setup().longCutMillis();
+        String region = "r" + (1 + random.nextInt(3));
+        long until = begin + simulation.setup().longCutMillis();
         cutFor((a, b) -> a.region().equals(region) != b.region().equals(region), begin, until);
-        hindered(g -> g.place().region().equals(region), begin, until);
+        markUnreachable(g -> g.place().region().equals(region), begin, until);
         if (!mixed) {
-            time.at(until - 1, () -> tellAges(region));
+            time.at(until - 1, () -> reportAges(region));
         }
         return until;
     }
 
-    private void tellAges(String region) {
-        world.gatherers().stream()
+    private void reportAges(String region) {
+        simulation.gatherers().stream()
                 .filter(g -> g.place().region().equals(region))
-                .forEach(this::tellAge);
+                .forEach(this::reportAge);
     }
 
-    private void tellAge(GathererNode gatherer) {
+    private void reportAge(GathererNode gatherer) {
         boolean nothing = gatherer.subscriber().inForce().version().equals(ConfigurationSnapshot.NONE.version());
         long age = nothing ? -1 : gatherer.subscriber().age(time.now()).millis();
-        world.history()
-                .add(new Event.Aged(
-                        time.now(), gatherer.place().name(), world.setup().longCutMillis(), age));
+        simulation
+                .history()
+                .add(new Event.AgeReported(
+                        time.now(), gatherer.place().name(), simulation.setup().longCutMillis(), age));
     }
 
     private long oneWayCuts() {
-        long until = begin + ONE_WAY;
+        long until = begin + ONE_WAY_CUT;
         cutFor((a, b) -> a.name().equals("c1") && b.zone().equals("r1z3"), begin, until);
         cutFor((a, b) -> a.zone().equals("r2z2") && b.name().equals("c2"), begin, until);
         cutFor((a, b) -> a.name().equals("c1") && b.name().equals("c2"), begin, until);
@@ -183,57 +188,60 @@
 
     // ---- Gatherers ------------------------------------------------------------
 
-    private void hindered(Predicate<GathererNode> which, long from, long until) {
-        world.gatherers().stream()
+    private void markUnreachable(Predicate<GathererNode> which, long from, long until) {
+        simulation.gatherers().stream()
                 .filter(which)
-                .forEach(g ->
-                        world.history().add(new Event.Hindered(from, g.place().name(), until)));
+                .forEach(g -> simulation
+                        .history()
+                        .add(new Event.Unreachable(from, g.place().name(), until)));
     }
 
     private void restart(GathererNode gatherer, long at, long downMillis, boolean newDisk) {
-        time.at(at, () -> gatherer.stop(newDisk ? world.newDisk() : null));
+        time.at(at, () -> gatherer.stop(newDisk ? simulation.newDisk() : null));
         time.at(at + downMillis, gatherer::start);
-        world.history().add(new Event.Hindered(at, gatherer.place().name(), at + downMillis));
+        simulation.history().add(new Event.Unreachable(at, gatherer.place().name(), at + downMillis));
     }
 
     private long zoneLost() {
-        ControlNode node = group.nodes().get(1 + chance.nextInt(2));
+        ControlNode node = group.nodes().get(1 + random.nextInt(2));
         String zone = node.place().zone();
         long back = begin + 40 * SECOND;
-        time.at(begin, node::vanish);
+        time.at(begin, node::failSilently);
         time.at(back, node::start);
-        world.gatherers().stream()
+        simulation.gatherers().stream()
                 .filter(g -> g.place().zone().equals(zone))
-                .forEach(g -> restart(g, begin, 40 * SECOND + chance.nextInt(2 * SECOND), false));
+                .forEach(g -> restart(g, begin, 40 * SECOND + random.nextInt(2 * SECOND), false));
         return back + 5 * SECOND;
     }
 
     private long zoneRestart() {
-        String zone = "r" + (1 + chance.nextInt(3)) + "z" + (1 + chance.nextInt(3));
-        world.gatherers().stream()
+        String zone = "r" + (1 + random.nextInt(3)) + "z" + (1 + random.nextInt(3));
+        simulation.gatherers().stream()
                 .filter(g -> g.place().zone().equals(zone))
                 .forEach(g -> restart(
-                        g, begin + chance.nextInt(SECOND), SECOND + chance.nextInt(SECOND), chance.nextInt(4) == 0));
+                        g, begin + random.nextInt(SECOND), SECOND + random.nextInt(SECOND), random.nextInt(4) == 0));
         for (int i = 0; i < 6; i++) {
-            time.at(begin + i * 500L, world::change);
+            time.at(begin + i * 500L, simulation::change);
         }
         return begin + 10 * SECOND;
     }
 
-    private long allRestart(int within, int newDiskOneIn) {
-        world.gatherers()
-                .forEach(
-                        g -> restart(g, begin + chance.nextInt(within), 2 * SECOND, chance.nextInt(newDiskOneIn) == 0));
-        return begin + within + 10 * SECOND;
+    private long allRestart(int withinMillis, int newDiskOneIn) {
+        simulation
+                .gatherers()
+                .forEach(g -> restart(
+                        g, begin + random.nextInt(withinMillis), 2 * SECOND, random.nextInt(newDiskOneIn) == 0));
+        return begin + withinMillis + 10 * SECOND;
     }
 
     private long diskFull() {
-        List<GathererNode> full =
-                world.gatherers().stream().filter(g -> chance.nextInt(10) == 0).toList();
+        List<GathererNode> full = simulation.gatherers().stream()
+                .filter(g -> random.nextInt(10) == 0)
+                .toList();
         for (GathererNode gatherer : full) {
-            time.at(begin, () -> gatherer.disk().full(true));
-            restart(gatherer, begin + HALF_MINUTE + chance.nextInt(5 * SECOND), SECOND, false);
-            time.at(begin + MINUTE, () -> gatherer.disk().full(false));
+            time.at(begin, () -> gatherer.disk().setFull(true));
+            restart(gatherer, begin + HALF_MINUTE + random.nextInt(5 * SECOND), SECOND, false);
+            time.at(begin + MINUTE, () -> gatherer.disk().setFull(false));
         }
         return begin + MINUTE;
     }
@@ -241,8 +249,8 @@
     // ---- Changes ------------------------------------------------------------
 
     private long fiftyChanges() {
-        for (int i = 0; i < FIFTY; i++) {
-            time.at(begin + chance.nextInt(MINUTE), world::change);
+        for (int i = 0; i < CHANGES_IN_A_MINUTE; i++) {
+            time.at(begin + random.nextInt(MINUTE), simulation::change);
         }
         return begin + MINUTE;
     }
@@ -250,14 +258,14 @@
     private long unreadable() {
         long until = begin + HALF_MINUTE;
         time.at(begin, () -> {
-            world.format(Simulation.FORMAT_SECOND);
-            world.change();
+            simulation.setFormat(Simulation.SECOND_FORMAT);
+            simulation.change();
         });
         time.at(until, () -> {
-            world.format(1);
-            world.change();
+            simulation.setFormat(1);
+            simulation.change();
         });
-        hindered(g -> g.reads() < Simulation.FORMAT_SECOND, begin, until);
+        markUnreachable(g -> g.maxFormat() < Simulation.SECOND_FORMAT, begin, until);
         return until + SECOND;
     }
 
@@ -265,7 +273,7 @@
         for (int i = 0; i < 5; i++) {
             String key = "item/" + i;
             for (int operator = 0; operator < 2; operator++) {
-                time.at(begin + 3L * i * SECOND + (long) operator * chance.nextInt(20), () -> world.change(key));
+                time.at(begin + 3L * i * SECOND + (long) operator * random.nextInt(20), () -> simulation.change(key));
             }
         }
         return begin + 20 * SECOND;
--- a/src/main/java/pepperdock/simulation/distribution/Finding.java
+++ b/src/main/java/pepperdock/simulation/distribution/Finding.java
@@ -1,28 +1,28 @@
 package pepperdock.simulation.distribution;
 
-/** A promise that did not hold. */
-public record Finding(Promise promise, long at, String what) {
+/** A violation of a promise during a run. */
+public record Finding(Promise promise, long at, String description) {
 
-    /** What must hold in every course. */
+    /** The properties that must hold in every run. */
     public enum Promise {
-        /** No gatherer puts a version in force that is not newer than all before, on the same disk. */
+        /** With the same disk, a gatherer never puts a version in force that is older than one before. */
         NEVER_BACKWARDS,
-        /** What is in force is, whole, what was settled as that version. */
+        /** The contents in force as a version are completely those that were settled as that version. */
         NEVER_HALF,
-        /** At the end all have the newest settled version in force, and on their disks. */
+        /** At the end all gatherers have the newest settled version in force and on their disks. */
         ALL_LEVEL,
-        /** What an operator or a control machine was told stays. */
+        /** Nothing that was acknowledged to an operator or a control machine is lost. */
         NOTHING_ACKNOWLEDGED_LOST,
-        /** A gatherer that was cut off says how old its version is. */
+        /** A gatherer that was cut off reports how old its version is. */
         AGE_TOLD,
-        /** No gatherer is sent and sends more than its budget in any second. */
+        /** No gatherer receives and sends more bytes than its budget in any second. */
         WITHIN_BUDGET,
-        /** Each change is in force, at each gatherer that can be reached, within so many milliseconds of simulated time. */
+        /** Each change is in force at each reachable gatherer within a limit of simulated time. */
         WITHIN_TIME
     }
 
     @Override
     public String toString() {
-        return promise + " at " + at + " ms: " + what;
+        return promise + " at " + at + " ms: " + description;
     }
 }
--- a/src/main/java/pepperdock/simulation/distribution/GathererDisk.java
+++ b/src/main/java/pepperdock/simulation/distribution/GathererDisk.java
@@ -4,14 +4,14 @@
 import pepperdock.distribution.ConfigurationVersion;
 import pepperdock.distribution.VersionStore;
 
-/** What a gatherer's disk holds; it may be full. Tests plant faults by other kinds. */
+/** The disk of a gatherer, which may be full. Tests override its methods to inject faults. */
 public class GathererDisk implements VersionStore {
 
     private VersionStore.Saved saved = VersionStore.Saved.NOTHING;
     private boolean full;
 
-    void full(boolean now) {
-        full = now;
+    void setFull(boolean full) {
+        this.full = full;
     }
 
     @Override
--- a/src/main/java/pepperdock/simulation/distribution/GathererNode.java
+++ b/src/main/java/pepperdock/simulation/distribution/GathererNode.java
@@ -10,23 +10,23 @@
 import pepperdock.distribution.SubscriberOutput;
 import pepperdock.distribution.VersionStore;
 
-/** A subscriber-only gatherer: a subscriber, its disk and its connection, and nothing else. */
+/** A gatherer that only subscribes: a subscriber, its disk and its connection. */
 final class GathererNode implements SubscriberOutput {
 
-    private final Simulation world;
+    private final Simulation simulation;
     private final Place place;
-    private final int reads;
-    private final ByteMeter bytes = new ByteMeter(Simulation.WARM_MILLIS);
+    private final int maxFormat;
+    private final ByteMeter bytes = new ByteMeter(Simulation.WARM_UP_MILLIS);
     private GathererDisk disk;
     /** Null while the process is down. */
     private Subscriber subscriber;
 
     private Connection connection;
 
-    GathererNode(Simulation world, Place place, int reads, GathererDisk disk) {
-        this.world = world;
+    GathererNode(Simulation simulation, Place place, int maxFormat, GathererDisk disk) {
+        this.simulation = simulation;
         this.place = place;
-        this.reads = reads;
+        this.maxFormat = maxFormat;
         this.disk = disk;
     }
 
@@ -34,9 +34,9 @@
         return place;
     }
 
-    /** The highest format that its program version reads. */
-    int reads() {
-        return reads;
+    /** Returns the highest format that its program version reads. */
+    int maxFormat() {
+        return maxFormat;
     }
 
     boolean up() {
@@ -55,20 +55,20 @@
         return bytes;
     }
 
-    // ---- Life ------------------------------------------------------------
+    // ---- Start and stop ------------------------------------------------------------
 
     void start() {
         if (subscriber != null) {
             return;
         }
         VersionStore.Saved saved = disk.load();
-        ConfigurationVersion whole = saved.configuration().version();
-        ConfigurationVersion onDisk = saved.floor().newerThan(whole) ? saved.floor() : whole;
-        world.history().add(new Event.Started(now(), place.name(), onDisk));
-        subscriber = world.subscriber(this);
+        ConfigurationVersion complete = saved.configuration().version();
+        ConfigurationVersion onDisk = saved.floor().newerThan(complete) ? saved.floor() : complete;
+        simulation.history().add(new Event.Started(now(), place.name(), onDisk));
+        subscriber = simulation.subscriber(this);
     }
 
-    /** The process ends; {@code newDisk} where another machine takes its place. */
+    /** Ends the process; {@code newDisk} is the disk of the machine that replaces it, or null to keep the disk. */
     void stop(GathererDisk newDisk) {
         if (subscriber == null) {
             return;
@@ -81,7 +81,7 @@
         if (newDisk != null) {
             disk = newDisk;
         }
-        world.history().add(new Event.Stopped(now(), place.name(), newDisk != null));
+        simulation.history().add(new Event.Stopped(now(), place.name(), newDisk != null));
     }
 
     void tick() {
@@ -90,23 +90,23 @@
         }
     }
 
-    // ---- The connection ------------------------------------------------------------
+    // ---- Connection ------------------------------------------------------------
 
-    void connected(Connection of) {
-        if (of == connection) {
+    void connected(Connection source) {
+        if (source == connection) {
             subscriber.connected(now());
         }
     }
 
-    void received(Connection on, FromPublisher message) {
+    void received(Connection source, FromPublisher message) {
         bytes.add(now(), message.bytes());
-        if (on == connection) {
+        if (source == connection) {
             subscriber.received(message, now());
         }
     }
 
-    void ended(Connection of) {
-        if (of == connection) {
+    void ended(Connection source) {
+        if (source == connection) {
             connection = null;
             subscriber.disconnected(now());
         }
@@ -114,15 +114,17 @@
 
     @Override
     public void connect(ControlMachine to) {
-        connection = world.connect(this, to);
-        connection.begin();
+        connection = simulation.connect(this, to);
+        connection.open();
     }
 
     @Override
     public void send(FromSubscriber message) {
         bytes.add(now(), message.bytes());
-        if (message instanceof DistributionMessage.InForce said) {
-            world.history().add(new Event.Said(now(), place.name(), said.version(), said.durability()));
+        if (message instanceof DistributionMessage.InForce report) {
+            simulation
+                    .history()
+                    .add(new Event.VersionReported(now(), place.name(), report.version(), report.durability()));
         }
         connection.toControl().send(message, message.bytes());
     }
@@ -135,10 +137,12 @@
 
     @Override
     public void inForce(ConfigurationSnapshot configuration) {
-        world.history().add(new Event.InForce(now(), place.name(), configuration.version(), configuration.digest()));
+        simulation
+                .history()
+                .add(new Event.InForce(now(), place.name(), configuration.version(), configuration.digest()));
     }
 
     private long now() {
-        return world.now();
+        return simulation.now();
     }
 }
--- a/src/main/java/pepperdock/simulation/distribution/HardCase.java
+++ b/src/main/java/pepperdock/simulation/distribution/HardCase.java
@@ -1,14 +1,15 @@
 package pepperdock.simulation.distribution;
 
-/** What goes wrong in a course. */
+/** The faults of a run. */
 public enum HardCase {
     CALM("nothing"),
-    LEADER_LOST("the leading control machine is lost with its disk in the middle of a change, and comes back empty"),
+    LEADER_LOST("the leading control machine is lost with its disk during a change, and comes back with an empty disk"),
     REGION_CUT("a region is cut off from the others, with changes on the other side"),
     ZONE_LOST("a zone with a control machine and its gatherers loses power, and comes back"),
-    MACHINE_STOPPED("the leading control machine's process stands still, and goes on later"),
-    MACHINE_PASSES_NOTHING("the leading control machine takes connections and bytes and passes nothing to subscribers"),
-    ONE_WAY_CUTS("ways that pass in one direction only, between control machines and to and from gatherers"),
+    MACHINE_STOPPED("the leading control machine's process is paused and resumes later"),
+    MACHINE_PASSES_NOTHING(
+            "the leading control machine accepts connections and bytes but sends nothing to subscribers"),
+    ONE_WAY_CUTS("links that pass in one direction only, between control machines and to and from gatherers"),
     ZONE_RESTART("all gatherers of a zone restart during changes, one in four on an empty disk"),
     ALL_RESTART("every gatherer restarts within 60 s, one in ten on an empty disk"),
     ALL_NEW("every gatherer restarts within a second on an empty disk"),
@@ -16,18 +17,18 @@
     DISK_FULL("one gatherer in ten has a full disk, and restarts with it"),
     UNREADABLE("one gatherer in five does not read a format that is in force for half a minute"),
     CROSSING("two operators change the same keys at the same time"),
-    ALL_CONTROL_AWAY("all control machines' processes are away for half a minute"),
-    OLD_DISK("a control machine comes back with an old disk and takes itself for confirmed"),
-    MIXED("three of these, drawn, within half a minute");
+    ALL_CONTROL_AWAY("the processes of all control machines are down for half a minute"),
+    OLD_DISK("a control machine comes back with an old disk and considers itself confirmed"),
+    MIXED("three of these, drawn at random, within half a minute");
 
-    private final String what;
+    private final String description;
 
-    HardCase(String what) {
-        this.what = what;
+    HardCase(String description) {
+        this.description = description;
     }
 
-    /** In a few words. */
-    public String what() {
-        return what;
+    /** Returns a short description. */
+    public String description() {
+        return description;
     }
 }
--- a/src/main/java/pepperdock/simulation/distribution/History.java
+++ b/src/main/java/pepperdock/simulation/distribution/History.java
@@ -5,7 +5,7 @@
 import java.util.List;
 import java.util.stream.Stream;
 
-/** All events of a course, in their order. */
+/** All events of a run, in order. */
 public final class History {
 
     private final List<Event> events = new ArrayList<>();
@@ -14,12 +14,12 @@
         events.add(event);
     }
 
-    /** All events so far, as an unmodifiable view. */
+    /** Returns all events so far, as an unmodifiable view. */
     public List<Event> events() {
         return Collections.unmodifiableList(events);
     }
 
-    /** Those of one kind. */
+    /** Returns the events of one kind. */
     public <E extends Event> Stream<E> of(Class<E> kind) {
         return events.stream().filter(kind::isInstance).map(kind::cast);
     }
--- a/src/main/java/pepperdock/simulation/distribution/LogDisk.java
+++ b/src/main/java/pepperdock/simulation/distribution/LogDisk.java
@@ -8,22 +8,22 @@
 import pepperdock.store.raft.RaftOutput;
 import pepperdock.store.raft.RaftSnapshot;
 
-/** What the disk of a control machine holds of the log. */
+/** The disk of a control machine, with the synced part of the log. */
 final class LogDisk {
 
-    private HardState hard;
+    private HardState hardState;
     private RaftSnapshot snapshot;
     private final List<RaftLogEntry> entries = new ArrayList<>();
 
-    LogDisk(PersistedState begins) {
-        hard = begins.hardState();
-        snapshot = begins.snapshot();
-        entries.addAll(begins.entries());
+    LogDisk(PersistedState initial) {
+        hardState = initial.hardState();
+        snapshot = initial.snapshot();
+        entries.addAll(initial.entries());
     }
 
-    void keep(RaftOutput.Write write) {
+    void store(RaftOutput.Write write) {
         if (write.hardState() != null) {
-            hard = write.hardState();
+            hardState = write.hardState();
         }
         if (write.truncateFrom() > 0) {
             entries.removeIf(e -> e.index() >= write.truncateFrom());
@@ -38,6 +38,6 @@
     }
 
     PersistedState saved() {
-        return new PersistedState(hard, snapshot, List.copyOf(entries));
+        return new PersistedState(hardState, snapshot, List.copyOf(entries));
     }
 }
--- a/src/main/java/pepperdock/simulation/distribution/Network.java
+++ b/src/main/java/pepperdock/simulation/distribution/Network.java
@@ -4,43 +4,43 @@
 import java.util.List;
 import java.util.Random;
 
-/** The ways between places: how long they take, and which of them are cut. */
+/** The links between places: their delays, and which of them are cut. */
 final class Network {
 
-    /** A way that does not pass, in one direction. */
+    /** Links that do not pass, in one direction. */
     interface Cut {
         boolean stops(Place from, Place to);
     }
 
     private static final int SAME_ZONE_MILLIS = 1;
     private static final int SAME_REGION_MILLIS = 2;
-    private static final int REGIONS_MILLIS = 30;
+    private static final int OTHER_REGION_MILLIS = 30;
     private static final double JITTER = 0.5;
-    /** After a cut has healed, the transport's next attempt comes within these. */
-    private static final int RETRANSMIT_LEAST_MILLIS = 200;
+    /** Bounds of the time from the healing of a cut to the next retransmission by the transport. */
+    private static final int MIN_RETRANSMIT_MILLIS = 200;
 
-    private static final int RETRANSMIT_MOST_MILLIS = 1000;
+    private static final int MAX_RETRANSMIT_MILLIS = 1000;
 
     private final Timeline time;
-    private final Random chance;
+    private final Random random;
     private final List<Cut> cuts = new ArrayList<>();
     private final List<Runnable> onHeal = new ArrayList<>();
 
-    Network(Timeline time, Random chance) {
+    Network(Timeline time, Random random) {
         this.time = time;
-        this.chance = chance;
+        this.random = random;
     }
 
     boolean passes(Place from, Place to) {
         return cuts.stream().noneMatch(c -> c.stops(from, to));
     }
 
-    /** Milliseconds that a message takes one way, this time. */
+    /** Returns the one-way delay of the next message in milliseconds; draws the jitter anew at each call. */
     long delay(Place from, Place to) {
-        long least = from.zone().equals(to.zone())
+        long baseMillis = from.zone().equals(to.zone())
                 ? SAME_ZONE_MILLIS
-                : from.region().equals(to.region()) ? SAME_REGION_MILLIS : REGIONS_MILLIS;
-        return least + chance.nextInt(1 + (int) (least * JITTER));
+                : from.region().equals(to.region()) ? SAME_REGION_MILLIS : OTHER_REGION_MILLIS;
+        return baseMillis + random.nextInt(1 + (int) (baseMillis * JITTER));
     }
 
     void cut(Cut cut) {
@@ -51,12 +51,12 @@
         cuts.remove(cut);
         List<Runnable> waiting = List.copyOf(onHeal);
         onHeal.clear();
-        int span = RETRANSMIT_MOST_MILLIS - RETRANSMIT_LEAST_MILLIS;
-        waiting.forEach(r -> time.after(RETRANSMIT_LEAST_MILLIS + chance.nextInt(span), r));
+        int span = MAX_RETRANSMIT_MILLIS - MIN_RETRANSMIT_MILLIS;
+        waiting.forEach(r -> time.after(MIN_RETRANSMIT_MILLIS + random.nextInt(span), r));
     }
 
-    /** Runs this a transport's retransmission after the next cut that heals. */
-    void whenHealed(Runnable again) {
-        onHeal.add(again);
+    /** Runs an action at the transport's first retransmission after the next cut heals. */
+    void whenHealed(Runnable action) {
+        onHeal.add(action);
     }
 }
--- a/src/main/java/pepperdock/simulation/distribution/Place.java
+++ b/src/main/java/pepperdock/simulation/distribution/Place.java
@@ -1,4 +1,4 @@
 package pepperdock.simulation.distribution;
 
-/** Where a machine stands. */
+/** The name and location of a machine. */
 public record Place(String name, String region, String zone) {}
--- a/src/main/java/pepperdock/simulation/distribution/Result.java
+++ b/src/main/java/pepperdock/simulation/distribution/Result.java
@@ -2,7 +2,7 @@
 
 import java.util.List;
 
-/** What became of one course. */
+/** The result of one run: its setup, findings and metrics. */
 public record Result(Setup setup, List<Finding> findings, DistributionMetrics figures) {
 
     /** Copies the findings. */
--- a/src/main/java/pepperdock/simulation/distribution/Samples.java
+++ b/src/main/java/pepperdock/simulation/distribution/Samples.java
@@ -2,7 +2,7 @@
 
 import java.util.Arrays;
 
-/** Figures of one kind; the quantiles are by rank, the nearest above. */
+/** Collects values of one kind; quantiles are by rank, rounded up. */
 final class Samples {
 
     private long[] values = new long[16];
@@ -27,7 +27,7 @@
         return count;
     }
 
-    /** Such that this share of the figures is no greater; 0 where there are none. */
+    /** Returns the smallest value that at least this share of the values does not exceed; 0 if there are none. */
     long quantile(double share) {
         if (count == 0) {
             return 0;
--- a/src/main/java/pepperdock/simulation/distribution/Setup.java
+++ b/src/main/java/pepperdock/simulation/distribution/Setup.java
@@ -4,11 +4,11 @@
 import pepperdock.distribution.SubscriberSettings;
 
 /**
- * What is simulated.
+ * The parameters of a run.
  *
- * @param gatherers over three regions of three zones
- * @param configurationBytes of the first version, about
- * @param longCutMillis for how long a region is cut off
+ * @param gatherers number of gatherers, spread over three regions of three zones each
+ * @param configurationBytes approximate size of the first version
+ * @param longCutMillis duration for which a region is cut off
  */
 public record Setup(
         HardCase hardCase,
@@ -19,27 +19,27 @@
         PublisherSettings publisher,
         SubscriberSettings subscriber) {
 
-    static final int CONFIGURATION_BYTES = 40_000;
-    static final long SHORT_CUT_MILLIS = 40_000;
+    static final int DEFAULT_CONFIGURATION_BYTES = 40_000;
+    static final long DEFAULT_CUT_MILLIS = 40_000;
 
-    /** With the defaults of publishers and subscribers. */
+    /** Returns a setup with the default settings of publishers and subscribers. */
     public static Setup of(HardCase hardCase, int gatherers, long seed) {
         return new Setup(
                 hardCase,
                 gatherers,
                 seed,
-                CONFIGURATION_BYTES,
-                SHORT_CUT_MILLIS,
+                DEFAULT_CONFIGURATION_BYTES,
+                DEFAULT_CUT_MILLIS,
                 PublisherSettings.defaults(),
                 SubscriberSettings.defaults());
     }
 
-    /** The same with a cut of another length. */
+    /** Returns a copy with another duration of the cut. */
     public Setup withLongCut(long millis) {
         return new Setup(hardCase, gatherers, seed, configurationBytes, millis, publisher, subscriber);
     }
 
-    /** The same with a configuration of another size. */
+    /** Returns a copy with another configuration size. */
     public Setup withConfigurationBytes(int bytes) {
         return new Setup(hardCase, gatherers, seed, bytes, longCutMillis, publisher, subscriber);
     }
--- a/src/main/java/pepperdock/simulation/distribution/Simulation.java
+++ b/src/main/java/pepperdock/simulation/distribution/Simulation.java
@@ -21,12 +21,12 @@
 import pepperdock.distribution.VersionStore;
 
 /**
- * One course: four control machines, the gatherers, one hard case, and changes all the while. The same setup gives the same
- * course. The protected methods are where tests plant faults.
+ * One simulated run: four control machines, the gatherers, one hard case, and changes throughout. The same setup gives
+ * the same run. Tests override the protected methods to inject faults.
  */
 public class Simulation {
 
-    /** Each takes its chance from a stream of its own, so that more draws in one don't change the others. */
+    /** Each concern has its own random stream, so that more draws in one do not change the others. */
     private enum Concern {
         NETWORK,
         CONTROL,
@@ -43,49 +43,52 @@
 
     private static final int REGIONS = 3;
     private static final int ZONES = 3;
-    private static final int FIRST_ITEMS = 500;
-    /** Bytes of an item beside its value. */
-    private static final int ITEM_HEAD = 16;
+    private static final int ITEM_COUNT = 500;
+    /** Bytes of an item in addition to its value. */
+    private static final int ITEM_HEADER_BYTES = 16;
 
     private static final int FIRST_VERSION_MILLIS = 4000;
     private static final int START_WITHIN_MILLIS = 5000;
     private static final int TICK_MILLIS = 100;
-    /** From here on changes are measured. */
-    static final int WARM_MILLIS = 40_000;
+    /** Changes are measured from this time on. */
+    static final int WARM_UP_MILLIS = 40_000;
 
     private static final long SECOND_MILLIS = 1000;
-    private static final int CROWDED_SECONDS = 10;
-    private static final int GAP_LEAST_MILLIS = 3000;
-    private static final int GAP_MOST_MILLIS = 7000;
-    /** After the last fault, until the end: twice what it may take until all are level, and time for what is saved again. */
-    private static final int CALM_AT_END_MILLIS = 25_000;
-    /** One gatherer in so many has a program version that reads no format but the first. */
-    private static final int OLD_READER_EVERY = 5;
-
-    private static final int FORMAT_FIRST = 1;
-    static final int FORMAT_SECOND = 2;
-    private static final ConfigurationValidator NO_COMPLAINT = configuration -> Optional.empty();
+    private static final int FREQUENT_CHANGES_SECONDS = 10;
+    private static final int MIN_CHANGE_GAP_MILLIS = 3000;
+    private static final int MAX_CHANGE_GAP_MILLIS = 7000;
+    /**
+     * Time from the last fault to the end: twice the time that all gatherers may take to have the newest version, and
+     * time to save it again.
+     */
+    private static final int RECOVERY_MILLIS = 25_000;
+    /** One gatherer in this many has a program version that reads only the first format. */
+    private static final int FIRST_FORMAT_READER_EVERY = 5;
+
+    private static final int FIRST_FORMAT = 1;
+    static final int SECOND_FORMAT = 2;
+    private static final ConfigurationValidator ACCEPT_ALL = configuration -> Optional.empty();
 
     private final Setup setup;
     private final Timeline time = new Timeline();
     private final History history = new History();
-    private final Random gathererChance;
-    private final Random operatorChance;
+    private final Random gathererRandom;
+    private final Random operatorRandom;
     private final Network network;
     private final ControlGroup group;
     private final List<GathererNode> gatherers = new ArrayList<>();
     private final List<ControlMachine> machines;
     private long connections;
     private long commands;
-    private int format = FORMAT_FIRST;
+    private int format = FIRST_FORMAT;
 
-    /** Builds the control machines and the gatherers; nothing runs before {@link #run}. */
+    /** Creates the control machines and the gatherers; nothing runs before {@link #run}. */
     public Simulation(Setup setup) {
         this.setup = setup;
-        gathererChance = chance(Concern.GATHERERS);
-        operatorChance = chance(Concern.OPERATORS);
-        network = new Network(time, chance(Concern.NETWORK));
-        Random control = chance(Concern.CONTROL);
+        gathererRandom = random(Concern.GATHERERS);
+        operatorRandom = random(Concern.OPERATORS);
+        network = new Network(time, random(Concern.NETWORK));
+        Random control = random(Concern.CONTROL);
         group = new ControlGroup(
                 time,
                 network,
@@ -99,43 +102,45 @@
         for (int i = 0; i < setup.gatherers(); i++) {
             String region = "r" + (i % REGIONS + 1);
             String zone = region + "z" + (i / REGIONS % ZONES + 1);
-            int reads = i % OLD_READER_EVERY == 0 ? FORMAT_FIRST : FORMAT_SECOND;
-            gatherers.add(new GathererNode(this, new Place("g" + i, region, zone), reads, newDisk()));
+            int maxFormat = i % FIRST_FORMAT_READER_EVERY == 0 ? FIRST_FORMAT : SECOND_FORMAT;
+            gatherers.add(new GathererNode(this, new Place("g" + i, region, zone), maxFormat, newDisk()));
         }
     }
 
-    /** Plays it to its end. */
+    /** Runs the simulation to its end. */
     public Result run() {
         group.start();
-        time.at(FIRST_VERSION_MILLIS, this::firstVersion);
+        time.at(FIRST_VERSION_MILLIS, this::proposeFirstVersion);
         for (GathererNode gatherer : gatherers) {
-            time.at(gathererChance.nextInt(START_WITHIN_MILLIS), gatherer::start);
-            time.every(TICK_MILLIS, gathererChance.nextInt(TICK_MILLIS), gatherer::tick);
+            time.at(gathererRandom.nextInt(START_WITHIN_MILLIS), gatherer::start);
+            time.every(TICK_MILLIS, gathererRandom.nextInt(TICK_MILLIS), gatherer::tick);
         }
-        long over = new FaultSchedule(this, chance(Concern.SCRIPT)).plan(setup.hardCase());
-        for (long at = WARM_MILLIS; at < over; at += gap()) {
+        long faultsEnd = new FaultSchedule(this, random(Concern.SCRIPT)).plan(setup.hardCase());
+        for (long at = WARM_UP_MILLIS; at < faultsEnd; at += nextChangeGap()) {
             time.at(at, this::change);
         }
         if (setup.hardCase() != HardCase.CALM) {
             changeEachSecond(FaultSchedule.BEGIN);
-            changeEachSecond(over - CROWDED_SECONDS / 2 * SECOND_MILLIS);
+            changeEachSecond(faultsEnd - FREQUENT_CHANGES_SECONDS / 2 * SECOND_MILLIS);
         }
-        long end = over + CALM_AT_END_MILLIS;
+        long end = faultsEnd + RECOVERY_MILLIS;
         time.runUntil(end);
         gatherers.forEach(g -> g.bytes().end(end));
         group.nodes().forEach(n -> n.streams().end(end));
-        DistributionMetrics figures = DistributionMetrics.of(this);
-        return new Result(setup, DistributionInvariants.all(this, figures), figures);
+        DistributionMetrics metrics = DistributionMetrics.of(this);
+        return new Result(setup, DistributionInvariants.all(this, metrics), metrics);
     }
 
-    /** As the faults begin and end, where a change is most likely to meet them. */
+    /**
+     * Schedules a change each second, used as faults begin and end, when a change is most likely to coincide with them.
+     */
     private void changeEachSecond(long from) {
-        for (int i = 0; i < CROWDED_SECONDS; i++) {
-            time.at(from + i * SECOND_MILLIS + operatorChance.nextInt((int) SECOND_MILLIS), this::change);
+        for (int i = 0; i < FREQUENT_CHANGES_SECONDS; i++) {
+            time.at(from + i * SECOND_MILLIS + operatorRandom.nextInt((int) SECOND_MILLIS), this::change);
         }
     }
 
-    // ---- Where tests plant faults ------------------------------------------------------------
+    // ---- Overridden by tests to inject faults ------------------------------------------------------------
 
     protected Subscriber newSubscriber(
             SubscriberIdentity self,
@@ -145,7 +150,7 @@
             SubscriberOutput output,
             long seed,
             long now) {
-        return new Subscriber(self, known, settings, store, NO_COMPLAINT, output, seed, now);
+        return new Subscriber(self, known, settings, store, ACCEPT_ALL, output, seed, now);
     }
 
     protected Publisher newPublisher(
@@ -157,12 +162,15 @@
         return new GathererDisk();
     }
 
-    /** Whether an operator is told at once, before the change is settled, and so does not ask again. */
+    /**
+     * Returns whether an operator gets an acknowledgement at once, before the change is settled, and so does not repeat
+     * the request.
+     */
     protected boolean acknowledgesBeforeSettled() {
         return false;
     }
 
-    // ---- What scripts and checks see ------------------------------------------------------------
+    // ---- State for fault schedules and checks ------------------------------------------------------------
 
     Setup setup() {
         return setup;
@@ -192,59 +200,59 @@
         return gatherers;
     }
 
-    void format(int next) {
+    void setFormat(int next) {
         format = next;
     }
 
-    /** An operator changes one of the items, drawn. */
+    /** Makes an operator change one item, drawn at random. */
     void change() {
-        change("item/" + operatorChance.nextInt(FIRST_ITEMS));
+        change("item/" + operatorRandom.nextInt(ITEM_COUNT));
     }
 
     void change(String key) {
         long id = ++commands;
         Change marker = new Change.Put(new ConfigurationItem(marker(id), new byte[0]));
         Change value = new Change.Put(new ConfigurationItem(key, bytes(valueBytes())));
-        ask(new Command(id, format, List.of(marker, value)));
+        submit(new Command(id, format, List.of(marker, value)));
     }
 
-    /** The key by which a change can be found in a configuration. */
+    /** Returns the key that marks a change in a configuration. */
     static String marker(long command) {
         return "change/" + command;
     }
 
-    // ---- How ------------------------------------------------------------
+    // ---- Internals ------------------------------------------------------------
 
-    private Random chance(Concern concern) {
+    private Random random(Concern concern) {
         return new Random(setup.seed() ^ 0x9E3779B97F4A7C15L * (concern.ordinal() + 1));
     }
 
-    private void firstVersion() {
+    private void proposeFirstVersion() {
         List<Change> all = new ArrayList<>();
-        for (int i = 0; i < FIRST_ITEMS; i++) {
+        for (int i = 0; i < ITEM_COUNT; i++) {
             all.add(new Change.Put(new ConfigurationItem("item/" + i, bytes(valueBytes()))));
         }
         long id = ++commands;
         all.add(new Change.Put(new ConfigurationItem(marker(id), new byte[0])));
-        ask(new Command(id, format, all));
+        submit(new Command(id, format, all));
     }
 
-    private void ask(Command command) {
-        group.ask(command, acknowledgesBeforeSettled());
+    private void submit(Command command) {
+        group.submit(command, acknowledgesBeforeSettled());
     }
 
     private int valueBytes() {
-        return Math.max(8, setup.configurationBytes() / FIRST_ITEMS - ITEM_HEAD);
+        return Math.max(8, setup.configurationBytes() / ITEM_COUNT - ITEM_HEADER_BYTES);
     }
 
     private byte[] bytes(int count) {
         byte[] bytes = new byte[count];
-        operatorChance.nextBytes(bytes);
+        operatorRandom.nextBytes(bytes);
         return bytes;
     }
 
-    private long gap() {
-        return (long) GAP_LEAST_MILLIS + operatorChance.nextInt(GAP_MOST_MILLIS - GAP_LEAST_MILLIS);
+    private long nextChangeGap() {
+        return (long) MIN_CHANGE_GAP_MILLIS + operatorRandom.nextInt(MAX_CHANGE_GAP_MILLIS - MIN_CHANGE_GAP_MILLIS);
     }
 
     Subscriber subscriber(GathererNode node) {
@@ -252,10 +260,10 @@
                 new SubscriberIdentity(
                         new SubscriberId(node.place().name()), node.place().region()),
                 machines,
-                setup.subscriber().reading(node.reads()),
+                setup.subscriber().reading(node.maxFormat()),
                 node.disk(),
                 node,
-                gathererChance.nextLong(),
+                gathererRandom.nextLong(),
                 now());
     }
 
--- a/src/main/java/pepperdock/simulation/distribution/StreamFigures.java
+++ b/src/main/java/pepperdock/simulation/distribution/StreamFigures.java
@@ -1,19 +1,20 @@
 package pepperdock.simulation.distribution;
 
 /**
- * What streams over loopback cost, as measured. Processor time is that of the loops' threads, without the collector's.
+ * The measured cost of streams over loopback. Processor time is that of the event loops' threads, without the garbage
+ * collector.
  *
- * @param subscribers in one process and on one loop
- * @param firstVersionMillis from their start until all had the first version, on empty disks
- * @param pairBytes of heap for a subscriber and its session at the control machine together
- * @param subscriberIdlePercent of a core, of one subscriber, with heartbeats alone
+ * @param subscribers number of subscribers, in one process and on one loop
+ * @param firstVersionMillis time from their start on empty disks until all had the first version
+ * @param pairBytes heap of a subscriber and its session at the control machine together
+ * @param subscriberIdlePercent percent of a core used by one subscriber, with heartbeats only
  * @param subscriberChangingPercent the same with a change each second
- * @param controlIdlePercent of a core, of the busiest control machine
+ * @param controlIdlePercent percent of a core used by the busiest control machine, with heartbeats only
  * @param controlChangingPercent the same with a change each second
- * @param subscriberIdleBytes of frames a second, both ways, of one subscriber
+ * @param subscriberIdleBytes bytes of frames per second, in both directions, of one subscriber
  * @param subscriberChangingBytes the same with a change each second
- * @param changeMedianMillis from a change's hand-over to the publishers until it is in force at all
- * @param changeWorstMillis the same, of the slowest change
+ * @param changeMedianMillis median time from handing a change to the publishers until it is in force at all subscribers
+ * @param changeWorstMillis the same time of the slowest change
  */
 public record StreamFigures(
         int subscribers,
--- a/src/main/java/pepperdock/simulation/distribution/Streams.java
+++ b/src/main/java/pepperdock/simulation/distribution/Streams.java
@@ -29,19 +29,22 @@
 import pepperdock.distribution.wire.SubscriberClient;
 import pepperdock.transport.EventLoop;
 
-/** Four control machines, a loop each, and subscribers without a gatherer on one further loop, all in this process over loopback. */
+/**
+ * Measures the cost of streams over loopback: four control machines, each on its own event loop, and subscribers
+ * without a gatherer on one further loop, all in this process.
+ */
 public final class Streams implements AutoCloseable {
 
-    private static final int BUFFER_MOST = 512 << 10;
-    private static final int SOCKETS_SPARE = 50;
+    private static final int MAX_BUFFER_BYTES = 512 << 10;
+    private static final int SPARE_SOCKETS = 50;
     private static final int ITEMS = 500;
-    private static final int ITEM_HEAD = 16;
-    private static final int PATIENCE_SECONDS = 60;
-    private static final double NANOS = 1e9;
-    private static final long MILLION = 1_000_000;
+    private static final int ITEM_HEADER_BYTES = 16;
+    private static final int TIMEOUT_SECONDS = 60;
+    private static final double NANOS_PER_SECOND = 1e9;
+    private static final long NANOS_PER_MILLISECOND = 1_000_000;
     private static final int PERCENT = 100;
 
-    /** A control machine: its loop, the versions that it was handed, its server. */
+    /** A control machine: its event loop, the versions handed to it, and its server. */
     private static final class Control implements VersionSource {
         private final EventLoop loop;
         private final long thread;
@@ -49,7 +52,7 @@
         private PublisherServer server;
 
         Control(int subscribers) throws IOException {
-            loop = new EventLoop(subscribers + SOCKETS_SPARE, BUFFER_MOST);
+            loop = new EventLoop(subscribers + SPARE_SOCKETS, MAX_BUFFER_BYTES);
             thread = onLoop(loop, () -> Thread.currentThread().getId());
         }
 
@@ -65,7 +68,7 @@
     }
 
     private final ThreadMXBean threads = ManagementFactory.getThreadMXBean();
-    private final Random chance = new Random(1);
+    private final Random random = new Random(1);
     private final int count;
     private final int valueBytes;
     private final List<Control> controls = new ArrayList<>();
@@ -73,14 +76,14 @@
     private final EventLoop loop;
     private final long thread;
     private ConfigurationSnapshot latest;
-    /** Those that have not the latest in force yet. */
+    /** Counts the subscribers that do not have the awaited version in force yet. */
     private volatile CountDownLatch missing;
 
     private volatile ConfigurationVersion awaited;
 
     private Streams(int count, int configurationBytes) throws IOException {
         this.count = count;
-        valueBytes = Math.max(8, configurationBytes / ITEMS - ITEM_HEAD);
+        valueBytes = Math.max(8, configurationBytes / ITEMS - ITEM_HEADER_BYTES);
         List<ConfigurationItem> items = new ArrayList<>();
         for (int i = 0; i < ITEMS; i++) {
             items.add(item(i));
@@ -100,11 +103,11 @@
                             1));
             controls.add(control);
         }
-        loop = new EventLoop(count + SOCKETS_SPARE, BUFFER_MOST);
+        loop = new EventLoop(count + SPARE_SOCKETS, MAX_BUFFER_BYTES);
         thread = onLoop(loop, () -> Thread.currentThread().getId());
     }
 
-    /** Measures so many subscribers, idle for so many seconds, and for as many with a change each second. */
+    /** Measures that many subscribers, idle for {@code seconds}, and then for as long with a change each second. */
     public static StreamFigures measure(int subscribers, int configurationBytes, int seconds)
             throws IOException, InterruptedException {
         try (Streams streams = new Streams(subscribers, configurationBytes)) {
@@ -114,11 +117,11 @@
 
     private StreamFigures measure(int seconds) throws IOException, InterruptedException {
         long heapBefore = heap();
-        long began = System.nanoTime();
+        long startedAt = System.nanoTime();
         await(latest.version());
         start();
         awaitAll();
-        long firstMillis = (System.nanoTime() - began) / MILLION;
+        long firstMillis = (System.nanoTime() - startedAt) / NANOS_PER_MILLISECOND;
         long pair = (heap() - heapBefore) / count;
         Window idle = window(seconds, false, new Samples());
         Samples changes = new Samples();
@@ -140,7 +143,7 @@
     private record Window(double subscriberPercent, double controlPercent, long bytes) {}
 
     private Window window(int seconds, boolean changing, Samples latencies) throws IOException, InterruptedException {
-        long began = System.nanoTime();
+        long startedAt = System.nanoTime();
         long subscribers = threads.getThreadCpuTime(thread);
         long[] busy = new long[controls.size()];
         for (int i = 0; i < busy.length; i++) {
@@ -151,17 +154,17 @@
             if (changing) {
                 latencies.add(change());
             }
-            long left = began + second * (long) NANOS - System.nanoTime();
+            long left = startedAt + second * (long) NANOS_PER_SECOND - System.nanoTime();
             TimeUnit.NANOSECONDS.sleep(Math.max(0, left));
         }
-        double took = System.nanoTime() - began;
+        double took = System.nanoTime() - startedAt;
         long most = 0;
         for (int i = 0; i < busy.length; i++) {
             most = Math.max(most, threads.getThreadCpuTime(controls.get(i).thread) - busy[i]);
         }
         double ofSubscribers = threads.getThreadCpuTime(thread) - subscribers;
-        return new Window(
-                PERCENT * ofSubscribers / took, PERCENT * most / took, (long) ((bytes() - bytes) / (took / NANOS)));
+        return new Window(PERCENT * ofSubscribers / took, PERCENT * most / took, (long)
+                ((bytes() - bytes) / (took / NANOS_PER_SECOND)));
     }
 
     private void start() throws IOException {
@@ -200,18 +203,19 @@
     }
 
     private void awaitAll() throws IOException, InterruptedException {
-        if (!missing.await(PATIENCE_SECONDS, TimeUnit.SECONDS)) {
-            throw new IOException(missing.getCount() + " of " + count + " don't have " + awaited + " in force");
+        if (!missing.await(TIMEOUT_SECONDS, TimeUnit.SECONDS)) {
+            throw new IOException(missing.getCount() + " of " + count + " subscribers do not have version " + awaited
+                    + " in force in time");
         }
     }
 
-    /** Changes one item; returns the milliseconds until it was in force at all. */
+    /** Changes one item; returns the milliseconds until it was in force at all subscribers. */
     private long change() throws IOException, InterruptedException {
-        Change change = new Change.Put(item(chance.nextInt(ITEMS)));
+        Change change = new Change.Put(item(random.nextInt(ITEMS)));
         ConfigurationVersion next = new ConfigurationVersion(1, latest.version().number() + 1);
         latest = latest.with(next, 1, List.of(change));
         await(next);
-        long began = System.nanoTime();
+        long startedAt = System.nanoTime();
         ConfigurationSnapshot settled = latest;
         for (Control control : controls) {
             control.loop.execute(() -> {
@@ -220,12 +224,12 @@
             });
         }
         awaitAll();
-        return (System.nanoTime() - began) / MILLION;
+        return (System.nanoTime() - startedAt) / NANOS_PER_MILLISECOND;
     }
 
     private ConfigurationItem item(int number) {
         byte[] value = new byte[valueBytes];
-        chance.nextBytes(value);
+        random.nextBytes(value);
         return new ConfigurationItem("item/" + number, value);
     }
 
@@ -234,7 +238,7 @@
                 loop, () -> clients.stream().mapToLong(SubscriberClient::bytes).sum());
     }
 
-    /** Bytes in use after a collection. */
+    /** Returns the heap in use after a garbage collection, in bytes. */
     private static long heap() {
         System.gc();
         Runtime runtime = Runtime.getRuntime();
@@ -251,12 +255,12 @@
             }
         });
         try {
-            return done.get(PATIENCE_SECONDS, TimeUnit.SECONDS);
+            return done.get(TIMEOUT_SECONDS, TimeUnit.SECONDS);
         } catch (ExecutionException | TimeoutException e) {
-            throw new IOException("the loop did not do it", e);
+            throw new IOException("an action on the event loop failed or timed out", e);
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
-            throw new IOException("interrupted", e);
+            throw new IOException("interrupted while waiting for an action on the event loop", e);
         }
     }
 
--- a/src/main/java/pepperdock/simulation/distribution/Timeline.java
+++ b/src/main/java/pepperdock/simulation/distribution/Timeline.java
@@ -2,36 +2,36 @@
 
 import java.util.PriorityQueue;
 
-/** Simulated time: what is to happen, in order of time, and of asking where that is the same. */
+/** Simulated time: runs scheduled actions in order of time, and actions of the same time in the order of scheduling. */
 final class Timeline {
 
-    private record Planned(long at, long number, Runnable action) implements Comparable<Planned> {
+    private record ScheduledAction(long at, long number, Runnable action) implements Comparable<ScheduledAction> {
         @Override
-        public int compareTo(Planned other) {
+        public int compareTo(ScheduledAction other) {
             int byTime = Long.compare(at, other.at);
             return byTime != 0 ? byTime : Long.compare(number, other.number);
         }
     }
 
-    private final PriorityQueue<Planned> planned = new PriorityQueue<>();
+    private final PriorityQueue<ScheduledAction> scheduled = new PriorityQueue<>();
     private long now;
     private long number;
 
-    /** Milliseconds since the beginning. */
+    /** Returns the milliseconds since the start of the simulation. */
     long now() {
         return now;
     }
 
-    /** Has this happen then, or at once where that has passed. */
+    /** Schedules an action at a time, or at once if that time has passed. */
     void at(long millis, Runnable action) {
-        planned.add(new Planned(Math.max(now, millis), number++, action));
+        scheduled.add(new ScheduledAction(Math.max(now, millis), number++, action));
     }
 
     void after(long millis, Runnable action) {
         at(now + millis, action);
     }
 
-    /** Has this happen again and again, to the end. */
+    /** Schedules an action periodically until the end of the simulation. */
     void every(long millis, long first, Runnable action) {
         at(first, () -> {
             action.run();
@@ -40,8 +40,8 @@
     }
 
     void runUntil(long end) {
-        while (!planned.isEmpty() && planned.peek().at() <= end) {
-            Planned next = planned.remove();
+        while (!scheduled.isEmpty() && scheduled.peek().at() <= end) {
+            ScheduledAction next = scheduled.remove();
             now = next.at();
             next.action().run();
         }
--- a/src/test/java/pepperdock/simulation/distribution/SimulationTest.java
+++ b/src/test/java/pepperdock/simulation/distribution/SimulationTest.java
@@ -30,7 +30,7 @@
 import pepperdock.distribution.VersionStore;
 import pepperdock.simulation.distribution.Finding.Promise;
 
-/** The short form: all hard cases at 50 gatherers, and each check with a planted fault that it has to find. */
+/** Runs all hard cases with 50 gatherers, and checks that each invariant detects an injected fault. */
 class SimulationTest {
 
     private static final int GATHERERS = 50;
@@ -38,7 +38,7 @@
 
     @ParameterizedTest
     @EnumSource(HardCase.class)
-    void everyPromiseHoldsInEveryHardCase(HardCase hardCase) {
+    void everyPromiseHoldsInEachHardCase(HardCase hardCase) {
         for (long seed = 1; seed <= SEEDS; seed++) {
             Result result = new Simulation(Setup.of(hardCase, GATHERERS, seed)).run();
             assertEquals(List.of(), result.findings(), hardCase + ", seed " + seed);
@@ -49,7 +49,7 @@
     }
 
     @Test
-    void everyPromiseHoldsUnderThreeHardCasesAtATime() {
+    void everyPromiseHoldsUnderThreeHardCasesAtOnce() {
         for (long seed = 100; seed < 110; seed++) {
             Result result = new Simulation(Setup.of(HardCase.MIXED, GATHERERS, seed)).run();
             assertEquals(List.of(), result.findings(), "seed " + seed);
@@ -57,27 +57,29 @@
     }
 
     @Test
-    void whoIsToldToAskAgainLaterIsLevelAtTheEnd() {
+    void subscribersDeferredBySnapshotLimitHaveTheNewestVersionAtTheEnd() {
         PublisherSettings fourAtOnce = settings(10_000, 4000, 4);
-        int[] most = new int[1];
-        Planted planted = new Planted(HardCase.ALL_NEW, 1) {
+        int[] maxSnapshots = new int[1];
+        SimulationWithFault simulation = new SimulationWithFault(HardCase.ALL_NEW, 1) {
             @Override
             protected Publisher newPublisher(
                     PublisherSettings settings, VersionSource source, PublisherOutput output, long seed, long now) {
                 return new Publisher(fourAtOnce, source, output, seed, now);
             }
         };
-        planted.time()
+        simulation
+                .time()
                 .every(
                         100,
                         0,
-                        () -> planted.group()
+                        () -> simulation
+                                .group()
                                 .nodes()
-                                .forEach(n -> most[0] =
-                                        Math.max(most[0], n.publisher().snapshotsUnderWay())));
-        Set<Promise> found = planted.found();
-        assertEquals(4, most[0]);
-        assertTrue(Set.of(Promise.WITHIN_TIME).containsAll(found), "late, and nothing else: " + found);
+                                .forEach(n -> maxSnapshots[0] =
+                                        Math.max(maxSnapshots[0], n.publisher().snapshotsUnderWay())));
+        Set<Promise> found = simulation.violations();
+        assertEquals(4, maxSnapshots[0]);
+        assertTrue(Set.of(Promise.WITHIN_TIME).containsAll(found), "unexpected findings besides WITHIN_TIME: " + found);
     }
 
     private static PublisherSettings settings(int subscriberRate, int subscriberBurst, int snapshotsAtOnce) {
@@ -98,57 +100,59 @@
     }
 
     @Test
-    void theSameSetupGivesTheSameCourseAndAnotherSeedAnother() {
+    void sameSetupGivesSameHistoryAndAnotherSeedAnother() {
         List<List<Event>> histories = new ArrayList<>();
         for (long seed : new long[] {1, 1, 2}) {
-            Simulation world = new Simulation(Setup.of(HardCase.LEADER_LOST, 9, seed));
-            world.run();
-            histories.add(List.copyOf(world.history().events()));
+            Simulation simulation = new Simulation(Setup.of(HardCase.LEADER_LOST, 9, seed));
+            simulation.run();
+            histories.add(List.copyOf(simulation.history().events()));
         }
         assertEquals(histories.get(0), histories.get(1));
         assertNotEquals(histories.get(0), histories.get(2));
     }
 
     @Test
-    void whoCanNotReadAFormatIsKnownByNameAtItsControlMachine() {
-        Simulation world = new Simulation(Setup.of(HardCase.UNREADABLE, GATHERERS, 1));
+    void controlMachineListsSubscribersThatCannotReadAFormat() {
+        Simulation simulation = new Simulation(Setup.of(HardCase.UNREADABLE, GATHERERS, 1));
         List<String> refused = new ArrayList<>();
-        world.time()
+        simulation
+                .time()
                 .at(
                         FaultSchedule.BEGIN + 29_000,
-                        () -> world.group()
+                        () -> simulation
+                                .group()
                                 .nodes()
-                                .forEach(n -> n.publisher().subscribers(world.now()).stream()
+                                .forEach(n -> n.publisher().subscribers(simulation.now()).stream()
                                         .filter(s -> s.refusal().isPresent() && !s.lagging())
                                         .forEach(s -> refused.add(s.id().name()))));
-        world.run();
-        Set<String> oldReaders = world.gatherers().stream()
-                .filter(g -> g.reads() < Simulation.FORMAT_SECOND)
+        simulation.run();
+        Set<String> oldReaders = simulation.gatherers().stream()
+                .filter(g -> g.maxFormat() < Simulation.SECOND_FORMAT)
                 .map(g -> g.place().name())
                 .collect(Collectors.toSet());
         assertEquals(10, oldReaders.size());
         assertEquals(oldReaders, Set.copyOf(refused));
     }
 
-    // ---- Planted faults ------------------------------------------------------------
+    // ---- Injected faults ------------------------------------------------------------
 
-    private static class Planted extends Simulation {
+    private static class SimulationWithFault extends Simulation {
 
-        Planted(HardCase hardCase, long seed) {
+        SimulationWithFault(HardCase hardCase, long seed) {
             super(Setup.of(hardCase, GATHERERS, seed));
         }
 
-        Set<Promise> found() {
+        Set<Promise> violations() {
             return run().findings().stream().map(Finding::promise).collect(Collectors.toSet());
         }
     }
 
-    /** A subscriber with the rules of the real one, for those that break one of them. */
-    private static class Faulty extends Subscriber {
+    /** A subscriber with the rules of the real one; subclasses break one of them. */
+    private static class FaultySubscriber extends Subscriber {
 
-        private static final ConfigurationValidator NO_COMPLAINT = configuration -> java.util.Optional.empty();
+        private static final ConfigurationValidator ACCEPT_ALL = configuration -> java.util.Optional.empty();
 
-        Faulty(
+        FaultySubscriber(
                 SubscriberIdentity self,
                 List<ControlMachine> known,
                 SubscriberSettings settings,
@@ -156,14 +160,14 @@
                 SubscriberOutput output,
                 long seed,
                 long now) {
-            super(self, known, settings, store, NO_COMPLAINT, output, seed, now);
+            super(self, known, settings, store, ACCEPT_ALL, output, seed, now);
         }
     }
 
-    /** The publisher with the old disk offers what it has to everyone. */
-    private static final class OfferingAnything extends Publisher {
+    /** A publisher that offers its version to every subscriber, also when that version is older than theirs. */
+    private static final class PublisherOfAnyVersion extends Publisher {
 
-        OfferingAnything(
+        PublisherOfAnyVersion(
                 PublisherSettings settings, VersionSource source, PublisherOutput output, long seed, long now) {
             super(settings, source, output, seed, now);
         }
@@ -174,27 +178,27 @@
         }
     }
 
-    private static class OfferingOldVersions extends Planted {
+    private static class OldVersionsOffered extends SimulationWithFault {
 
-        OfferingOldVersions(HardCase hardCase, long seed) {
+        OldVersionsOffered(HardCase hardCase, long seed) {
             super(hardCase, seed);
         }
 
         @Override
         protected Publisher newPublisher(
                 PublisherSettings settings, VersionSource source, PublisherOutput output, long seed, long now) {
-            return new OfferingAnything(settings, source, output, seed, now);
+            return new PublisherOfAnyVersion(settings, source, output, seed, now);
         }
     }
 
     @Test
-    void oldVersionsThatAreOfferedAreNotTaken() {
-        assertFalse(new OfferingOldVersions(HardCase.OLD_DISK, 1).found().contains(Promise.NEVER_BACKWARDS));
+    void offeredOldVersionsAreNotAccepted() {
+        assertFalse(new OldVersionsOffered(HardCase.OLD_DISK, 1).violations().contains(Promise.NEVER_BACKWARDS));
     }
 
     @Test
-    void aSubscriberThatTakesOldVersionsIsFound() {
-        Planted planted = new OfferingOldVersions(HardCase.OLD_DISK, 1) {
+    void subscriberAcceptingOldVersionsIsDetected() {
+        SimulationWithFault simulation = new OldVersionsOffered(HardCase.OLD_DISK, 1) {
             @Override
             protected Subscriber newSubscriber(
                     SubscriberIdentity self,
@@ -204,7 +208,7 @@
                     SubscriberOutput output,
                     long seed,
                     long now) {
-                return new Faulty(self, known, settings, store, output, seed, now) {
+                return new FaultySubscriber(self, known, settings, store, output, seed, now) {
                     @Override
                     protected boolean mayFollow(ConfigurationVersion next) {
                         return !next.equals(inForce().version());
@@ -212,7 +216,7 @@
                 };
             }
         };
-        assertTrue(planted.found().contains(Promise.NEVER_BACKWARDS));
+        assertTrue(simulation.violations().contains(Promise.NEVER_BACKWARDS));
     }
 
     private static ConfigurationSnapshot withoutLastChange(ConfigurationSnapshot base, Delta delta) {
@@ -223,8 +227,8 @@
     }
 
     @Test
-    void aDeltaThatIsAppliedInPartIsMendedByASnapshotAndNotInForce() {
-        Planted planted = new Planted(HardCase.CALM, 1) {
+    void partlyAppliedDeltaIsReplacedBySnapshotAndNotInForce() {
+        SimulationWithFault simulation = new SimulationWithFault(HardCase.CALM, 1) {
             @Override
             protected Subscriber newSubscriber(
                     SubscriberIdentity self,
@@ -234,7 +238,7 @@
                     SubscriberOutput output,
                     long seed,
                     long now) {
-                return new Faulty(self, known, settings, store, output, seed, now) {
+                return new FaultySubscriber(self, known, settings, store, output, seed, now) {
                     @Override
                     protected ConfigurationSnapshot applied(ConfigurationSnapshot base, Delta delta) {
                         return withoutLastChange(base, delta);
@@ -242,14 +246,14 @@
                 };
             }
         };
-        Set<Promise> found = planted.found();
+        Set<Promise> found = simulation.violations();
         assertFalse(found.contains(Promise.NEVER_HALF), found.toString());
         assertFalse(found.contains(Promise.ALL_LEVEL), found.toString());
     }
 
     @Test
-    void aDeltaThatIsInForceInPartIsFound() {
-        Planted planted = new Planted(HardCase.CALM, 1) {
+    void partlyAppliedDeltaInForceIsDetected() {
+        SimulationWithFault simulation = new SimulationWithFault(HardCase.CALM, 1) {
             @Override
             protected Subscriber newSubscriber(
                     SubscriberIdentity self,
@@ -259,7 +263,7 @@
                     SubscriberOutput output,
                     long seed,
                     long now) {
-                return new Faulty(self, known, settings, store, output, seed, now) {
+                return new FaultySubscriber(self, known, settings, store, output, seed, now) {
                     @Override
                     protected ConfigurationSnapshot applied(ConfigurationSnapshot base, Delta delta) {
                         return withoutLastChange(base, delta);
@@ -272,12 +276,12 @@
                 };
             }
         };
-        assertTrue(planted.found().contains(Promise.NEVER_HALF));
+        assertTrue(simulation.violations().contains(Promise.NEVER_HALF));
     }
 
     @Test
-    void aSubscriberThatTakesNoSecondVersionIsFound() {
-        Planted planted = new Planted(HardCase.CALM, 1) {
+    void subscriberRejectingSecondVersionIsDetected() {
+        SimulationWithFault simulation = new SimulationWithFault(HardCase.CALM, 1) {
             @Override
             protected Subscriber newSubscriber(
                     SubscriberIdentity self,
@@ -287,7 +291,7 @@
                     SubscriberOutput output,
                     long seed,
                     long now) {
-                return new Faulty(self, known, settings, store, output, seed, now) {
+                return new FaultySubscriber(self, known, settings, store, output, seed, now) {
                     @Override
                     protected boolean mayFollow(ConfigurationVersion next) {
                         return inForce().version().equals(ConfigurationVersion.NONE) && super.mayFollow(next);
@@ -295,12 +299,12 @@
                 };
             }
         };
-        assertTrue(planted.found().contains(Promise.ALL_LEVEL));
+        assertTrue(simulation.violations().contains(Promise.ALL_LEVEL));
     }
 
     @Test
-    void aSubscriberThatStaysWithASilentControlMachineIsFound() {
-        Planted planted = new Planted(HardCase.MACHINE_PASSES_NOTHING, 1) {
+    void subscriberStayingWithSilentControlMachineIsDetected() {
+        SimulationWithFault simulation = new SimulationWithFault(HardCase.MACHINE_PASSES_NOTHING, 1) {
             @Override
             protected Subscriber newSubscriber(
                     SubscriberIdentity self,
@@ -310,7 +314,7 @@
                     SubscriberOutput output,
                     long seed,
                     long now) {
-                return new Faulty(self, known, settings, store, output, seed, now) {
+                return new FaultySubscriber(self, known, settings, store, output, seed, now) {
                     @Override
                     protected boolean tooSilent(long silentMillis) {
                         return false;
@@ -323,27 +327,27 @@
                 };
             }
         };
-        assertTrue(planted.found().contains(Promise.WITHIN_TIME));
+        assertTrue(simulation.violations().contains(Promise.WITHIN_TIME));
     }
 
     @Test
-    void changesThatAreAcknowledgedBeforeTheyAreSettledAreFound() {
+    void changesAcknowledgedBeforeSettledAreDetected() {
         boolean found = false;
         for (long seed = 1; seed <= 10 && !found; seed++) {
-            Planted planted = new Planted(HardCase.REGION_CUT, seed) {
+            SimulationWithFault simulation = new SimulationWithFault(HardCase.REGION_CUT, seed) {
                 @Override
                 protected boolean acknowledgesBeforeSettled() {
                     return true;
                 }
             };
-            found = planted.found().contains(Promise.NOTHING_ACKNOWLEDGED_LOST);
+            found = simulation.violations().contains(Promise.NOTHING_ACKNOWLEDGED_LOST);
         }
         assertTrue(found);
     }
 
     @Test
-    void aDiskThatSaysThatItHasSavedAndHasNotIsFound() {
-        Planted planted = new Planted(HardCase.ALL_RESTART, 1) {
+    void diskThatReportsUnsavedVersionAsSavedIsDetected() {
+        SimulationWithFault simulation = new SimulationWithFault(HardCase.ALL_RESTART, 1) {
             @Override
             protected GathererDisk newDisk() {
                 return new GathererDisk() {
@@ -354,12 +358,12 @@
                 };
             }
         };
-        assertTrue(planted.found().contains(Promise.NOTHING_ACKNOWLEDGED_LOST));
+        assertTrue(simulation.violations().contains(Promise.NOTHING_ACKNOWLEDGED_LOST));
     }
 
     @Test
-    void anAgeThatIsNotTheRealOneIsFound() {
-        Planted planted = new Planted(HardCase.REGION_CUT, 1) {
+    void wrongAgeIsDetected() {
+        SimulationWithFault simulation = new SimulationWithFault(HardCase.REGION_CUT, 1) {
             @Override
             protected Subscriber newSubscriber(
                     SubscriberIdentity self,
@@ -369,7 +373,7 @@
                     SubscriberOutput output,
                     long seed,
                     long now) {
-                return new Faulty(self, known, settings, store, output, seed, now) {
+                return new FaultySubscriber(self, known, settings, store, output, seed, now) {
                     @Override
                     public ConfigurationAge age(long at) {
                         return new ConfigurationAge(0, false);
@@ -377,19 +381,19 @@
                 };
             }
         };
-        assertTrue(planted.found().contains(Promise.AGE_TOLD));
+        assertTrue(simulation.violations().contains(Promise.AGE_TOLD));
     }
 
     @Test
-    void aPublisherThatSendsASnapshotAtOnceIsFound() {
+    void publisherSendingUnpacedSnapshotIsDetected() {
         PublisherSettings unpaced = settings(1_000_000, 1_000_000, 192);
-        Planted planted = new Planted(HardCase.CALM, 1) {
+        SimulationWithFault simulation = new SimulationWithFault(HardCase.CALM, 1) {
             @Override
             protected Publisher newPublisher(
                     PublisherSettings settings, VersionSource source, PublisherOutput output, long seed, long now) {
                 return new Publisher(unpaced, source, output, seed, now);
             }
         };
-        assertTrue(planted.found().contains(Promise.WITHIN_BUDGET));
+        assertTrue(simulation.violations().contains(Promise.WITHIN_BUDGET));
     }
 }
