--- a/src/main/java/pepperdock/benchmark/DataPath.java
+++ b/src/main/java/pepperdock/benchmark/DataPath.java
@@ -8,18 +8,22 @@
 import java.util.function.Consumer;
 import pepperdock.config.ConfigException;
 
-/** The measurements of the gatherer's data path, each over several sizes: a row for each size, and lines through them. */
+/**
+ * Measures the gatherer's data path at several sizes: results are a row for each size and lines fitted through them.
+ */
 public final class DataPath {
 
-    /** What can be measured. */
+    /** The available measurements. */
     public enum What {
         /** Processor time and allocation of decisions alone, by workers and fan-out; simulated time. */
         DECISIONS,
-        /** Processor time and allocation of a change of the list that tells of one worker, by workers; simulated time. */
+        /** Processor time and allocation of a list change that concerns one worker, by workers; simulated time. */
         LIST,
-        /** The highest rate that one loop would carry within the target, by the cost of a part: a model, see LoopModel. */
+        /**
+         * The highest rate that one loop would sustain within the target, by the cost of a part; from EventLoopModel.
+         */
         MODEL,
-        /** The same as decisions, with sockets, in a process of its own. */
+        /** As DECISIONS, but with sockets and the gatherer in its own process. */
         COST,
         /** Latency by load, at one size. */
         LOAD,
@@ -28,21 +32,22 @@
     }
 
     /**
-     * How to measure.
+     * The parameters of a measurement.
      *
-     * @param workers sizes
-     * @param fanOuts sizes; those above the workers are left out
-     * @param partsPerSecond loads, in parts a second; {@code DECISIONS} and {@code COST} take the first
+     * @param workers numbers of workers to measure
+     * @param fanOuts fan-outs to measure; those above the number of workers are left out
+     * @param partsPerSecond loads, in parts per second; {@code DECISIONS} and {@code COST} take the first
      * @param holders workers that hold a shard
      * @param tickS least time between two batches, in seconds
      * @param stragglers whether one part in 10,000 takes 60 ms more, and copies are allowed
-     * @param patient whether aim and deadline are far beyond the target's, so that no query is refused for being late
+     * @param patient whether aim and deadline are far longer than the target's, so that no query is refused for being
+     *     late
      * @param firstWarmS how long a gatherer's process is warmed up before its first load, in seconds
-     * @param warmS how long each load is played before it is measured, in seconds
+     * @param warmS how long each load runs before it is measured, in seconds
      * @param measureS how long each load is measured, in seconds
-     * @param profiled whether the loop's thread is sampled meanwhile
-     * @param partsAConnection for {@code MEMORY}: so many parts go over each connection before it is taken
-     * @param jvm flags of the gatherer's process
+     * @param profiled whether the loop's thread is sampled during the measurement
+     * @param partsPerConnection for {@code MEMORY}: number of parts sent over each connection before memory is measured
+     * @param jvmFlags JVM flags of the gatherer's process
      */
     public record Plan(
             What what,
@@ -57,8 +62,8 @@
             double warmS,
             double measureS,
             boolean profiled,
-            int partsAConnection,
-            List<String> jvm,
+            int partsPerConnection,
+            List<String> jvmFlags,
             Path folder,
             long seed) {
 
@@ -68,23 +73,23 @@
                     : Deployment.ofTarget(size, holders, tickS, stragglers);
         }
 
-        private Behaviour behaviour() {
-            return stragglers ? Behaviour.stragglers(seed) : Behaviour.even(seed);
+        private ServiceTimeModel serviceTimes() {
+            return stragglers ? ServiceTimeModel.stragglers(seed) : ServiceTimeModel.even(seed);
         }
     }
 
-    /** Parts of a run of {@code DECISIONS}: to warm the code up, and measured. */
+    /** Warm-up parts of a run of {@code DECISIONS}; {@link #MEASURED_PARTS} follow. */
     private static final long WARM_PARTS = 300_000;
 
     private static final long MEASURED_PARTS = 400_000;
     private static final int LIST_CHANGES = 3000;
-    /** Costs of a part for the model, in microseconds; half of each on the way out. */
-    private static final List<Integer> MODEL_US_A_PART = List.of(5, 10, 15, 20, 25);
+    /** Costs of a part in the model, in microseconds; half of each is for sending the part, half for its answer. */
+    private static final List<Integer> MODEL_US_PER_PART = List.of(5, 10, 15, 20, 25);
 
     private static final int MODEL_PARTS = 1_000_000;
-    private static final int MODEL_QUERIES_LEAST = 2000;
-    /** Connections are opened by queries to all workers, at so many parts a second. */
-    private static final int OPENING_PARTS_A_SECOND = 10_000;
+    private static final int MODEL_MIN_QUERIES = 2000;
+    /** Rate of the queries to all workers that open the connections, in parts per second. */
+    private static final int OPENING_PARTS_PER_SECOND = 10_000;
 
     private static final double OPENING_S = 3;
     /** Fan-out of the first warm-up. */
@@ -99,21 +104,23 @@
         this.progress = progress;
     }
 
-    /** Measures by the plan; tells each row as it is had. */
+    /** Measures by the plan; passes each row to {@code progress} as soon as it is available. */
     public static Results run(Plan plan, Consumer<String> progress) throws IOException, InterruptedException {
         if (plan.workers().isEmpty()
                 || plan.fanOuts().isEmpty()
                 || plan.partsPerSecond().isEmpty()) {
-            throw new ConfigException("lab scale data", "a size is missing");
+            throw new ConfigException(
+                    "lab scale data",
+                    "a size is missing: workers, fan-outs and parts per second each need at least one value");
         }
         DataPath run = new DataPath(plan, progress);
         switch (plan.what()) {
-            case DECISIONS -> run.decisions();
-            case LIST -> run.list();
-            case MODEL -> run.model();
-            case COST -> run.cost();
-            case LOAD -> run.load();
-            case MEMORY -> run.memory();
+            case DECISIONS -> run.measureDecisions();
+            case LIST -> run.measureListChanges();
+            case MODEL -> run.evaluateModel();
+            case COST -> run.measureCost();
+            case LOAD -> run.measureLoad();
+            case MEMORY -> run.measureMemory();
         }
         return run.results;
     }
@@ -127,75 +134,75 @@
         progress.accept(row.toString());
     }
 
-    private void decisions() {
+    private void measureDecisions() {
         int partsPerSecond = plan.partsPerSecond().get(0);
         for (int workers : plan.workers()) {
             List<LeastSquares.Point> points = new ArrayList<>();
             for (int fanOut : fanOuts(workers)) {
-                DecisionCost.Result r = DecisionCost.measure(
+                DecisionCost.Result result = DecisionCost.measure(
                         plan.deployment(workers),
                         fanOut,
                         partsPerSecond,
-                        plan.behaviour(),
+                        plan.serviceTimes(),
                         WARM_PARTS,
                         MEASURED_PARTS,
                         plan.seed());
-                row(Results.row(r));
-                points.add(new LeastSquares.Point(fanOut, r.processorUsAPart() * fanOut));
+                row(Results.row(result));
+                points.add(new LeastSquares.Point(fanOut, result.cpuUsPerPart() * fanOut));
             }
             fit("us a query by fan-out, " + workers + " workers", points);
         }
     }
 
-    private void list() {
+    private void measureListChanges() {
         List<LeastSquares.Point> points = new ArrayList<>();
         for (int workers : plan.workers()) {
-            ListChangeCost.Result r = ListChangeCost.measure(plan.deployment(workers), LIST_CHANGES, plan.seed());
-            row(Results.row(r));
-            points.add(new LeastSquares.Point(workers, r.processorUsAChange()));
+            ListChangeCost.Result result = ListChangeCost.measure(plan.deployment(workers), LIST_CHANGES, plan.seed());
+            row(Results.row(result));
+            points.add(new LeastSquares.Point(workers, result.cpuUsPerChange()));
         }
         fit("us a change of the list by workers", points);
     }
 
-    private void model() {
+    private void evaluateModel() {
         for (int fanOut : plan.fanOuts()) {
-            for (int usAPart : MODEL_US_A_PART) {
-                double halfS = usAPart / 2e6;
-                LoopModel model = new LoopModel(fanOut, halfS, halfS, plan.behaviour());
-                int queries = Math.max(MODEL_QUERIES_LEAST, MODEL_PARTS / fanOut);
+            for (int usPerPart : MODEL_US_PER_PART) {
+                double halfS = usPerPart / 2e6;
+                EventLoopModel model = new EventLoopModel(fanOut, halfS, halfS, plan.serviceTimes());
+                int queries = Math.max(MODEL_MIN_QUERIES, MODEL_PARTS / fanOut);
                 double rate = model.highestRate(Deployment.AIM_S, queries, plan.seed());
                 JsonObject row = new JsonObject();
                 row.addProperty("fan_out", fanOut);
-                row.addProperty("us_per_part", usAPart);
+                row.addProperty("us_per_part", usPerPart);
                 row.addProperty("highest_queries_per_s", Math.round(rate * 10) / 10.0);
                 row.addProperty("highest_parts_per_s", Math.round(rate * fanOut));
-                row.addProperty("loop_busy", Math.round(rate * fanOut * usAPart / 1e4) / 100.0);
+                row.addProperty("loop_busy", Math.round(rate * fanOut * usPerPart / 1e4) / 100.0);
                 row(row);
             }
         }
     }
 
-    private void cost() throws IOException, InterruptedException {
+    private void measureCost() throws IOException, InterruptedException {
         int partsPerSecond = plan.partsPerSecond().get(0);
         for (int workers : plan.workers()) {
             List<LeastSquares.Point> points = new ArrayList<>();
             try (SocketBench bench = warmBench(workers)) {
                 for (int fanOut : fanOuts(workers)) {
-                    SocketBench.Load load = play(bench, fanOut, partsPerSecond);
-                    points.add(new LeastSquares.Point(fanOut, load.processorUsAPart() * fanOut));
+                    SocketBench.Load load = measureAndReport(bench, fanOut, partsPerSecond);
+                    points.add(new LeastSquares.Point(fanOut, load.cpuUsPerPart() * fanOut));
                 }
             }
             fit("us a query by fan-out, " + workers + " workers", points);
         }
     }
 
-    private void load() throws IOException, InterruptedException {
+    private void measureLoad() throws IOException, InterruptedException {
         for (int workers : plan.workers()) {
             try (SocketBench bench = warmBench(workers)) {
                 for (int fanOut : fanOuts(workers)) {
                     List<LeastSquares.Point> points = new ArrayList<>();
                     for (int partsPerSecond : plan.partsPerSecond()) {
-                        SocketBench.Load load = play(bench, fanOut, partsPerSecond);
+                        SocketBench.Load load = measureAndReport(bench, fanOut, partsPerSecond);
                         points.add(new LeastSquares.Point(load.parts() / load.seconds(), load.loopBusy() * 1e6));
                     }
                     fit("us of the loop by parts, " + workers + " workers, fan-out " + fanOut, points);
@@ -204,21 +211,21 @@
         }
     }
 
-    private void memory() throws IOException, InterruptedException {
+    private void measureMemory() throws IOException, InterruptedException {
         List<LeastSquares.Point> resident = new ArrayList<>();
         List<LeastSquares.Point> heap = new ArrayList<>();
         for (int workers : plan.workers()) {
             try (SocketBench bench = bench(workers)) {
                 int fanOut = Math.min(workers, plan.fanOuts().get(0));
-                bench.play(fanOut, OPENING_PARTS_A_SECOND / (double) fanOut, 0, OPENING_S, false);
+                bench.runLoad(fanOut, OPENING_PARTS_PER_SECOND / (double) fanOut, 0, OPENING_S, false);
                 int partsPerSecond = plan.partsPerSecond().get(0);
-                double useS = workers * (double) plan.partsAConnection() / partsPerSecond;
+                double useS = workers * (double) plan.partsPerConnection() / partsPerSecond;
                 if (useS > 0) {
-                    bench.play(fanOut, partsPerSecond / (double) fanOut, 0, useS, false);
+                    bench.runLoad(fanOut, partsPerSecond / (double) fanOut, 0, useS, false);
                 }
                 JsonObject row = bench.memory();
                 row.addProperty("workers", workers);
-                row.addProperty("parts_a_connection", plan.partsAConnection());
+                row.addProperty("parts_a_connection", plan.partsPerConnection());
                 row(row);
                 double connections = row.get("connections").getAsDouble();
                 resident.add(new LeastSquares.Point(
@@ -236,7 +243,7 @@
         int fanOut = Math.min(workers, WARM_FAN_OUT);
         double rate = plan.partsPerSecond().get(0) / (double) fanOut;
         try {
-            bench.play(fanOut, rate, plan.firstWarmS(), 0, false);
+            bench.runLoad(fanOut, rate, plan.firstWarmS(), 0, false);
         } catch (IOException e) {
             bench.close();
             throw e;
@@ -247,16 +254,16 @@
     private SocketBench bench(int workers) throws IOException {
         return new SocketBench(
                 plan.deployment(workers),
-                plan.behaviour(),
+                plan.serviceTimes(),
                 plan.folder().resolve("workers-" + workers),
-                plan.jvm(),
+                plan.jvmFlags(),
                 plan.seed());
     }
 
-    private SocketBench.Load play(SocketBench bench, int fanOut, int partsPerSecond)
+    private SocketBench.Load measureAndReport(SocketBench bench, int fanOut, int partsPerSecond)
             throws IOException, InterruptedException {
         double rate = partsPerSecond / (double) fanOut;
-        SocketBench.Load load = bench.play(fanOut, rate, plan.warmS(), plan.measureS(), plan.profiled());
+        SocketBench.Load load = bench.runLoad(fanOut, rate, plan.warmS(), plan.measureS(), plan.profiled());
         row(Results.row(load));
         return load;
     }
--- a/src/main/java/pepperdock/benchmark/DecisionCost.java
+++ b/src/main/java/pepperdock/benchmark/DecisionCost.java
@@ -16,24 +16,25 @@
 import pepperdock.scheduler.LoadReport;
 
 /**
- * The cost of decisions alone: core and module on a clock moved by hand, between clients and workers that are a timer each.
- * No sockets, frames or HTTP. What is counted includes the stand-ins and the manual clock's timers.
+ * Measures the cost of decisions alone: the core and the scheduler module on a manual clock, with clients and workers
+ * replaced by timers. There are no sockets, frames or HTTP. The results include the cost of these fakes and of the
+ * manual clock's timers.
  */
 final class DecisionCost {
 
     private static final byte[] VALUE = "value".getBytes(StandardCharsets.UTF_8);
-    /** Any block: nothing is opened. */
+    /** Address block of the endpoints; arbitrary, as no socket is opened. */
     private static final int BLOCK = 1;
 
     /**
-     * What was measured.
+     * The measurements.
      *
-     * @param queries answered whole in the measured stretch
-     * @param others ended in any other way
-     * @param attempts sent in the measured stretch
-     * @param processorUsAPart processor time a part, in microseconds
-     * @param bytesAPart allocated a part
-     * @param batches turns of the module a second of simulated time, at the most
+     * @param queries queries with a complete answer in the measured period
+     * @param others queries that ended in any other way
+     * @param attempts attempts sent in the measured period
+     * @param cpuUsPerPart processor time per part, in microseconds
+     * @param bytesPerPart bytes allocated per part
+     * @param batches maximum number of batches of the module per second of simulated time
      */
     record Result(
             Deployment deployment,
@@ -42,8 +43,8 @@
             long queries,
             long others,
             long attempts,
-            double processorUsAPart,
-            double bytesAPart,
+            double cpuUsPerPart,
+            double bytesPerPart,
             double batches) {}
 
     private final Deployment deployment;
@@ -56,39 +57,42 @@
     private long others;
     private long attempts;
 
-    private DecisionCost(Deployment deployment, int fanOut, Behaviour behaviour, long seed) {
+    private DecisionCost(Deployment deployment, int fanOut, ServiceTimeModel serviceTimes, long seed) {
         this.deployment = deployment;
         this.fanOut = fanOut;
         random = new SplittableRandom(seed);
-        Workers workers = new Workers(behaviour);
-        core = new Gatherer(deployment.site().scheduler(), seed, clock, workers, () -> {});
+        TimerWorkers workers = new TimerWorkers(serviceTimes);
+        core = new Gatherer(deployment.deploymentSettings().scheduler(), seed, clock, workers, () -> {});
         core.onEndpointList(EndpointListKind.COMPLETE, deployment.hosts(BLOCK));
         clock.advance(1);
     }
 
-    /** Measures over so many parts, after as many as warm the code up; parts come at a rate of simulated time. */
+    /**
+     * Measures {@code parts} parts, after {@code warmParts} parts that warm the code up. Parts arrive at a rate per
+     * second of simulated time.
+     */
     static Result measure(
             Deployment deployment,
             int fanOut,
             double partsPerSecond,
-            Behaviour behaviour,
+            ServiceTimeModel serviceTimes,
             long warmParts,
             long parts,
             long seed) {
-        DecisionCost run = new DecisionCost(deployment, fanOut, behaviour, seed);
-        double everyS = fanOut / partsPerSecond;
-        run.play(warmParts / fanOut, everyS);
+        DecisionCost run = new DecisionCost(deployment, fanOut, serviceTimes, seed);
+        double intervalS = fanOut / partsPerSecond;
+        run.submitQueries(warmParts / fanOut, intervalS);
         long wholeBefore = run.whole;
         long othersBefore = run.others;
         long attemptsBefore = run.attempts;
         com.sun.management.ThreadMXBean threads = (com.sun.management.ThreadMXBean) ManagementFactory.getThreadMXBean();
-        long self = Thread.currentThread().getId();
-        long bytes = threads.getThreadAllocatedBytes(self);
+        long threadId = Thread.currentThread().getId();
+        long bytes = threads.getThreadAllocatedBytes(threadId);
         long nanos = threads.getCurrentThreadCpuTime();
         long queries = Math.max(1, parts / fanOut);
-        run.play(queries, everyS);
+        run.submitQueries(queries, intervalS);
         nanos = threads.getCurrentThreadCpuTime() - nanos;
-        bytes = threads.getThreadAllocatedBytes(self) - bytes;
+        bytes = threads.getThreadAllocatedBytes(threadId) - bytes;
         double measured = queries * (double) fanOut;
         return new Result(
                 deployment,
@@ -102,20 +106,21 @@
                 1 / deployment.tickS());
     }
 
-    private void play(long queries, double everyS) {
+    private void submitQueries(long queries, double intervalS) {
         for (long i = 0; i < queries; i++) {
-            core.submit(ask(), new Asking());
-            clock.advance(everyS);
+            core.submit(nextRequest(), new CountingListener());
+            clock.advance(intervalS);
         }
     }
 
-    private QueryRequest ask() {
-        List<QueryRequest.RequestedPart> pieces = deployment.pieces(fanOut, random.nextInt(deployment.workers()));
-        return new QueryRequest("q" + asked++, 0, "", deployment.deadlineS(), pieces, VALUE, null);
+    private QueryRequest nextRequest() {
+        List<QueryRequest.RequestedPart> requestedParts =
+                deployment.requestedParts(fanOut, random.nextInt(deployment.workers()));
+        return new QueryRequest("q" + asked++, 0, "", deployment.deadlineS(), requestedParts, VALUE, null);
     }
 
     /** Counts final answers. */
-    private final class Asking implements QueryListener {
+    private final class CountingListener implements QueryListener {
         @Override
         public void onAnswer(Query query, boolean isWhole) {
             if (isWhole) {
@@ -136,22 +141,25 @@
         }
     }
 
-    /** Answers each part after its drawn time, by a timer. */
-    private final class Workers extends InertBackend {
-        private final Behaviour behaviour;
+    /** Answers each part by a timer, after the service time drawn for it. */
+    private final class TimerWorkers extends InertBackend {
+        private final ServiceTimeModel serviceTimes;
 
-        private Workers(Behaviour behaviour) {
-            this.behaviour = behaviour;
+        private TimerWorkers(ServiceTimeModel serviceTimes) {
+            this.serviceTimes = serviceTimes;
         }
 
         @Override
         public void sendCall(String worker, List<Attempt> call) {
             int number = Integer.parseInt(worker.substring(1));
-            for (Attempt a : call) {
+            for (Attempt attempt : call) {
                 attempts++;
-                double takes = behaviour.takesS(
-                        a.part().query().request().id() + '.' + a.part().shard(), number);
-                clock.after(takes, () -> core.onAttemptEnded(a, AttemptOutcome.OK, LoadReport.NONE, VALUE));
+                double delayS = serviceTimes.serviceTimeS(
+                        attempt.part().query().request().id()
+                                + '.'
+                                + attempt.part().shard(),
+                        number);
+                clock.after(delayS, () -> core.onAttemptEnded(attempt, AttemptOutcome.OK, LoadReport.NONE, VALUE));
             }
         }
     }
--- a/src/main/java/pepperdock/benchmark/Deployment.java
+++ b/src/main/java/pepperdock/benchmark/Deployment.java
@@ -13,51 +13,54 @@
 import pepperdock.core.WorkerEndpoint;
 
 /**
- * What is measured: a shard for each worker, each shard held by so many of them, and one class of queries that repeats
- * harmlessly. Workers and fan-out vary independently: a query asks for shards that are evenly spread over all.
+ * The deployment that is measured: one shard per worker, each shard held by {@code holders} workers, and one class of
+ * queries that are safe to repeat. Workers and fan-out vary independently: a query requests shards spread evenly over
+ * all shards.
  *
- * @param workers how many, each a cell of its own
- * @param holders workers that hold a shard
+ * @param workers number of workers, each its own cell
+ * @param holders number of workers that hold a shard
  * @param tickS least time between two batches of the module, in seconds
- * @param copies whether a part may be sent again, and a second copy run while the first is out
- * @param aimS an answer is worth most within so many seconds
+ * @param copies whether a part may be sent again, also while its first copy is outstanding
+ * @param aimS time within which an answer has its full worth, in seconds
  * @param deadlineS how long a client waits, in seconds
  */
 record Deployment(int workers, int holders, double tickS, boolean copies, double aimS, double deadlineS) {
 
     static final String CLASS = "search";
-    /** The operators' target: 99 answers of 100 within so many seconds. */
+    /** The operators' target: 99 of 100 answers within this time, in seconds. */
     static final double AIM_S = 0.051;
 
     static final double DEADLINE_S = 0.25;
-    /** Beyond what any part takes, so that none is given up, and no query refused, since the machine is slow. */
+    /** Longer than any part takes, so that a slow machine causes no cancelled part and no refused query. */
     private static final double PATIENT_AIM_S = 20;
 
     private static final double PATIENT_DEADLINE_S = 30;
     private static final int ATTEMPTS_WITH_COPIES = 3;
-    /** Gatherers of the target, each of which reckons with the others. */
+    /** Number of gatherers of the target deployment; each gatherer takes the others into account. */
     private static final int GATHERERS = 500;
 
-    private static final int GATHERER_ADDRESS = 255;
+    private static final int GATHERER_OCTET = 255;
     private static final int GATHERER_PORT = 8000;
     private static final int WORKER_PORT = 9000;
-    private static final int WORKERS_AN_OCTET = 250;
-    /** Sockets for a worker and for clients, with room to spare: nothing here is to be bounded by the cap. */
-    private static final int SOCKETS_A_WORKER = 3;
+    private static final int WORKERS_PER_OCTET = 250;
+    /** Socket limit per worker and for clients, generous enough that it never bounds a measurement. */
+    private static final int SOCKETS_PER_WORKER = 3;
 
-    private static final int SOCKETS_MORE = 4000;
+    private static final int EXTRA_SOCKETS = 4000;
 
-    /** With the times of the operators' target. */
+    /** Returns a deployment with the times of the operators' target. */
     static Deployment ofTarget(int workers, int holders, double tickS, boolean copies) {
         return new Deployment(workers, holders, tickS, copies, AIM_S, DEADLINE_S);
     }
 
-    /** With times that nothing reaches: for the cost of parts where every query is served. */
+    /**
+     * Returns a deployment with times that no query reaches, to measure the cost of parts when every query is served.
+     */
     static Deployment patient(int workers, int holders, double tickS) {
         return new Deployment(workers, holders, tickS, false, PATIENT_AIM_S, PATIENT_DEADLINE_S);
     }
 
-    /** The site's settings, as a configuration file has them. */
+    /** Returns the deployment's settings in the form of a configuration file. */
     JsonObject settings() {
         return JsonParser.parseString("""
                         {"Discovery":"subscribe","FailureDomains":["zone-1"],"Instances":%d,"Kinds":["std"],"TickS":%s,
@@ -84,21 +87,21 @@
                 .getAsJsonObject();
     }
 
-    DeploymentSettings site() {
+    DeploymentSettings deploymentSettings() {
         return DeploymentSettingsReader.read(ConfigReader.of("settings", settings()));
     }
 
-    /** The gatherer's file; all addresses are in 127.{@code block}.0.0/16. */
+    /** Returns the gatherer's configuration; all addresses are in 127.{@code block}.0.0/16. */
     JsonObject config(int block) {
         JsonObject sockets = new JsonObject();
-        sockets.addProperty("sockets", workers * SOCKETS_A_WORKER + SOCKETS_MORE);
+        sockets.addProperty("sockets", workers * SOCKETS_PER_WORKER + EXTRA_SOCKETS);
         JsonObject known = new JsonObject();
         known.addProperty("seq", 1);
         known.addProperty("whole", true);
         JsonArray entries = new JsonArray();
         for (int i = 0; i < workers; i++) {
             JsonObject entry = new JsonObject();
-            entry.addProperty("host", worker(i));
+            entry.addProperty("host", workerName(i));
             entry.addProperty("dial", workerAddress(block, i) + ':' + WORKER_PORT);
             entry.addProperty("site", "zone-1");
             entry.addProperty("class", "std");
@@ -117,19 +120,19 @@
         return config;
     }
 
-    /** The workers, as the list has them. */
+    /** Returns the workers as they appear in the endpoint list. */
     List<WorkerEndpoint> hosts(int block) {
         return Config.read(ConfigReader.of("", config(block)), java.util.Map.of())
                 .known()
                 .hosts();
     }
 
-    static String worker(int number) {
+    static String workerName(int number) {
         return "w" + number;
     }
 
     static String gathererAddress(int block) {
-        return "127." + block + '.' + GATHERER_ADDRESS + ".1";
+        return "127." + block + '.' + GATHERER_OCTET + ".1";
     }
 
     static int gathererPort() {
@@ -137,23 +140,24 @@
     }
 
     static String workerAddress(int block, int number) {
-        return "127." + block + '.' + number / WORKERS_AN_OCTET + '.' + (1 + number % WORKERS_AN_OCTET);
+        return "127." + block + '.' + number / WORKERS_PER_OCTET + '.' + (1 + number % WORKERS_PER_OCTET);
     }
 
     static int workerPort() {
         return WORKER_PORT;
     }
 
-    /** The parts of a query: shards spread evenly over all, from a first one on. */
-    List<QueryRequest.RequestedPart> pieces(int fanOut, int first) {
+    /** Returns the parts of a query: shards spread evenly over all shards, beginning with {@code first}. */
+    List<QueryRequest.RequestedPart> requestedParts(int fanOut, int first) {
         if (fanOut > workers) {
-            throw new IllegalArgumentException("fan-out " + fanOut + " over " + workers + " shards");
+            throw new IllegalArgumentException(
+                    "fan-out " + fanOut + " exceeds the deployment's " + workers + " shards");
         }
-        List<QueryRequest.RequestedPart> pieces = new ArrayList<>(fanOut);
+        List<QueryRequest.RequestedPart> requestedParts = new ArrayList<>(fanOut);
         for (int i = 0; i < fanOut; i++) {
             int shard = (int) ((first + (long) i * workers / fanOut) % workers);
-            pieces.add(new QueryRequest.RequestedPart(shard, 1.0 / fanOut));
+            requestedParts.add(new QueryRequest.RequestedPart(shard, 1.0 / fanOut));
         }
-        return pieces;
+        return requestedParts;
     }
 }
--- a/src/main/java/pepperdock/benchmark/EmulatedWorkers.java
+++ b/src/main/java/pepperdock/benchmark/EmulatedWorkers.java
@@ -25,33 +25,33 @@
 import pepperdock.platform.WorkerProtocol;
 
 /**
- * Many workers of the platform's frames on one thread, each with an address of its own. They take parts, answer each after the
- * time that {@link Behaviour} draws, drop what is given up, and answer probes. They do no work: what a worker's machine would
- * be busy with is only waited for.
+ * Emulates many workers that speak the platform's frame protocol, on one thread, each with its own address. They accept
+ * parts, answer each after the time that {@link ServiceTimeModel} draws, drop cancelled parts, and answer health
+ * checks. They do no work: they only wait for the time that a real worker would take.
  */
 final class EmulatedWorkers implements AutoCloseable {
 
     private static final int FIRST_BLOCK = 192;
     private static final int LAST_BLOCK = 250;
     private static final int BACKLOG = 512;
-    /** The longest wait for events; shorter ones are slept in steps, as a selector waits in whole milliseconds. */
-    private static final long WAIT_MOST_MS = 50;
+    /** The longest wait for events. Waits below 1 ms are slept in steps, as a selector waits in whole milliseconds. */
+    private static final long MAX_WAIT_MS = 50;
 
-    private static final long STEP_NANOS = 100_000;
-    private static final long MOST_LATENESS_US = 60_000_000;
+    private static final long SLEEP_STEP_NANOS = 100_000;
+    private static final long MAX_LATENESS_US = 60_000_000;
     private static final byte[] VALUE = "0123456789abcdef0123456789abcdef".getBytes(StandardCharsets.US_ASCII);
     private static final byte[] GOOD = "good".getBytes(StandardCharsets.US_ASCII);
 
-    /** An answer that is due. */
+    /** An answer that waits for its due time. */
     private static final class Answer implements Comparable<Answer> {
         private final long dueNanos;
-        private final Link link;
+        private final Connection connection;
         private final String id;
-        private boolean givenUp;
+        private boolean cancelled;
 
-        private Answer(long dueNanos, Link link, String id) {
+        private Answer(long dueNanos, Connection connection, String id) {
             this.dueNanos = dueNanos;
-            this.link = link;
+            this.connection = connection;
             this.id = id;
         }
 
@@ -62,39 +62,40 @@
     }
 
     /** A connection from a gatherer to one worker. */
-    private static final class Link {
+    private static final class Connection {
         private final SocketChannel channel;
         private final int worker;
         private final Map<String, Answer> pending = new HashMap<>();
-        private final ArrayDeque<ByteBuffer> out = new ArrayDeque<>();
+        private final ArrayDeque<ByteBuffer> pendingWrites = new ArrayDeque<>();
         private SelectionKey key;
-        private byte[] kept = new byte[0];
+        private byte[] unparsed = new byte[0];
 
-        private Link(SocketChannel channel, int worker) {
+        private Connection(SocketChannel channel, int worker) {
             this.channel = channel;
             this.worker = worker;
         }
     }
 
     private final int block;
-    private final Behaviour behaviour;
-    private final Consumer<String> received;
+    private final ServiceTimeModel serviceTimes;
+    private final Consumer<String> partListener;
     private final Selector selector = Selector.open();
     private final List<ServerSocketChannel> servers = new ArrayList<>();
-    private final PriorityQueue<Answer> due = new PriorityQueue<>();
-    private final ByteBuffer room = ByteBuffer.allocateDirect(1 << 16);
+    private final PriorityQueue<Answer> answersByDueTime = new PriorityQueue<>();
+    private final ByteBuffer readBuffer = ByteBuffer.allocateDirect(1 << 16);
     private final AtomicLong parts = new AtomicLong();
-    private final AtomicLong giveUps = new AtomicLong();
+    private final AtomicLong cancelledParts = new AtomicLong();
     private final AtomicLong connections = new AtomicLong();
-    private final Recorder lateness = new Recorder(MOST_LATENESS_US, 2);
+    private final Recorder lateness = new Recorder(MAX_LATENESS_US, 2);
     private final Thread thread = new Thread(this::run, "workers");
     private volatile boolean closed;
     private volatile Exception failure;
 
-    private EmulatedWorkers(int block, int workers, Behaviour behaviour, Consumer<String> received) throws IOException {
+    private EmulatedWorkers(int block, int workers, ServiceTimeModel serviceTimes, Consumer<String> partListener)
+            throws IOException {
         this.block = block;
-        this.behaviour = behaviour;
-        this.received = received;
+        this.serviceTimes = serviceTimes;
+        this.partListener = partListener;
         try {
             for (int i = 0; i < workers; i++) {
                 ServerSocketChannel server = ServerSocketChannel.open();
@@ -113,51 +114,55 @@
     }
 
     /**
-     * Listens for so many workers in the first block of 127.0.0.0/8 whose first worker's address is free, which then is this
-     * one's; {@code received} is told the id of each part, on the workers' thread.
+     * Opens {@code workers} listening sockets in the first block of 127.0.0.0/8 in which the first worker's address is
+     * free; that reserves the block. Passes the id of each part to {@code partListener} on the workers' thread.
      */
-    static EmulatedWorkers open(int workers, Behaviour behaviour, Consumer<String> received) throws IOException {
+    static EmulatedWorkers open(int workers, ServiceTimeModel serviceTimes, Consumer<String> partListener)
+            throws IOException {
         for (int block = FIRST_BLOCK; block <= LAST_BLOCK; block++) {
             try {
-                return new EmulatedWorkers(block, workers, behaviour, received);
+                return new EmulatedWorkers(block, workers, serviceTimes, partListener);
             } catch (BindException e) {
-                // Another bench's: the next one.
+                // Another benchmark uses this block; tries the next one.
             }
         }
-        throw new IOException("no block of 127.0.0.0/8 is free");
+        throw new IOException("no free address block in 127.0.0.0/8 for the emulated workers");
     }
 
-    /** All addresses are in 127.{@code block}.0.0/16. */
+    /** Returns the address block: all addresses are in 127.{@code block}.0.0/16. */
     int block() {
         return block;
     }
 
-    /** Parts that came so far. */
+    /** Returns the number of parts received so far. */
     long parts() {
         return parts.get();
     }
 
-    /** Parts that were given up so far. */
-    long giveUps() {
-        return giveUps.get();
+    /** Returns the number of parts cancelled so far. */
+    long cancelledParts() {
+        return cancelledParts.get();
     }
 
-    /** Connections that stand. */
+    /** Returns the number of open connections. */
     long connections() {
         return connections.get();
     }
 
-    /** By how many microseconds answers went out late since this was last asked: the emulation's own part of a latency. */
+    /**
+     * Returns by how many microseconds answers were sent late since the last call of this method: the emulation's own
+     * share of the latency.
+     */
     Histogram lateness() {
         return lateness.getIntervalHistogram();
     }
 
-    /** What ended its thread; null while it runs. */
+    /** Returns the exception that ended the thread, or null if there was none. */
     Exception failure() {
         return failure;
     }
 
-    /** The thread that does all of it, for its processor time. */
+    /** Returns the id of the workers' thread, for measuring its processor time. */
     long threadId() {
         return thread.getId();
     }
@@ -182,12 +187,12 @@
     }
 
     private void await() throws IOException {
-        Answer next = due.peek();
-        long leftNanos = next == null ? WAIT_MOST_MS * 1_000_000 : next.dueNanos - System.nanoTime();
+        Answer next = answersByDueTime.peek();
+        long leftNanos = next == null ? MAX_WAIT_MS * 1_000_000 : next.dueNanos - System.nanoTime();
         if (leftNanos >= 1_000_000) {
-            selector.select(Math.min(WAIT_MOST_MS, leftNanos / 1_000_000));
+            selector.select(Math.min(MAX_WAIT_MS, leftNanos / 1_000_000));
         } else if (selector.selectNow() == 0 && leftNanos > 0) {
-            LockSupport.parkNanos(Math.min(leftNanos, STEP_NANOS));
+            LockSupport.parkNanos(Math.min(leftNanos, SLEEP_STEP_NANOS));
         }
     }
 
@@ -196,16 +201,16 @@
             accept((ServerSocketChannel) key.channel(), (Integer) key.attachment());
             return;
         }
-        Link link = (Link) key.attachment();
+        Connection connection = (Connection) key.attachment();
         try {
             if (key.isValid() && key.isReadable()) {
-                read(link);
+                read(connection);
             }
             if (key.isValid() && key.isWritable()) {
-                flush(link);
+                flush(connection);
             }
         } catch (IOException e) {
-            end(link);
+            closeConnection(connection);
         }
     }
 
@@ -214,124 +219,125 @@
         if (channel != null) {
             channel.configureBlocking(false);
             channel.setOption(java.net.StandardSocketOptions.TCP_NODELAY, true);
-            Link link = new Link(channel, worker);
-            link.key = channel.register(selector, SelectionKey.OP_READ, link);
+            Connection connection = new Connection(channel, worker);
+            connection.key = channel.register(selector, SelectionKey.OP_READ, connection);
             connections.incrementAndGet();
         }
     }
 
-    private void end(Link link) throws IOException {
-        if (link.channel.isOpen()) {
-            link.channel.close();
+    private void closeConnection(Connection connection) throws IOException {
+        if (connection.channel.isOpen()) {
+            connection.channel.close();
             connections.decrementAndGet();
         }
     }
 
-    private void read(Link link) throws IOException {
-        room.clear();
-        int count = link.channel.read(room);
-        if (count < 0) {
-            end(link);
+    private void read(Connection connection) throws IOException {
+        readBuffer.clear();
+        int byteCount = connection.channel.read(readBuffer);
+        if (byteCount < 0) {
+            closeConnection(connection);
             return;
         }
-        byte[] bytes = new byte[link.kept.length + count];
-        System.arraycopy(link.kept, 0, bytes, 0, link.kept.length);
-        room.flip().get(bytes, link.kept.length, count);
+        byte[] bytes = new byte[connection.unparsed.length + byteCount];
+        System.arraycopy(connection.unparsed, 0, bytes, 0, connection.unparsed.length);
+        readBuffer.flip().get(bytes, connection.unparsed.length, byteCount);
         int at = 0;
         while (bytes.length - at >= 4) {
             int length = ByteBuffer.wrap(bytes, at, 4).getInt();
             if (bytes.length - at - 4 < length) {
                 break;
             }
-            frame(link, bytes, at + 4, at + 4 + length);
+            handleFrame(connection, bytes, at + 4, at + 4 + length);
             at += 4 + length;
         }
-        link.kept = java.util.Arrays.copyOfRange(bytes, at, bytes.length);
+        connection.unparsed = java.util.Arrays.copyOfRange(bytes, at, bytes.length);
     }
 
-    private void frame(Link link, byte[] bytes, int from, int to) throws IOException {
+    private void handleFrame(Connection connection, byte[] bytes, int from, int to) throws IOException {
         switch (bytes[from]) {
-            case WorkerProtocol.CALL -> call(link, bytes, from + 1, to);
+            case WorkerProtocol.CALL -> handleCall(connection, bytes, from + 1, to);
             case WorkerProtocol.CANCEL -> {
-                Answer answer = link.pending.remove(text(bytes, from + 1, to));
+                Answer answer = connection.pending.remove(asciiText(bytes, from + 1, to));
                 if (answer != null) {
-                    answer.givenUp = true;
-                    giveUps.incrementAndGet();
+                    answer.cancelled = true;
+                    cancelledParts.incrementAndGet();
                 }
             }
-            case WorkerProtocol.HEALTH_CHECK -> write(link, FrameEncoder.encode(WorkerProtocol.HEALTH_CHECK, GOOD));
-            default -> throw new IOException("letter " + (char) bytes[from]);
+            case WorkerProtocol.HEALTH_CHECK ->
+                write(connection, FrameEncoder.encode(WorkerProtocol.HEALTH_CHECK, GOOD));
+            default -> throw new IOException("unknown frame type " + (char) bytes[from]);
         }
     }
 
-    /** Parts follow each other: a line of id, shard, list and length, then so many bytes. */
-    private void call(Link link, byte[] bytes, int from, int to) {
+    /** Reads the parts of a call. Each part is a line of id, shard, list and length, followed by that many bytes. */
+    private void handleCall(Connection connection, byte[] bytes, int from, int to) {
         long now = System.nanoTime();
         int at = from;
         while (at < to) {
-            int end = at;
-            while (bytes[end] != '\n') {
-                end++;
+            int lineEnd = at;
+            while (bytes[lineEnd] != '\n') {
+                lineEnd++;
             }
-            String line = text(bytes, at, end);
+            String line = asciiText(bytes, at, lineEnd);
             String id = line.substring(0, line.indexOf(' '));
-            at = end + 1 + Integer.parseInt(line.substring(line.lastIndexOf(' ') + 1));
+            at = lineEnd + 1 + Integer.parseInt(line.substring(line.lastIndexOf(' ') + 1));
             parts.incrementAndGet();
-            received.accept(id);
-            long takesNanos = (long) (behaviour.takesS(id, link.worker) * 1e9);
-            Answer answer = new Answer(now + takesNanos, link, id);
-            link.pending.put(id, answer);
-            due.add(answer);
+            partListener.accept(id);
+            long serviceNanos = (long) (serviceTimes.serviceTimeS(id, connection.worker) * 1e9);
+            Answer answer = new Answer(now + serviceNanos, connection, id);
+            connection.pending.put(id, answer);
+            answersByDueTime.add(answer);
         }
     }
 
-    private static String text(byte[] bytes, int from, int to) {
+    private static String asciiText(byte[] bytes, int from, int to) {
         return new String(bytes, from, to - from, StandardCharsets.US_ASCII);
     }
 
     private void answerDue() throws IOException {
         long now = System.nanoTime();
-        while (!due.isEmpty() && due.peek().dueNanos <= now) {
-            Answer answer = due.poll();
-            if (!answer.givenUp && answer.link.channel.isOpen()) {
-                answer.link.pending.remove(answer.id, answer);
-                lateness.recordValue(Math.min(MOST_LATENESS_US, (now - answer.dueNanos) / 1000));
+        while (!answersByDueTime.isEmpty() && answersByDueTime.peek().dueNanos <= now) {
+            Answer answer = answersByDueTime.poll();
+            if (!answer.cancelled && answer.connection.channel.isOpen()) {
+                answer.connection.pending.remove(answer.id, answer);
+                lateness.recordValue(Math.min(MAX_LATENESS_US, (now - answer.dueNanos) / 1000));
                 try {
-                    write(answer.link, result(answer.id));
+                    write(answer.connection, encodeResult(answer.id));
                 } catch (IOException e) {
-                    end(answer.link);
+                    closeConnection(answer.connection);
                 }
             }
         }
     }
 
-    private static byte[] result(String id) {
+    private static byte[] encodeResult(String id) {
         byte[] line = (id + " good 1 -\n").getBytes(StandardCharsets.US_ASCII);
-        byte[] rest = java.util.Arrays.copyOf(line, line.length + VALUE.length);
-        System.arraycopy(VALUE, 0, rest, line.length, VALUE.length);
-        return FrameEncoder.encode(WorkerProtocol.RESULT, rest);
+        byte[] payload = java.util.Arrays.copyOf(line, line.length + VALUE.length);
+        System.arraycopy(VALUE, 0, payload, line.length, VALUE.length);
+        return FrameEncoder.encode(WorkerProtocol.RESULT, payload);
     }
 
-    private void write(Link link, byte[] bytes) throws IOException {
-        ByteBuffer all = ByteBuffer.wrap(bytes);
-        if (link.out.isEmpty()) {
-            link.channel.write(all);
+    private void write(Connection connection, byte[] bytes) throws IOException {
+        ByteBuffer buffer = ByteBuffer.wrap(bytes);
+        if (connection.pendingWrites.isEmpty()) {
+            connection.channel.write(buffer);
         }
-        if (all.hasRemaining()) {
-            link.out.add(all);
-            link.key.interestOps(SelectionKey.OP_READ | SelectionKey.OP_WRITE);
+        if (buffer.hasRemaining()) {
+            connection.pendingWrites.add(buffer);
+            connection.key.interestOps(SelectionKey.OP_READ | SelectionKey.OP_WRITE);
         }
     }
 
-    private void flush(Link link) throws IOException {
-        while (!link.out.isEmpty()) {
-            link.channel.write(link.out.peek());
-            if (link.out.peek().hasRemaining()) {
+    private void flush(Connection connection) throws IOException {
+        while (!connection.pendingWrites.isEmpty()) {
+            connection.channel.write(connection.pendingWrites.peek());
+            if (connection.pendingWrites.peek().hasRemaining()) {
                 return;
             }
-            link.out.remove();
+            connection.pendingWrites.remove();
         }
-        link.key.interestOps(SelectionKey.OP_READ);
+        connection.key.interestOps(SelectionKey.OP_READ);
     }
 
     private void closeAll() throws IOException {
--- a/src/main/java/pepperdock/benchmark/GathererProcess.java
+++ b/src/main/java/pepperdock/benchmark/GathererProcess.java
@@ -13,27 +13,34 @@
 import java.util.List;
 import java.util.concurrent.TimeUnit;
 
-/** A gatherer in a process of its own, by its configuration file, with {@link Observed} beside it. */
+/** Runs a gatherer with a configuration file in its own process, started through {@link InstrumentedMain}. */
 final class GathererProcess implements AutoCloseable {
 
-    private static final long END_S = 20;
+    private static final long STOP_TIMEOUT_S = 20;
 
     private final Process process;
     private final BufferedReader out;
     private final Writer in;
     private final InetSocketAddress address;
 
-    /** Starts it and returns when it is ready; its file and log go to the folder, {@code flags} to its JVM. */
+    /**
+     * Starts the process and returns when the gatherer is ready. Its configuration file and log are written to the
+     * folder; {@code flags} are passed to its JVM.
+     */
     GathererProcess(Deployment deployment, int block, Path folder, List<String> flags) throws IOException {
         address = new InetSocketAddress(Deployment.gathererAddress(block), Deployment.gathererPort());
         Path config = folder.resolve("config.json");
         Files.writeString(config, deployment.config(block).toString());
-        List<String> words = new ArrayList<>();
-        words.add(Path.of(System.getProperty("java.home"), "bin", "java").toString());
-        words.addAll(flags);
-        words.addAll(List.of(
-                "-cp", System.getProperty("java.class.path"), Observed.class.getName(), "pepperdock.Main", "serve"));
-        ProcessBuilder builder = new ProcessBuilder(words);
+        List<String> command = new ArrayList<>();
+        command.add(Path.of(System.getProperty("java.home"), "bin", "java").toString());
+        command.addAll(flags);
+        command.addAll(List.of(
+                "-cp",
+                System.getProperty("java.class.path"),
+                InstrumentedMain.class.getName(),
+                "pepperdock.Main",
+                "serve"));
+        ProcessBuilder builder = new ProcessBuilder(command);
         builder.environment().keySet().removeIf(k -> k.startsWith("EDGE_"));
         builder.environment().put("EDGE_CONFIG", config.toString());
         process = builder.redirectError(
@@ -50,19 +57,19 @@
     }
 
     private void awaitReady() throws IOException {
-        while (!"ready".equals(what(line()))) {
-            // Other events come before it.
+        while (!"ready".equals(eventType(readJson()))) {
+            // Skips the events before "ready".
         }
     }
 
-    private static String what(JsonObject event) {
+    private static String eventType(JsonObject event) {
         return event.has("what") ? event.get("what").getAsString() : null;
     }
 
-    private JsonObject line() throws IOException {
+    private JsonObject readJson() throws IOException {
         String line = out.readLine();
         if (line == null) {
-            throw new IOException("the gatherer has ended; see its log");
+            throw new IOException("the gatherer process has ended; see its log");
         }
         return JsonParser.parseString(line).getAsJsonObject();
     }
@@ -71,13 +78,13 @@
         return address;
     }
 
-    /** One of {@link Observed}'s words, and what it answers. */
-    JsonObject ask(String word) throws IOException {
-        in.write(word + '\n');
+    /** Sends a command of {@link InstrumentedMain} and returns its answer; skips events that come before the answer. */
+    JsonObject sendCommand(String command) throws IOException {
+        in.write(command + '\n');
         in.flush();
-        JsonObject answer = line();
+        JsonObject answer = readJson();
         while (answer.has("what")) {
-            answer = line();
+            answer = readJson();
         }
         return answer;
     }
@@ -86,7 +93,7 @@
     public void close() throws IOException {
         process.destroy();
         try {
-            if (!process.waitFor(END_S, TimeUnit.SECONDS)) {
+            if (!process.waitFor(STOP_TIMEOUT_S, TimeUnit.SECONDS)) {
                 process.destroyForcibly().waitFor();
             }
         } catch (InterruptedException e) {
--- a/src/main/java/pepperdock/benchmark/LeastSquares.java
+++ b/src/main/java/pepperdock/benchmark/LeastSquares.java
@@ -3,11 +3,11 @@
 import java.util.List;
 
 /**
- * A straight line through measured points, by least squares.
+ * Fits a straight line through measured points by least squares.
  *
- * @param intercept value at 0
- * @param slope by how much the value grows for each one of the size
- * @param residual root of the mean square of what the line leaves, in the value's unit
+ * @param intercept value of the line at size 0
+ * @param slope growth of the value per unit of size
+ * @param residual root mean square of the residuals, in the value's unit
  */
 record LeastSquares(double intercept, double slope, double residual) {
 
@@ -20,19 +20,19 @@
         double meanValue = points.stream().mapToDouble(Point::value).sum() / n;
         double covariance = 0;
         double variance = 0;
-        for (Point p : points) {
-            covariance += (p.size() - meanSize) * (p.value() - meanValue);
-            variance += (p.size() - meanSize) * (p.size() - meanSize);
+        for (Point point : points) {
+            covariance += (point.size() - meanSize) * (point.value() - meanValue);
+            variance += (point.size() - meanSize) * (point.size() - meanSize);
         }
         if (variance == 0) {
-            throw new IllegalArgumentException("a line needs two sizes");
+            throw new IllegalArgumentException("a least-squares line needs points of at least two different sizes");
         }
         double slope = covariance / variance;
         double intercept = meanValue - slope * meanSize;
         double squares = 0;
-        for (Point p : points) {
-            double off = p.value() - intercept - slope * p.size();
-            squares += off * off;
+        for (Point point : points) {
+            double deviation = point.value() - intercept - slope * point.size();
+            squares += deviation * deviation;
         }
         return new LeastSquares(intercept, slope, Math.sqrt(squares / n));
     }
--- a/src/main/java/pepperdock/benchmark/ListChangeCost.java
+++ b/src/main/java/pepperdock/benchmark/ListChangeCost.java
@@ -11,64 +11,65 @@
 import pepperdock.scheduler.EndpointState;
 
 /**
- * The cost of a change of the worker list that tells of one worker: core, module and the pool of workers, on a clock moved by
- * hand. A worker drains and is back by turns, as in a restart of all workers one after another.
+ * Measures the cost of an endpoint list change that concerns one worker, in the core, the scheduler module and the
+ * worker pool, on a manual clock. Workers start draining and become healthy again one after another, as in a rolling
+ * restart.
  */
 final class ListChangeCost {
 
     private static final int BLOCK = 1;
 
-    /** What was measured: processor time a change, in microseconds, and bytes allocated a change. */
-    record Result(Deployment deployment, int changes, double processorUsAChange, double bytesAChange) {}
+    /** The measurements: processor time per change, in microseconds, and bytes allocated per change. */
+    record Result(Deployment deployment, int changes, double cpuUsPerChange, double bytesPerChange) {}
 
     private ListChangeCost() {}
 
-    /** Measures over so many changes, after as many that warm the code up. */
+    /** Measures {@code changes} changes, after as many changes that warm the code up. */
     static Result measure(Deployment deployment, int changes, long seed) {
         ManualClock clock = new ManualClock(1000);
-        Workers workers = new Workers();
-        Gatherer core = new Gatherer(deployment.site().scheduler(), seed, clock, workers, () -> {});
+        UnconnectedPool workers = new UnconnectedPool();
+        Gatherer core = new Gatherer(deployment.deploymentSettings().scheduler(), seed, clock, workers, () -> {});
         workers.start(core);
         List<WorkerEndpoint> hosts = deployment.hosts(BLOCK);
         core.onEndpointList(EndpointListKind.COMPLETE, hosts);
         clock.advance(1);
-        change(core, clock, hosts, changes);
+        applyChanges(core, clock, hosts, changes);
         com.sun.management.ThreadMXBean threads = (com.sun.management.ThreadMXBean) ManagementFactory.getThreadMXBean();
-        long self = Thread.currentThread().getId();
-        long bytes = threads.getThreadAllocatedBytes(self);
+        long threadId = Thread.currentThread().getId();
+        long bytes = threads.getThreadAllocatedBytes(threadId);
         long nanos = threads.getCurrentThreadCpuTime();
-        change(core, clock, hosts, changes);
+        applyChanges(core, clock, hosts, changes);
         nanos = threads.getCurrentThreadCpuTime() - nanos;
-        bytes = threads.getThreadAllocatedBytes(self) - bytes;
+        bytes = threads.getThreadAllocatedBytes(threadId) - bytes;
         return new Result(deployment, changes, nanos / 1e3 / changes, bytes / (double) changes);
     }
 
-    private static void change(Gatherer core, ManualClock clock, List<WorkerEndpoint> hosts, int changes) {
+    private static void applyChanges(Gatherer core, ManualClock clock, List<WorkerEndpoint> hosts, int changes) {
         for (int i = 0; i < changes; i++) {
-            WorkerEndpoint of = hosts.get(i / 2 % hosts.size());
+            WorkerEndpoint previous = hosts.get(i / 2 % hosts.size());
             WorkerEndpoint now = new WorkerEndpoint(
-                    of.id(),
-                    of.address(),
-                    of.zone(),
-                    of.kind(),
-                    of.cell(),
+                    previous.id(),
+                    previous.address(),
+                    previous.zone(),
+                    previous.kind(),
+                    previous.cell(),
                     i % 2 == 0 ? EndpointState.DRAINING : EndpointState.HEALTHY,
-                    of.weight(),
-                    of.startedAtS());
+                    previous.weight(),
+                    previous.startedAtS());
             core.onEndpointList(EndpointListKind.CHANGES, List.of(now));
             clock.advance(0.01);
         }
     }
 
-    /** The real pool, of workers without connections. */
-    private static final class Workers extends PooledBackend<Unconnected> {
+    /** The production worker pool, with workers that open no connections. */
+    private static final class UnconnectedPool extends PooledBackend<UnconnectedWorker> {
         @Override
-        protected Unconnected createWorker(WorkerEndpoint host, Gatherer core) {
-            return new Unconnected(host.address());
+        protected UnconnectedWorker createWorker(WorkerEndpoint host, Gatherer core) {
+            return new UnconnectedWorker(host.address());
         }
     }
 
-    private record Unconnected(String address) implements PooledBackend.PooledWorker {
+    private record UnconnectedWorker(String address) implements PooledBackend.PooledWorker {
         @Override
         public void send(List<Attempt> call) {}
 
--- a/src/main/java/pepperdock/benchmark/LoadGenerator.java
+++ b/src/main/java/pepperdock/benchmark/LoadGenerator.java
@@ -20,31 +20,33 @@
 import pepperdock.core.QueryRequest;
 
 /**
- * An open-loop load generator over the platform's HTTP front: queries are due at times drawn beforehand, whatever became of
- * those before, and a latency counts from when its query was due. So a gatherer that falls behind can't slow its own load.
+ * An open-loop load generator for the platform's HTTP front. Queries are due at random times that don't depend on
+ * earlier answers, and latency counts from when a query was due. So a gatherer that falls behind can't slow down its
+ * own load.
  */
 final class LoadGenerator implements AutoCloseable {
 
-    private static final int CONNECTIONS_MOST = 2000;
-    private static final int BODY_MOST = 1 << 22;
-    private static final long STEP_NANOS = 100_000;
-    private static final long WAIT_MOST_MS = 20;
-    /** After the last query, so long beyond the deadline for what is still out. */
+    private static final int MAX_CONNECTIONS = 2000;
+    private static final int MAX_BODY_BYTES = 1 << 22;
+    private static final long SLEEP_STEP_NANOS = 100_000;
+    private static final long MAX_WAIT_MS = 20;
+    /** How long to wait for outstanding answers beyond the deadline of the last query, in seconds. */
     private static final double DRAIN_S = 1.5;
 
-    private static final long MOST_US = 60_000_000;
-    /** Bodies made ahead, taken by turns: queries start at different shards. */
+    private static final long MAX_LATENCY_US = 60_000_000;
+    /** Number of request bodies built in advance and used in turn, so that queries start at different shards. */
     private static final int BODIES = 64;
 
-    private static final byte[] PART = "\"range\":".getBytes(StandardCharsets.US_ASCII);
-    private static final byte[] WHOLE = "\"total\":true".getBytes(StandardCharsets.US_ASCII);
+    private static final byte[] PART_MARKER = "\"range\":".getBytes(StandardCharsets.US_ASCII);
+    private static final byte[] WHOLE_MARKER = "\"total\":true".getBytes(StandardCharsets.US_ASCII);
 
     /**
-     * The ends of queries that were due in the measured time.
+     * The outcomes of the queries that were due in the measured time.
      *
-     * @param latencyUs from when each was due to its whole answer
-     * @param generatorLateUs from when each was due to when it was written: the generator's own part of the latency
-     * @param within whole answers that came within {@link Deployment#AIM_S}, whatever the deployment's own aim
+     * @param latencyUs time from when each query was due to its complete answer
+     * @param generatorLateUs time from when each query was due to when it was sent: the generator's own share of the
+     *     latency
+     * @param withinAim complete answers within {@link Deployment#AIM_S}, regardless of the deployment's own aim
      */
     record Outcome(
             long asked,
@@ -53,58 +55,64 @@
             long refused,
             long failed,
             long unanswered,
-            long within,
+            long withinAim,
             Histogram latencyUs,
             Histogram generatorLateUs) {}
 
-    /** A query that is due, or out. */
-    private record Due(String id, long dueNanos, boolean measured, int body) {}
+    /** A query that waits to be sent, or is outstanding. */
+    private record ScheduledQuery(String id, long dueNanos, boolean measured, int body) {}
 
-    /** A connection to the gatherer, with one query on it at a time. */
+    /** A connection to the gatherer that carries one query at a time. */
     private static final class Client {
         private final SocketChannel channel;
-        private final HttpParser parser = HttpParser.ofResponses(BODY_MOST);
+        private final HttpParser parser = HttpParser.ofResponses(MAX_BODY_BYTES);
         private SelectionKey key;
-        private ByteBuffer out;
-        private byte[] kept = {};
-        private Due query;
+        private ByteBuffer pendingWrite;
+        private byte[] unparsed = {};
+        private ScheduledQuery query;
 
         private Client(SocketChannel channel) {
             this.channel = channel;
         }
     }
 
-    private final InetSocketAddress to;
+    private final InetSocketAddress gathererAddress;
     private final Deployment deployment;
     private final int fanOut;
     private final String prefix;
-    private final Tally tally;
+    private final DeliveryChecker deliveryChecker;
     private final SplittableRandom random;
     private final byte[][] bodies = new byte[BODIES][];
     private final Selector selector = Selector.open();
     private final ArrayDeque<Client> idle = new ArrayDeque<>();
-    private final ArrayDeque<Due> waiting = new ArrayDeque<>();
-    private final ByteBuffer room = ByteBuffer.allocate(1 << 16);
-    private final Histogram latency = new Histogram(MOST_US, 3);
-    private final Histogram lateness = new Histogram(MOST_US, 3);
+    private final ArrayDeque<ScheduledQuery> waiting = new ArrayDeque<>();
+    private final ByteBuffer readBuffer = ByteBuffer.allocate(1 << 16);
+    private final Histogram latency = new Histogram(MAX_LATENCY_US, 3);
+    private final Histogram lateness = new Histogram(MAX_LATENCY_US, 3);
     private int connections;
-    private long number;
-    private long out;
+    private long nextNumber;
+    private long outstanding;
     private long asked;
     private long whole;
     private long partial;
     private long refused;
     private long failed;
-    private long within;
+    private long withinAim;
 
-    /** {@code prefix} begins the ids, which must not come twice at one gatherer; {@code tally} may be null. */
-    LoadGenerator(InetSocketAddress to, Deployment deployment, int fanOut, String prefix, Tally tally, long seed)
+    /** Query ids begin with {@code prefix} and must be unique at one gatherer; {@code deliveryChecker} may be null. */
+    LoadGenerator(
+            InetSocketAddress gathererAddress,
+            Deployment deployment,
+            int fanOut,
+            String prefix,
+            DeliveryChecker deliveryChecker,
+            long seed)
             throws IOException {
-        this.to = to;
+        this.gathererAddress = gathererAddress;
         this.deployment = deployment;
         this.fanOut = fanOut;
         this.prefix = prefix;
-        this.tally = tally;
+        this.deliveryChecker = deliveryChecker;
         random = new SplittableRandom(seed);
         for (int i = 0; i < BODIES; i++) {
             bodies[i] = body(deployment, fanOut, random.nextInt(deployment.workers()));
@@ -113,64 +121,72 @@
 
     private static byte[] body(Deployment deployment, int fanOut, int first) {
         StringBuilder ranges = new StringBuilder();
-        for (QueryRequest.RequestedPart piece : deployment.pieces(fanOut, first)) {
+        for (QueryRequest.RequestedPart requestedPart : deployment.requestedParts(fanOut, first)) {
             ranges.append(ranges.length() == 0 ? "" : ",")
                     .append("{\"range\":")
-                    .append(piece.shard())
+                    .append(requestedPart.shard())
                     .append(",\"portion\":")
-                    .append(piece.weight())
+                    .append(requestedPart.weight())
                     .append('}');
         }
         return ("{\"ranges\":[" + ranges + "],\"predicate\":\"amount > 100\"}").getBytes(StandardCharsets.US_ASCII);
     }
 
     /**
-     * Sends queries at a rate, at times of a Poisson process from {@code startNanos} until {@code endNanos}; those due from
-     * {@code measureNanos} on are measured. The times are {@link System#nanoTime}'s. Returns when all are answered, or past
-     * their deadlines.
+     * Sends queries by a Poisson process of the given rate from {@code startNanos} until {@code endNanos}, and measures
+     * those that are due from {@code measureNanos} on. The times are those of {@link System#nanoTime}. Returns when all
+     * queries are answered or past their deadlines.
      */
     Outcome run(double queriesPerSecond, long startNanos, long measureNanos, long endNanos) throws IOException {
         long drainNanos = endNanos + (long) ((deployment.deadlineS() + DRAIN_S) * 1e9);
-        double nextNanos = startNanos + gap(queriesPerSecond);
+        double nextNanos = startNanos + nextGapNanos(queriesPerSecond);
         while (true) {
             long now = System.nanoTime();
             while (nextNanos <= now && nextNanos < endNanos) {
                 enqueue((long) nextNanos, measureNanos);
-                nextNanos += gap(queriesPerSecond);
+                nextNanos += nextGapNanos(queriesPerSecond);
             }
             boolean over = nextNanos >= endNanos;
-            if (over && out == 0 && waiting.isEmpty() || now > drainNanos) {
+            if (over && outstanding == 0 && waiting.isEmpty() || now > drainNanos) {
                 break;
             }
             send();
-            await(over ? now + WAIT_MOST_MS * 1_000_000 : (long) nextNanos);
+            await(over ? now + MAX_WAIT_MS * 1_000_000 : (long) nextNanos);
         }
-        long answered = whole + partial + refused + failed;
+        long answeredQueries = whole + partial + refused + failed;
         return new Outcome(
-                asked, whole, partial, refused, failed, asked - answered, within, latency.copy(), lateness.copy());
+                asked,
+                whole,
+                partial,
+                refused,
+                failed,
+                asked - answeredQueries,
+                withinAim,
+                latency.copy(),
+                lateness.copy());
     }
 
-    private double gap(double queriesPerSecond) {
+    private double nextGapNanos(double queriesPerSecond) {
         return -Math.log(1 - random.nextDouble()) / queriesPerSecond * 1e9;
     }
 
     private void enqueue(long dueNanos, long measureNanos) {
         boolean measured = dueNanos >= measureNanos;
         asked += measured ? 1 : 0;
-        waiting.add(new Due(prefix + number, dueNanos, measured, (int) (number % BODIES)));
-        number++;
+        waiting.add(new ScheduledQuery(prefix + nextNumber, dueNanos, measured, (int) (nextNumber % BODIES)));
+        nextNumber++;
     }
 
     private void send() throws IOException {
-        while (!waiting.isEmpty() && (!idle.isEmpty() || connections < CONNECTIONS_MOST)) {
-            Due query = waiting.remove();
+        while (!waiting.isEmpty() && (!idle.isEmpty() || connections < MAX_CONNECTIONS)) {
+            ScheduledQuery query = waiting.remove();
             Client client = idle.isEmpty() ? connect() : idle.pop();
             client.query = query;
-            out++;
-            if (tally != null) {
-                tally.asked(query.id(), fanOut);
+            outstanding++;
+            if (deliveryChecker != null) {
+                deliveryChecker.recordQuery(query.id(), fanOut);
             }
-            client.out = ByteBuffer.wrap(HttpWriter.request(
+            client.pendingWrite = ByteBuffer.wrap(HttpWriter.request(
                     "POST",
                     "/api",
                     "gatherer",
@@ -178,18 +194,18 @@
                             + Math.round(deployment.deadlineS() * 1e3) + "\r\n",
                     bodies[query.body()]));
             if (query.measured()) {
-                lateness.recordValue(sinceUs(query));
+                lateness.recordValue(microsSinceDue(query));
             }
             write(client);
         }
     }
 
-    private static long sinceUs(Due query) {
-        return Math.min(MOST_US, Math.max(0, (System.nanoTime() - query.dueNanos()) / 1000));
+    private static long microsSinceDue(ScheduledQuery query) {
+        return Math.min(MAX_LATENCY_US, Math.max(0, (System.nanoTime() - query.dueNanos()) / 1000));
     }
 
     private Client connect() throws IOException {
-        SocketChannel channel = SocketChannel.open(to);
+        SocketChannel channel = SocketChannel.open(gathererAddress);
         channel.configureBlocking(false);
         channel.setOption(java.net.StandardSocketOptions.TCP_NODELAY, true);
         Client client = new Client(channel);
@@ -199,16 +215,16 @@
     }
 
     private void write(Client client) throws IOException {
-        client.channel.write(client.out);
-        client.key.interestOps(SelectionKey.OP_READ | (client.out.hasRemaining() ? SelectionKey.OP_WRITE : 0));
+        client.channel.write(client.pendingWrite);
+        client.key.interestOps(SelectionKey.OP_READ | (client.pendingWrite.hasRemaining() ? SelectionKey.OP_WRITE : 0));
     }
 
     private void await(long untilNanos) throws IOException {
         long leftNanos = untilNanos - System.nanoTime();
         if (leftNanos >= 1_000_000) {
-            selector.select(Math.min(WAIT_MOST_MS, leftNanos / 1_000_000));
+            selector.select(Math.min(MAX_WAIT_MS, leftNanos / 1_000_000));
         } else if (selector.selectNow() == 0 && leftNanos > 0) {
-            LockSupport.parkNanos(Math.min(leftNanos, STEP_NANOS));
+            LockSupport.parkNanos(Math.min(leftNanos, SLEEP_STEP_NANOS));
         }
         Iterator<SelectionKey> ready = selector.selectedKeys().iterator();
         while (ready.hasNext()) {
@@ -223,44 +239,44 @@
                     read(client);
                 }
             } catch (IOException | HttpException e) {
-                lost(client);
+                closeConnection(client);
             }
         }
     }
 
     private void read(Client client) throws IOException, HttpException {
-        room.clear();
-        int count = client.channel.read(room);
+        readBuffer.clear();
+        int count = client.channel.read(readBuffer);
         if (count < 0) {
-            lost(client);
+            closeConnection(client);
             return;
         }
-        byte[] come = Arrays.copyOf(client.kept, client.kept.length + count);
-        room.flip().get(come, client.kept.length, count);
+        byte[] bytes = Arrays.copyOf(client.unparsed, client.unparsed.length + count);
+        readBuffer.flip().get(bytes, client.unparsed.length, count);
         int at = 0;
         int used = 1;
-        while (at < come.length && used > 0) {
-            used = client.parser.feed(come, at, come.length);
+        while (at < bytes.length && used > 0) {
+            used = client.parser.feed(bytes, at, bytes.length);
             at += used;
             if (client.parser.isComplete()) {
-                answered(client, client.parser.take());
+                handleAnswer(client, client.parser.take());
             }
         }
-        client.kept = Arrays.copyOfRange(come, at, come.length);
+        client.unparsed = Arrays.copyOfRange(bytes, at, bytes.length);
     }
 
-    private void answered(Client client, HttpMessage answer) throws IOException {
-        Due query = client.query;
+    private void handleAnswer(Client client, HttpMessage answer) throws IOException {
+        ScheduledQuery query = client.query;
         client.query = null;
         if (query == null) {
-            throw new IOException("an answer to no query");
+            throw new IOException("received an HTTP response on a connection without a pending query");
         }
-        out--;
-        if (tally != null) {
-            tally.answered(query.id(), answer.status() == 200 ? count(answer.body(), PART) : 0);
+        outstanding--;
+        if (deliveryChecker != null) {
+            deliveryChecker.recordAnswer(query.id(), answer.status() == 200 ? count(answer.body(), PART_MARKER) : 0);
         }
         if (query.measured()) {
-            note(query, answer);
+            recordOutcome(query, answer);
         }
         if (answer.keepAlive()) {
             idle.push(client);
@@ -270,12 +286,12 @@
         }
     }
 
-    private void note(Due query, HttpMessage answer) {
-        if (answer.status() == 200 && count(answer.body(), WHOLE) == 1) {
+    private void recordOutcome(ScheduledQuery query, HttpMessage answer) {
+        if (answer.status() == 200 && count(answer.body(), WHOLE_MARKER) == 1) {
             whole++;
-            long us = sinceUs(query);
-            latency.recordValue(us);
-            within += us <= Deployment.AIM_S * 1e6 ? 1 : 0;
+            long elapsedUs = microsSinceDue(query);
+            latency.recordValue(elapsedUs);
+            withinAim += elapsedUs <= Deployment.AIM_S * 1e6 ? 1 : 0;
         } else if (answer.status() == 200) {
             partial++;
         } else if (answer.status() == 503) {
@@ -296,12 +312,12 @@
         return found;
     }
 
-    /** Its query stays unanswered. */
-    private void lost(Client client) throws IOException {
+    /** Closes a connection; its pending query counts as unanswered. */
+    private void closeConnection(Client client) throws IOException {
         if (client.channel.isOpen()) {
             client.channel.close();
             connections--;
-            out -= client.query == null ? 0 : 1;
+            outstanding -= client.query == null ? 0 : 1;
         }
     }
 
--- a/src/main/java/pepperdock/benchmark/NodeListCost.java
+++ b/src/main/java/pepperdock/benchmark/NodeListCost.java
@@ -15,26 +15,27 @@
 import pepperdock.scheduler.EndpointListKind;
 
 /**
- * The cost of the node list to one gatherer, by its length: bytes of a whole list, and how long the loop stands while it is
- * decoded and taken in, whole and as a change of one entry. No sockets; the backend opens nothing.
+ * Measures the cost of the endpoint list to one gatherer by the length of the list: the bytes of a complete list, and
+ * how long the event loop is blocked while it decodes and applies a complete list or a change of one entry. Opens no
+ * sockets.
  */
 public final class NodeListCost {
 
-    /** Any block: nothing is opened. */
+    /** Address block of the endpoints; arbitrary, as no socket is opened. */
     private static final int BLOCK = 1;
 
     private static final int ONE_CHANGE = 1;
-    private static final double MICROS_A_NANO = 1e-3;
+    private static final double MICROS_PER_NANO = 1e-3;
 
     /**
-     * What was measured at one length; times are processor time of the one thread, in microseconds.
+     * The measurements at one length; times are processor time of the measuring thread, in microseconds.
      *
-     * @param bytes of a whole list
-     * @param firstUs the first whole list, by code that is not compiled yet
-     * @param decodedUs mean of decoding a whole list
-     * @param takenUs mean of taking a whole list in, core and module
-     * @param changeUs mean of decoding and taking in a change of one entry
-     * @param allocated bytes allocated for a whole list, decoded and taken in
+     * @param bytes size of a complete list
+     * @param firstUs time for the first complete list, before the code is compiled
+     * @param decodedUs mean time to decode a complete list
+     * @param takenUs mean time to apply a complete list in the core and the scheduler module
+     * @param changeUs mean time to decode and apply a change of one entry
+     * @param allocated bytes allocated to decode and apply a complete list
      */
     public record Result(
             int workers,
@@ -45,7 +46,7 @@
             double changeUs,
             long allocated) {}
 
-    private final DeploymentSettings site;
+    private final DeploymentSettings deploymentSettings;
     private final ManualClock clock = new ManualClock(1000);
     private final Gatherer core;
     private int known;
@@ -54,24 +55,27 @@
 
     private NodeListCost(int workers) {
         Deployment deployment = Deployment.ofTarget(workers, 1, 0.001, false);
-        site = deployment.site();
+        deploymentSettings = deployment.deploymentSettings();
         List<WorkerEndpoint> hosts = deployment.hosts(BLOCK);
-        whole = EndpointListJson.write(hosts, site).getBytes(StandardCharsets.UTF_8);
-        change = EndpointListJson.write(hosts.subList(0, ONE_CHANGE), site)
+        whole = EndpointListJson.write(hosts, deploymentSettings).getBytes(StandardCharsets.UTF_8);
+        change = EndpointListJson.write(hosts.subList(0, ONE_CHANGE), deploymentSettings)
                 .replace("\"whole\":true", "\"whole\":false")
                 .getBytes(StandardCharsets.UTF_8);
-        core = new Gatherer(site.scheduler(), 1, clock, new InertBackend(), () -> {});
+        core = new Gatherer(deploymentSettings.scheduler(), 1, clock, new InertBackend(), () -> {});
         core.addEndpointListListener(listed -> known = listed.size());
     }
 
-    /** Measures at each length, each list so many times after as many to warm up; tells each result as it is had. */
+    /**
+     * Measures at each length: handles each list {@code rounds} times after as many warm-up rounds. Passes each result
+     * to {@code progress} as soon as it is available.
+     */
     public static Results run(List<Integer> workers, int rounds, Consumer<String> progress) {
         Results results = new Results();
         List<LeastSquares.Point> points = new ArrayList<>();
-        for (int n : workers) {
-            Result r = new NodeListCost(n).measure(n, rounds);
-            points.add(new LeastSquares.Point(n, r.decodedUs() + r.takenUs()));
-            JsonObject row = row(r);
+        for (int workerCount : workers) {
+            Result result = new NodeListCost(workerCount).measure(workerCount, rounds);
+            points.add(new LeastSquares.Point(workerCount, result.decodedUs() + result.takenUs()));
+            JsonObject row = row(result);
             results.row(row);
             progress.accept(row.toString());
         }
@@ -81,56 +85,56 @@
         return results;
     }
 
-    private static JsonObject row(Result r) {
+    private static JsonObject row(Result result) {
         JsonObject row = new JsonObject();
-        row.addProperty("workers", r.workers());
-        row.addProperty("bytes", r.bytes());
-        row.addProperty("first_us", Math.round(r.firstUs()));
-        row.addProperty("decoded_us", Math.round(r.decodedUs()));
-        row.addProperty("taken_us", Math.round(r.takenUs()));
-        row.addProperty("change_us", Math.round(r.changeUs()));
-        row.addProperty("allocated_bytes", r.allocated());
+        row.addProperty("workers", result.workers());
+        row.addProperty("bytes", result.bytes());
+        row.addProperty("first_us", Math.round(result.firstUs()));
+        row.addProperty("decoded_us", Math.round(result.decodedUs()));
+        row.addProperty("taken_us", Math.round(result.takenUs()));
+        row.addProperty("change_us", Math.round(result.changeUs()));
+        row.addProperty("allocated_bytes", result.allocated());
         return row;
     }
 
     private Result measure(int workers, int rounds) {
         com.sun.management.ThreadMXBean threads = (com.sun.management.ThreadMXBean) ManagementFactory.getThreadMXBean();
-        long self = Thread.currentThread().getId();
-        double first = micros(() -> take(decode(whole)), 1);
-        micros(() -> take(decode(whole)), rounds);
-        double decoded = micros(() -> decode(whole), rounds);
+        long threadId = Thread.currentThread().getId();
+        double first = meanCpuMicros(() -> apply(decode(whole)), 1);
+        meanCpuMicros(() -> apply(decode(whole)), rounds);
+        double decoded = meanCpuMicros(() -> decode(whole), rounds);
         EndpointListJson list = decode(whole);
-        double taken = micros(() -> take(list), rounds);
-        double changed = micros(() -> take(decode(change)), rounds);
-        long allocated = threads.getThreadAllocatedBytes(self);
-        take(decode(whole));
-        allocated = threads.getThreadAllocatedBytes(self) - allocated;
+        double taken = meanCpuMicros(() -> apply(list), rounds);
+        double changed = meanCpuMicros(() -> apply(decode(change)), rounds);
+        long allocated = threads.getThreadAllocatedBytes(threadId);
+        apply(decode(whole));
+        allocated = threads.getThreadAllocatedBytes(threadId) - allocated;
         return new Result(workers, whole.length, first, decoded, taken, changed, allocated);
     }
 
-    /** How many workers the gatherer knows once the whole list and a change have been taken in. */
+    /** Returns how many workers the gatherer knows after it has applied the complete list and a change. */
     static int known(int workers) {
         NodeListCost cost = new NodeListCost(workers);
-        cost.take(cost.decode(cost.whole));
-        cost.take(cost.decode(cost.change));
+        cost.apply(cost.decode(cost.whole));
+        cost.apply(cost.decode(cost.change));
         return cost.known;
     }
 
-    private static double micros(Runnable task, int rounds) {
+    private static double meanCpuMicros(Runnable task, int rounds) {
         java.lang.management.ThreadMXBean threads = ManagementFactory.getThreadMXBean();
         long from = threads.getCurrentThreadCpuTime();
         for (int i = 0; i < rounds; i++) {
             task.run();
         }
-        return (threads.getCurrentThreadCpuTime() - from) * MICROS_A_NANO / rounds;
+        return (threads.getCurrentThreadCpuTime() - from) * MICROS_PER_NANO / rounds;
     }
 
     private EndpointListJson decode(byte[] body) {
-        return EndpointListJson.parse(new String(body, StandardCharsets.UTF_8), site);
+        return EndpointListJson.parse(new String(body, StandardCharsets.UTF_8), deploymentSettings);
     }
 
-    private void take(EndpointListJson list) {
+    private void apply(EndpointListJson list) {
         core.onEndpointList(list.whole() ? EndpointListKind.COMPLETE : EndpointListKind.CHANGES, list.hosts());
-        clock.advance(site.scheduler().tickS());
+        clock.advance(deploymentSettings.scheduler().tickS());
     }
 }
--- a/src/main/java/pepperdock/benchmark/Results.java
+++ b/src/main/java/pepperdock/benchmark/Results.java
@@ -9,7 +9,9 @@
 import java.util.Locale;
 import org.HdrHistogram.Histogram;
 
-/** What was measured, as JSON and as one page that holds all that it needs, the plot library included. */
+/**
+ * Collects the measurements, and writes them as JSON or as a self-contained HTML page that includes the plot library.
+ */
 public final class Results {
 
     private static final String PLOTS = "/META-INF/resources/webjars/echarts/5.3.1/dist/echarts.min.js";
@@ -22,16 +24,16 @@
         rows.add(row);
     }
 
-    /** Adds the line through these points; returns it in words. */
+    /** Fits a line through the points, adds it to the results and returns a description of it. */
     String fit(String name, List<LeastSquares.Point> points) {
         LeastSquares line = LeastSquares.fit(points);
         JsonObject fit = new JsonObject();
         fit.addProperty("name", name);
         JsonArray all = new JsonArray();
-        for (LeastSquares.Point p : points) {
+        for (LeastSquares.Point point : points) {
             JsonArray pair = new JsonArray();
-            pair.add(p.size());
-            pair.add(p.value());
+            pair.add(point.size());
+            pair.add(point.value());
             all.add(pair);
         }
         fit.add("points", all);
@@ -55,8 +57,8 @@
         row.addProperty("answered_whole", result.queries());
         row.addProperty("answered_otherwise", result.others());
         row.addProperty("attempts", result.attempts());
-        row.addProperty("us_per_part", rounded(result.processorUsAPart()));
-        row.addProperty("bytes_per_part", Math.round(result.bytesAPart()));
+        row.addProperty("us_per_part", rounded(result.cpuUsPerPart()));
+        row.addProperty("bytes_per_part", Math.round(result.bytesPerPart()));
         return row;
     }
 
@@ -64,30 +66,31 @@
         JsonObject row = new JsonObject();
         row.addProperty("workers", result.deployment().workers());
         row.addProperty("changes", result.changes());
-        row.addProperty("us_per_change", rounded(result.processorUsAChange()));
-        row.addProperty("bytes_per_change", Math.round(result.bytesAChange()));
+        row.addProperty("us_per_change", rounded(result.cpuUsPerChange()));
+        row.addProperty("bytes_per_change", Math.round(result.bytesPerChange()));
         return row;
     }
 
     static JsonObject row(SocketBench.Load load) {
-        LoadGenerator.Outcome ends = load.ends();
+        LoadGenerator.Outcome outcome = load.outcome();
         JsonObject gatherer = load.gatherer();
         JsonObject row = sizes(load.deployment(), load.fanOut());
         row.addProperty("queries_per_s", rounded(load.queriesPerSecond()));
         row.addProperty("seconds", rounded(load.seconds()));
-        row.addProperty("asked", ends.asked());
-        row.addProperty("whole", ends.whole());
-        row.addProperty("partial", ends.partial());
-        row.addProperty("refused", ends.refused());
-        row.addProperty("failed", ends.failed());
-        row.addProperty("unanswered", ends.unanswered());
-        row.addProperty("within_aim", ends.asked() == 0 ? 0 : rounded(ends.within() / (double) ends.asked()));
+        row.addProperty("asked", outcome.asked());
+        row.addProperty("whole", outcome.whole());
+        row.addProperty("partial", outcome.partial());
+        row.addProperty("refused", outcome.refused());
+        row.addProperty("failed", outcome.failed());
+        row.addProperty("unanswered", outcome.unanswered());
+        row.addProperty(
+                "within_aim", outcome.asked() == 0 ? 0 : rounded(outcome.withinAim() / (double) outcome.asked()));
         row.addProperty("parts_per_s", Math.round(load.parts() / load.seconds()));
-        row.addProperty("given_up", load.giveUps());
+        row.addProperty("given_up", load.cancelledParts());
         row.addProperty("connections", load.connections());
-        percentiles(row, "latency", ends.latencyUs());
+        percentiles(row, "latency", outcome.latencyUs());
         row.addProperty(
-                "generator_late_p99_ms", milliseconds(ends.generatorLateUs().getValueAtPercentile(99)));
+                "generator_late_p99_ms", milliseconds(outcome.generatorLateUs().getValueAtPercentile(99)));
         row.addProperty("workers_late_p99_ms", milliseconds(load.workersLateP99Us()));
         row.addProperty(
                 "loop_late_p50_ms",
@@ -106,9 +109,9 @@
                         - gatherer.get("loop_user_ns").getAsDouble()
                                 / Math.max(1, gatherer.get("loop_ns").getAsDouble())));
         row.addProperty("process_busy", rounded(gatherer.get("process_ns").getAsDouble() / 1e9 / load.seconds()));
-        row.addProperty("us_per_part", rounded(load.processorUsAPart()));
-        row.addProperty("us_per_query", rounded(load.processorUsAPart() * load.fanOut()));
-        row.addProperty("bytes_per_part", Math.round(load.bytesAPart()));
+        row.addProperty("us_per_part", rounded(load.cpuUsPerPart()));
+        row.addProperty("us_per_query", rounded(load.cpuUsPerPart() * load.fanOut()));
+        row.addProperty("bytes_per_part", Math.round(load.bytesPerPart()));
         row.addProperty("collections_ms", gatherer.get("collections_ms").getAsLong());
         row.addProperty("resident_mib", gatherer.get("resident_kib").getAsLong() / 1024);
         row.addProperty("workers_busy", rounded(load.workersBusy()));
@@ -119,20 +122,24 @@
         return row;
     }
 
-    private static JsonObject sizes(Deployment d, int fanOut) {
+    private static JsonObject sizes(Deployment deployment, int fanOut) {
         JsonObject row = new JsonObject();
-        row.addProperty("workers", d.workers());
+        row.addProperty("workers", deployment.workers());
         row.addProperty("fan_out", fanOut);
-        row.addProperty("holders", d.holders());
-        row.addProperty("tick_ms", d.tickS() * 1e3);
+        row.addProperty("holders", deployment.holders());
+        row.addProperty("tick_ms", deployment.tickS() * 1e3);
         return row;
     }
 
     private static void percentiles(JsonObject row, String name, Histogram us) {
-        for (double p : new double[] {50, 90, 99, 99.9}) {
+        for (double percentile : new double[] {50, 90, 99, 99.9}) {
             row.addProperty(
-                    name + "_p" + (p == Math.rint(p) ? String.valueOf((int) p) : String.valueOf(p)) + "_ms",
-                    us.getTotalCount() == 0 ? -1 : milliseconds(us.getValueAtPercentile(p)));
+                    name + "_p"
+                            + (percentile == Math.rint(percentile)
+                                    ? String.valueOf((int) percentile)
+                                    : String.valueOf(percentile))
+                            + "_ms",
+                    us.getTotalCount() == 0 ? -1 : milliseconds(us.getValueAtPercentile(percentile)));
         }
         row.addProperty(name + "_most_ms", milliseconds(us.getMaxValue()));
     }
@@ -145,7 +152,7 @@
         return Math.round(value * 1e3) / 1e3;
     }
 
-    /** All of it; {@code plan} says how it was had. */
+    /** Returns all results as JSON; {@code plan} describes how they were measured. */
     public JsonObject json(String plan) {
         JsonObject all = new JsonObject();
         all.addProperty("plan", plan);
@@ -156,7 +163,7 @@
         return all;
     }
 
-    /** All of it as one HTML page; {@code plan} as in {@link #json}. */
+    /** Returns all results as one HTML page; {@code plan} is as in {@link #json}. */
     public String html(String plan) throws IOException {
         return resource(PAGE)
                 .replace("/*PLOTS*/", resource(PLOTS))
@@ -166,7 +173,7 @@
     private static String resource(String name) throws IOException {
         try (InputStream in = Results.class.getResourceAsStream(name)) {
             if (in == null) {
-                throw new IOException("no " + name + " in the jar");
+                throw new IOException("resource " + name + " is missing in the jar");
             }
             return new String(in.readAllBytes(), StandardCharsets.UTF_8);
         }
--- a/src/main/java/pepperdock/benchmark/SocketBench.java
+++ b/src/main/java/pepperdock/benchmark/SocketBench.java
@@ -12,25 +12,25 @@
 import java.util.concurrent.Future;
 
 /**
- * A gatherer in a process of its own, emulated workers and a load generator in this one, all on loopback. One deployment is
- * kept for several loads, one after another, each warmed up before it is measured.
+ * Runs a gatherer in its own process, and emulated workers and a load generator in this process, all on loopback. The
+ * same deployment serves several loads one after another; each load is warmed up before it is measured.
  */
 final class SocketBench implements AutoCloseable {
 
-    /** Ids of queries must differ over the gatherer's whole life. */
+    /** Number of loads so far; part of the query ids, which must be unique over the gatherer's lifetime. */
     private int loads;
 
     /**
-     * A load that was measured.
+     * The measurements of a load.
      *
-     * @param seconds measured
-     * @param parts that came to workers in that time
-     * @param gatherer what the gatherer's process used in that time: differences of {@link Observed}'s figures, and the
-     *     lateness of its loop within it
-     * @param workersBusy share of a core that the emulation's thread used
-     * @param workersLateP99Us by how much the emulation answered late
-     * @param loadAverage of the machine at the end, over one minute
-     * @param profile null unless asked for
+     * @param seconds measured time
+     * @param parts number of parts that workers received in that time
+     * @param gatherer resources that the gatherer's process used in that time: differences of the counters of
+     *     {@link InstrumentedMain}, and the lateness of its event loop
+     * @param workersBusy share of a core that the thread of the emulated workers used
+     * @param workersLateP99Us 99th percentile of the lateness of the emulated workers' answers
+     * @param loadAverage load average of the machine over one minute, at the end
+     * @param profile the profile, or null if none was requested
      */
     record Load(
             Deployment deployment,
@@ -38,20 +38,20 @@
             double queriesPerSecond,
             double seconds,
             long parts,
-            long giveUps,
+            long cancelledParts,
             long connections,
-            LoadGenerator.Outcome ends,
+            LoadGenerator.Outcome outcome,
             JsonObject gatherer,
             double workersBusy,
             long workersLateP99Us,
             double loadAverage,
             JsonObject profile) {
 
-        double processorUsAPart() {
+        double cpuUsPerPart() {
             return gatherer.get("loop_ns").getAsDouble() / 1e3 / parts;
         }
 
-        double bytesAPart() {
+        double bytesPerPart() {
             return gatherer.get("loop_bytes").getAsDouble() / parts;
         }
 
@@ -60,7 +60,7 @@
         }
     }
 
-    /** Differences of these are told, of the others the later value. */
+    /** Figures reported as differences; of all others the later value is reported. */
     private static final List<String> COUNTERS = List.of(
             "at_ns", "process_ns", "loop_ns", "loop_user_ns", "loop_delayed_ns", "loop_bytes", "collections_ms");
 
@@ -69,17 +69,17 @@
     private final EmulatedWorkers workers;
     private final GathererProcess gatherer;
     private final ExecutorService generator = Executors.newSingleThreadExecutor(task -> {
-        Thread t = new Thread(task, "load generator");
-        t.setDaemon(true);
-        return t;
+        Thread thread = new Thread(task, "load generator");
+        thread.setDaemon(true);
+        return thread;
     });
 
-    SocketBench(Deployment deployment, Behaviour behaviour, Path folder, List<String> flags, long seed)
+    SocketBench(Deployment deployment, ServiceTimeModel serviceTimes, Path folder, List<String> flags, long seed)
             throws IOException {
         this.deployment = deployment;
         this.seed = seed;
         Files.createDirectories(folder);
-        workers = EmulatedWorkers.open(deployment.workers(), behaviour, id -> {});
+        workers = EmulatedWorkers.open(deployment.workers(), serviceTimes, id -> {});
         try {
             gatherer = new GathererProcess(deployment, workers.block(), folder, flags);
         } catch (IOException e) {
@@ -88,8 +88,8 @@
         }
     }
 
-    /** Plays a load: so long unmeasured, then so long measured. */
-    Load play(int fanOut, double queriesPerSecond, double warmS, double measureS, boolean profiled)
+    /** Runs a load for {@code warmS} seconds unmeasured, then for {@code measureS} seconds measured. */
+    Load runLoad(int fanOut, double queriesPerSecond, double warmS, double measureS, boolean profiled)
             throws IOException, InterruptedException {
         String prefix = "q" + loads++ + '-';
         try (LoadGenerator load =
@@ -97,30 +97,30 @@
             long beginNanos = System.nanoTime();
             long measureNanos = beginNanos + (long) (warmS * 1e9);
             long endNanos = measureNanos + (long) (measureS * 1e9);
-            Future<LoadGenerator.Outcome> ends =
+            Future<LoadGenerator.Outcome> pendingOutcome =
                     generator.submit(() -> load.run(queriesPerSecond, beginNanos, measureNanos, endNanos));
             sleepUntil(measureNanos);
             if (profiled) {
-                gatherer.ask("profile on");
+                gatherer.sendCommand("profile on");
             }
             workers.lateness();
-            JsonObject before = gatherer.ask("figures");
+            JsonObject before = gatherer.sendCommand("figures");
             long partsBefore = workers.parts();
-            long giveUpsBefore = workers.giveUps();
+            long cancelledPartsBefore = workers.cancelledParts();
             long busyBefore = ManagementFactory.getThreadMXBean().getThreadCpuTime(workers.threadId());
             long startNanos = System.nanoTime();
             sleepUntil(endNanos);
-            JsonObject after = gatherer.ask("figures");
+            JsonObject after = gatherer.sendCommand("figures");
             long parts = workers.parts() - partsBefore;
-            long giveUps = workers.giveUps() - giveUpsBefore;
+            long cancelledParts = workers.cancelledParts() - cancelledPartsBefore;
             double seconds = (System.nanoTime() - startNanos) / 1e9;
             long busy = ManagementFactory.getThreadMXBean().getThreadCpuTime(workers.threadId()) - busyBefore;
             long lateUs = workers.lateness().getValueAtPercentile(99);
             long connections = workers.connections();
-            JsonObject profile = profiled ? gatherer.ask("profile off") : null;
-            LoadGenerator.Outcome outcome = ends.get();
+            JsonObject profile = profiled ? gatherer.sendCommand("profile off") : null;
+            LoadGenerator.Outcome outcome = pendingOutcome.get();
             if (workers.failure() != null) {
-                throw new IOException("emulated workers", workers.failure());
+                throw new IOException("the thread of the emulated workers failed", workers.failure());
             }
             return new Load(
                     deployment,
@@ -128,27 +128,27 @@
                     queriesPerSecond,
                     seconds,
                     parts,
-                    giveUps,
+                    cancelledParts,
                     connections,
                     outcome,
-                    differences(before, after),
+                    withDifferences(before, after),
                     busy / 1e9 / seconds,
                     lateUs,
                     ManagementFactory.getOperatingSystemMXBean().getSystemLoadAverage(),
                     profile);
         } catch (ExecutionException e) {
-            throw new IOException("load generator", e.getCause());
+            throw new IOException("the load generator failed", e.getCause());
         }
     }
 
-    /** The process's figures after a full collection, and how many connections it has to workers. */
+    /** Returns the process's figures after a full garbage collection, and its number of connections to workers. */
     JsonObject memory() throws IOException {
-        JsonObject figures = gatherer.ask("collect");
+        JsonObject figures = gatherer.sendCommand("collect");
         figures.addProperty("connections", workers.connections());
         return figures;
     }
 
-    private static JsonObject differences(JsonObject before, JsonObject after) {
+    private static JsonObject withDifferences(JsonObject before, JsonObject after) {
         JsonObject all = after.deepCopy();
         for (String name : COUNTERS) {
             all.addProperty(name, after.get(name).getAsLong() - before.get(name).getAsLong());
@@ -157,9 +157,9 @@
     }
 
     private static void sleepUntil(long nanos) throws InterruptedException {
-        long left = nanos - System.nanoTime();
-        if (left > 0) {
-            Thread.sleep(left / 1_000_000, (int) (left % 1_000_000));
+        long remainingNanos = nanos - System.nanoTime();
+        if (remainingNanos > 0) {
+            Thread.sleep(remainingNanos / 1_000_000, (int) (remainingNanos % 1_000_000));
         }
     }
 
--- a/src/test/java/pepperdock/benchmark/DataPathTest.java
+++ b/src/test/java/pepperdock/benchmark/DataPathTest.java
@@ -36,8 +36,8 @@
 import pepperdock.transport.HttpServer;
 
 /**
- * The measuring ground's short form: what it counts is right, on the classes that serve, in this process. Judges states and
- * counts; the aim and the deadline are far beyond what any machine takes, so that none of it hangs on time.
+ * Checks that the benchmark counts correctly, in a short run of the production classes in this process. It checks
+ * states and counts; the aim and the deadline are far longer than any machine takes, so that no result depends on time.
  */
 class DataPathTest {
 
@@ -46,43 +46,49 @@
     private static final double LOAD_S = 0.2;
     private static final byte[] VALUE = "value".getBytes(StandardCharsets.UTF_8);
 
-    /** What is put between the core and the workers' connections. */
+    /** Wraps the backend between the core and the workers' connections to inject a fault. */
     private interface BackendFault extends BiFunction<Backend, Gatherer[], Backend> {}
 
     private static Backend noBackendFault(Backend pool, Gatherer[] core) {
         return pool;
     }
 
-    /** Plays a load through a gatherer on loopback, with a fault on each side; returns what is found. */
-    private static Tally play(int fanOut, BackendFault behind, UnaryOperator<HttpRequestHandler> before)
-            throws Exception {
-        Tally tally = new Tally();
-        try (EmulatedWorkers workers = EmulatedWorkers.open(PATIENT.workers(), Behaviour.even(1), tally::received);
+    /** Runs a load through a gatherer on loopback, with a fault injected on each side; returns the counts. */
+    private static DeliveryChecker runLoad(
+            int fanOut, BackendFault backendFault, UnaryOperator<HttpRequestHandler> frontFault) throws Exception {
+        DeliveryChecker deliveryChecker = new DeliveryChecker();
+        try (EmulatedWorkers workers =
+                        EmulatedWorkers.open(PATIENT.workers(), ServiceTimeModel.even(1), deliveryChecker::recordPart);
                 EventLoop loop = new EventLoop(1000, 1 << 18)) {
-            LoadGenerator.Outcome ends;
-            try (LoadGenerator load =
-                    new LoadGenerator(serve(loop, workers.block(), behind, before), PATIENT, fanOut, "q", tally, 1)) {
+            LoadGenerator.Outcome outcome;
+            try (LoadGenerator load = new LoadGenerator(
+                    serve(loop, workers.block(), backendFault, frontFault), PATIENT, fanOut, "q", deliveryChecker, 1)) {
                 long now = System.nanoTime();
-                ends = load.run(QUERIES_PER_SECOND, now, now, now + (long) (LOAD_S * 1e9));
+                outcome = load.run(QUERIES_PER_SECOND, now, now, now + (long) (LOAD_S * 1e9));
             }
             assertNull(workers.failure());
-            assertEquals(ends.asked(), tally.queries());
-            assertTrue(ends.asked() > 20, "the load is too small to tell anything: " + ends.asked());
+            assertEquals(outcome.asked(), deliveryChecker.queries());
+            assertTrue(
+                    outcome.asked() > 20, "the load is too small, expected more than 20 queries: " + outcome.asked());
         }
-        return tally;
+        return deliveryChecker;
     }
 
     private static InetSocketAddress serve(
-            EventLoop loop, int block, BackendFault behind, UnaryOperator<HttpRequestHandler> before) throws Exception {
+            EventLoop loop, int block, BackendFault backendFault, UnaryOperator<HttpRequestHandler> frontFault)
+            throws Exception {
         List<WorkerEndpoint> hosts = PATIENT.hosts(block);
-        FrameBackend pool = new FrameBackend(loop, PATIENT.site());
+        FrameBackend pool = new FrameBackend(loop, PATIENT.deploymentSettings());
         Gatherer[] core = new Gatherer[1];
         StaticEndpointList list = new StaticEndpointList(loop, hosts);
-        core[0] = new Gatherer(PATIENT.site().scheduler(), 1, loop, behind.apply(pool, core), list);
+        core[0] = new Gatherer(PATIENT.deploymentSettings().scheduler(), 1, loop, backendFault.apply(pool, core), list);
         pool.start(core[0]);
         list.start(core[0]);
         HttpServer server = PlatformFixtures.listen(
-                loop, 1 << 16, 500, before.apply(new PlatformFront(PATIENT.site(), core[0], () -> true)));
+                loop,
+                1 << 16,
+                500,
+                frontFault.apply(new PlatformFront(PATIENT.deploymentSettings(), core[0], () -> true)));
         CompletableFuture<Void> listed = new CompletableFuture<>();
         loop.execute(() -> {
             core[0].onEndpointList(EndpointListKind.CACHED, hosts);
@@ -93,17 +99,18 @@
     }
 
     @Test
-    void eachQueryHasOneWholeAnswerAndEachPartGoesToOneWorkerOnce() throws Exception {
+    void eachQueryHasOneCompleteAnswerAndEachPartReachesOneWorkerOnce() throws Exception {
         for (int fanOut : List.of(1, 10, PATIENT.workers())) {
             assertEquals(
                     List.of(),
-                    play(fanOut, DataPathTest::noBackendFault, front -> front).findings());
+                    runLoad(fanOut, DataPathTest::noBackendFault, front -> front)
+                            .findings());
         }
     }
 
     @Test
-    void aCallThatIsWrittenTwiceIsFound() throws Exception {
-        List<String> found = play(
+    void reportsCallThatIsSentTwice() throws Exception {
+        List<String> found = runLoad(
                         10,
                         (pool, core) -> new ForwardingBackend(pool) {
                             private boolean done;
@@ -119,12 +126,12 @@
                         },
                         front -> front)
                 .findings();
-        assertTrue(found.stream().anyMatch(f -> f.endsWith("came 2 times")), found.toString());
+        assertTrue(found.stream().anyMatch(f -> f.endsWith("reached workers 2 times")), found.toString());
     }
 
     @Test
-    void aPartThatIsAnsweredForWithoutAWorkerIsFound() throws Exception {
-        List<String> found = play(
+    void reportsPartAnsweredWithoutWorker() throws Exception {
+        List<String> found = runLoad(
                         10,
                         (pool, core) -> new ForwardingBackend(pool) {
                             private boolean done;
@@ -144,80 +151,87 @@
                         front -> front)
                 .findings();
         assertEquals(1, found.size(), found.toString());
-        assertTrue(found.get(0).endsWith("asked for 10 parts, workers had 9"), found.toString());
+        assertTrue(found.get(0).endsWith("asked for 10 parts, workers received 9"), found.toString());
     }
 
     @Test
-    void anAnswerThatIsGivenBeforeItsPartsAreInIsFound() throws Exception {
-        List<String> found = play(10, DataPathTest::noBackendFault, Hasty::new).findings();
+    void reportsAnswerGivenBeforeItsParts() throws Exception {
+        List<String> found = runLoad(10, DataPathTest::noBackendFault, EarlyAnsweringHandler::new)
+                .findings();
         assertEquals(1, found.size(), found.toString());
-        assertTrue(found.get(0).endsWith("asked for 10 parts, its answer holds 0"), found.toString());
+        assertTrue(found.get(0).endsWith("asked for 10 parts, its answer contains 0"), found.toString());
     }
 
     @Test
-    void aQueryWithoutAnAnswerOrWithTwoIsFound() {
-        Tally tally = new Tally();
+    void reportsQueryWithoutAnswerOrWithTwo() {
+        DeliveryChecker deliveryChecker = new DeliveryChecker();
         for (String query : List.of("a", "b", "c")) {
-            tally.asked(query, 1);
-            tally.received(query + ".0");
+            deliveryChecker.recordQuery(query, 1);
+            deliveryChecker.recordPart(query + ".0");
         }
-        tally.answered("b", 1);
-        tally.answered("c", 1);
+        deliveryChecker.recordAnswer("b", 1);
+        deliveryChecker.recordAnswer("c", 1);
         assertEquals(
-                List.of("query a had 0 final answers", "query a asked for 1 parts, its answer holds 0"),
-                tally.findings());
-        tally.answered("a", 1);
-        assertEquals(List.of(), tally.findings());
-        tally.answered("a", 0);
-        assertEquals(List.of("query a had 2 final answers"), tally.findings());
+                List.of("query a had 0 final answers", "query a asked for 1 parts, its answer contains 0"),
+                deliveryChecker.findings());
+        deliveryChecker.recordAnswer("a", 1);
+        assertEquals(List.of(), deliveryChecker.findings());
+        deliveryChecker.recordAnswer("a", 0);
+        assertEquals(List.of("query a had 2 final answers"), deliveryChecker.findings());
     }
 
     @Test
-    void decisionsAloneSendEachPartOnceAndAnswerEachQueryWhole() {
+    void decisionCostSendsEachPartOnceAndAnswersEachQueryCompletely() {
         for (int workers : List.of(10, 100)) {
             for (int fanOut : List.of(1, 10)) {
-                DecisionCost.Result r = DecisionCost.measure(
-                        Deployment.ofTarget(workers, 3, 0.001, false), fanOut, 1000, Behaviour.even(1), 500, 1000, 1);
-                assertEquals(1000, r.attempts());
-                assertEquals(0, r.others());
-                // Those in hand at the beginning and the end of the measured stretch are as many, or nearly.
-                assertTrue(Math.abs(r.queries() - 1000 / fanOut) <= 20, "answered " + r.queries());
+                DecisionCost.Result result = DecisionCost.measure(
+                        Deployment.ofTarget(workers, 3, 0.001, false),
+                        fanOut,
+                        1000,
+                        ServiceTimeModel.even(1),
+                        500,
+                        1000,
+                        1);
+                assertEquals(1000, result.attempts());
+                assertEquals(0, result.others());
+                // About as many queries are outstanding at the beginning of the measured period as at its end.
+                assertTrue(Math.abs(result.queries() - 1000 / fanOut) <= 20, "answered " + result.queries());
             }
         }
     }
 
     /**
-     * The module judged every searcher for each query: at 3,700 workers a part of a small query took 5 times the bytes. So
-     * many parts come at a time that what a batch costs, whatever comes in it, does not show.
+     * Guards against the module evaluating every worker for each query: at 3,700 workers a part of a small query then
+     * took 5 times the bytes. The rate is so high that the fixed cost of a batch does not matter.
      */
     @Test
-    void whatASmallQueryAllocatesDoesNotGrowWithTheWorkers() {
-        double few = bytesAPart(100, 3, 1e6);
-        double many = bytesAPart(3700, 3, 1e6);
-        assertTrue(many < 2 * few, "bytes a part: " + few + " at 100 workers, " + many + " at 3,700");
+    void allocationOfSmallQueryDoesNotGrowWithWorkers() {
+        double few = bytesPerPart(100, 3, 1e6);
+        double many = bytesPerPart(3700, 3, 1e6);
+        assertTrue(many < 2 * few, "bytes per part: " + few + " at 100 workers, " + many + " at 3,700");
     }
 
-    /** Each holder's calls were counted by a stream, also where it had none: 1,900 bytes for each further holder. */
+    /** Guards against counting each holder's calls by a stream, even without calls: 1,900 bytes per further holder. */
     @Test
-    void whatAPartAllocatesForEachHolderIsLittle() {
-        double aHolder = (bytesAPart(100, 33, 1e4) - bytesAPart(100, 3, 1e4)) / 30;
-        assertTrue(aHolder < 1000, "bytes a part for each holder: " + aHolder);
+    void allocationPerHolderIsSmall() {
+        double bytesPerHolder = (bytesPerPart(100, 33, 1e4) - bytesPerPart(100, 3, 1e4)) / 30;
+        assertTrue(bytesPerHolder < 1000, "bytes per part for each holder: " + bytesPerHolder);
     }
 
-    private static double bytesAPart(int workers, int holders, double partsPerSecond) {
+    private static double bytesPerPart(int workers, int holders, double partsPerSecond) {
         return DecisionCost.measure(
                         Deployment.ofTarget(workers, holders, 0.001, false),
                         10,
                         partsPerSecond,
-                        Behaviour.even(1),
+                        ServiceTimeModel.even(1),
                         2000,
                         5000,
                         1)
-                .bytesAPart();
+                .bytesPerPart();
     }
 
     @Test
-    void aLineIsFittedThroughItsPoints() {
+    void leastSquaresFitsLineThroughPoints() {
         LeastSquares line = LeastSquares.fit(
                 List.of(new LeastSquares.Point(1, 5), new LeastSquares.Point(2, 7), new LeastSquares.Point(4, 11)));
         assertEquals(3, line.intercept(), 1e-9);
@@ -230,39 +244,41 @@
     }
 
     @Test
-    void latenciesAreDrawnFromTheSeedAndThePartAlone() {
-        Behaviour behaviour = Behaviour.stragglers(7);
-        assertEquals(behaviour.takesS("q1.5", 3), Behaviour.stragglers(7).takesS("q1.5", 3));
+    void serviceTimesDependOnlyOnSeedAndPart() {
+        ServiceTimeModel serviceTimes = ServiceTimeModel.stragglers(7);
+        assertEquals(
+                serviceTimes.serviceTimeS("q1.5", 3),
+                ServiceTimeModel.stragglers(7).serviceTimeS("q1.5", 3));
         int late = 0;
         for (int i = 0; i < 200_000; i++) {
-            double takes = behaviour.takesS("q" + i / 100 + '.' + i % 100, i % 100);
+            double takes = serviceTimes.serviceTimeS("q" + i / 100 + '.' + i % 100, i % 100);
             assertTrue(takes >= 0.004 && takes < 0.077, "takes " + takes);
             late += takes > 0.06 ? 1 : 0;
         }
         assertTrue(late > 5 && late < 60, late + " of 200,000 parts are stragglers");
     }
 
-    /** Of queries with one part whose sending costs nothing it is the queue M/D/1, whose mean wait is known. */
+    /** With one part per query and no cost of sending, the model is an M/D/1 queue, whose mean wait is known. */
     @Test
-    void theModelOfTheLoopWaitsAsTheKnownQueueDoes() {
+    void eventLoopModelMatchesMeanWaitOfMd1Queue() {
         double serviceS = 0.01;
         double busy = 0.6;
-        LoopModel model = new LoopModel(1, 0, serviceS, new Behaviour(0, 0, 0, 0, 1));
+        EventLoopModel model = new EventLoopModel(1, 0, serviceS, new ServiceTimeModel(0, 0, 0, 0, 1));
         double meanS = model.latencies(busy / serviceS, 100_000, 3).getMean() / 1e6;
         assertEquals(serviceS + busy * serviceS / (2 * (1 - busy)), meanS, 0.0004);
     }
 
     @Test
-    void theModelFindsTheHighestRateWithinALimit() {
-        LoopModel model = new LoopModel(10, 0.0005, 0.0005, Behaviour.even(1));
+    void eventLoopModelFindsHighestRateWithinLimit() {
+        EventLoopModel model = new EventLoopModel(10, 0.0005, 0.0005, ServiceTimeModel.even(1));
         double highest = model.highestRate(0.05, 5000, 3);
         assertTrue(model.latencies(highest, 5000, 3).getValueAtPercentile(99) <= 50_000);
         assertTrue(model.latencies(highest * 1.1, 5000, 3).getValueAtPercentile(99) > 50_000);
-        assertEquals(0, new LoopModel(10, 0.01, 0, Behaviour.even(1)).highestRate(0.05, 100, 3), 1e-9);
+        assertEquals(0, new EventLoopModel(10, 0.01, 0, ServiceTimeModel.even(1)).highestRate(0.05, 100, 3), 1e-9);
     }
 
     @Test
-    void usageIsHeldTo(@TempDir Path folder) {
+    void rejectsIncompleteOrInvalidArguments(@TempDir Path folder) {
         assertEquals(2, run("lab", "scale"));
         assertEquals(2, run("lab", "scale", "data"));
         assertEquals(2, run("lab", "scale", "data", "DECISIONS"));
@@ -273,12 +289,12 @@
         return Cli.run(args, new PrintWriter(new StringWriter()), new PrintWriter(new StringWriter()));
     }
 
-    /** Answers the first query before its parts are in, and drops the answer that comes. */
-    private static final class Hasty implements HttpRequestHandler {
+    /** Answers the first query before its parts are answered, and drops the real answer. */
+    private static final class EarlyAnsweringHandler implements HttpRequestHandler {
         private final HttpRequestHandler front;
         private boolean done;
 
-        private Hasty(HttpRequestHandler front) {
+        private EarlyAnsweringHandler(HttpRequestHandler front) {
             this.front = front;
         }
 
--- a/src/test/java/pepperdock/benchmark/NodeListCostTest.java
+++ b/src/test/java/pepperdock/benchmark/NodeListCostTest.java
@@ -10,16 +10,16 @@
 class NodeListCostTest {
 
     @Test
-    void aWholeListAndAChangeLeaveAllWorkersKnown() {
+    void allWorkersAreKnownAfterCompleteListAndChange() {
         assertEquals(100, NodeListCost.known(100));
     }
 
     @Test
-    void eachLengthGivesARowAndAllTogetherALine() {
-        List<String> told = new ArrayList<>();
-        NodeListCost.run(List.of(10, 20), 2, told::add);
-        assertEquals(3, told.size());
-        assertTrue(told.get(0).startsWith("{\"workers\":10,"), told.get(0));
-        assertTrue(told.get(2).startsWith("us a whole list by workers: "), told.get(2));
+    void reportsOneRowPerLengthAndOneFittedLine() {
+        List<String> progress = new ArrayList<>();
+        NodeListCost.run(List.of(10, 20), 2, progress::add);
+        assertEquals(3, progress.size());
+        assertTrue(progress.get(0).startsWith("{\"workers\":10,"), progress.get(0));
+        assertTrue(progress.get(2).startsWith("us a whole list by workers: "), progress.get(2));
     }
 }
--- a/tools/ListCalls.java
+++ b/tools/ListCalls.java
@@ -19,11 +19,13 @@
 import pepperdock.core.ManualClock;
 
 /**
- * Reckons the calls that a fleet makes of discovery while it is down and after its return, on a clock moved by hand: whole
- * cores and modules, with a stand-in for the watch and for discovery, which serves calls in turn and fails with 503 what
- * waited over two seconds. While it is down, calls are refused at once or hang (then they are reset at its return).
+ * Simulates the calls that a fleet of gatherers makes to discovery during an outage and after recovery, on a manual
+ * clock. It uses real cores and modules, with fakes for the watch and for discovery. The fake discovery serves calls in
+ * order and fails with 503 those that waited over two seconds. During the outage, calls are refused at once or hang
+ * until they are reset at recovery.
  *
- * <p>{@code java -cp target/pepperdock.jar tools/ListCalls.java GATHERERS CALLS_PER_S OUTAGE_S ROUNDS}; needs the built jar.
+ * <p>{@code java -cp target/pepperdock.jar tools/ListCalls.java GATHERERS CALLS_PER_S OUTAGE_S ROUNDS}; needs the built
+ * jar.
  */
 public final class ListCalls {
 
@@ -31,48 +33,48 @@
     private static final double QUIET_S = 12;
     private static final double AFTER_S = 20;
     private static final double WAIT_S = 8;
-    private static final double PATIENCE_S = 3;
-    private static final double QUEUE_MOST_S = 2;
-    private static final double WAY_S = 0.001;
+    private static final double CALL_TIMEOUT_S = 3;
+    private static final double MAX_QUEUE_S = 2;
+    private static final double NETWORK_DELAY_S = 0.001;
 
-    /** What becomes of calls while discovery is down. */
-    private enum Down { REFUSED, HANG }
+    /** How calls fail while discovery is down. */
+    private enum OutageMode { REFUSED, HANG }
 
-    /** Discovery: one queue for all. */
+    /** The fake discovery, with one queue for all calls. */
     private static final class Service {
         private final ManualClock clock = new ManualClock(BEGIN);
-        private final double perS;
-        private final Down how;
+        private final double callsPerS;
+        private final OutageMode outageMode;
         private final List<Double> calls = new ArrayList<>();
         private final List<Watch> watches = new ArrayList<>();
         private double freeAt;
         private boolean down;
         private int failures;
 
-        Service(double perS, Down how) {
-            this.perS = perS;
-            this.how = how;
+        Service(double callsPerS, OutageMode outageMode) {
+            this.callsPerS = callsPerS;
+            this.outageMode = outageMode;
         }
 
-        void take(Watch from, int no) {
+        void take(Watch from, int callNumber) {
             double now = clock.now();
             calls.add(now);
             if (down) {
-                if (how == Down.REFUSED) {
-                    clock.after(WAY_S, () -> from.failed(no));
+                if (outageMode == OutageMode.REFUSED) {
+                    clock.after(NETWORK_DELAY_S, () -> from.failed(callNumber));
                 }
                 return;
             }
-            double turn = Math.max(now, freeAt);
-            if (turn - now > QUEUE_MOST_S) {
+            double serveAt = Math.max(now, freeAt);
+            if (serveAt - now > MAX_QUEUE_S) {
                 failures++;
-                clock.after(QUEUE_MOST_S, () -> from.failed(no));
+                clock.after(MAX_QUEUE_S, () -> from.failed(callNumber));
                 return;
             }
-            freeAt = turn + 1 / perS;
-            clock.after(freeAt - now + WAY_S, () -> {
+            freeAt = serveAt + 1 / callsPerS;
+            clock.after(freeAt - now + NETWORK_DELAY_S, () -> {
                 if (!down) {
-                    from.served(no);
+                    from.served(callNumber);
                 }
             });
         }
@@ -87,14 +89,14 @@
             freeAt = clock.now();
             watches.forEach(w -> {
                 w.since = Double.NaN;
-                if (how == Down.HANG && w.busy) {
+                if (outageMode == OutageMode.HANG && w.busy) {
                     w.failed(w.call);
                 }
             });
         }
     }
 
-    /** One gatherer's watch: a call, another after 3 s of silence, and 8 s of waiting for news once it is served. */
+    /** One gatherer's watch: repeats an unanswered call after 3 s, and once it was served waits 8 s for changes. */
     private static final class Watch implements Backend {
         private final Service service;
         private final Gatherer core;
@@ -117,19 +119,19 @@
 
         private void ask() {
             busy = true;
-            int no = ++call;
-            service.take(this, no);
+            int callNumber = ++call;
+            service.take(this, callNumber);
             if (!standing) {
-                service.clock.after(PATIENCE_S, () -> {
-                    if (busy && no == call) {
+                service.clock.after(CALL_TIMEOUT_S, () -> {
+                    if (busy && callNumber == call) {
                         ask();
                     }
                 });
             }
         }
 
-        private void served(int no) {
-            if (no == call) {
+        private void served(int callNumber) {
+            if (callNumber == call) {
                 if (!standing) {
                     standing = true;
                     since = Double.isNaN(since) ? service.clock.now() : since;
@@ -137,7 +139,7 @@
                     ask();
                 } else {
                     service.clock.after(WAIT_S, () -> {
-                        if (standing && no == call) {
+                        if (standing && callNumber == call) {
                             ask();
                         }
                     });
@@ -145,8 +147,8 @@
             }
         }
 
-        private void failed(int no) {
-            if (busy && no == call) {
+        private void failed(int callNumber) {
+            if (busy && callNumber == call) {
                 call++;
                 busy = false;
                 standing = false;
@@ -170,11 +172,12 @@
         public void updateEndpoints(Map<String, WorkerEndpoint> hosts) { }
     }
 
-    private record Round(double perS, double most1, double most01, double after1, double after10, double worst, int failures) { }
+    private record Round(double callsPerS, double most1, double most01, double after1, double after10,
+            double worst, int failures) { }
 
     public static void main(String[] args) throws IOException {
         int gatherers = Integer.parseInt(args[0]);
-        double perS = Double.parseDouble(args[1]);
+        double callsPerS = Double.parseDouble(args[1]);
         double outageS = Double.parseDouble(args[2]);
         int rounds = Integer.parseInt(args[3]);
         ConfigReader whole;
@@ -182,15 +185,15 @@
             whole = ConfigReader.of("", Config.parse(new String(in.readAllBytes(), StandardCharsets.UTF_8), "rehearsal"));
         }
         DeploymentSettings site = DeploymentSettingsReader.read(whole.needed("settings"));
-        for (Down how : Down.values()) {
+        for (OutageMode outageMode : OutageMode.values()) {
             List<Round> all = new ArrayList<>();
             for (int i = 0; i < rounds; i++) {
-                all.add(round(site, gatherers, perS, outageS + i * 0.137, how, i));
+                all.add(round(site, gatherers, callsPerS, outageS + i * 0.137, outageMode, i));
             }
             System.out.printf(Locale.ROOT, "%d gatherers, %.0f calls/s served, down for %.1f to %.1f s, calls %s, %d rounds%n",
-                    gatherers, perS, outageS, outageS + (rounds - 1) * 0.137, how, rounds);
+                    gatherers, callsPerS, outageS, outageS + (rounds - 1) * 0.137, outageMode, rounds);
             System.out.printf(Locale.ROOT, "  down: mean calls/s %.1f, most in 1 s %.0f, most in 0.1 s %.0f%n",
-                    all.stream().mapToDouble(Round::perS).average().orElseThrow(),
+                    all.stream().mapToDouble(Round::callsPerS).average().orElseThrow(),
                     all.stream().mapToDouble(Round::most1).max().orElseThrow(),
                     all.stream().mapToDouble(Round::most01).max().orElseThrow());
             System.out.printf(Locale.ROOT, "  back: most in 1 s %.0f, in the first 10 s %.0f, failed %d; last list after %.2f s at worst, mean %.2f s%n",
@@ -202,8 +205,9 @@
         }
     }
 
-    private static Round round(DeploymentSettings site, int gatherers, double perS, double outageS, Down how, int seed) {
-        Service service = new Service(perS, how);
+    private static Round round(DeploymentSettings site, int gatherers, double callsPerS, double outageS,
+            OutageMode outageMode, int seed) {
+        Service service = new Service(callsPerS, outageMode);
         for (int g = 0; g < gatherers; g++) {
             service.watches.add(new Watch(service, site, seed * 1000 + g));
         }
--- a/tools/PlanBench.java
+++ b/tools/PlanBench.java
@@ -7,8 +7,9 @@
 import pepperdock.plan.Problem;
 
 /**
- * Times the planner on rings: nodes of 0.7 to 1.1 times the common speed, each range held by two nodes in a row, work skewed.
- * {@code java -cp target/pepperdock.jar tools/PlanBench.java ROUNDS NODES:RANGES[:LOAD] ...}; needs the built jar.
+ * Times the planner on rings: nodes have 0.7 to 1.1 times the common speed, two adjacent nodes hold each range, work is
+ * skewed. {@code java -cp target/pepperdock.jar tools/PlanBench.java ROUNDS NODES:RANGES[:LOAD] ...}; needs the built
+ * jar.
  */
 public final class PlanBench {
 
@@ -23,21 +24,21 @@
             int nodes = Integer.parseInt(size[0]);
             int ranges = Integer.parseInt(size[1]);
             double load = size.length > 2 ? Double.parseDouble(size[2]) : 0.6;
-            double[] took = new double[rounds];
+            double[] elapsedMs = new double[rounds];
             Plan plan = null;
             for (int i = -1; i < rounds; i++) {
                 Problem p = ring(nodes, ranges, load, 1000 + i);
                 long from = System.nanoTime();
                 plan = Planner.plan(p);
                 if (i >= 0) {
-                    took[i] = (System.nanoTime() - from) / 1e6;
+                    elapsedMs[i] = (System.nanoTime() - from) / 1e6;
                 }
             }
             System.gc();
             Runtime r = Runtime.getRuntime();
-            java.util.Arrays.sort(took);
-            System.out.printf(Locale.ROOT, "%8d %8d %6.2f %10.1f %10.1f %10.1f %10s%n", nodes, ranges, load, took[rounds / 2],
-                    took[rounds - 1], (r.totalMemory() - r.freeMemory()) / 1e6,
+            java.util.Arrays.sort(elapsedMs);
+            System.out.printf(Locale.ROOT, "%8d %8d %6.2f %10.1f %10.1f %10.1f %10s%n", nodes, ranges, load,
+                    elapsedMs[rounds / 2], elapsedMs[rounds - 1], (r.totalMemory() - r.freeMemory()) / 1e6,
                     plan.solved() ? String.format(Locale.ROOT, "%.3f", plan.greatest().value())
                             : "none (" + plan.conflict().work().size() + ")");
         }
--- a/tools/ReadyBench.java
+++ b/tools/ReadyBench.java
@@ -13,9 +13,10 @@
 import java.util.Map;
 
 /**
- * Measures the time from a process's start until {@code /-/ready} answers 200, against what discovery does: answers, answers
- * after 1.5 s, refuses, is silent; the list asked for with and without one in the file, and lists that come unasked. One
- * start at a time, the cases in turn; the machine's load average is printed with them.
+ * Measures the time from the start of a process until {@code /-/ready} answers 200. Discovery answers at once, answers
+ * after 1.5 s, refuses connections, or stays silent. The list is requested, with or without a known list in the
+ * configuration file, or comes unrequested. Processes start one at a time, and the cases take turns; the machine's load
+ * average is printed too.
  *
  * <p>{@code java tools/ReadyBench.java ROUNDS COMMAND}, the command one argument, run by {@code sh -c exec}.
  */
@@ -35,20 +36,20 @@
     public static void main(String[] args) throws Exception {
         int rounds = Integer.parseInt(args[0]);
         Path folder = Files.createTempDirectory("readybench");
-        Map<String, List<Double>> took = new LinkedHashMap<>();
+        Map<String, List<Double>> elapsedS = new LinkedHashMap<>();
         System.out.println("load average before " + load());
         for (int round = 0; round < rounds; round++) {
             for (File file : File.values()) {
                 for (Discovery discovery : Discovery.values()) {
-                    took.computeIfAbsent(file + " " + discovery, k -> new ArrayList<>())
+                    elapsedS.computeIfAbsent(file + " " + discovery, k -> new ArrayList<>())
                             .add(start(args[1], folder, file, discovery));
                 }
             }
         }
         System.out.println("load average after " + load());
         System.out.printf(Locale.ROOT, "%-32s %6s %8s %8s %8s%n", "wall s until ready", "starts", "min", "median", "max");
-        took.forEach(ReadyBench::row);
-        row("all", took.values().stream().flatMap(List::stream).toList());
+        elapsedS.forEach(ReadyBench::row);
+        row("all", elapsedS.values().stream().flatMap(List::stream).toList());
     }
 
     private static String load() throws IOException {
@@ -66,14 +67,14 @@
                 .mapToObj(i -> HOST.formatted(i, i)).toList()));
     }
 
-    /** Serves every call with the whole list the first time, and lets watches wait. */
+    /** Answers the first request of each connection with the complete list, and leaves later watches waiting. */
     private static void serve(ServerSocket at, long afterMs) {
         while (true) {
             try {
                 Socket s = at.accept();
-                Thread one = new Thread(() -> answer(s, afterMs));
-                one.setDaemon(true);
-                one.start();
+                Thread handler = new Thread(() -> answer(s, afterMs));
+                handler.setDaemon(true);
+                handler.start();
             } catch (IOException e) {
                 return;
             }
@@ -93,7 +94,7 @@
                 }
             }
         } catch (IOException e) {
-            // The gatherer has been ended.
+            // The gatherer has been stopped.
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         }
@@ -136,7 +137,8 @@
             try {
                 while (!ready(port)) {
                     if (!process.isAlive() || System.nanoTime() - began > LIMIT_NANOS) {
-                        throw new IllegalStateException("never ready: " + Files.readString(folder.resolve("log")));
+                        throw new IllegalStateException("process ended or not ready within 60 s, log: "
+                                + Files.readString(folder.resolve("log")));
                     }
                     Thread.sleep(5);
                 }
--- a/tools/StartBench.java
+++ b/tools/StartBench.java
@@ -12,12 +12,13 @@
 import java.util.Locale;
 
 /**
- * Measures starts: processor time and wall time from the start of the process until {@code /-/ready} answers 200, the
- * largest resident memory till then, and how long the first query after it takes (it is refused, there are no nodes: the
- * way through front, core and module and back). Commands are measured in turn, one start each a round, so that a machine
- * whose speed drifts treats them alike. Linux only (/proc).
+ * Measures process starts: processor time and wall time from the start until {@code /-/ready} answers 200, the largest
+ * resident memory until then, and how long the first query takes after that. There are no nodes, so the query is
+ * refused: it covers the way through front, core and module and back. Each round starts each command once, so that a
+ * drift of the machine's speed affects all commands alike. Linux only (/proc).
  *
- * <p>{@code java tools/StartBench.java ROUNDS COMMAND [COMMAND ...]}, each command one argument, run by {@code sh -c exec}.
+ * <p>{@code java tools/StartBench.java ROUNDS COMMAND [COMMAND ...]}, each command one argument, run by {@code sh -c
+ * exec}.
  */
 public final class StartBench {
 
@@ -37,9 +38,9 @@
         Path folder = Files.createTempDirectory("startbench");
         for (int round = 0; round <= rounds; round++) {
             for (int i = 0; i < commands.size(); i++) {
-                Start one = start(commands.get(i), folder);
+                Start result = start(commands.get(i), folder);
                 if (round > 0) {
-                    all.get(i).add(one);
+                    all.get(i).add(result);
                 }
             }
         }
@@ -82,7 +83,8 @@
         try {
             while (!ready(port)) {
                 if (!process.isAlive() || System.nanoTime() - began > LIMIT_NANOS) {
-                    throw new IllegalStateException("never ready: " + command + "\n" + Files.readString(folder.resolve("log")));
+                    throw new IllegalStateException("process ended or not ready within 60 s: " + command + "\n"
+                            + Files.readString(folder.resolve("log")));
                 }
                 Thread.sleep(2);
             }
--- a/tools/TableHeap.java
+++ b/tools/TableHeap.java
@@ -8,7 +8,8 @@
 import pepperdock.membership.RecordStatus;
 
 /**
- * Heap of one member's {@link Membership} by the size of the fleet, each with records of its own as they come off the wire:
+ * Measures the heap that one member's {@link Membership} uses, by the size of the fleet. Each member has its own copies
+ * of the records, as if read from the wire:
  * {@code java -cp target/pepperdock.jar tools/TableHeap.java 50 100 200 500}.
  */
 public final class TableHeap {
@@ -53,7 +54,7 @@
             for (int i = 0; i < COPIES; i++) {
                 kept.add(member(Integer.parseInt(size)));
             }
-            System.out.printf("%s members: %d bytes of heap a member%n", size, (used() - before) / kept.size());
+            System.out.printf("%s members: %d bytes of heap per member%n", size, (used() - before) / kept.size());
         }
     }
 }
