--- a/tools/ListCalls.java
+++ b/tools/DiscoveryOutageLoad.java
@@ -24,10 +24,10 @@
  * order and fails with 503 those that waited over two seconds. During the outage, calls are refused at once or hang
  * until they are reset at recovery.
  *
- * <p>{@code java -cp target/pepperdock.jar tools/ListCalls.java GATHERERS CALLS_PER_S OUTAGE_S ROUNDS}; needs the built
+ * <p>{@code java -cp target/pepperdock.jar tools/DiscoveryOutageLoad.java GATHERERS CALLS_PER_S OUTAGE_S ROUNDS}; needs the built
  * jar.
  */
-public final class ListCalls {
+public final class DiscoveryOutageLoad {
 
     private static final double BEGIN = 1000;
     private static final double QUIET_S = 12;
--- a/tools/TableHeap.java
+++ b/tools/MembershipHeap.java
@@ -10,13 +10,13 @@
 /**
  * Measures the heap that one member's {@link Membership} uses, by the size of the fleet. Each member has its own copies
  * of the records, as if read from the wire:
- * {@code java -cp target/pepperdock.jar tools/TableHeap.java 50 100 200 500}.
+ * {@code java -cp target/pepperdock.jar tools/MembershipHeap.java 50 100 200 500}.
  */
-public final class TableHeap {
+public final class MembershipHeap {
 
     private static final int COPIES = 20;
 
-    private TableHeap() {}
+    private MembershipHeap() {}
 
     private static MemberRecord memberRecord(int i) {
         String address = "10.0." + (i >> 8) + '.' + (i & 255) + ":7400";
--- a/tools/PlanArms.java
+++ b/tools/PlannedSharesComparison.java
@@ -11,10 +11,10 @@
  * Compares planned shares with equal shares in the simulator, paired by seed. Prints the mean service of both, the mean
  * difference with its 95 % interval (normal), latencies, and the utilization of the fullest node. A difference whose
  * interval contains 0 is marked as noise.
- * {@code java -cp target/pepperdock.jar tools/PlanArms.java SEEDS SECONDS NODES[,NODES...] LOAD[,LOAD...]
+ * {@code java -cp target/pepperdock.jar tools/PlannedSharesComparison.java SEEDS SECONDS NODES[,NODES...] LOAD[,LOAD...]
  * [SHARE_LEAST]}
  */
-public final class PlanArms {
+public final class PlannedSharesComparison {
 
     /** Keeps a strong reference: the JDK discards an unreferenced logger together with its level. */
     private static final Logger QUIET = Logger.getLogger("pepperdock");
