--- a/src/main/java/pepperdock/benchmark/DataPath.java
+++ b/src/main/java/pepperdock/benchmark/DataPath.java
@@ -14,7 +14,7 @@
 public final class DataPath {
 
     /** The available measurements. */
-    public enum What {
+    public enum Measurement {
         /** Processor time and allocation of decisions alone, by workers and fan-out; simulated time. */
         DECISIONS,
         /** Processor time and allocation of a list change that concerns one worker, by workers; simulated time. */
@@ -50,7 +50,7 @@
      * @param jvmFlags JVM flags of the gatherer's process
      */
     public record Plan(
-            What what,
+            Measurement what,
             List<Integer> workers,
             List<Integer> fanOuts,
             List<Integer> partsPerSecond,
--- a/src/main/java/pepperdock/cli/ScaleCommand.java
+++ b/src/main/java/pepperdock/cli/ScaleCommand.java
@@ -40,7 +40,7 @@
     static final class DataCommand implements Callable<Integer> {
 
         @Parameters(paramLabel = "WHAT", description = "One of ${COMPLETION-CANDIDATES}.")
-        private DataPath.What what;
+        private DataPath.Measurement what;
 
         @Mixin
         private WorkerCountsOption workerCounts;
