--- a/tools/TableHeap.java
+++ b/tools/MembershipHeap.java
@@ -8,14 +8,15 @@
 import pepperdock.membership.RecordStatus;
 
 /**
- * Heap of one member's {@link Membership} by the size of the fleet, each with records of its own as they come off the wire:
- * {@code java -cp target/pepperdock.jar tools/TableHeap.java 50 100 200 500}.
+ * Measures the heap that one member's {@link Membership} uses, by the size of the fleet. Each member has its own copies
+ * of the records, as if read from the wire:
+ * {@code java -cp target/pepperdock.jar tools/MembershipHeap.java 50 100 200 500}.
  */
-public final class TableHeap {
+public final class MembershipHeap {
 
     private static final int COPIES = 20;
 
-    private TableHeap() {}
+    private MembershipHeap() {}
 
     private static MemberRecord memberRecord(int i) {
         String address = "10.0." + (i >> 8) + '.' + (i & 255) + ":7400";
@@ -53,7 +54,7 @@
             for (int i = 0; i < COPIES; i++) {
                 kept.add(member(Integer.parseInt(size)));
             }
-            System.out.printf("%s members: %d bytes of heap a member%n", size, (used() - before) / kept.size());
+            System.out.printf("%s members: %d bytes of heap per member%n", size, (used() - before) / kept.size());
         }
     }
 }
