--- a/src/main/java/pepperdock/cli/ExploreCommand.java
+++ b/src/main/java/pepperdock/cli/ExploreCommand.java
@@ -10,8 +10,8 @@
 import java.util.concurrent.atomic.AtomicLong;
 import java.util.stream.LongStream;
 import pepperdock.simulation.raft.Explorer;
+import pepperdock.simulation.raft.SimulatedRaftGroup;
 import pepperdock.simulation.raft.Step;
-import pepperdock.simulation.raft.World;
 import pepperdock.store.raft.RaftSettings;
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Model.CommandSpec;
@@ -85,7 +85,7 @@
     @Override
     public Integer call() throws IOException {
         PrintWriter out = spec.commandLine().getOut();
-        Explorer explorer = new Explorer(seed -> new World(processes, voters, SETTINGS, seed), mix);
+        Explorer explorer = new Explorer(seed -> new SimulatedRaftGroup(processes, voters, SETTINGS, seed), mix);
         if (script != null) {
             List<Step> scriptSteps = new ArrayList<>();
             for (String line : Files.readAllLines(script)) {
--- a/src/main/java/pepperdock/simulation/SimulatedFleet.java
+++ b/src/main/java/pepperdock/simulation/SimulatedFleet.java
@@ -53,8 +53,8 @@
             PlanConfig plan) {}
 
     /**
-     * The result of a day: the value served in time divided by the value requested, latencies of answers in seconds, and
-     * the utilisation of the busiest node.
+     * The result of a day: the value served in time divided by the value requested, latencies of answers in seconds,
+     * and the utilisation of the busiest node.
      */
     public record Result(double service, double median, double p99, double utilisation, int queries, int unanswered) {}
 
--- a/src/main/java/pepperdock/simulation/distribution/DistributionInvariants.java
+++ b/src/main/java/pepperdock/simulation/distribution/DistributionInvariants.java
@@ -103,7 +103,7 @@
                         gatherer.place().name() + " has version "
                                 + subscriber.inForce().version()
                                 + " in force with durability " + subscriber.durability()
-                                + " at the end, but the newest settled version is " + newest.version());
+                                + " at the end, but " + newest.version() + " is the newest settled version");
             }
         }
     }
@@ -154,8 +154,8 @@
                 .forEach(a -> addFinding(
                         Promise.AGE_TOLD,
                         a.at(),
-                        a.gatherer() + " reports an age of " + a.ageMillis() + " ms, but was cut off for "
-                                + a.cutOffMillis() + " ms"));
+                        a.gatherer() + " reports an age of " + a.ageMillis() + " ms; time cut off in ms: "
+                                + a.cutOffMillis()));
     }
 
     private void checkWithinTime(DistributionMetrics metrics) {
--- a/src/main/java/pepperdock/simulation/distribution/Streams.java
+++ b/src/main/java/pepperdock/simulation/distribution/Streams.java
@@ -260,7 +260,7 @@
             throw new IOException("an action on the event loop failed or timed out", e);
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
-            throw new IOException("interrupted while waiting for an action on the event loop", e);
+            throw new IOException("interrupted", e);
         }
     }
 
--- a/src/main/java/pepperdock/simulation/raft/Explorer.java
+++ b/src/main/java/pepperdock/simulation/raft/Explorer.java
@@ -102,15 +102,16 @@
     private static final int MAX_SHORTENING_TRIES = 4000;
 
     /**
-     * The result of a walk: the violations, if any, the steps taken until then, and the counts of {@link World#counts}.
+     * The result of a walk: the violations, if any, the steps taken until then, and the counts of {@link
+     * SimulatedRaftGroup#counts}.
      */
     public record Walk(long seed, List<String> violations, List<Step> steps, long[] counts) {}
 
-    private final LongFunction<World> groups;
+    private final LongFunction<SimulatedRaftGroup> groups;
     private final Mix mix;
 
     /** Creates an explorer; {@code groups} must return a new, equal group whenever it is called with the same seed. */
-    public Explorer(LongFunction<World> groups, Mix mix) {
+    public Explorer(LongFunction<SimulatedRaftGroup> groups, Mix mix) {
         this.groups = groups;
         this.mix = mix;
     }
@@ -127,7 +128,7 @@
 
     /** Runs steps until the first violation; if there is none, lets the group settle and checks it again. */
     public Walk play(long seed, List<Step> steps) {
-        World group = groups.apply(seed);
+        SimulatedRaftGroup group = groups.apply(seed);
         int taken = 0;
         try {
             while (taken < steps.size() && group.violations().isEmpty()) {
--- a/src/main/java/pepperdock/simulation/raft/Invariants.java
+++ b/src/main/java/pepperdock/simulation/raft/Invariants.java
@@ -52,7 +52,7 @@
     }
 
     /** Checks a snapshot that a process has installed. */
-    void checkSnapshot(World.Node node, RaftSnapshot snapshot) {
+    void checkSnapshot(SimulatedRaftGroup.Node node, RaftSnapshot snapshot) {
         Applied known = applied.get(node.applied);
         if (known == null || known.state() != node.state || known.term() != snapshot.term()) {
             violations.add("the snapshot at index " + node.applied + " differs from the state that was applied there");
@@ -60,7 +60,7 @@
     }
 
     /** Records the index up to which a process knows its log to be committed. */
-    void recordCommitted(World.Node node) {
+    void recordCommitted(SimulatedRaftGroup.Node node) {
         if (node.raft.commitIndex() > committed) {
             for (long i = committed + 1; i <= node.raft.commitIndex(); i++) {
                 committedTerm.put(i, node.raft.termAt(i));
@@ -78,28 +78,27 @@
         }
     }
 
-    void checkSent(World.Node node, RaftOutput.Send send) {
+    void checkSent(SimulatedRaftGroup.Node node, RaftOutput.Send send) {
         if (send.message() instanceof RaftMessage.VoteResponse vote && !vote.preVote() && vote.granted()) {
             Long before = votes.putIfAbsent(List.of(node.id, vote.term()), send.to());
             if (before != null && before != send.to()) {
-                violations.add("node " + node.id + " has voted for " + before + " and " + send.to() + " in term "
-                        + vote.term());
+                violations.add(node.id + " has voted for " + before + " and " + send.to() + " in term " + vote.term());
             }
             if (node.disk.saved().hardState().term() < vote.term()) {
-                violations.add("node " + node.id + " has voted in term " + vote.term()
-                        + ", but its disk does not hold that term");
+                violations.add(
+                        node.id + " has voted in term " + vote.term() + ", but its disk does not hold that term");
             }
         }
         if (send.message() instanceof RaftMessage.AppendResponse response
                 && response.success()
                 && response.term() == node.raft.term()
                 && node.disk.lastIndex() < response.index()) {
-            violations.add("node " + node.id + " acknowledged entries up to index " + response.index()
+            violations.add(node.id + " acknowledged entries up to index " + response.index()
                     + ", but its disk holds entries up to index " + node.disk.lastIndex());
         }
     }
 
-    void checkWritten(World.Node node, RaftOutput.Write write) {
+    void checkWritten(SimulatedRaftGroup.Node node, RaftOutput.Write write) {
         for (RaftLogEntry entry : write.entries()) {
             int hash = java.util.Arrays.hashCode(entry.data()) * 31
                     + (entry.configuration() == null ? 0 : entry.configuration().hashCode());
@@ -124,7 +123,7 @@
     }
 
     /** Returns whether no other membership change lies between the last committed entry and this one. */
-    private boolean noEarlierUncommittedChange(World.Node node, long index) {
+    private boolean noEarlierUncommittedChange(SimulatedRaftGroup.Node node, long index) {
         return node.disk.saved().entries().stream()
                         .noneMatch(x ->
                                 x.configuration() != null && x.index() > node.raft.commitIndex() && x.index() < index)
@@ -137,18 +136,18 @@
     }
 
     /** Checks an entry that a process has applied to its state, after all entries up to {@code before}. */
-    void checkApplied(World.Node node, RaftLogEntry entry, long before) {
+    void checkApplied(SimulatedRaftGroup.Node node, RaftLogEntry entry, long before) {
         if (entry.index() != before + 1) {
-            violations.add("node " + node.id + " applied index " + entry.index() + " after index " + before);
+            violations.add(node.id + " applied index " + entry.index() + " after index " + before);
         }
         Applied known = applied.putIfAbsent(entry.index(), new Applied(entry.term(), node.state));
         if (known != null && (known.term() != entry.term() || known.state() != node.state)) {
-            violations.add("node " + node.id + " applied an entry of term " + entry.term() + " at index "
-                    + entry.index() + ", where a different entry of term " + known.term() + " was applied before");
+            violations.add(node.id + " applied an entry of term " + entry.term() + " at index " + entry.index()
+                    + ", where a different entry of term " + known.term() + " was applied before");
         }
     }
 
-    void checkStateChange(World.Node node, RaftOutput.StateChange change) {
+    void checkStateChange(SimulatedRaftGroup.Node node, RaftOutput.StateChange change) {
         if (change.state() != RaftPeerState.LEADER) {
             return;
         }
--- a/src/main/java/pepperdock/simulation/raft/World.java
+++ b/src/main/java/pepperdock/simulation/raft/SimulatedRaftGroup.java
@@ -24,7 +24,7 @@
  * all committed entries, the same entries applied in the same order everywhere, no entry acknowledged before the disk
  * holds it, membership changes by one vote, and reads not older than their request. Tests override protected methods.
  */
-public class World {
+public class SimulatedRaftGroup {
 
     private static final int MAX_MESSAGES = 400;
     /** Maximum rounds of messages and responses in one calm round. */
@@ -60,7 +60,7 @@
     private long nextData = 1;
 
     /** Creates a group of {@code nodes} processes, of which the first {@code voters} start as voters. */
-    public World(int nodes, int voters, RaftSettings settings, long seed) {
+    public SimulatedRaftGroup(int nodes, int voters, RaftSettings settings, long seed) {
         this.settings = settings;
         seeds = new Random(seed);
         VoterConfiguration first = VoterConfiguration.NONE;
@@ -358,7 +358,7 @@
             if (leader.raft.configuration().peer(s.id) != null
                     && s.raft.state() != RaftPeerState.STORAGE_FAILED
                     && s.applied != leader.applied) {
-                invariants.violation("node " + s.id + " has applied up to index " + s.applied
+                invariants.violation(s.id + " has applied up to index " + s.applied
                         + " after all faults were healed, but its leader up to index " + leader.applied);
             }
         }
--- a/src/test/java/pepperdock/simulation/raft/ExplorerTest.java
+++ b/src/test/java/pepperdock/simulation/raft/ExplorerTest.java
@@ -26,7 +26,8 @@
     private static final RaftSettings SETTINGS = new RaftSettings(5, 1, 48, 4, 4096, 1);
     private static final int STEPS = 3000;
 
-    private static List<Explorer.Walk> walks(LongFunction<World> groups, Explorer.Mix mix, int seeds, int steps) {
+    private static List<Explorer.Walk> walks(
+            LongFunction<SimulatedRaftGroup> groups, Explorer.Mix mix, int seeds, int steps) {
         Explorer explorer = new Explorer(groups, mix);
         return LongStream.rangeClosed(1, seeds)
                 .parallel()
@@ -37,7 +38,8 @@
     @ParameterizedTest(name = "{0}: {1} processes, {2} of them voters at first")
     @CsvSource({"ALL, 3, 3", "ALL, 5, 3", "ALL, 5, 5", "ALL, 4, 1", "ELECTIONS, 5, 5", "SNAPSHOTS, 3, 3"})
     void invariantsHoldInAllWalks(Explorer.Mix mix, int processes, int voters) {
-        List<Explorer.Walk> walks = walks(seed -> new World(processes, voters, SETTINGS, seed), mix, 200, STEPS);
+        List<Explorer.Walk> walks =
+                walks(seed -> new SimulatedRaftGroup(processes, voters, SETTINGS, seed), mix, 200, STEPS);
         for (Explorer.Walk w : walks) {
             assertEquals(List.of(), w.violations(), "seed " + w.seed());
         }
@@ -80,8 +82,8 @@
     }
 
     /** Returns a group with that injected fault, or with none if the name is unknown. */
-    private static World groupWithFault(String fault, long seed) {
-        return new World(5, voters(fault), SETTINGS, seed) {
+    private static SimulatedRaftGroup groupWithFault(String fault, long seed) {
+        return new SimulatedRaftGroup(5, voters(fault), SETTINGS, seed) {
             private int syncs;
 
             @Override
@@ -138,14 +140,14 @@
                         .toString());
     }
 
-    private static void takeOnEach(World group, Step.Kind kind, int... nodes) {
+    private static void takeOnEach(SimulatedRaftGroup group, Step.Kind kind, int... nodes) {
         for (int s : nodes) {
             group.take(new Step(kind, s, 0));
         }
     }
 
     /** Makes the candidate leader, elected by the votes of the given nodes. */
-    private static void elect(World group, int candidate, int... voters) {
+    private static void elect(SimulatedRaftGroup group, int candidate, int... voters) {
         for (int i = 0; i < 12 && group.state(candidate) != RaftPeerState.LEADER; i++) {
             if (i % 3 == 0) {
                 // A voter that still hears from a leader rejects other candidates, so its election timeout must expire.
@@ -171,7 +173,7 @@
     @ParameterizedTest
     @CsvSource({"commit of an older term, 1", "commit of an older term without a fault, 0"})
     void entryOfOlderTermIsNotCommittedByCountingReplicas(String fault, int findings) {
-        World group = groupWithFault(fault, 1);
+        SimulatedRaftGroup group = groupWithFault(fault, 1);
         elect(group, 0, 1, 2);
         group.deliver(Step.Kind.DELIVER, 0, 1, RaftMessage.AppendEntries.class, m -> true);
         takeOnEach(group, Step.Kind.SYNC, 1, 0);
@@ -197,7 +199,7 @@
         assertTrue(group.counts()[0] >= 3, "leaders: " + group.counts()[0]);
     }
 
-    private static void proposeFourEntries(World group) {
+    private static void proposeFourEntries(SimulatedRaftGroup group) {
         for (int f = 1; f <= 2; f++) {
             for (int i = 0; i < 3; i++) {
                 group.deliver(Step.Kind.DELIVER, 0, f, RaftMessage.AppendEntries.class, m -> true);
@@ -212,7 +214,7 @@
     /**
      * Replicates all entries but the last to the second follower, and compacts the entries that the leader has applied.
      */
-    private static void replicateAllButTheLastAndCompact(World group) {
+    private static void replicateAllButTheLastAndCompact(SimulatedRaftGroup group) {
         for (int i = 0; i < 3; i++) {
             group.deliver(
                     Step.Kind.DELIVER,
@@ -230,7 +232,7 @@
      * Delivers the third entry to the first follower before the first, which it rejects, then all entries up to the
      * fourth, and the snapshot.
      */
-    private static void deliverOutOfOrderWithALateSnapshot(World group) {
+    private static void deliverOutOfOrderWithALateSnapshot(SimulatedRaftGroup group) {
         group.take(new Step(Step.Kind.TICK, 2, 0));
         group.deliver(
                 Step.Kind.TWICE,
@@ -270,7 +272,7 @@
     @ParameterizedTest
     @CsvSource({"a snapshot over newer entries, 1", "nothing, 0"})
     void lateSnapshotDoesNotRemoveNewerEntries(String fault, int findings) {
-        World group = groupWithFault(fault, 1);
+        SimulatedRaftGroup group = groupWithFault(fault, 1);
         elect(group, 0, 1, 2);
         proposeFourEntries(group);
         replicateAllButTheLastAndCompact(group);
